--- /dev/null
+++ b/crates/gaugesaddle-consensus/tests/golden_disk.rs
@@ -0,0 +1,73 @@
+//! The failure: a renamed or moved field leaves a replica's disk unreadable for the next build, or a written one for the
+//! build before.
+//!
+//! `data/ring/` holds the segments that the build before any rename wrote for the same appends.
+
+use gaugesaddle_consensus::stored;
+use gaugesaddle_log::{FileStore, Ring, SEGMENTS};
+use gaugesaddle_protocol::{Accepted, Ballot, Digest, ReplicaId, Stamp, State};
+use std::fs;
+use std::path::{Path, PathBuf};
+
+const SEGMENT_BYTES: u64 = 512;
+
+fn replica(ip: u32) -> ReplicaId {
+    ReplicaId { ip, incarnation: 0x0102_0304_0506_0708 }
+}
+
+fn hard_state(term: u64) -> Ballot {
+    Ballot { me: replica(1), term, voted_for: Some(replica(2)) }
+}
+
+fn state(index: u64) -> State {
+    State {
+        stamp: Stamp { term: 3, index },
+        revision: 10 + index,
+        document: format!("{{\"revision\":{}}}", 10 + index).into_bytes(),
+        accepted: vec![Accepted { revision: 10 + index, digest: Digest([index as u8; 16]) }],
+        forgotten: 9,
+        voters: vec![replica(1), replica(2), replica(3)],
+        outgoing: vec![replica(4)],
+    }
+}
+
+fn recorded() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/ring")
+}
+
+/// A folder of this test's own, emptied first.
+fn folder(name: &str) -> PathBuf {
+    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    let _ = fs::remove_dir_all(&folder);
+    fs::create_dir_all(&folder).expect("a folder");
+    folder
+}
+
+#[test]
+fn the_same_appends_write_the_recorded_segments() {
+    let folder = folder("golden-written");
+    let store = FileStore::open(&folder, SEGMENT_BYTES).expect("it opens");
+    let mut ring = Ring::open(store).expect("it is empty");
+    for index in 1..=5 {
+        ring.append(stored::records(&hard_state(index), Some(&state(index)))).expect("it is written");
+    }
+    ring.append(stored::records(&hard_state(6), None)).expect("it is written");
+    for number in 0..SEGMENTS {
+        let name = format!("segment-{number}");
+        let written = fs::read(folder.join(&name)).expect("a segment");
+        let expected = fs::read(recorded().join(&name)).expect("a recorded segment");
+        assert!(written == expected, "{name} in {}", folder.display());
+    }
+}
+
+#[test]
+fn the_recorded_segments_are_read() {
+    let folder = folder("golden-read");
+    for number in 0..SEGMENTS {
+        let name = format!("segment-{number}");
+        fs::copy(recorded().join(&name), folder.join(&name)).expect("it is copied");
+    }
+    let store = FileStore::open(&folder, SEGMENT_BYTES).expect("it opens");
+    let ring = Ring::open(store).expect("it is read");
+    assert_eq!(stored::read(ring.slots()), Ok((Some(hard_state(6)), Some(state(5)))));
+}
--- /dev/null
+++ b/crates/gaugesaddle-control/tests/golden_commands.rs
@@ -0,0 +1,81 @@
+//! The failure: a renamed field or option changes what operators' scripts call and read.
+
+use gaugesaddle_control::operator::{report_json, report_text};
+use gaugesaddle_protocol::StatusReport;
+use std::collections::BTreeSet;
+use std::process::{Command, Output};
+
+fn run(arguments: &[&str]) -> Output {
+    Command::new(env!("CARGO_BIN_EXE_gaugesaddle-control"))
+        .args(arguments)
+        .env_remove("GAUGESADDLE_BOOT")
+        .output()
+        .expect("the program runs")
+}
+
+/// Long options, value names and subcommands that a help text names.
+fn interface(help: &str) -> String {
+    let is_part = |c: char| c.is_ascii_alphanumeric() || "-<>_".contains(c);
+    let words = help.split(|c| !is_part(c)).filter(|word| {
+        word.starts_with("--") && word.len() > 2 || word.starts_with('<') && word.ends_with('>')
+    });
+    let commands = help.lines().skip_while(|line| *line != "Commands:").skip(1);
+    let commands = commands.take_while(|line| !line.is_empty()).filter_map(|l| l.split_whitespace().next());
+    words.chain(commands).collect::<BTreeSet<_>>().into_iter().collect::<Vec<_>>().join(" ")
+}
+
+#[test]
+fn options_and_value_names_of_every_command_are_the_recorded_ones() {
+    let mut lines = Vec::new();
+    for command in ["", "serve", "check", "put", "patch", "get", "watch", "status"] {
+        let arguments: Vec<&str> = [command, "--help"].into_iter().filter(|a| !a.is_empty()).collect();
+        let output = run(&arguments);
+        assert_eq!(output.status.code(), Some(0), "{command}");
+        lines.push(format!("{command}: {}", interface(&String::from_utf8_lossy(&output.stdout))));
+    }
+    assert_eq!(lines.join("\n") + "\n", include_str!("data/commands.txt"));
+}
+
+#[test]
+fn exit_codes_are_the_recorded_ones() {
+    let folder = std::env::temp_dir().join(format!("gaugesaddle-codes-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).expect("a folder");
+    let (good, bad) = (folder.join("good.json"), folder.join("bad.json"));
+    std::fs::write(&good, r#"{"revision":1}"#).expect("it is written");
+    std::fs::write(&bad, r#"{"revision":"#).expect("it is written");
+    let nobody = "127.0.0.1:9";
+    let cases: [(&[&str], i32); 8] = [
+        (&["check", good.to_str().unwrap()], 0),
+        (&["check", bad.to_str().unwrap()], 1),
+        (&["check", "/nowhere/at/all"], 1),
+        (&["get", "--at", nobody, "--for", "0"], 1),
+        (&["status", "--at", nobody], 1),
+        (&["serve"], 1),
+        (&["unknown"], 2),
+        (&["put", good.to_str().unwrap()], 2),
+    ];
+    let codes = cases.map(|(arguments, _)| run(arguments).status.code());
+    std::fs::remove_dir_all(&folder).expect("it goes");
+    assert_eq!(codes, cases.map(|(_, code)| Some(code)));
+}
+
+#[test]
+fn a_status_report_is_printed_as_recorded() {
+    let report = StatusReport {
+        replica: "10.1.0.1#0".to_owned(),
+        role: "leader".to_owned(),
+        term: 300,
+        leader: Some("10.1.0.1".to_owned()),
+        voters: vec!["10.1.0.1#0".to_owned(), "10.1.0.2#0".to_owned()],
+        index: 9,
+        revision: 12,
+        fresh: true,
+        disk: true,
+        peers_alive: 2,
+        backends: 18,
+        backends_leaving: 3,
+        proxies: 6,
+    };
+    assert_eq!(report_json(&report) + "\n", include_str!("data/status.json"));
+    assert_eq!(report_text(&report) + "\n", include_str!("data/status.txt"));
+}
--- /dev/null
+++ b/crates/gaugesaddle/tests/golden_commands.rs
@@ -0,0 +1,62 @@
+//! The failure: a renamed field or option changes what operators' scripts call and read.
+
+use gaugesaddle::registry::Snapshot;
+use gaugesaddle_testbed::program;
+use std::collections::BTreeSet;
+use std::process::Command;
+
+/// Every field that a state has, each with a value of its own.
+const STATE: &str = include_str!("data/state.json");
+
+#[test]
+fn the_state_keeps_its_fields_and_their_order() {
+    let snapshot: Snapshot = serde_json::from_str(STATE).expect("it is read");
+    assert_eq!(serde_json::to_string_pretty(&snapshot).expect("it is written") + "\n", STATE);
+}
+
+/// Long options, value names and subcommands that a help text names.
+fn interface(help: &str) -> String {
+    let is_part = |c: char| c.is_ascii_alphanumeric() || "-<>_=".contains(c);
+    let words = help.split(|c| !is_part(c)).filter(|word| {
+        word.starts_with("--") && word.len() > 2 || word.starts_with('<') && word.ends_with('>')
+    });
+    let commands = help.lines().skip_while(|line| *line != "Commands:").skip(1);
+    let commands = commands.take_while(|line| !line.is_empty()).filter_map(|l| l.split_whitespace().next());
+    words.chain(commands).collect::<BTreeSet<_>>().into_iter().collect::<Vec<_>>().join(" ")
+}
+
+fn run(arguments: &[&str]) -> std::process::Output {
+    Command::new(program::path("gaugesaddle"))
+        .args(arguments)
+        .env_remove("GAUGESADDLE_CONFIG")
+        .env_remove("GAUGESADDLE_BOOT")
+        .env_remove("BALANCER_CONFIG")
+        .output()
+        .expect("the program runs")
+}
+
+#[test]
+fn options_and_value_names_of_every_command_are_the_recorded_ones() {
+    let mut lines = Vec::new();
+    for command in ["", "check", "edge", "state"] {
+        let arguments: Vec<&str> = [command, "--help"].into_iter().filter(|a| !a.is_empty()).collect();
+        let output = run(&arguments);
+        assert_eq!(output.status.code(), Some(0), "{command}");
+        lines.push(format!("{command}: {}", interface(&String::from_utf8_lossy(&output.stdout))));
+    }
+    assert_eq!(lines.join("\n") + "\n", include_str!("data/commands.txt"));
+}
+
+#[test]
+fn exit_codes_are_the_recorded_ones() {
+    let cases: [(&[&str], i32); 6] = [
+        (&[], 1),
+        (&["check", "/nowhere/at/all"], 1),
+        (&["edge"], 1),
+        (&["state"], 1),
+        (&["state", "--socket", "/nowhere/at/all"], 1),
+        (&["unknown"], 2),
+    ];
+    let codes = cases.map(|(arguments, _)| run(arguments).status.code());
+    assert_eq!(codes, cases.map(|(_, code)| Some(code)));
+}
