--- a/crates/gaugesaddle-shares/src/dealer.rs
+++ b/crates/gaugesaddle-allocation/src/dealer.rs
@@ -1,7 +1,7 @@
 //! One proxy's part of the soft quantities and the backends that it uses, from what it sees of its tier, look by look.
 
 use crate::{parts, uses, Crowd, Glide, Law, Member, Server};
-use beechworks::{mix, BackendId, KindId, Micros, Tier, Time, Use, ZoneId};
+use gaugesaddle_balancer::{mix, BackendId, KindId, Micros, Tier, Time, Use, ZoneId};
 
 /// Before a proxy has been awake for so long it does not know who lives: it goes by what it was told, or knew last.
 pub const AWAKE: Micros = Micros(2_000_000);
--- a/crates/gaugesaddle-shares/src/escrow.rs
+++ b/crates/gaugesaddle-allocation/src/escrow.rs
@@ -12,7 +12,7 @@
 //! (for what is held), or the window over which a rate is counted. A process that starts has lent what its former one
 //! lent: it waits for a term and a rest. What is never lent it waits for a rest only.
 
-use beechworks::{ConfigError, Micros, Time};
+use gaugesaddle_balancer::{ConfigError, Micros, Time};
 
 /// Loans that a process has given, and as many that it has taken.
 pub const MOST_LOANS: usize = 64;
--- a/crates/gaugesaddle-shares/src/loans.rs
+++ b/crates/gaugesaddle-allocation/src/loans.rs
@@ -1,7 +1,7 @@
 //! One proxy's hold on all hard quantities: what it borrows and lends by its need, and the words of it as bytes.
 
 use crate::escrow::{Escrow, LoanId, Terms, Word};
-use beechworks::{ConfigError, Micros, Time};
+use gaugesaddle_balancer::{ConfigError, Micros, Time};
 
 /// Hard quantities of a proxy.
 pub const MOST_QUANTITIES: usize = 16;
--- a/crates/gaugesaddle-shares/src/need.rs
+++ b/crates/gaugesaddle-allocation/src/need.rs
@@ -1,6 +1,6 @@
 //! The soft law: parts by need, with a floor and a bound, the same for all that see the same.
 
-use beechworks::{Micros, Time};
+use gaugesaddle_balancer::{Micros, Time};
 
 /// How needs become parts.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/gaugesaddle-shares/src/subset.rs
+++ b/crates/gaugesaddle-allocation/src/subset.rs
@@ -6,7 +6,7 @@
 //! less, wins or loses little but its own. What chance leaves uneven is evened by the weights with which a member spreads
 //! its traffic over its backends (rows and columns scaled in turn), which moves traffic and no connection.
 
-use beechworks::mix;
+use gaugesaddle_balancer::mix;
 use std::collections::BTreeMap;
 
 /// Rounds of scaling at most; ten leave under a hundredth where every backend has ten users or more.
--- a/crates/gaugesaddle-shares/tests/golden_letters.rs
+++ b/crates/gaugesaddle-allocation/tests/golden_letters.rs
@@ -1,7 +1,7 @@
 //! The failure: a renamed or moved field changes the words about loans that proxies of two builds exchange.
 
-use beechworks::{Micros, Time};
-use gaugesaddle_shares::{Letter, Loans, Terms};
+use gaugesaddle_allocation::{Letter, Loans, Terms};
+use gaugesaddle_balancer::{Micros, Time};
 
 const GOLDEN: &str = include_str!("data/letters.txt");
 
--- a/crates/gaugesaddle-shares/tests/model.rs
+++ b/crates/gaugesaddle-allocation/tests/model.rs
@@ -5,8 +5,8 @@
 //! Bound: [`END`] ticks of time, [`FLYING`] words under way; two questions with one of: a word lost, a word doubled, a crash,
 //! a pause; or one question with any three of them. Each process uses all that it may at every tick.
 
-use beechworks::{Micros, Time};
-use gaugesaddle_shares::{Escrow, Terms, Word};
+use gaugesaddle_allocation::{Escrow, Terms, Word};
+use gaugesaddle_balancer::{Micros, Time};
 use stateright::{Checker, Model, Property};
 
 const N: usize = 3;
--- a/crates/gaugesaddle-shares/tests/turns.rs
+++ b/crates/gaugesaddle-allocation/tests/turns.rs
@@ -1,8 +1,8 @@
 //! Many decision modules that are told who uses what: in every turn the rooms that they take of a backend add up to what it
 //! may hold, and over many turns each has its part.
 
-use beechworks::*;
-use gaugesaddle_shares::{Dealer, Dealing, Look, Seen};
+use gaugesaddle_allocation::{Dealer, Dealing, Look, Seen};
+use gaugesaddle_balancer::*;
 
 const S: u64 = 1_000_000;
 /// What a backend may hold, by the module's constant.
@@ -87,7 +87,7 @@
     for turn in 1..=turns {
         sums_hold(&mut all, &living, START + turn * TURN, &mut took);
     }
-    let parts = gaugesaddle_shares::parts(&Dealing::default().law, &needs);
+    let parts = gaugesaddle_allocation::parts(&Dealing::default().law, &needs);
     for (took, part) in took.iter().zip(parts) {
         let due = part * HOLD * backends as f64 * turns as f64;
         assert!((took / due - 1.0).abs() < 0.1, "{took} taken where {due} are due");
--- a/crates/beechworks/tests/cold.rs
+++ b/crates/gaugesaddle-balancer/tests/cold.rs
@@ -2,8 +2,8 @@
 //! others; the sum is held against what the settings allow, with 2 x root of N + 2 put down to chance.
 
 mod common;
-use beechworks::*;
 use common::{backend, class, Host};
+use gaugesaddle_balancer::*;
 
 /// What a warm backend serves a second, one request after another.
 const SERVES: f64 = 40.0;
--- a/crates/beechworks/tests/common/mod.rs
+++ b/crates/gaugesaddle-balancer/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A host for one balancer that carries out its actions and checks every rule as it goes.
 #![allow(dead_code)]
 
-use beechworks::*;
+use gaugesaddle_balancer::*;
 use std::collections::BTreeMap;
 
 #[derive(Clone)]
--- a/crates/beechworks/tests/failures.rs
+++ b/crates/gaugesaddle-balancer/tests/failures.rs
@@ -1,8 +1,8 @@
 //! One small test for each behaviour and each failure found, through the public interface.
 
 mod common;
-use beechworks::*;
 use common::{backend, class, Host};
+use gaugesaddle_balancer::*;
 
 fn fleet(count: u32) -> Vec<Backend> {
     (0..count).map(|i| backend(i, 0, 0)).collect()
--- a/crates/beechworks/tests/halb.rs
+++ b/crates/gaugesaddle-balancer/tests/halb.rs
@@ -1,6 +1,6 @@
 //! Shares against values worked by hand from the paper's formula.
 
-use beechworks::halb_shares;
+use gaugesaddle_balancer::halb_shares;
 
 fn close(got: Vec<f64>, want: &[f64]) {
     assert_eq!(got.len(), want.len());
--- a/crates/beechworks/tests/invariants.rs
+++ b/crates/gaugesaddle-balancer/tests/invariants.rs
@@ -1,8 +1,8 @@
 //! The rules as invariants over generated sequences of events; `common::Host` checks each action.
 
 mod common;
-use beechworks::*;
 use common::{backend, class, Host};
+use gaugesaddle_balancer::*;
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 
--- a/crates/beechworks/tests/leaving.rs
+++ b/crates/gaugesaddle-balancer/tests/leaving.rs
@@ -1,8 +1,8 @@
 //! Another region as last resort, as the module decides on it: what leaves, when, in which order, and what never may.
 
 mod common;
-use beechworks::*;
 use common::{backend, class, Host};
+use gaugesaddle_balancer::*;
 
 const MS: u64 = 1000;
 
--- a/crates/gaugesaddle-catalog/src/digest.rs
+++ b/crates/gaugesaddle-catalog/src/digest.rs
@@ -1,6 +1,6 @@
 //! Range digests: two catalogs compare a few numbers, and pass on only the ranges that differ.
 
-use beechworks::mix;
+use gaugesaddle_balancer::mix;
 use gaugesaddle_protocol::{Lifecycle, Registration};
 
 /// Ranges that identities are divided into.
--- a/crates/gaugesaddle-orders/src/lib.rs
+++ b/crates/gaugesaddle-consensus/src/change.rs
@@ -9,8 +9,8 @@
 //! ([`Content::Edited`]). Two patches on one base are so never merged: the second one builds on another revision than
 //! the current one, and is refused like any order that does.
 
+use crate::{Content, Proposal};
 use gaugesaddle_config::{ConfigPatch, Finding, Findings};
-use gaugesaddle_consensus::{Content, Proposal};
 use gaugesaddle_protocol::{Configuration, Digest, Order, OrderBody};
 use serde::Deserialize;
 
--- a/crates/gaugesaddle-consensus/src/lib.rs
+++ b/crates/gaugesaddle-consensus/src/lib.rs
@@ -15,6 +15,7 @@
 //! and however long the process slept. Tables are bounded by the number of replicas, queues by
 //! [`settings::MOST_PENDING`].
 
+pub mod change;
 mod election;
 mod membership;
 mod pending;
--- a/crates/gaugesaddle-orders/tests/proposals.rs
+++ b/crates/gaugesaddle-consensus/tests/proposals.rs
@@ -1,7 +1,7 @@
 //! The failure: a patch is merged with another configuration than the one it names, or the same order is not known again.
 
+use gaugesaddle_consensus::change::{proposal, read};
 use gaugesaddle_consensus::Content;
-use gaugesaddle_orders::{proposal, read};
 use gaugesaddle_protocol::{Configuration, Digest, Order, OrderBody, Stamp};
 
 const DOCUMENT: &[u8] = br#"{"revision":4,"routes":[{"name":"a"}]}"#;
--- a/crates/gaugesaddle-control/src/core.rs
+++ b/crates/gaugesaddle-control/src/core.rs
@@ -7,7 +7,7 @@
 use gaugesaddle_config::{operator::OperatorConfig, BootSettings};
 use gaugesaddle_consensus::{Input, NotLeading, Output, Proposal, ProposalResult, Replica, Settings};
 use gaugesaddle_distribution::{Distributor, Standing};
-use gaugesaddle_load::LoadBoard;
+use gaugesaddle_load_report::LoadBoard;
 use gaugesaddle_protocol::{
     Ballot, Configuration, Delta, Lifecycle, Origin, PeerMessage, Pull, Registration, ReplicaId, State,
     StatusReport, Subject,
--- a/crates/gaugesaddle-control/src/orders.rs
+++ b/crates/gaugesaddle-control/src/orders.rs
@@ -37,7 +37,7 @@
 fn check(body: &OrderBody) -> Result<(), Findings> {
     match body {
         OrderBody::Whole(document) => check_whole(document),
-        OrderBody::Patch(_) => gaugesaddle_orders::read(body).map(|_| ()),
+        OrderBody::Patch(_) => gaugesaddle_consensus::change::read(body).map(|_| ()),
     }
 }
 
@@ -57,7 +57,7 @@
     }
     let proposal = core.with(|c| {
         let committed = c.replica.as_ref().and_then(Replica::committed);
-        gaugesaddle_orders::proposal(order, committed, check_whole)
+        gaugesaddle_consensus::change::proposal(order, committed, check_whole)
     });
     let proposal = match proposal {
         Ok(proposal) => proposal,
--- a/crates/gaugesaddle-patch/src/lib.rs
+++ b/crates/gaugesaddle-delta/src/lib.rs
@@ -5,7 +5,7 @@
 //! and brackets. Any document may be patched; one without these only makes larger patches.
 //!
 //! ```
-//! use gaugesaddle_patch::Patch;
+//! use gaugesaddle_delta::Patch;
 //! let (old, new) = (br#"{"revision":1,"routes":[]}"#, br#"{"revision":2,"routes":[]}"#);
 //! let patch = Patch::between(old, new);
 //! assert_eq!(patch.apply(old).as_deref(), Ok(new.as_slice()));
--- a/crates/gaugesaddle-patch/tests/patches.rs
+++ b/crates/gaugesaddle-delta/tests/patches.rs
@@ -1,6 +1,6 @@
 //! The failure: a patch makes another document than the one it names, or a small change travels as a whole document.
 
-use gaugesaddle_patch::{Digest, Patch, PatchError};
+use gaugesaddle_delta::{Digest, Patch, PatchError};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/gaugesaddle-distribution/src/members.rs
+++ b/crates/gaugesaddle-distribution/src/members.rs
@@ -1,6 +1,6 @@
 //! The control processes that a proxy knows, and which of them it asks.
 
-use beechworks::mix;
+use gaugesaddle_balancer::mix;
 use std::collections::BTreeMap;
 
 /// A process that failed, or was not in touch with a majority, is asked again only after the others, and so much later,
--- a/crates/gaugesaddle-failover/src/council.rs
+++ b/crates/gaugesaddle-failover/src/council.rs
@@ -6,7 +6,7 @@
 //! is lost on the way comes a moment later, and the cost is the same in a tier of any size.
 
 use crate::decision::{Decision, Number};
-use beechworks::{Micros, Time};
+use gaugesaddle_balancer::{Micros, Time};
 use std::collections::VecDeque;
 
 /// Others that a new decision is passed to by each that takes it up.
@@ -156,7 +156,7 @@
     fn draw(&mut self, living: &[u16], count: usize) -> Vec<u16> {
         let mut others: Vec<u16> = living.iter().copied().filter(|p| *p != self.place).collect();
         for i in 0..count.min(others.len()) {
-            self.dice = beechworks::mix(self.dice.wrapping_add(1));
+            self.dice = gaugesaddle_balancer::mix(self.dice.wrapping_add(1));
             let j = i + (self.dice % (others.len() - i) as u64) as usize;
             others.swap(i, j);
         }
@@ -223,7 +223,7 @@
             }
             self.sent += out.len();
             for letter in out {
-                self.dice = beechworks::mix(self.dice + 1);
+                self.dice = gaugesaddle_balancer::mix(self.dice + 1);
                 let passes = self.side[usize::from(letter.0)] == self.side[usize::from(letter.1)];
                 if passes && self.dice % 100 >= self.loss {
                     self.flying.push(letter);
--- a/crates/gaugesaddle-failover/src/judge.rs
+++ b/crates/gaugesaddle-failover/src/judge.rs
@@ -5,7 +5,7 @@
 //! not count against it. What a zone can do is the weighted median of what its voices make of the whole, so that one that
 //! is off by far moves it little, and half of the voices at once have to be wrong by a factor for it to be so.
 
-use beechworks::{ConfigError, Micros};
+use gaugesaddle_balancer::{ConfigError, Micros};
 
 /// How voices become a judgement.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/gaugesaddle-failover/src/ladder.rs
+++ b/crates/gaugesaddle-failover/src/ladder.rs
@@ -9,7 +9,7 @@
 //!
 //! Each loss within `memory` doubles the wait, up to `longest`: a zone that comes and goes costs what a lost one costs.
 
-use beechworks::{Micros, Time};
+use gaugesaddle_balancer::{Micros, Time};
 
 /// The figures.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/gaugesaddle-region/src/backoff.rs
+++ b/crates/gaugesaddle-federation/src/backoff.rs
@@ -1,6 +1,6 @@
 //! When a region that refused, or could not be reached, is asked again: not by all proxies at one moment.
 
-use beechworks::{Micros, Time};
+use gaugesaddle_balancer::{Micros, Time};
 
 /// First pause after a link failed; it doubles with each failure in a row, up to the longest.
 const FIRST: Micros = Micros(250_000);
--- a/crates/gaugesaddle-region/src/budget.rs
+++ b/crates/gaugesaddle-federation/src/budget.rs
@@ -6,7 +6,7 @@
 //! parts add up to the budget exactly. Where the budget is below the number of proxies, each has one send in slots of
 //! the clock that they share, cut so that no second touches more slots than the budget has sends.
 
-use beechworks::{Micros, Time};
+use gaugesaddle_balancer::{Micros, Time};
 use std::collections::VecDeque;
 
 const SECOND: Micros = Micros(1_000_000);
--- a/crates/gaugesaddle-region/src/fate.rs
+++ b/crates/gaugesaddle-federation/src/fate.rs
@@ -1,6 +1,6 @@
 //! What became of a request at another region, and what its client may be told then.
 
-use beechworks::{Effect, KeyScope, Outcome};
+use gaugesaddle_balancer::{Effect, KeyScope, Outcome};
 
 /// What a gateway says became of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -81,7 +81,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use beechworks::Micros;
+    use gaugesaddle_balancer::Micros;
 
     /// The table of docs/design/region.md, cell by cell.
     #[test]
--- a/crates/gaugesaddle-region/src/gates.rs
+++ b/crates/gaugesaddle-federation/src/gates.rs
@@ -1,7 +1,7 @@
 //! The ways to one region, a connection to each of its gateways: which one has the next request, and which is left alone
 //! for a moment because it had no place, or could not be reached.
 
-use beechworks::{Micros, Time};
+use gaugesaddle_balancer::{Micros, Time};
 
 /// Ways at the most: a proxy of a great region keeps no connection to each gateway of another.
 pub const MOST_WAYS: usize = 8;
--- a/crates/gaugesaddle-region/src/keys.rs
+++ b/crates/gaugesaddle-federation/src/keys.rs
@@ -1,6 +1,6 @@
 //! What certificates and keys may be taken into use while others serve: decided from what was read of them.
 
-use beechworks::{Micros, Time};
+use gaugesaddle_balancer::{Micros, Time};
 
 /// Warned of before the end of a certificate: first so long before, then more loudly.
 const SOON: Micros = Micros(30 * 86_400 * 1_000_000);
--- a/crates/gaugesaddle-region/src/lib.rs
+++ b/crates/gaugesaddle-federation/src/lib.rs
@@ -10,7 +10,7 @@
 //! - [`Link`] puts these together for one region: what may leave now, and what came of it.
 //! - [`keys`] judges certificates and keys that change in service.
 //!
-//! Which request leaves stays the module's to say (`beechworks::Offer`, `beechworks::Action::Leave`). Nothing here
+//! Which request leaves stays the module's to say (`gaugesaddle_balancer::Offer`, `gaugesaddle_balancer::Action::Leave`). Nothing here
 //! panics on outside input; every table has a bound; every function of time takes `now`, and one that goes back counts
 //! as standing still. Not covered: sharing a budget by anything but the told number of proxies, and more than
 //! [`MOST_REGIONS`] regions.
--- a/crates/gaugesaddle-region/src/link.rs
+++ b/crates/gaugesaddle-federation/src/link.rs
@@ -1,7 +1,7 @@
 //! One other region, as one proxy of this one sees it: what may leave for it now, and what came of that.
 
 use crate::{onward, Backoff, Barred, Budget, Fate, Path, RoundTrip, Share, Span};
-use beechworks::{Micros, Time};
+use gaugesaddle_balancer::{Micros, Time};
 
 /// What the operator says of a region.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/gaugesaddle-region/src/spill.rs
+++ b/crates/gaugesaddle-federation/src/spill.rs
@@ -17,7 +17,7 @@
 //! In Returning what may leave shrinks evenly to nothing over `back`. That bounds how fast work comes home; how much
 //! a cold backend then gets is the module's own budget, which nothing here touches.
 
-use beechworks::{Micros, Time};
+use gaugesaddle_balancer::{Micros, Time};
 
 /// What the module knows of the fleet, for one proxy: requests a second.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/gaugesaddle-region/src/trip.rs
+++ b/crates/gaugesaddle-federation/src/trip.rs
@@ -1,6 +1,6 @@
 //! The time that a hop takes on the way, and what is left for it.
 
-use beechworks::{Micros, Time};
+use gaugesaddle_balancer::{Micros, Time};
 use std::collections::VecDeque;
 
 /// Samples that are kept: the greatest of so many recent ones is about their 97th percentile.
--- a/crates/gaugesaddle-region/tests/failover.rs
+++ b/crates/gaugesaddle-federation/tests/failover.rs
@@ -5,8 +5,8 @@
 //! Bound: one keyed and one free request at the same time, each region's halls lost at any moment and back at any later
 //! one or never, up to two messages lost, one gateway killed with what it held.
 
-use beechworks::{Effect, KeyScope, Micros, Outcome};
-use gaugesaddle_region::{of_refusal, word, Fate, Final, Path};
+use gaugesaddle_balancer::{Effect, KeyScope, Micros, Outcome};
+use gaugesaddle_federation::{of_refusal, word, Fate, Final, Path};
 use stateright::{Checker, Model, Property};
 
 const NAMES: [&str; 3] = ["north", "south", "west"];
--- a/crates/gaugesaddle-region/tests/golden_headers.rs
+++ b/crates/gaugesaddle-federation/tests/golden_headers.rs
@@ -1,6 +1,6 @@
 //! The failure: a renamed word changes the headers between gateways of two builds.
 
-use gaugesaddle_region::{Fate, Path, HEADER_BYTES};
+use gaugesaddle_federation::{Fate, Path, HEADER_BYTES};
 
 #[test]
 fn headers_between_gateways_keep_their_text() {
--- a/crates/gaugesaddle-region/tests/properties.rs
+++ b/crates/gaugesaddle-federation/tests/properties.rs
@@ -1,8 +1,8 @@
 //! Random histories against plain references: budgets over every window and all proxies, the hop rule, the header, and
 //! the state machine's times.
 
-use beechworks::{Micros, Time};
-use gaugesaddle_region::*;
+use gaugesaddle_balancer::{Micros, Time};
+use gaugesaddle_federation::*;
 use proptest::prelude::*;
 
 fn config() -> ProptestConfig {
--- a/crates/gaugesaddle-inference/src/chooser.rs
+++ b/crates/gaugesaddle-inference/src/chooser.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::ChooserSettings;
 use crate::{bands, warmth, Prompt, Rate};
-use beechworks::halb_shares;
+use gaugesaddle_balancer::halb_shares;
 use rand_core::RngCore;
 use std::collections::BTreeMap;
 
--- a/crates/gaugesaddle-inference/src/warmth.rs
+++ b/crates/gaugesaddle-inference/src/warmth.rs
@@ -1,6 +1,6 @@
 //! Which backends keep a part of a prompt: rendezvous hashing, the same at every proxy without a message.
 
-use beechworks::mix;
+use gaugesaddle_balancer::mix;
 
 /// The rank of a backend for a part; the highest keep it.
 pub fn rank(part: u64, backend: u64) -> u64 {
--- a/crates/gaugesaddle-load/tests/sharing.rs
+++ b/crates/gaugesaddle-load-report/tests/sharing.rs
@@ -1,7 +1,7 @@
 //! The failure: a proxy takes old or repeated news for work that waits, counts its own twice, or holds one neighbour's word
 //! for a backend's failure; or tables grow without a bound.
 
-use gaugesaddle_load::{LoadBoard, LoadView, FRESH, MOST_BACKENDS, MOST_PROXIES};
+use gaugesaddle_load_report::{LoadBoard, LoadView, FRESH, MOST_BACKENDS, MOST_PROXIES};
 use gaugesaddle_protocol::BackendLoad;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/crates/gaugesaddle-service/src/lifecycle.rs
+++ b/crates/gaugesaddle-maintenance/src/lifecycle.rs
@@ -1,6 +1,6 @@
 //! Whether a proxy wants clients, and how it lets go of those that it has.
 
-use beechworks::{Micros, Time};
+use gaugesaddle_balancer::{Micros, Time};
 
 /// After SIGTERM without a successor new connections still come for a while (PROTOCOL of the platform: 0.2 to
 /// 0.4 s): so long they are accepted.
--- a/crates/gaugesaddle-service/src/maintenance.rs
+++ b/crates/gaugesaddle-maintenance/src/maintenance.rs
@@ -1,6 +1,6 @@
 //! The backends that the operators took out, and the list as the module is to see it.
 
-use beechworks::{Backend, BackendId, BackendState, Time};
+use gaugesaddle_balancer::{Backend, BackendId, BackendState, Time};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
 /// Ids that are remembered as listed once; the oldest is forgotten first. A fleet that replaces a thousand
--- a/crates/gaugesaddle-service/tests/properties.rs
+++ b/crates/gaugesaddle-maintenance/tests/properties.rs
@@ -1,8 +1,8 @@
 //! Orders, lists and lines in any sequence: a ban holds from its yes to the call that puts the backend back, whatever
 //! the list says in between; no bytes of the other process can do harm.
 
-use beechworks::{Backend, BackendId, BackendState, Time};
-use gaugesaddle_service::*;
+use gaugesaddle_balancer::{Backend, BackendId, BackendState, Time};
+use gaugesaddle_maintenance::*;
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
--- a/crates/gaugesaddle-measure/src/limits.rs
+++ b/crates/gaugesaddle-measure/src/limits.rs
@@ -1,8 +1,8 @@
 //! Learned limits against the plain relay, the constant of 4 and the best constant of each cell, over a grid of
 //! fleets in virtual time.
 
-use beechworks::LimitBounds;
-use gaugesaddle_model::{simulate, Policy, Report};
+use gaugesaddle_balancer::LimitBounds;
+use gaugesaddle_proxy_simulation::{simulate, Policy, Report};
 use gaugesaddle_testbed::scenario::{Class, Clients, Effect, Kind};
 use gaugesaddle_testbed::Scenario;
 use serde_json::{json, Value};
--- a/crates/gaugesaddle-measure/src/region.rs
+++ b/crates/gaugesaddle-measure/src/region.rs
@@ -4,7 +4,7 @@
 
 use crate::proc::children_cpu_seconds;
 use crate::runs::{cast, interval, play, play_all, play_with, round};
-use gaugesaddle_region::Path;
+use gaugesaddle_federation::Path;
 use gaugesaddle_testbed::scenario::{Clients, Kind, Regions};
 use gaugesaddle_testbed::{Broken, Scenario, What};
 use serde_json::{json, Value};
--- a/crates/gaugesaddle-measure/src/shares.rs
+++ b/crates/gaugesaddle-measure/src/shares.rs
@@ -3,8 +3,8 @@
 
 use crate::runs::{interval, play, play_all, round};
 use crate::subsets;
-use beechworks::LimitBounds;
-use gaugesaddle_model::{simulate, Policy};
+use gaugesaddle_balancer::LimitBounds;
+use gaugesaddle_proxy_simulation::{simulate, Policy};
 use gaugesaddle_testbed::dice::mix;
 use gaugesaddle_testbed::hunt;
 use gaugesaddle_testbed::scenario::{Clients, Kind, Regions};
--- a/crates/gaugesaddle-measure/src/subsets.rs
+++ b/crates/gaugesaddle-measure/src/subsets.rs
@@ -2,8 +2,8 @@
 //! or backend goes, and in how many zones of a kind a proxy has no backend at all.
 
 use crate::runs::round;
-use beechworks::{mix, subset, BackendId, KindId, ZoneId};
-use gaugesaddle_shares::{parts, uses, Crowd, Law, Member, Server};
+use gaugesaddle_allocation::{parts, uses, Crowd, Law, Member, Server};
+use gaugesaddle_balancer::{mix, subset, BackendId, KindId, ZoneId};
 use serde_json::{json, Value};
 use std::collections::HashSet;
 
--- a/crates/gaugesaddle-measure/src/tier/foca.rs
+++ b/crates/gaugesaddle-measure/src/tier/foca.rs
@@ -5,7 +5,7 @@
     AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, OwnedNotification, PeriodicParams,
     PostcardCodec, Timer,
 };
-use gaugesaddle_model::tier::{Kind, Process, Sent};
+use gaugesaddle_proxy_simulation::tier::{Kind, Process, Sent};
 use gaugesaddle_testbed::dice::Dice;
 use rand_pcg_10::rand_core::SeedableRng;
 use rand_pcg_10::Pcg64Mcg;
--- a/crates/gaugesaddle-measure/src/tier/mod.rs
+++ b/crates/gaugesaddle-measure/src/tier/mod.rs
@@ -6,8 +6,8 @@
 
 use crate::proc::children_cpu_seconds;
 use crate::runs::{cast, play as play_scenario, play_all, play_with, round};
-use gaugesaddle_model::strange::strange;
-use gaugesaddle_model::tier::{play, started, Kind, Known, Links, Report, Step};
+use gaugesaddle_proxy_simulation::strange::strange;
+use gaugesaddle_proxy_simulation::tier::{play, started, Kind, Known, Links, Report, Step};
 use gaugesaddle_testbed::scenario::{Clients, Kind as Nodes};
 use gaugesaddle_testbed::tier::quantile;
 use gaugesaddle_testbed::{hunt, Event, Outcome, Scenario, What};
--- a/crates/gaugesaddle-peers/src/asking.rs
+++ b/crates/gaugesaddle-membership/src/asking.rs
@@ -5,7 +5,7 @@
 use crate::peers::{Output, Peers, Why};
 use crate::suspicion::Suspicion;
 use crate::wire::Section;
-use beechworks::{Micros, Time};
+use gaugesaddle_balancer::{Micros, Time};
 use rand_core::RngCore;
 
 /// The whole tier tries a lost proxy so often a second, however many it is.
--- a/crates/gaugesaddle-peers/src/health.rs
+++ b/crates/gaugesaddle-membership/src/health.rs
@@ -1,7 +1,7 @@
 //! How far this proxy trusts its own looks (Lifeguard's local health): one that is slow itself, or that nobody hears,
 //! asks slower and waits longer before it finds others silent.
 
-use beechworks::Micros;
+use gaugesaddle_balancer::Micros;
 
 /// Waits grow up to so many times. More would keep a proxy that is well again slow for long.
 const WORST: u32 = 4;
--- a/crates/gaugesaddle-peers/src/hearing.rs
+++ b/crates/gaugesaddle-membership/src/hearing.rs
@@ -3,7 +3,7 @@
 use crate::claim::{Claim, Standing};
 use crate::peers::{Output, Peers, Why};
 use crate::wire::{self, Header, Section, EVERYBODY};
-use beechworks::{Micros, Time};
+use gaugesaddle_balancer::{Micros, Time};
 use std::net::SocketAddr;
 
 impl Peers {
--- a/crates/gaugesaddle-peers/src/peers.rs
+++ b/crates/gaugesaddle-membership/src/peers.rs
@@ -11,7 +11,7 @@
 use crate::suspicion::Suspicion;
 use crate::view::View;
 use crate::wire::{Section, NAME_BYTES, NOTE_BYTES, RECORD_BYTES};
-use beechworks::{Micros, Time};
+use gaugesaddle_balancer::{Micros, Time};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeSet, HashSet};
--- a/crates/gaugesaddle-peers/src/records.rs
+++ b/crates/gaugesaddle-membership/src/records.rs
@@ -2,7 +2,7 @@
 //! and with its owner it goes. What it says is not read here.
 
 use crate::claim::Boot;
-use beechworks::{Micros, Time};
+use gaugesaddle_balancer::{Micros, Time};
 
 /// One proxy's word.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/gaugesaddle-peers/src/settings.rs
+++ b/crates/gaugesaddle-membership/src/settings.rs
@@ -1,6 +1,6 @@
 //! What an operator may set, with its reasons.
 
-use beechworks::{ConfigError, Micros};
+use gaugesaddle_balancer::{ConfigError, Micros};
 
 /// Places in a tier: what a datagram's two bytes and a table of this size can hold with room to spare.
 pub const MOST_PEERS: usize = 4096;
--- a/crates/gaugesaddle-peers/src/signals.rs
+++ b/crates/gaugesaddle-membership/src/signals.rs
@@ -4,7 +4,7 @@
 
 use crate::records::Record;
 use crate::wire::RECORD_BYTES;
-use beechworks::{Micros, Time};
+use gaugesaddle_balancer::{Micros, Time};
 
 /// The first byte of a record in this form.
 pub const FORM: u8 = 2;
--- a/crates/gaugesaddle-peers/src/suspicion.rs
+++ b/crates/gaugesaddle-membership/src/suspicion.rs
@@ -1,7 +1,7 @@
 //! How long a suspect has to object: shorter, the more proxies found it silent by themselves (Lifeguard).
 
 use crate::settings::Settings;
-use beechworks::{Micros, Time};
+use gaugesaddle_balancer::{Micros, Time};
 
 /// Others beside the first whose finding shortens the time; with them it is at its least.
 pub const CONFIRMERS: usize = 3;
--- a/crates/gaugesaddle-peers/src/telling.rs
+++ b/crates/gaugesaddle-membership/src/telling.rs
@@ -4,7 +4,7 @@
 use crate::claim::{Claim, Standing};
 use crate::peers::{Output, Peers};
 use crate::wire::{Draft, Header, Section, EVERYBODY};
-use beechworks::{Micros, Time};
+use gaugesaddle_balancer::{Micros, Time};
 
 /// Answers to others a second, at most. A tier of 1,000 that starts at once asks each some hundred times a second.
 const ANSWERS_PER_S: f64 = 2000.0;
--- a/crates/gaugesaddle-peers/src/view.rs
+++ b/crates/gaugesaddle-membership/src/view.rs
@@ -1,6 +1,6 @@
 //! What one proxy sees of its tier, and how sure it may be.
 
-use beechworks::Micros;
+use gaugesaddle_balancer::Micros;
 
 /// How what is seen relates to what was told and what was known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/gaugesaddle-peers/tests/claims.rs
+++ b/crates/gaugesaddle-membership/tests/claims.rs
@@ -1,7 +1,7 @@
 //! Two processes that claim one place, and two proxies of one name: seen by the others, and told.
 
-use beechworks::{Micros, Time};
-use gaugesaddle_peers::{Boot, Output, Peers, Seal, Settings, Told};
+use gaugesaddle_balancer::{Micros, Time};
+use gaugesaddle_membership::{Boot, Output, Peers, Seal, Settings, Told};
 use std::net::SocketAddr;
 
 fn address(place: usize) -> SocketAddr {
--- a/crates/gaugesaddle-peers/tests/golden_datagrams.rs
+++ b/crates/gaugesaddle-membership/tests/golden_datagrams.rs
@@ -1,7 +1,7 @@
 //! The failure: a renamed or moved field changes the datagrams between proxies of two builds.
 
-use gaugesaddle_peers::wire::{header, sections, Draft, Header, Section};
-use gaugesaddle_peers::{Boot, Claim, Seal, Signals, Standing, ZoneSignal};
+use gaugesaddle_membership::wire::{header, sections, Draft, Header, Section};
+use gaugesaddle_membership::{Boot, Claim, Seal, Signals, Standing, ZoneSignal};
 
 const GOLDEN: &str = include_str!("data/datagrams.txt");
 
--- a/crates/gaugesaddle-peers/tests/model.rs
+++ b/crates/gaugesaddle-membership/tests/model.rs
@@ -7,7 +7,7 @@
 //! "For good" is judged from each state reached: the network heals, all under way arrives, each asks each thrice; then
 //! all must hold one another alive with their present processes.
 
-use gaugesaddle_peers::{Boot, Claim, Heard, Held, Own, Standing};
+use gaugesaddle_membership::{Boot, Claim, Heard, Held, Own, Standing};
 use stateright::{Checker, Model, Property};
 
 const N: usize = 3;
--- a/crates/gaugesaddle-storm/src/calendar.rs
+++ b/crates/gaugesaddle-overload/src/calendar.rs
@@ -2,7 +2,7 @@
 //! can take. Whole seconds, for not every client reads decimals (RFC 9110, 10.2.3 has none); what spreads the clients
 //! is the second that each is given.
 
-use beechworks::Time;
+use gaugesaddle_balancer::Time;
 use std::collections::VecDeque;
 
 /// Seconds of a calendar at most; the settings' longest advice is cut to it.
--- a/crates/gaugesaddle-storm/src/ledger.rs
+++ b/crates/gaugesaddle-overload/src/ledger.rs
@@ -5,7 +5,7 @@
 //! can't keep the moment a source was given, and a full one wrongs the innocent. A table that is full forgets the
 //! guilty who have been silent longest: the milder error.
 
-use beechworks::{Micros, Time};
+use gaugesaddle_balancer::{Micros, Time};
 use std::collections::{BTreeMap, HashMap};
 
 /// Coming so much early is no fault: clocks and roundings differ.
--- a/crates/gaugesaddle-storm/src/lib.rs
+++ b/crates/gaugesaddle-overload/src/lib.rs
@@ -1,7 +1,7 @@
 //! Storms of retries and reconnects, as one proxy sees them: decisions without I/O, clock or threads.
 //!
 //! - [`Storm`] is the whole: a host tells it of arrivals, refusals and ends, asks it a few times a second for the
-//!   [`beechworks::Pressure`] to hand to the module, and for each refusal when its client may come back.
+//!   [`gaugesaddle_balancer::Pressure`] to hand to the module, and for each refusal when its client may come back.
 //! - [`Watch`] tells storms from honest growth by what comes again, not by how much comes.
 //! - [`Pace`] finds the rate that the fleet can bear while it is under one.
 //! - [`Calendar`] deals out moments to come back, no more a second than that rate.
--- a/crates/gaugesaddle-storm/src/storm.rs
+++ b/crates/gaugesaddle-overload/src/storm.rs
@@ -2,7 +2,7 @@
 
 use crate::calendar::SECONDS;
 use crate::{Calendar, Figures, Ledger, Pace, Second, State, Watch};
-use beechworks::{ConfigError, Micros, Pressure, Time};
+use gaugesaddle_balancer::{ConfigError, Micros, Pressure, Time};
 use std::collections::HashMap;
 
 /// Part of what ends well which refused clients may fill when they return; the rest is for new ones.
--- a/crates/gaugesaddle-storm/src/watch.rs
+++ b/crates/gaugesaddle-overload/src/watch.rs
@@ -1,6 +1,6 @@
 //! Is this a storm? Told from what comes again and from what is turned away, beside a memory of what is usual.
 
-use beechworks::{Micros, Time};
+use gaugesaddle_balancer::{Micros, Time};
 
 /// What one proxy stands in.
 ///
--- a/crates/gaugesaddle-storm/tests/properties.rs
+++ b/crates/gaugesaddle-overload/tests/properties.rs
@@ -1,7 +1,7 @@
 //! Every decision of the storm's watch under generated histories: its bounds hold whatever comes.
 
-use beechworks::{Micros, Time};
-use gaugesaddle_storm::{Calendar, Ledger, Second, Settings, State, Storm, Watch};
+use gaugesaddle_balancer::{Micros, Time};
+use gaugesaddle_overload::{Calendar, Ledger, Second, Settings, State, Storm, Watch};
 use proptest::prelude::*;
 
 fn at(ms: u64) -> Time {
--- a/crates/gaugesaddle-protocol/src/consensus.rs
+++ b/crates/gaugesaddle-protocol/src/consensus.rs
@@ -1,6 +1,6 @@
 //! Messages between the replicas of the configuration, and what they store.
 
-use gaugesaddle_patch::{Digest, Patch, PatchError};
+use gaugesaddle_delta::{Digest, Patch, PatchError};
 use musli::{Decode, Encode};
 use std::fmt;
 use std::net::Ipv4Addr;
--- a/crates/gaugesaddle-protocol/src/core.rs
+++ b/crates/gaugesaddle-protocol/src/core.rs
@@ -4,7 +4,7 @@
     BackendLoad, Delta, DocumentUpdate, QuotaGrant, QuotaWant, Registration, ReplicaId, ReplicaMessage,
     Stamp, VersionVector,
 };
-use gaugesaddle_patch::Digest;
+use gaugesaddle_delta::Digest;
 use musli::{Decode, Encode};
 
 /// A proxy renews its lease and asks for what it lacks.
--- a/crates/gaugesaddle-model/src/host.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/host.rs
@@ -1,6 +1,6 @@
 //! One proxy's host in virtual time: what the real driver does for the module, and nothing that it decides.
 
-use beechworks::*;
+use gaugesaddle_balancer::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
--- a/crates/gaugesaddle-model/src/strange.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/strange.rs
@@ -1,9 +1,11 @@
 //! Strange datagrams at a proxy's part of the tier: random bytes, good ones changed, cut short, sent again or by others,
 //! and sections that nobody would put together. What may come of them is checked after each.
 
-use beechworks::{Micros, Time};
-use gaugesaddle_peers::wire::{Draft, Header, Section, EVERYBODY};
-use gaugesaddle_peers::{Boot, Claim, Counts, Output, Peers, Seal, Settings, Standing, Told, DATAGRAM_BYTES};
+use gaugesaddle_balancer::{Micros, Time};
+use gaugesaddle_membership::wire::{Draft, Header, Section, EVERYBODY};
+use gaugesaddle_membership::{
+    Boot, Claim, Counts, Output, Peers, Seal, Settings, Standing, Told, DATAGRAM_BYTES,
+};
 use gaugesaddle_testbed::dice::Dice;
 use std::net::SocketAddr;
 
@@ -64,7 +66,7 @@
     fn exchange(&mut self) {
         self.now = self.now + Micros(10_000);
         let (mut first, mut second) = (Vec::new(), Vec::new());
-        let signals = gaugesaddle_peers::Signals::default().encode();
+        let signals = gaugesaddle_membership::Signals::default().encode();
         self.good.publish(self.now, &signals);
         self.tried.turn(self.now, &mut first);
         self.good.turn(self.now, &mut second);
@@ -186,7 +188,7 @@
             return what("not counted");
         }
         // With a key nothing of this is a peer's word: nobody stands otherwise than before.
-        let stands = |all: &[gaugesaddle_peers::PeerView]| -> Vec<_> {
+        let stands = |all: &[gaugesaddle_membership::PeerView]| -> Vec<_> {
             all.iter().map(|p| (p.standing, p.boot, p.incarnation, p.name.clone(), p.record_age)).collect()
         };
         if with_key && stands(&before) != stands(&pair.tried.all(pair.now)) {
--- a/crates/gaugesaddle-model/src/tier.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/tier.rs
@@ -2,13 +2,13 @@
 //! loses, doubles, delays and reorders. What each holds of the others is held against what is true.
 //!
 //! - [`play`] plays a script of [`Step`]s over processes of a [`Kind`] and returns a [`Report`].
-//! - [`Known`] is the kind of `gaugesaddle-peers`; others may be compared with it under the same scripts and draws.
+//! - [`Known`] is the kind of `gaugesaddle-membership`; others may be compared with it under the same scripts and draws.
 //!
 //! Every process has a clock of its own, hours from the others'. A look at all pairs each [`LOOK_US`]: times are right
 //! to that. Bounds: events by the script's end, datagrams for a paused process as a socket's buffer holds them.
 
-use beechworks::Time;
-use gaugesaddle_peers::{Boot, Output, Peers, Seal, Settings, Signals, Told};
+use gaugesaddle_balancer::Time;
+use gaugesaddle_membership::{Boot, Output, Peers, Seal, Settings, Signals, Told};
 pub use gaugesaddle_testbed::datagrams::{Links, Poor};
 use gaugesaddle_testbed::dice::{mix, Dice};
 pub use gaugesaddle_testbed::tier::Fact;
@@ -470,7 +470,7 @@
     }
 }
 
-/// Processes of `gaugesaddle-peers`, which publish a record of the usual size twice a second.
+/// Processes of `gaugesaddle-membership`, which publish a record of the usual size twice a second.
 pub struct Known {
     /// Theirs.
     pub settings: Settings,
@@ -545,7 +545,7 @@
         if now >= self.next {
             self.next = now + self.publish;
             let zone =
-                gaugesaddle_peers::ZoneSignal { backends: 10.0, can_per_s: 300.0, ..Default::default() };
+                gaugesaddle_membership::ZoneSignal { backends: 10.0, can_per_s: 300.0, ..Default::default() };
             let signals = Signals { arrivals: vec![10.0; 3], zones: vec![zone; 3], ..Signals::default() };
             self.peers.publish(Time(now), &signals.encode());
         }
--- a/crates/gaugesaddle-model/src/world.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/world.rs
@@ -1,12 +1,12 @@
 //! The world in virtual time: a heap of moments, machines, clients and the news of the list.
 
 use crate::host::{Ask, Host};
-use beechworks::settings::{self, number, Key};
-use beechworks::{
+use gaugesaddle_allocation::{Dealer, Dealing, Look, Need, Seen};
+use gaugesaddle_balancer::settings::{self, number, Key};
+use gaugesaddle_balancer::{
     Arrival, AttemptNo, Backend, BackendId, BackendState, ClassId, ConfigError, Event, KindId, LimitBounds,
     ListUpdate, Micros, Outcome, RequestId, Time, ZoneId,
 };
-use gaugesaddle_shares::{Dealer, Dealing, Look, Need, Seen};
 use gaugesaddle_testbed::dice::{mix, Dice};
 use gaugesaddle_testbed::plan::{may_retry, plan, retry_id, Plan, Step};
 use gaugesaddle_testbed::processor::Processor;
@@ -58,7 +58,7 @@
     /// The most that a node ever held, waits included, by place.
     pub most_held: Vec<usize>,
     /// What each proxy last knew of each backend.
-    pub limits: Vec<Vec<beechworks::LimitView>>,
+    pub limits: Vec<Vec<gaugesaddle_balancer::LimitView>>,
 }
 
 /// Why a scenario can't be simulated.
--- a/crates/gaugesaddle-model/tests/fleet.rs
+++ b/crates/gaugesaddle-proxy-simulation/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! A hundred proxies on sixty nodes: a quarter of them ill, then a third of the fleet lost. What each proxy does alone
 //! is harmless; together they crowd what is left until it chokes.
 
-use beechworks::settings::{read, Key};
-use beechworks::LimitBounds;
-use gaugesaddle_model::{simulate, Policy, Report};
+use gaugesaddle_balancer::settings::{read, Key};
+use gaugesaddle_balancer::LimitBounds;
+use gaugesaddle_proxy_simulation::{simulate, Policy, Report};
 use gaugesaddle_testbed::{Scenario, What};
 
 fn many(mut s: Scenario) -> Scenario {
--- a/crates/gaugesaddle-model/tests/strange.rs
+++ b/crates/gaugesaddle-proxy-simulation/tests/strange.rs
@@ -1,6 +1,6 @@
 //! Datagrams of any content come: nothing panics, nobody is believed without the key, and the good ones go on.
 
-use gaugesaddle_model::strange::strange;
+use gaugesaddle_proxy_simulation::strange::strange;
 
 #[test]
 fn strange_datagrams_are_counted_and_change_nothing() {
--- a/crates/gaugesaddle-model/tests/tier.rs
+++ b/crates/gaugesaddle-proxy-simulation/tests/tier.rs
@@ -1,8 +1,10 @@
 //! A tier of proxies in virtual time loses processes, links and datagrams: what each holds of the others is soon true
 //! again, and nothing goes back. Thousands of seeded scripts; a failing one's seed is in the message.
 
-use gaugesaddle_model::tier::{play, started, Kind, Known, Links, Poor, Process, Report, Sent, Step};
-use gaugesaddle_peers::wire;
+use gaugesaddle_membership::wire;
+use gaugesaddle_proxy_simulation::tier::{
+    play, started, Kind, Known, Links, Poor, Process, Report, Sent, Step,
+};
 use gaugesaddle_testbed::dice::Dice;
 use gaugesaddle_testbed::tier::{judge, quantile, Wrong};
 
--- a/crates/gaugesaddle-model/tests/world.rs
+++ b/crates/gaugesaddle-proxy-simulation/tests/world.rs
@@ -1,7 +1,7 @@
 //! A model that is not the same twice, that passes over what it does not cover, or that serves what nothing can.
 
-use beechworks::LimitBounds;
-use gaugesaddle_model::{simulate, ModelError, Policy};
+use gaugesaddle_balancer::LimitBounds;
+use gaugesaddle_proxy_simulation::{simulate, ModelError, Policy};
 use gaugesaddle_testbed::{Scenario, What};
 
 const MODULE: Policy = Policy::Module(LimitBounds { learned: true, least: 1.0, most: 1000.0 });
--- a/crates/gaugesaddle-simulation/src/control.rs
+++ b/crates/gaugesaddle-simulation/src/control.rs
@@ -520,7 +520,8 @@
             Some(ip) if ip == self.ip || from_peer => {
                 let committed = self.replica.as_ref().and_then(Replica::committed);
                 // Made-up documents have no services: what they make is not checked as a whole.
-                let Ok(proposal) = gaugesaddle_orders::proposal(order, committed, |_| Ok(())) else {
+                let Ok(proposal) = gaugesaddle_consensus::change::proposal(order, committed, |_| Ok(()))
+                else {
                     return self.answer(waiter, Answer::Order(OrderReply::Invalid { findings: Vec::new() }));
                 };
                 let number = self.wait(waiter);
--- a/crates/beechworks-simhost/src/main.rs
+++ b/crates/gaugesaddle-simulator-host/src/main.rs
@@ -1,4 +1,4 @@
-//! Speaks the bench's wire on standard input and output: one [`beechworks::Balancer`] per instance.
+//! Speaks the bench's wire on standard input and output: one [`gaugesaddle_balancer::Balancer`] per instance.
 //! Translation only; every decision is the library's.
 
 mod wire;
@@ -10,7 +10,7 @@
     match run(stdin, stdout) {
         Ok(()) => std::process::ExitCode::SUCCESS,
         Err(text) => {
-            eprintln!("beechworks-simhost: {text}");
+            eprintln!("gaugesaddle-simulator-host: {text}");
             std::process::ExitCode::FAILURE
         }
     }
--- a/crates/beechworks-simhost/src/wire.rs
+++ b/crates/gaugesaddle-simulator-host/src/wire.rs
@@ -1,7 +1,7 @@
 //! Lines to events, actions to lines.
 
-use beechworks::settings::{self, number, Key, Names};
-use beechworks::*;
+use gaugesaddle_balancer::settings::{self, number, Key, Names};
+use gaugesaddle_balancer::*;
 use serde_json::Value;
 use std::collections::HashMap;
 use std::io::Write;
@@ -148,7 +148,7 @@
         let instance = match made {
             Ok((balancer, names)) => Some(Instance { balancer, names }),
             Err(text) => {
-                eprintln!("beechworks-simhost: settings of {who}: {text}");
+                eprintln!("gaugesaddle-simulator-host: settings of {who}: {text}");
                 put(reply, &serde_json::json!(["BROKEN", who, format!("settings: {text}")]));
                 None
             }
--- a/crates/beechworks-simhost/tests/adapter.rs
+++ b/crates/gaugesaddle-simulator-host/tests/adapter.rs
@@ -24,7 +24,7 @@
 
 /// Runs the adapter on `input`; gives its output, its error text and whether it ended well.
 fn run(input: &str) -> (String, String, bool) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_beechworks-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_gaugesaddle-simulator-host"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/gaugesaddle/src/admin.rs
+++ b/crates/gaugesaddle/src/admin.rs
@@ -6,7 +6,7 @@
 use crate::registry::Registry;
 use crate::succession::Succession;
 use bytes::Bytes;
-use gaugesaddle_service::{Order, Phase, Verdict, Word};
+use gaugesaddle_maintenance::{Order, Phase, Verdict, Word};
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, ALLOW};
--- a/crates/gaugesaddle/src/app.rs
+++ b/crates/gaugesaddle/src/app.rs
@@ -14,8 +14,8 @@
 use crate::storm::StormWatch;
 use crate::succession::Succession;
 use crate::{admin, clock, config, discovery, form, pacing, server, state, upstream};
-use gaugesaddle_region::Share;
-use gaugesaddle_service::Order;
+use gaugesaddle_federation::Share;
+use gaugesaddle_maintenance::Order;
 use socket2::{Domain, Socket, Type};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -146,8 +146,8 @@
     });
     let index = config.known.as_ref().map(|k| k.index);
     let renewal = match config.module.discovery {
-        beechworks::Discovery::Push => Renewal::pushed(config.drain_grace, index),
-        beechworks::Discovery::Subscribe(within) => {
+        gaugesaddle_balancer::Discovery::Push => Renewal::pushed(config.drain_grace, index),
+        gaugesaddle_balancer::Discovery::Subscribe(within) => {
             let (proxies, within) = (config.module.proxies, clock::duration(within));
             let pacing = pacing::Pacing::new(proxies, within, config.seed).among(registry.living.clone());
             Renewal::asked(pacing, index)
@@ -167,14 +167,14 @@
         tokio::task::spawn_local(succession.clone().keep(other, listening.clone(), heard.clone()));
     }
     if let Some(known) = config.known {
-        let (update, index) = (beechworks::ListUpdate::Cached, Some(known.index));
+        let (update, index) = (gaugesaddle_balancer::ListUpdate::Cached, Some(known.index));
         let _ = sender.send(Input::List { update, index, targets: known.targets });
     }
     let storm = operator.storm.enabled.then(|| {
         let told = config.max_retry_after.map(|max| (max.0 / 1_000_000).max(1));
         let longest_s = operator.storm.longest_retry_after_s.min(told.unwrap_or(u64::MAX));
-        let settings = gaugesaddle_storm::Settings { longest_s, sources: operator.storm.sources };
-        gaugesaddle_storm::Storm::new(settings, config.seed)
+        let settings = gaugesaddle_overload::Settings { longest_s, sources: operator.storm.sources };
+        gaugesaddle_overload::Storm::new(settings, config.seed)
     });
     let mut subsystems: Vec<Box<dyn Subsystem>> = Vec::new();
     if let Some(storm) = storm.transpose().map_err(Error::Storm)? {
@@ -213,7 +213,8 @@
             false => Some(tier.bind().map_err(cannot_listen("peers.listen", tier.listen()))?),
         };
         let zones = server.rules.names.zones().iter();
-        let zones = zones.map(|z| beechworks::ZoneId(beechworks::settings::number(z))).collect();
+        let zones =
+            zones.map(|z| gaugesaddle_balancer::ZoneId(gaugesaddle_balancer::settings::number(z))).collect();
         let classes = config.module.classes.len();
         subsystems.push(Box::new(PeerWatch::new(tier.clone(), registry.clone(), zones, classes)));
         *registry.peers.borrow_mut() = Some(tier.clone());
@@ -235,7 +236,7 @@
     let driver = Driver::new(Parts {
         subsystems,
         clock,
-        config: beechworks::Config { limits: operator.limits.bounds(), ..config.module },
+        config: gaugesaddle_balancer::Config { limits: operator.limits.bounds(), ..config.module },
         seed: config.seed,
         open_cap: config.open_cap,
         most_backends: room.lines,
--- a/crates/gaugesaddle/src/body.rs
+++ b/crates/gaugesaddle/src/body.rs
@@ -3,8 +3,8 @@
 
 use crate::exchange::Input;
 use crate::wire::Progress;
-use beechworks::RequestId;
 use bytes::Bytes;
+use gaugesaddle_balancer::RequestId;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::HeaderMap;
 use std::cell::RefCell;
--- a/crates/gaugesaddle/src/clock.rs
+++ b/crates/gaugesaddle/src/clock.rs
@@ -1,6 +1,6 @@
 //! Time for the module: Unix microseconds, which backends' start times share.
 
-use beechworks::{Micros, Time};
+use gaugesaddle_balancer::{Micros, Time};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
--- a/crates/gaugesaddle/src/config.rs
+++ b/crates/gaugesaddle/src/config.rs
@@ -3,8 +3,8 @@
 use crate::discovery::{self, List, Room};
 use crate::error::Error;
 use crate::peers::Platform;
-use beechworks::settings::{self, Key, KeyError, Names};
-use beechworks::Micros;
+use gaugesaddle_balancer::settings::{self, Key, KeyError, Names};
+use gaugesaddle_balancer::Micros;
 use serde_json::value::RawValue;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -28,7 +28,7 @@
     pub known: Option<List>,
     /// What a list of discovery may have.
     pub room: Room,
-    pub module: beechworks::Config,
+    pub module: gaugesaddle_balancer::Config,
     pub names: Names,
     /// Requests that may be open at once; more are turned away before the module.
     pub open_cap: usize,
--- a/crates/gaugesaddle/src/discovery.rs
+++ b/crates/gaugesaddle/src/discovery.rs
@@ -3,9 +3,9 @@
 use crate::clock::Clock;
 use crate::exchange::{Input, Target};
 use crate::renewal::{Ask, Failure, Heard, Renewal, Step};
-use beechworks::settings::{number, Key, KeyError};
-use beechworks::{Backend, BackendId, BackendState, CellId, KindId, ListUpdate, Time, ZoneId};
 use bytes::Bytes;
+use gaugesaddle_balancer::settings::{number, Key, KeyError};
+use gaugesaddle_balancer::{Backend, BackendId, BackendState, CellId, KindId, ListUpdate, Time, ZoneId};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::{Request, StatusCode};
--- a/crates/gaugesaddle/src/driver.rs
+++ b/crates/gaugesaddle/src/driver.rs
@@ -6,9 +6,9 @@
 use crate::registry::{BackendRow, End, Registry};
 use crate::roster::Roster;
 use crate::seam::{Leaving, Subsystem};
-use beechworks::*;
-use gaugesaddle_region::Final;
-use gaugesaddle_service::{Order, Verdict};
+use gaugesaddle_balancer::*;
+use gaugesaddle_federation::Final;
+use gaugesaddle_maintenance::{Order, Verdict};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap, VecDeque};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -45,7 +45,7 @@
     source: (u64, bool),
     call: Rc<Call>,
     /// Through which regions it came.
-    hop: Option<gaugesaddle_region::Path>,
+    hop: Option<gaugesaddle_federation::Path>,
     /// It was handed to another region: the module knows it no more.
     left: bool,
     /// `None`: it has had its final answer, or its client is gone.
@@ -659,7 +659,7 @@
     fn last_word(&mut self, now: Time, request: RequestId, outcome: Outcome) {
         let Some(r) = self.requests.get(&request) else { return };
         let effect = effect(&self.config, r.class);
-        match gaugesaddle_region::word(effect, outcome) {
+        match gaugesaddle_federation::word(effect, outcome) {
             _ if r.reply.is_none() => self.forget(request),
             Final::Refuse => self.refuse(now, request, End::RefusedElsewhere),
             Final::Fail => self.answer(request, Answer::Failed, End::FailedElsewhere),
--- a/crates/gaugesaddle/src/edge/fleet.rs
+++ b/crates/gaugesaddle/src/edge/fleet.rs
@@ -5,7 +5,7 @@
 use gaugesaddle_config::{BootSettings, OperatorConfig, Route, RoutingTable, ServiceIndex};
 use gaugesaddle_distribution::{Follower, Taken};
 use gaugesaddle_inference::{Chooser, ChooserSettings, Prompt, PromptSizes};
-use gaugesaddle_load::LoadView;
+use gaugesaddle_load_report::LoadView;
 use gaugesaddle_protocol::{Lifecycle, PullReply, Registration, Subject};
 use gaugesaddle_quota::{Purse, RetryBudget, RetrySettings};
 use gaugesaddle_transport::Clock;
--- a/crates/gaugesaddle/src/error.rs
+++ b/crates/gaugesaddle/src/error.rs
@@ -1,6 +1,6 @@
 //! What can keep the program from starting, or a command from doing its work.
 
-use beechworks::settings::KeyError;
+use gaugesaddle_balancer::settings::KeyError;
 use std::io;
 use std::path::PathBuf;
 
@@ -48,10 +48,10 @@
     Known(#[source] crate::discovery::ListError),
     /// A setting that the module does not accept.
     #[error("settings: {0}")]
-    Module(#[from] beechworks::ConfigError),
+    Module(#[from] gaugesaddle_balancer::ConfigError),
     /// A setting of the storm's watch; the operator's file is checked against the same ranges.
     #[error("storm.{0}")]
-    Storm(beechworks::ConfigError),
+    Storm(gaugesaddle_balancer::ConfigError),
     /// The data plane of a router fleet cannot start.
     #[error("edge: {0}")]
     Edge(String),
--- a/crates/gaugesaddle/src/exchange.rs
+++ b/crates/gaugesaddle/src/exchange.rs
@@ -5,8 +5,10 @@
 use crate::body::{CallBody, Payload};
 use crate::clock::Clock;
 use crate::wire::MayBegin;
-use beechworks::{AttemptNo, Backend, ClassId, ListUpdate, Micros, Outcome, RequestId, TenantId, Time};
-use gaugesaddle_service::{Order, Verdict};
+use gaugesaddle_balancer::{
+    AttemptNo, Backend, ClassId, ListUpdate, Micros, Outcome, RequestId, TenantId, Time,
+};
+use gaugesaddle_maintenance::{Order, Verdict};
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::{Request, Response};
 use std::cell::Cell;
@@ -118,7 +120,7 @@
     /// The hash of its account, or of its client's address where there are no accounts.
     pub source: u64,
     /// Through which regions it came, where another region's gateway brought it.
-    pub hop: Option<gaugesaddle_region::Path>,
+    pub hop: Option<gaugesaddle_federation::Path>,
     pub call: Rc<Call>,
     pub reply: oneshot::Sender<Answer>,
 }
--- a/crates/gaugesaddle/src/failover.rs
+++ b/crates/gaugesaddle/src/failover.rs
@@ -4,13 +4,13 @@
 use crate::peers::{Listener, Living, Said, Tier};
 use crate::registry::{Registry, ZoneRow, ZonesView};
 use crate::seam::Subsystem;
-use beechworks::{Balancer, Class, Event, Micros, Time};
+use gaugesaddle_allocation::{parts, Law, AWAKE};
+use gaugesaddle_balancer::{Balancer, Class, Event, Micros, Time};
 use gaugesaddle_failover::{
     judge, plan, Blind, Council, Decision, Find, Judgement, Ladder, Number, Rule, Rungs, Seen, Voice,
     MOST_ZONES,
 };
-use gaugesaddle_peers::{Signals, ZoneSignal};
-use gaugesaddle_shares::{parts, Law, AWAKE};
+use gaugesaddle_membership::{Signals, ZoneSignal};
 use serde::Deserialize;
 use std::cell::RefCell;
 use std::rc::Rc;
--- a/crates/gaugesaddle/src/lib.rs
+++ b/crates/gaugesaddle/src/lib.rs
@@ -1,4 +1,4 @@
-//! The proxy `gaugesaddle`: HTTP/1.1 in front of a fleet of servers, every decision the module `beechworks`'s.
+//! The proxy `gaugesaddle`: HTTP/1.1 in front of a fleet of servers, every decision the module `gaugesaddle_balancer`'s.
 //!
 //! Arrows run one way: fronts (`server`) and upstreams (`upstream`) know the types of `exchange` and never each
 //! other; the `driver` owns the module, the requests and their attempts; `discovery` tells the list. The
--- a/crates/gaugesaddle/src/operator.rs
+++ b/crates/gaugesaddle/src/operator.rs
@@ -62,8 +62,8 @@
 
 impl Limits {
     /// For the module.
-    pub fn bounds(self) -> beechworks::LimitBounds {
-        beechworks::LimitBounds {
+    pub fn bounds(self) -> gaugesaddle_balancer::LimitBounds {
+        gaugesaddle_balancer::LimitBounds {
             learned: self.learned,
             least: f64::from(self.least_per_backend),
             most: f64::from(self.most_per_backend),
--- a/crates/gaugesaddle/src/peers/mod.rs
+++ b/crates/gaugesaddle/src/peers/mod.rs
@@ -1,13 +1,13 @@
 //! The tier that this proxy belongs to, in the running proxy: the socket, the timer and the file beside the driver. Who
-//! lives is `gaugesaddle_peers`' to say; here it is told what arrives and when, and its datagrams are sent.
+//! lives is `gaugesaddle_membership`' to say; here it is told what arrives and when, and its datagrams are sent.
 
 pub mod settings;
 mod watch;
 
 use crate::clock::Clock;
 use crate::registry::{PeerRow, PeersView, Totalled};
-use beechworks::{Micros, Time};
-use gaugesaddle_peers::{Boot, Counts, Output, Seal, Shape, Signals, Told, Totals, DATAGRAM_BYTES};
+use gaugesaddle_balancer::{Micros, Time};
+use gaugesaddle_membership::{Boot, Counts, Output, Seal, Shape, Signals, Told, Totals, DATAGRAM_BYTES};
 use rand_core::{OsRng, TryRngCore};
 use settings::PeersError;
 use socket2::{Domain, Socket, Type};
@@ -84,7 +84,7 @@
 pub struct Tier {
     clock: Clock,
     listen: SocketAddr,
-    peers: RefCell<gaugesaddle_peers::Peers>,
+    peers: RefCell<gaugesaddle_membership::Peers>,
     publish: Micros,
     /// What is published next.
     record: RefCell<Vec<u8>>,
@@ -142,7 +142,7 @@
         // As it is written here and there; a name that can't travel is none.
         let sound =
             |n: String| Some(n).filter(|n| n.bytes().all(|b| b.is_ascii_graphic())).unwrap_or_default();
-        let cut = |n: String| n.chars().take(gaugesaddle_peers::NAME_BYTES).collect::<String>();
+        let cut = |n: String| n.chars().take(gaugesaddle_membership::NAME_BYTES).collect::<String>();
         let (name, zone) = (cut(sound(own.name)), cut(sound(own.zone)));
         let told = Told { addresses, own: place as u16, all, name, zone };
         let drawn = || {
@@ -151,7 +151,7 @@
         let boot = Boot((drawn()? as u32).max(1));
         let settings = section.settings();
         let publish = settings.publish;
-        let peers = gaugesaddle_peers::Peers::new(settings, seal, told, boot, drawn()?, clock.now());
+        let peers = gaugesaddle_membership::Peers::new(settings, seal, told, boot, drawn()?, clock.now());
         let peers = peers.map_err(|e| key("peers.addresses", &e.to_string()))?;
         let (record, socket, unsent) = (RefCell::default(), RefCell::default(), Cell::default());
         let (peers, classes, listeners) = (RefCell::new(peers), classes.to_vec(), RefCell::default());
@@ -354,7 +354,7 @@
         let stale = Micros(self.publish.0 * OLD);
         let totals = Totals::of(now, stale, peers.living().into_iter().map(|p| peers.record(p)));
         let c: Counts = peers.counts();
-        let row = |p: gaugesaddle_peers::PeerView| PeerRow {
+        let row = |p: gaugesaddle_membership::PeerView| PeerRow {
             place: p.place,
             address: p.address.to_string(),
             name: p.name,
--- a/crates/gaugesaddle/src/peers/settings.rs
+++ b/crates/gaugesaddle/src/peers/settings.rs
@@ -1,7 +1,7 @@
 //! `[peers]` of the operator's file: the tier that this proxy belongs to, and what it may cost.
 
-use beechworks::Micros;
-use gaugesaddle_peers::{Settings, LEAST_KEY_BYTES, MOST_PEERS};
+use gaugesaddle_balancer::Micros;
+use gaugesaddle_membership::{Settings, LEAST_KEY_BYTES, MOST_PEERS};
 use serde::Deserialize;
 use std::collections::HashSet;
 use std::io::Read;
--- a/crates/gaugesaddle/src/peers/watch.rs
+++ b/crates/gaugesaddle/src/peers/watch.rs
@@ -4,9 +4,9 @@
 use crate::exchange::Arrived;
 use crate::registry::{End, Registry};
 use crate::seam::Subsystem;
-use beechworks::{Arrival, Balancer, ClassId, Event, Time, ZoneId};
-use gaugesaddle_peers::{Signals, ZoneSignal};
-use gaugesaddle_shares::{Need, Rate};
+use gaugesaddle_allocation::{Need, Rate};
+use gaugesaddle_balancer::{Arrival, Balancer, ClassId, Event, Time, ZoneId};
+use gaugesaddle_membership::{Signals, ZoneSignal};
 use std::rc::Rc;
 
 /// What is counted between looks, and its rate.
--- a/crates/gaugesaddle/src/region/client.rs
+++ b/crates/gaugesaddle/src/region/client.rs
@@ -3,9 +3,9 @@
 use super::{FATE, FULL, PATH, TOOK};
 use crate::clock::Clock;
 use crate::exchange::{strip, Call, BODY_BYTES, TIME_LEFT};
-use beechworks::{Micros, Time};
 use bytes::Bytes;
-use gaugesaddle_region::{Fate, Gates, HopEnd, Path, Shut};
+use gaugesaddle_balancer::{Micros, Time};
+use gaugesaddle_federation::{Fate, Gates, HopEnd, Path, Shut};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::client::conn::http2::{self, SendRequest};
--- a/crates/gaugesaddle/src/region/front.rs
+++ b/crates/gaugesaddle/src/region/front.rs
@@ -7,8 +7,8 @@
 use crate::clock::duration;
 use crate::exchange::{Answer, BODY_BYTES};
 use crate::server::{plain, Server};
-use beechworks::{Effect, Time};
-use gaugesaddle_region::{of_refusal, Fate, Path};
+use gaugesaddle_balancer::{Effect, Time};
+use gaugesaddle_federation::{of_refusal, Fate, Path};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, RETRY_AFTER};
@@ -199,6 +199,6 @@
 pub async fn drained(regions: &Regions, last: Time) {
     let clock = regions.clock;
     while clock.now() < last && regions.inbound.borrow().iter().any(|i| i.budget.in_flight().0 > 0) {
-        tokio::time::sleep(duration(beechworks::Micros(5_000))).await;
+        tokio::time::sleep(duration(gaugesaddle_balancer::Micros(5_000))).await;
     }
 }
--- a/crates/gaugesaddle/src/region/mod.rs
+++ b/crates/gaugesaddle/src/region/mod.rs
@@ -1,5 +1,5 @@
 //! Other regions as last resort, in the running proxy: the file beside the driver. What leaves is the module's to say,
-//! when and how much `gaugesaddle_region`'s; here both are told what they need, and their words are carried out.
+//! when and how much `gaugesaddle_federation`'s; here both are told what they need, and their words are carried out.
 
 mod client;
 mod front;
@@ -14,11 +14,13 @@
 use crate::registry::{OtherView, RegionView, Registry};
 use crate::seam::{Leaving, Subsystem};
 use crate::server::Server;
-use beechworks::{Balancer, Class, ClassId, Effect, Event, Micros, Offer, Time};
 use client::{Keys, Peer};
-use gaugesaddle_region::keys::End;
-use gaugesaddle_region::{Budget, Capacity, Fate, HopEnd, Link, Look, Over, Path, Share, Span, Spill, Terms};
-use gaugesaddle_shares::{LoanView, Loans};
+use gaugesaddle_allocation::{LoanView, Loans};
+use gaugesaddle_balancer::{Balancer, Class, ClassId, Effect, Event, Micros, Offer, Time};
+use gaugesaddle_federation::keys::End;
+use gaugesaddle_federation::{
+    Budget, Capacity, Fate, HopEnd, Link, Look, Over, Path, Share, Span, Spill, Terms,
+};
 use hyper::header::HeaderName;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -216,7 +218,7 @@
         let mut loans = self.loans.borrow_mut();
         if loans.is_none() {
             let Some((place, places, boot)) = tier.held() else { return };
-            let terms = |other: &settings::Other| gaugesaddle_shares::Terms {
+            let terms = |other: &settings::Other| gaugesaddle_allocation::Terms {
                 whole: other.take.per_s,
                 places,
                 kept_percent: KEPT_PERCENT,
@@ -413,7 +415,7 @@
 
     /// Of each class the part that the fleet here can't serve, those worth most served first, and what of it is to
     /// leave without being tried.
-    fn shortfall(&mut self, seen: &beechworks::Capacity, exercise: f64) {
+    fn shortfall(&mut self, seen: &gaugesaddle_balancer::Capacity, exercise: f64) {
         let mut order: Vec<usize> = (0..self.worth.len()).collect();
         order.sort_by(|a, b| self.worth[*b].total_cmp(&self.worth[*a]));
         let mut able = seen.able;
--- a/crates/gaugesaddle/src/region/settings.rs
+++ b/crates/gaugesaddle/src/region/settings.rs
@@ -1,7 +1,7 @@
 //! `[region]` of the operator's file: this region, the rule, and the others with their budgets.
 
-use beechworks::Micros;
-use gaugesaddle_region::{valid_name, Switch, Thresholds, MOST_HOPS, MOST_REGIONS};
+use gaugesaddle_balancer::Micros;
+use gaugesaddle_federation::{valid_name, Switch, Thresholds, MOST_HOPS, MOST_REGIONS};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/crates/gaugesaddle/src/region/tls.rs
+++ b/crates/gaugesaddle/src/region/tls.rs
@@ -1,8 +1,8 @@
 //! Certificates, keys and trust anchors: read, judged, and taken into use while others serve.
 
 use super::settings::{Other, Region};
-use beechworks::Time;
-use gaugesaddle_region::keys::{judge, Seen, Unfit};
+use gaugesaddle_balancer::Time;
+use gaugesaddle_federation::keys::{judge, Seen, Unfit};
 use rustls::client::Resumption;
 use rustls::crypto::{ring, CryptoProvider};
 use rustls::pki_types::pem::PemObject;
--- a/crates/gaugesaddle/src/registry.rs
+++ b/crates/gaugesaddle/src/registry.rs
@@ -6,8 +6,8 @@
 
 use crate::exchange::Target;
 use crate::tally::Tally;
-use beechworks::{BackendId, BackendState, ClassId, Micros, Outcome, Time};
-use gaugesaddle_service::{Lifecycle, Phase};
+use gaugesaddle_balancer::{BackendId, BackendState, ClassId, Micros, Outcome, Time};
+use gaugesaddle_maintenance::{Lifecycle, Phase};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -62,7 +62,7 @@
     outcomes: [Cell<u64>; OUTCOMES.len()],
     latency: [Cell<u32>; BUCKETS],
     latency_us: Cell<u64>,
-    limit: Cell<Option<beechworks::LimitView>>,
+    limit: Cell<Option<gaugesaddle_balancer::LimitView>>,
 }
 
 /// All outcomes of an attempt, by the names that every exit uses.
@@ -109,7 +109,7 @@
     }
 
     /// What the module last knew of its limit.
-    pub fn limited(&self, view: beechworks::LimitView) {
+    pub fn limited(&self, view: gaugesaddle_balancer::LimitView) {
         self.limit.set(Some(view));
     }
 
@@ -156,7 +156,7 @@
     /// Connections accepted so far.
     pub(crate) connects: Cell<u64>,
     /// What the proxy stands in, and since when; calm where storms are not watched.
-    pub(crate) storm: Cell<gaugesaddle_storm::State>,
+    pub(crate) storm: Cell<gaugesaddle_overload::State>,
     pub(crate) storm_seen: RefCell<Option<StormState>>,
     /// Other regions, where there are some.
     pub(crate) region: RefCell<Option<RegionView>>,
@@ -202,7 +202,7 @@
             listening: Cell::default(),
             lifecycle: Cell::default(),
             connects: Cell::default(),
-            storm: Cell::new(gaugesaddle_storm::State::Calm),
+            storm: Cell::new(gaugesaddle_overload::State::Calm),
             storm_seen: RefCell::default(),
             region: RefCell::default(),
             peers: RefCell::default(),
@@ -893,7 +893,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use beechworks::Backend;
+    use gaugesaddle_balancer::Backend;
 
     fn target(id: u64, state: BackendState) -> Target {
         Target {
--- a/crates/gaugesaddle/src/renewal.rs
+++ b/crates/gaugesaddle/src/renewal.rs
@@ -14,7 +14,7 @@
 //!   next call waits for a short while only, and is given up in time for another if it is swallowed as well.
 
 use crate::pacing::Pacing;
-use beechworks::{Micros, Time};
+use gaugesaddle_balancer::{Micros, Time};
 
 /// How long the agent may hold a call back, as a part of the grace of a drain: also how long a silence can go unseen.
 const WAIT_PART: f64 = 0.4;
--- a/crates/gaugesaddle/src/roster.rs
+++ b/crates/gaugesaddle/src/roster.rs
@@ -1,8 +1,8 @@
 //! The list of backends as it came, and as it stands with what the operators took out.
 
-use beechworks::settings;
-use beechworks::{Backend, BackendId, BackendState, Time};
-use gaugesaddle_service::{Maintenance, Order, Verdict};
+use gaugesaddle_balancer::settings;
+use gaugesaddle_balancer::{Backend, BackendId, BackendState, Time};
+use gaugesaddle_maintenance::{Maintenance, Order, Verdict};
 use std::collections::HashMap;
 
 #[derive(Default)]
--- a/crates/gaugesaddle/src/seam.rs
+++ b/crates/gaugesaddle/src/seam.rs
@@ -4,7 +4,7 @@
 
 use crate::exchange::{Arrived, Call, Ended, Local, Refusal};
 use crate::registry::End;
-use beechworks::{Arrival, Balancer, ClassId, Event, ListUpdate, Outcome, Time};
+use gaugesaddle_balancer::{Arrival, Balancer, ClassId, Event, ListUpdate, Outcome, Time};
 use std::rc::Rc;
 
 /// A request that the module hands over: no backend of the list will have it.
@@ -13,7 +13,7 @@
     pub call: &'a Rc<Call>,
     pub deadline: Time,
     /// Through which regions it came here.
-    pub hop: Option<&'a gaugesaddle_region::Path>,
+    pub hop: Option<&'a gaugesaddle_federation::Path>,
 }
 
 /// A part of the proxy that can be switched on alone.
--- a/crates/gaugesaddle/src/shares.rs
+++ b/crates/gaugesaddle/src/shares.rs
@@ -1,13 +1,13 @@
 //! This proxy's part of what all of them may do, by need, in the running proxy: the file beside the driver. Who lives and
-//! what each gets is the tier's to say, what follows is `gaugesaddle_shares`'; here the module is told.
+//! what each gets is the tier's to say, what follows is `gaugesaddle_allocation`'; here the module is told.
 
 use crate::peers::{Living, Tier};
 use crate::region::Regions;
 use crate::registry::{LentView, Registry, SharesView, SoftView};
 use crate::seam::Subsystem;
-use beechworks::{Balancer, Event, ListUpdate, Micros, Standing, Time};
-use gaugesaddle_region::{Share, Span};
-use gaugesaddle_shares::{Crowd, Dealer, Dealing, Law, LoanView, Look, Seen};
+use gaugesaddle_allocation::{Crowd, Dealer, Dealing, Law, LoanView, Look, Seen};
+use gaugesaddle_balancer::{Balancer, Event, ListUpdate, Micros, Standing, Time};
+use gaugesaddle_federation::{Share, Span};
 use serde::Deserialize;
 use std::rc::Rc;
 
--- a/crates/gaugesaddle/src/storm.rs
+++ b/crates/gaugesaddle/src/storm.rs
@@ -1,10 +1,10 @@
-//! The watch for storms, in the running proxy: what `gaugesaddle_storm` decides, told to the module and to clients.
+//! The watch for storms, in the running proxy: what `gaugesaddle_overload` decides, told to the module and to clients.
 
 use crate::exchange::{Arrived, Refusal};
 use crate::registry::{End, Registry, StormState};
 use crate::seam::Subsystem;
-use beechworks::{Arrival, Balancer, ClassId, Event, Time};
-use gaugesaddle_storm::{State, Storm};
+use gaugesaddle_balancer::{Arrival, Balancer, ClassId, Event, Time};
+use gaugesaddle_overload::{State, Storm};
 use std::rc::Rc;
 
 pub struct StormWatch {
--- a/crates/gaugesaddle/src/succession.rs
+++ b/crates/gaugesaddle/src/succession.rs
@@ -6,7 +6,7 @@
 
 use crate::registry::Registry;
 use crate::state;
-use gaugesaddle_service::{Line, Order, Word, VERSION};
+use gaugesaddle_maintenance::{Line, Order, Word, VERSION};
 use std::cell::{Cell, RefCell};
 use std::path::PathBuf;
 use std::rc::Rc;
--- a/crates/gaugesaddle/src/tally.rs
+++ b/crates/gaugesaddle/src/tally.rs
@@ -1,7 +1,7 @@
 //! Why client connections were closed and requests were not served: one counter a reason, kept here only, told
 //! in the log at most once a second each.
 
-use beechworks::{Micros, Time};
+use gaugesaddle_balancer::{Micros, Time};
 use std::cell::{Cell, RefCell};
 
 /// A line of the log for the same reason follows after this time at the earliest.
--- a/crates/gaugesaddle/src/upstream.rs
+++ b/crates/gaugesaddle/src/upstream.rs
@@ -8,8 +8,8 @@
 };
 use crate::registry::Registry;
 use crate::wire::MayBegin;
-use beechworks::{BackendState, Micros, Outcome, Time};
 use bytes::{Bytes, BytesMut};
+use gaugesaddle_balancer::{BackendState, Micros, Outcome, Time};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::SendRequest;
--- a/crates/gaugesaddle/src/upstream/tests.rs
+++ b/crates/gaugesaddle/src/upstream/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::body::CallBody;
-use beechworks::Backend;
+use gaugesaddle_balancer::Backend;
 use std::future::{poll_fn, Future};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
--- a/crates/gaugesaddle/tests/shares.rs
+++ b/crates/gaugesaddle/tests/shares.rs
@@ -4,7 +4,7 @@
 mod tier;
 
 use gaugesaddle::registry::SharesView;
-use gaugesaddle_peers::Signals;
+use gaugesaddle_membership::Signals;
 use gaugesaddle_testbed::datagrams::Links;
 use gaugesaddle_testbed::scripted::*;
 use tier::{Liar, Tier};
--- a/crates/gaugesaddle/tests/tier/mod.rs
+++ b/crates/gaugesaddle/tests/tier/mod.rs
@@ -3,9 +3,9 @@
 // Each test file uses some of it.
 #![allow(dead_code)]
 
-use beechworks::{Micros, Time};
 use gaugesaddle::registry::{PeerRow, PeersView, Snapshot};
-use gaugesaddle_peers::{Boot, Output, Peers, Seal, Settings, Told};
+use gaugesaddle_balancer::{Micros, Time};
+use gaugesaddle_membership::{Boot, Output, Peers, Seal, Settings, Told};
 use gaugesaddle_testbed::datagrams::Datagrams;
 use gaugesaddle_testbed::lease::Lease;
 use gaugesaddle_testbed::scripted::*;
