--- a/crates/gaugesaddle-catalog/src/acknowledgement.rs
+++ b/crates/gaugesaddle-catalog/src/acknowledgement.rs
@@ -1,6 +1,6 @@
 //! Whether and when a call of a backend may be acknowledged.
 
-use crate::{Registrar, Spread};
+use crate::{CatalogReplica, ReplicationStatus};
 use gaugesaddle_protocol::Registration;
 
 /// News of an end is held for the acknowledgements of the other processes for so long, in milliseconds: its caller goes
@@ -34,16 +34,18 @@
 
     /// `Some(true)`: acknowledge; `Some(false)`: another process should be called; `None`: wait. `fresh` tells whether
     /// this process was in touch with a majority of so many voters a moment ago.
-    pub fn decide(&self, now: u64, registrar: &Registrar, fresh: bool, voters: usize) -> Option<bool> {
+    pub fn decide(
+        &self, now: u64, catalog_replica: &CatalogReplica, fresh: bool, voters: usize,
+    ) -> Option<bool> {
         if !fresh {
             return Some(false);
         }
         if !self.leaving {
             return Some(true);
         }
-        match registrar.spread(now, &self.id, voters) {
-            Spread::Held => Some(true),
-            spread if now >= self.until => Some(spread == Spread::Majority),
+        match catalog_replica.spread(now, &self.id, voters) {
+            ReplicationStatus::Full => Some(true),
+            spread if now >= self.until => Some(spread == ReplicationStatus::Majority),
             _ => None,
         }
     }
--- a/crates/gaugesaddle-catalog/src/catalog.rs
+++ b/crates/gaugesaddle-catalog/src/catalog.rs
@@ -1,13 +1,13 @@
 //! The merged registrations.
 
 use crate::digest::{self, RANGES};
-use gaugesaddle_protocol::{Delta, Entry, Lifecycle, Origin, Registration, VersionVector};
+use gaugesaddle_protocol::{CatalogDelta, Entry, Lifecycle, Origin, Registration, VersionVector};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Registrations that are kept: the fleet designed for, with room for a release that replaces all of it.
-pub const MOST_ENTRIES: usize = 40_000;
+pub const MAX_ENTRIES: usize = 40_000;
 /// How long what has left stays known, in milliseconds.
-pub const KEEP_LEFT: u64 = 120_000;
+pub const DEPARTED_RETENTION_MS: u64 = 120_000;
 
 /// An entry and when it was changed here last.
 #[derive(Clone, Debug)]
@@ -66,7 +66,7 @@
 
     /// Takes what another process knows. The vector advances only where nothing is missing in between: what it says is
     /// known is passed on as known, and a drain that is acknowledged must be.
-    pub fn merge(&mut self, now: u64, delta: Delta) -> Merged {
+    pub fn merge(&mut self, now: u64, delta: CatalogDelta) -> Merged {
         let mut merged = Merged { changed: self.expire_unlisted(now, &delta), gap: false };
         for entry in delta.entries {
             merged.changed |= self.put(now, entry);
@@ -83,7 +83,7 @@
 
     /// Ends what lives here and is not listed in a range that is told whole: its lease was granted by processes that are
     /// no more, and nobody would ever end it. If it lives, its next heartbeat brings it back.
-    fn expire_unlisted(&mut self, now: u64, delta: &Delta) -> bool {
+    fn expire_unlisted(&mut self, now: u64, delta: &CatalogDelta) -> bool {
         if delta.complete_ranges.is_empty() {
             return false;
         }
@@ -102,14 +102,14 @@
     }
 
     /// What a process with that vector lacks.
-    pub fn delta(&self, known: &VersionVector) -> Delta {
+    pub fn delta(&self, known: &VersionVector) -> CatalogDelta {
         let lacks = |entry: &&Entry| entry.change > known.of(entry.origin);
         let entries = self.entries().filter(lacks).cloned().collect();
-        Delta { entries, since: known.clone(), vector: self.vector.clone(), ..Delta::default() }
+        CatalogDelta { entries, since: known.clone(), vector: self.vector.clone(), ..CatalogDelta::default() }
     }
 
     /// Whether a process with that vector lacks anything.
-    pub fn has_news_for(&self, known: &VersionVector) -> bool {
+    pub fn has_changes_for(&self, known: &VersionVector) -> bool {
         self.vector.0.iter().any(|(origin, change)| *change > known.of(*origin))
     }
 
@@ -120,12 +120,12 @@
 
     /// All entries of the ranges whose digests differ from those told by a process with that vector. `whole`: this
     /// process has heard the whole fleet, so that what it does not list lives no more.
-    pub fn repair(&self, told: &[u64], known: &VersionVector, whole: bool) -> Delta {
+    pub fn repair(&self, told: &[u64], known: &VersionVector, whole: bool) -> CatalogDelta {
         let own = self.digests();
         let differs = |range: usize| told.get(range) != own.get(range);
         let entries = self.entries().filter(|e| differs(digest::range_of(&e.registration.id)));
         let ranges = (0..RANGES).filter(|range| whole && differs(*range));
-        Delta {
+        CatalogDelta {
             entries: entries.cloned().collect(),
             since: known.clone(),
             vector: self.vector.clone(),
@@ -141,7 +141,8 @@
     /// Forgets what left long ago.
     pub fn purge(&mut self, now: u64) {
         self.entries.retain(|_, held| {
-            held.entry.registration.lifecycle == Lifecycle::Ready || now < held.changed + KEEP_LEFT
+            held.entry.registration.lifecycle == Lifecycle::Ready
+                || now < held.changed + DEPARTED_RETENTION_MS
         });
     }
 
@@ -153,7 +154,7 @@
             *held = Held { entry, changed: now };
             return true;
         }
-        if self.entries.len() >= MOST_ENTRIES {
+        if self.entries.len() >= MAX_ENTRIES {
             return false;
         }
         self.entries.insert(entry.registration.id.clone(), Held { entry, changed: now });
--- a/crates/gaugesaddle-catalog/src/registrar.rs
+++ b/crates/gaugesaddle-catalog/src/catalog_replica.rs
@@ -13,11 +13,11 @@
 //! acknowledged end outlives the loss of all control processes at once because the proxies have it by then, and tell it
 //! to the processes that come after.
 
-use crate::peers::{PeerTable, LIVELY};
+use crate::peers::{PeerTable, PEER_RESPONSIVE_MS};
 use crate::proxies::ProxyTable;
 use crate::{Catalog, Leases};
 use gaugesaddle_protocol::{
-    Delta, Lifecycle, Origin, PeerMessage, Pull, Registration, Subject, VersionVector,
+    CatalogDelta, Lifecycle, Origin, PeerMessage, Pull, Registration, Subject, VersionVector,
 };
 use std::collections::BTreeMap;
 
@@ -28,18 +28,18 @@
 
 /// Whether a change may be acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spread {
+pub enum ReplicationStatus {
     /// Every lively process and proxy has it, and a majority of processes at least.
-    Held,
+    Full,
     /// A majority has it; some process or proxy that spoke a moment ago has not said so.
     Majority,
     /// It could be lost.
-    Open,
+    Minority,
 }
 
 /// The catalog of one control process, its leases and its view of the others.
 #[derive(Clone, Debug)]
-pub struct Registrar {
+pub struct CatalogReplica {
     origin: Origin,
     /// When it began, in milliseconds.
     started: u64,
@@ -55,10 +55,10 @@
     orphans: BTreeMap<String, u64>,
 }
 
-impl Registrar {
+impl CatalogReplica {
     /// An empty one. `origin` is what this process counts its changes under; no other process has the same.
-    pub fn new(now: u64, origin: Origin, backend_lease: u64) -> Registrar {
-        Registrar {
+    pub fn new(now: u64, origin: Origin, backend_lease: u64) -> CatalogReplica {
+        CatalogReplica {
             origin,
             started: now,
             backend_lease: backend_lease.max(PROXY_LEASE),
@@ -87,17 +87,17 @@
     }
 
     /// A peer has introduced itself on a connection.
-    pub fn introduced(&mut self, ip: u32, origin: Origin) {
-        self.peers.introduced(ip, origin);
+    pub fn register_peer(&mut self, ip: u32, origin: Origin) {
+        self.peers.register_peer(ip, origin);
     }
 
     /// A peer has spoken; false where another process has taken its place, so that what it says is void.
-    pub fn heard(&mut self, now: u64, ip: u32, origin: Origin) -> bool {
-        self.peers.heard(now, ip, origin)
+    pub fn record_contact(&mut self, now: u64, ip: u32, origin: Origin) -> bool {
+        self.peers.record_contact(now, ip, origin)
     }
 
     /// Takes a call of a backend or proxy; what to push to all peers where it brings news.
-    pub fn note(&mut self, now: u64, registration: Registration) -> Option<Delta> {
+    pub fn record(&mut self, now: u64, registration: Registration) -> Option<CatalogDelta> {
         self.leases.renew(now, &registration.id, registration.sequence);
         let known = self.catalog.get(&registration.id);
         let news =
@@ -110,7 +110,7 @@
     }
 
     /// Takes what a proxy says that it knows; what to acknowledge to which peer now that it does.
-    pub fn note_pull(&mut self, now: u64, pull: &Pull) -> Vec<(u32, PeerMessage)> {
+    pub fn record_pull(&mut self, now: u64, pull: &Pull) -> Vec<(u32, PeerMessage)> {
         if pull.proxy.lifecycle.is_leaving() {
             self.proxies.left(&pull.proxy.id);
         } else {
@@ -140,11 +140,11 @@
 
     /// Whether proxies that will follow this process may not have called yet.
     fn is_young(&self, now: u64) -> bool {
-        now < self.started + LIVELY
+        now < self.started + PEER_RESPONSIVE_MS
     }
 
     /// Takes what a proxy knows to have left; what to push to all peers.
-    pub fn note_left(&mut self, now: u64, left: Vec<Registration>) -> Vec<Delta> {
+    pub fn record_departed(&mut self, now: u64, left: Vec<Registration>) -> Vec<CatalogDelta> {
         let news = |r: &Registration| {
             let known = self.catalog.get(&r.id);
             r.lifecycle.is_leaving() && known.is_none_or(|e| !e.registration.lifecycle.is_leaving())
@@ -163,21 +163,21 @@
                 zone: String::new(),
                 subject: Subject::Backend { service: String::new(), address: String::new(), slots: 0 },
                 sequence: 0,
-                lifecycle: Lifecycle::Gone,
+                lifecycle: Lifecycle::Departed,
             },
         };
         if registration.subject == Subject::Proxy {
             return None;
         }
-        registration.lifecycle = Lifecycle::Gone;
+        registration.lifecycle = Lifecycle::Departed;
         registration.sequence = registration.sequence.saturating_add(1);
         Some(registration)
     }
 
     /// Takes a change that happened here; what to push to all peers, `None` where it brings nothing new.
-    pub fn accept(&mut self, now: u64, registration: Registration) -> Option<Delta> {
+    pub fn accept(&mut self, now: u64, registration: Registration) -> Option<CatalogDelta> {
         let entry = self.catalog.accept(now, self.origin, registration)?;
-        let mut delta = Delta::default();
+        let mut delta = CatalogDelta::default();
         delta.since.advance(entry.origin, entry.change - 1);
         delta.vector.advance(entry.origin, entry.change);
         delta.entries.push(entry);
@@ -185,17 +185,17 @@
     }
 
     /// How far the present registration of an identity has spread in a group of so many voters.
-    pub fn spread(&self, now: u64, id: &str, voters: usize) -> Spread {
-        let Some(entry) = self.catalog.get(id) else { return Spread::Open };
+    pub fn spread(&self, now: u64, id: &str, voters: usize) -> ReplicationStatus {
+        let Some(entry) = self.catalog.get(id) else { return ReplicationStatus::Minority };
         let (origin, change) = (entry.origin, entry.change);
         // This process and the holders must be more than half.
         if self.is_young(now) || self.peers.holders(origin, change) < voters / 2 {
-            return Spread::Open;
+            return ReplicationStatus::Minority;
         }
-        if self.peers.all_lively_hold(now, origin, change) && self.held(now, origin) >= change {
-            Spread::Held
+        if self.peers.all_responsive_have(now, origin, change) && self.held(now, origin) >= change {
+            ReplicationStatus::Full
         } else {
-            Spread::Majority
+            ReplicationStatus::Majority
         }
     }
 
@@ -209,7 +209,7 @@
                 (false, Vec::new())
             }
             PeerMessage::Compare { vector, digests, .. } => {
-                let push = self.news_for(now, &vector, &digests).map(PeerMessage::Push);
+                let push = self.changes_for(now, &vector, &digests).map(PeerMessage::Push);
                 // An acknowledgement may have been lost.
                 let origin = self.peers.origin_of(ip);
                 let held =
@@ -221,7 +221,7 @@
         }
     }
 
-    fn take_push(&mut self, now: u64, ip: u32, delta: Delta) -> (bool, Vec<PeerMessage>) {
+    fn take_push(&mut self, now: u64, ip: u32, delta: CatalogDelta) -> (bool, Vec<PeerMessage>) {
         let merged = self.catalog.merge(now, delta);
         // Where proxies follow this process they are told first.
         let origin = self.peers.origin_of(ip);
@@ -240,13 +240,13 @@
     }
 
     /// Whether a process with that vector and those digests lacks anything.
-    pub fn has_news_for(&self, vector: &VersionVector, digests: &[u64]) -> bool {
-        self.catalog.has_news_for(vector) || self.catalog.differs_from(digests)
+    pub fn has_changes_for(&self, vector: &VersionVector, digests: &[u64]) -> bool {
+        self.catalog.has_changes_for(vector) || self.catalog.differs_from(digests)
     }
 
     /// What such a process lacks: the changes, else the ranges that differ.
-    pub fn news_for(&self, now: u64, vector: &VersionVector, digests: &[u64]) -> Option<Delta> {
-        if self.catalog.has_news_for(vector) {
+    pub fn changes_for(&self, now: u64, vector: &VersionVector, digests: &[u64]) -> Option<CatalogDelta> {
+        if self.catalog.has_changes_for(vector) {
             Some(self.catalog.delta(vector))
         } else if self.catalog.differs_from(digests) {
             Some(self.catalog.repair(digests, vector, self.has_heard_all(now)))
@@ -261,7 +261,7 @@
     }
 
     /// Forgets what left long ago, and ends what has fallen silent; what to push to all peers.
-    pub fn expire(&mut self, now: u64) -> Vec<Delta> {
+    pub fn expire(&mut self, now: u64) -> Vec<CatalogDelta> {
         self.catalog.purge(now);
         let mut ended = self.lapsed(now);
         ended.extend(self.orphaned(now));
--- a/crates/gaugesaddle-catalog/src/leases.rs
+++ b/crates/gaugesaddle-catalog/src/leases.rs
@@ -4,7 +4,7 @@
 
 /// The last call of a registered process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Heard {
+pub struct LastHeartbeat {
     /// When, in milliseconds.
     pub at: u64,
     /// Its sequence number.
@@ -14,7 +14,7 @@
 /// The last call of each registered process.
 #[derive(Clone, Debug, Default)]
 pub struct Leases {
-    heard: BTreeMap<String, Heard>,
+    heard: BTreeMap<String, LastHeartbeat>,
 }
 
 impl Leases {
@@ -24,10 +24,10 @@
             if sequence < heard.sequence {
                 return false;
             }
-            *heard = Heard { at: now, sequence };
+            *heard = LastHeartbeat { at: now, sequence };
             return true;
         }
-        self.heard.insert(id.to_owned(), Heard { at: now, sequence });
+        self.heard.insert(id.to_owned(), LastHeartbeat { at: now, sequence });
         true
     }
 
@@ -42,9 +42,9 @@
     }
 
     /// Ends the leases that were not renewed within `lease` milliseconds.
-    pub fn expire(&mut self, now: u64, lease: u64) -> Vec<(String, Heard)> {
-        let ended = |heard: &Heard| now >= heard.at + lease;
-        let expired: Vec<(String, Heard)> =
+    pub fn expire(&mut self, now: u64, lease: u64) -> Vec<(String, LastHeartbeat)> {
+        let ended = |heard: &LastHeartbeat| now >= heard.at + lease;
+        let expired: Vec<(String, LastHeartbeat)> =
             self.heard.iter().filter(|(_, h)| ended(h)).map(|(id, h)| (id.clone(), *h)).collect();
         self.heard.retain(|_, heard| !ended(heard));
         expired
--- a/crates/gaugesaddle-catalog/src/peers.rs
+++ b/crates/gaugesaddle-catalog/src/peers.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A peer that says nothing for so long is taken for dead, in milliseconds.
-pub const SILENCE: u64 = 3500;
+pub const PEER_TIMEOUT_MS: u64 = 3500;
 /// A peer or proxy that has said nothing for so long is not waited for, in milliseconds.
-pub const LIVELY: u64 = 1300;
+pub const PEER_RESPONSIVE_MS: u64 = 1300;
 
 /// Another control process.
 #[derive(Clone, Debug, Default)]
@@ -27,7 +27,7 @@
 
 impl PeerTable {
     /// A process has introduced itself. What an earlier one on that machine knew is gone with it.
-    pub fn introduced(&mut self, ip: u32, origin: Origin) {
+    pub fn register_peer(&mut self, ip: u32, origin: Origin) {
         let peer = self.peers.entry(ip).or_default();
         if peer.origin != Some(origin) {
             *peer = Peer { heard: peer.heard, origin: Some(origin), vector: VersionVector::default() };
@@ -35,7 +35,7 @@
     }
 
     /// The process that introduced itself as `origin` has spoken; false where another has taken its place since.
-    pub fn heard(&mut self, now: u64, ip: u32, origin: Origin) -> bool {
+    pub fn record_contact(&mut self, now: u64, ip: u32, origin: Origin) -> bool {
         match self.peers.get_mut(&ip).filter(|p| p.origin == Some(origin)) {
             Some(peer) => {
                 peer.heard = Some(now);
@@ -64,12 +64,12 @@
 
     /// Addresses of the peers that spoke lately.
     pub fn alive(&self, now: u64) -> Vec<u32> {
-        self.speaking(now, SILENCE).map(|(ip, _)| *ip).collect()
+        self.speaking(now, PEER_TIMEOUT_MS).map(|(ip, _)| *ip).collect()
     }
 
     /// Origins of the peers that spoke lately.
     pub fn living_origins(&self, now: u64) -> BTreeSet<Origin> {
-        self.speaking(now, SILENCE).filter_map(|(_, peer)| peer.origin).collect()
+        self.speaking(now, PEER_TIMEOUT_MS).filter_map(|(_, peer)| peer.origin).collect()
     }
 
     /// How many peers have a change.
@@ -78,8 +78,8 @@
     }
 
     /// Whether every peer that spoke a moment ago has a change.
-    pub fn all_lively_hold(&self, now: u64, origin: Origin, change: u64) -> bool {
-        self.speaking(now, LIVELY).all(|(_, peer)| peer.has(origin, change))
+    pub fn all_responsive_have(&self, now: u64, origin: Origin, change: u64) -> bool {
+        self.speaking(now, PEER_RESPONSIVE_MS).all(|(_, peer)| peer.has(origin, change))
     }
 
     fn speaking(&self, now: u64, silence: u64) -> impl Iterator<Item = (&u32, &Peer)> {
--- a/crates/gaugesaddle-catalog/tests/catalog.rs
+++ b/crates/gaugesaddle-catalog/tests/catalog.rs
@@ -1,8 +1,8 @@
 //! The failure: a backend that has announced its end gets requests again, processes that heard the same disagree, or a
 //! live registration is dropped.
 
-use gaugesaddle_catalog::{Catalog, Leases, KEEP_LEFT};
-use gaugesaddle_protocol::{Delta, Lifecycle, Origin, Registration, Subject, VersionVector};
+use gaugesaddle_catalog::{Catalog, Leases, DEPARTED_RETENTION_MS};
+use gaugesaddle_protocol::{CatalogDelta, Lifecycle, Origin, Registration, Subject, VersionVector};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -18,7 +18,7 @@
         4 => Just(Lifecycle::Ready),
         1 => Just(Lifecycle::Expired),
         1 => Just(Lifecycle::Draining),
-        1 => Just(Lifecycle::Gone),
+        1 => Just(Lifecycle::Departed),
     ]
 }
 
@@ -45,7 +45,7 @@
         for (at, id, sequence, lifecycle) in changes {
             let accepted = processes[at as usize].accept(NOW, Origin(at), registration(id, sequence, lifecycle));
             if let Some(entry) = accepted {
-                let mut delta = Delta { entries: vec![entry.clone()], ..Delta::default() };
+                let mut delta = CatalogDelta { entries: vec![entry.clone()], ..CatalogDelta::default() };
                 delta.vector.advance(entry.origin, entry.change);
                 deltas.push(delta);
             }
@@ -77,7 +77,7 @@
         let delta = source.delta(sink.vector());
         sink.merge(NOW, delta);
         prop_assert_eq!(content(&source), content(&sink));
-        prop_assert!(!source.has_news_for(sink.vector()));
+        prop_assert!(!source.has_changes_for(sink.vector()));
         prop_assert!(source.delta(sink.vector()).entries.is_empty());
     }
 
@@ -132,10 +132,10 @@
 fn what_left_is_forgotten_only_long_after() {
     let mut catalog = Catalog::default();
     catalog.accept(NOW, Origin(1), registration(1, 1, Lifecycle::Ready));
-    catalog.accept(NOW, Origin(1), registration(2, 1, Lifecycle::Gone));
-    catalog.purge(NOW + KEEP_LEFT - 1);
+    catalog.accept(NOW, Origin(1), registration(2, 1, Lifecycle::Departed));
+    catalog.purge(NOW + DEPARTED_RETENTION_MS - 1);
     assert_eq!(catalog.iter().count(), 2);
-    catalog.purge(NOW + KEEP_LEFT);
+    catalog.purge(NOW + DEPARTED_RETENTION_MS);
     assert_eq!(catalog.iter().map(|r| r.id.as_str()).collect::<Vec<_>>(), ["i-1"]);
 }
 
--- a/crates/gaugesaddle-consensus/src/stored.rs
+++ b/crates/gaugesaddle-consensus/src/disk_format.rs
@@ -1,6 +1,6 @@
 //! What a replica's disk holds: who it is and how it voted in one slot, the state in the other.
 
-use gaugesaddle_protocol::{Ballot, State};
+use gaugesaddle_protocol::{HardState, State};
 use musli::alloc::Global;
 use musli::mode::Binary;
 use musli::{Decode, Encode};
@@ -19,9 +19,9 @@
 pub struct Unreadable;
 
 /// The records of a write, each with its slot.
-pub fn records(ballot: &Ballot, state: Option<&State>) -> Vec<(usize, Vec<u8>)> {
+pub fn records(hard_state: &HardState, state: Option<&State>) -> Vec<(usize, Vec<u8>)> {
     let mut records = Vec::with_capacity(2);
-    push(&mut records, BALLOT_SLOT, ballot);
+    push(&mut records, BALLOT_SLOT, hard_state);
     if let Some(state) = state {
         push(&mut records, STATE_SLOT, state);
     }
@@ -32,9 +32,9 @@
 ///
 /// Where one part cannot be read both are of no use: a replica that kept its name and not its state could elect or
 /// confirm what its own acknowledgements rule out.
-pub fn read(slots: &[Option<Vec<u8>>; 2]) -> Result<(Option<Ballot>, Option<State>), Unreadable> {
-    let [ballot, state] = slots;
-    Ok((part(ballot)?, part(state)?))
+pub fn read(slots: &[Option<Vec<u8>>; 2]) -> Result<(Option<HardState>, Option<State>), Unreadable> {
+    let [hard_state, state] = slots;
+    Ok((part(hard_state)?, part(state)?))
 }
 
 fn push<T: Encode<Binary>>(records: &mut Vec<(usize, Vec<u8>)>, slot: usize, value: &T) {
--- a/crates/gaugesaddle-consensus/src/election.rs
+++ b/crates/gaugesaddle-consensus/src/election.rs
@@ -1,10 +1,10 @@
 //! Elections: pre-votes, votes, and the end of a leadership.
 
-use crate::pending::AfterWrite;
-use crate::replica::{NotLeading, Progress};
+use crate::pending::PendingOnSync;
+use crate::replica::{NotLeader, Progress};
 use crate::update::History;
 use crate::{Output, ProposalResult, Replica, Role};
-use gaugesaddle_protocol::{ReplicaId, ReplicaMessage, Stamp};
+use gaugesaddle_protocol::{LogPosition, ReplicaId, ReplicaMessage};
 
 /// The next pseudo-random number after one (xorshift); elections need no better one.
 fn next_random(mut x: u64) -> u64 {
@@ -16,19 +16,20 @@
 impl Replica {
     pub(crate) fn set_election_time(&mut self, now: u64) {
         self.random = next_random(self.random);
-        let spread = self.random % self.settings.election_spread.max(1);
-        self.election_at = now + self.settings.election + spread;
+        let spread = self.random % self.settings.election_jitter_ms.max(1);
+        self.election_at = now + self.settings.election_timeout_ms + spread;
     }
 
     /// Pre-votes are asked for anew soon: a majority may come up at any moment.
     fn set_retry_time(&mut self, now: u64) {
         self.random = next_random(self.random);
-        self.election_at = now + self.settings.retry + self.random % self.settings.retry_spread.max(1);
+        self.election_at =
+            now + self.settings.pre_vote_retry_ms + self.random % self.settings.pre_vote_jitter_ms.max(1);
     }
 
     /// Whether a leader has been heard so lately that nobody else should stand.
     fn follows_living_leader(&self, now: u64) -> bool {
-        self.leader.is_some() && self.heard.is_some_and(|at| now < at + self.settings.election)
+        self.leader.is_some() && self.heard.is_some_and(|at| now < at + self.settings.election_timeout_ms)
     }
 
     pub(crate) fn begin_election(&mut self, now: u64, out: &mut Vec<Output>) {
@@ -39,8 +40,11 @@
             return;
         }
         self.role = Role::Follower;
-        self.pre_votes = [self.ballot.me].into();
-        let message = ReplicaMessage::PreVote { term: self.ballot.term + 1, last: self.state.stamp };
+        self.pre_votes = [self.hard_state.id].into();
+        let message = ReplicaMessage::RequestPreVote {
+            term: self.hard_state.term + 1,
+            last_position: self.state.position,
+        };
         for other in self.others() {
             out.push(Output::Send(other, message.clone()));
         }
@@ -55,21 +59,23 @@
     }
 
     pub(crate) fn pre_vote(
-        &mut self, now: u64, from: ReplicaId, term: u64, last: Stamp, out: &mut Vec<Output>,
+        &mut self, now: u64, from: ReplicaId, term: u64, last_position: LogPosition, out: &mut Vec<Output>,
     ) {
         let led = self.role == Role::Leader || self.follows_living_leader(now);
-        let granted = !led && self.may_vote() && term > self.ballot.term && last >= self.state.stamp;
-        let term = if granted { term } else { self.ballot.term };
-        out.push(Output::Send(from, ReplicaMessage::PreVoteReply { term, granted }));
+        let granted =
+            !led && self.may_vote() && term > self.hard_state.term && last_position >= self.state.position;
+        let term = if granted { term } else { self.hard_state.term };
+        out.push(Output::Send(from, ReplicaMessage::RequestPreVoteResponse { term, granted }));
     }
 
     pub(crate) fn pre_vote_reply(
         &mut self, now: u64, from: ReplicaId, term: u64, granted: bool, out: &mut Vec<Output>,
     ) {
-        if granted && self.role == Role::Follower && term == self.ballot.term + 1 && self.leader.is_none() {
+        if granted && self.role == Role::Follower && term == self.hard_state.term + 1 && self.leader.is_none()
+        {
             self.pre_votes.insert(from);
             self.stand_if_wanted(now, out);
-        } else if !granted && term > self.ballot.term {
+        } else if !granted && term > self.hard_state.term {
             self.observe_term(now, term, out);
         }
     }
@@ -82,71 +88,81 @@
 
     /// The leader has ended its leadership and asks this replica to lead.
     pub(crate) fn take_over(&mut self, now: u64, from: ReplicaId, term: u64, out: &mut Vec<Output>) {
-        let asked = term == self.ballot.term && self.leader == Some(from) && self.role == Role::Follower;
+        let asked = term == self.hard_state.term && self.leader == Some(from) && self.role == Role::Follower;
         if asked && self.is_voter() && !self.disk_hangs(now) {
             self.stand(now, true, out);
         }
     }
 
     /// Becomes a candidate of the next term.
-    fn stand(&mut self, now: u64, handover: bool, out: &mut Vec<Output>) {
+    fn stand(&mut self, now: u64, leadership_transfer: bool, out: &mut Vec<Output>) {
         self.pre_votes.clear();
         // A candidate's round has its full time: two writes to disks lie in it.
         self.set_election_time(now);
         self.role = Role::Candidate;
         self.leader = None;
-        self.ballot.term += 1;
-        self.ballot.voted_for = Some(self.ballot.me);
+        self.hard_state.term += 1;
+        self.hard_state.voted_for = Some(self.hard_state.id);
         self.votes.clear();
         self.refusals.clear();
-        let ticket = self.persist(now, false, out);
-        self.after.push_back((ticket, AfterWrite::Campaign { term: self.ballot.term, handover }));
+        let write_id = self.persist(now, false, out);
+        self.after.push_back((
+            write_id,
+            PendingOnSync::Campaign { term: self.hard_state.term, leadership_transfer },
+        ));
     }
 
     /// The own vote is on the disk: asks the others for theirs.
-    pub(crate) fn campaign(&mut self, now: u64, term: u64, handover: bool, out: &mut Vec<Output>) {
-        if self.role != Role::Candidate || term != self.ballot.term {
+    pub(crate) fn campaign(&mut self, now: u64, term: u64, leadership_transfer: bool, out: &mut Vec<Output>) {
+        if self.role != Role::Candidate || term != self.hard_state.term {
             return;
         }
-        self.votes.insert(self.ballot.me);
+        self.votes.insert(self.hard_state.id);
         for other in self.others() {
-            let last = self.state.stamp;
-            out.push(Output::Send(other, ReplicaMessage::Vote { term, last, handover }));
+            let last_position = self.state.position;
+            out.push(Output::Send(
+                other,
+                ReplicaMessage::RequestVote { term, last_position, leadership_transfer },
+            ));
         }
         self.lead_if_elected(now, out);
     }
 
     pub(crate) fn vote(
-        &mut self, now: u64, from: ReplicaId, (term, last, handover): (u64, Stamp, bool),
-        out: &mut Vec<Output>,
+        &mut self, now: u64, from: ReplicaId,
+        (term, last_position, leadership_transfer): (u64, LogPosition, bool), out: &mut Vec<Output>,
     ) {
-        let waits = !handover && self.follows_living_leader(now);
-        if !self.may_vote() || (term > self.ballot.term && waits) {
+        let waits = !leadership_transfer && self.follows_living_leader(now);
+        if !self.may_vote() || (term > self.hard_state.term && waits) {
             return;
         }
-        if term > self.ballot.term {
+        if term > self.hard_state.term {
             self.observe_term(now, term, out);
         }
-        let free = self.ballot.voted_for.is_none_or(|v| v == from);
-        if term < self.ballot.term || !free || last < self.state.stamp || self.role != Role::Follower {
-            let refusal = ReplicaMessage::VoteReply { term: self.ballot.term, granted: false };
+        let free = self.hard_state.voted_for.is_none_or(|v| v == from);
+        if term < self.hard_state.term
+            || !free
+            || last_position < self.state.position
+            || self.role != Role::Follower
+        {
+            let refusal = ReplicaMessage::RequestVoteResponse { term: self.hard_state.term, granted: false };
             out.push(Output::Send(from, refusal));
             return;
         }
-        self.ballot.voted_for = Some(from);
+        self.hard_state.voted_for = Some(from);
         self.set_election_time(now);
-        let ticket = self.persist(now, false, out);
-        let reply = ReplicaMessage::VoteReply { term, granted: true };
-        self.after.push_back((ticket, AfterWrite::Send(from, reply)));
+        let write_id = self.persist(now, false, out);
+        let reply = ReplicaMessage::RequestVoteResponse { term, granted: true };
+        self.after.push_back((write_id, PendingOnSync::Send(from, reply)));
     }
 
     pub(crate) fn vote_reply(
         &mut self, now: u64, from: ReplicaId, term: u64, granted: bool, out: &mut Vec<Output>,
     ) {
-        if term > self.ballot.term {
+        if term > self.hard_state.term {
             return self.observe_term(now, term, out);
         }
-        if term < self.ballot.term || self.role != Role::Candidate {
+        if term < self.hard_state.term || self.role != Role::Candidate {
             return;
         }
         if granted {
@@ -169,14 +185,15 @@
     }
 
     fn lead_if_elected(&mut self, now: u64, out: &mut Vec<Output>) {
-        if !self.quorum().is_reached(|v| self.votes.contains(v)) || !self.votes.contains(&self.ballot.me) {
+        if !self.quorum().is_reached(|v| self.votes.contains(v)) || !self.votes.contains(&self.hard_state.id)
+        {
             return;
         }
         self.role = Role::Leader;
-        self.leader = Some(self.ballot.me);
+        self.leader = Some(self.hard_state.id);
         self.peers = self.others().into_iter().map(|p| (p, Progress::default())).collect();
         self.learners.clear();
-        self.rounds.clear();
+        self.heartbeats.clear();
         let assumed = Some(now);
         self.peers.values_mut().for_each(|p| p.contact = assumed);
         self.history = History::default();
@@ -186,12 +203,12 @@
 
     /// A newer term: whoever was leader or candidate follows.
     pub(crate) fn observe_term(&mut self, now: u64, term: u64, out: &mut Vec<Output>) {
-        if term <= self.ballot.term {
+        if term <= self.hard_state.term {
             return;
         }
         self.step_down(now, None, out);
-        self.ballot.term = term;
-        self.ballot.voted_for = None;
+        self.hard_state.term = term;
+        self.hard_state.voted_for = None;
         self.persist(now, false, out);
     }
 
@@ -206,21 +223,23 @@
         self.votes.clear();
         self.pre_votes.clear();
         for id in self.proposing.take().into_iter().chain(self.proposals.drain(..).map(|(id, _)| id)) {
-            out.push(Output::Proposed(id, ProposalResult::Unclear));
+            out.push(Output::Proposed(id, ProposalResult::Indeterminate));
         }
         for waiting in self.confirming.drain(..) {
             out.push(match waiting.answer {
-                crate::pending::Confirmed::Read(id, _) => Output::Read(id, Err(NotLeading)),
-                crate::pending::Confirmed::Proposal(id, _) => Output::Proposed(id, ProposalResult::Unclear),
+                crate::pending::Confirmed::Read(id, _) => Output::Read(id, Err(NotLeader)),
+                crate::pending::Confirmed::Proposal(id, _) => {
+                    Output::Proposed(id, ProposalResult::Indeterminate)
+                }
             });
         }
         for id in self.early.drain(..) {
-            out.push(Output::Read(id, Err(NotLeading)));
+            out.push(Output::Read(id, Err(NotLeader)));
         }
     }
 
     pub(crate) fn disk_hangs(&self, now: u64) -> bool {
-        self.writes.front().is_some_and(|(_, begun, _, _)| now > begun + self.settings.disk)
+        self.writes.front().is_some_and(|(_, begun, _, _)| now > begun + self.settings.disk_stall_ms)
     }
 
     pub(crate) fn check_lease(&mut self, now: u64, out: &mut Vec<Output>) {
@@ -232,7 +251,7 @@
     /// When the last heartbeat was sent that a majority has answered.
     pub(crate) fn majority_contact(&self) -> u64 {
         let contact = |v: &ReplicaId| {
-            if *v == self.ballot.me {
+            if *v == self.hard_state.id {
                 u64::MAX / 2
             } else {
                 self.peers.get(v).and_then(|p| p.contact).unwrap_or(0)
--- a/crates/gaugesaddle-consensus/src/lib.rs
+++ b/crates/gaugesaddle-consensus/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Replica`] takes [`Input`]s with the steady time at which they happened and returns [`Output`]s. The replicated
 //! [`State`](gaugesaddle_protocol::State) is one value that each change replaces: the history kept is one state long,
-//! and a state travels as what changed since the one that the receiver has. What Raft says of a log's last entry holds for it: a state's [`Stamp`](gaugesaddle_protocol::Stamp)
+//! and a state travels as what changed since the one that the receiver has. What Raft says of a log's last entry holds for it: a state's [`LogPosition`](gaugesaddle_protocol::Stamp)
 //! orders it, a vote goes only to a candidate whose stamp is not older, and a new leader writes the state it found
 //! under its own term before it calls anything committed.
 //!
@@ -13,9 +13,10 @@
 //! disks; no two leaders share a term; a replica with an empty disk is another replica and never votes for the old
 //! one; a replica that calls itself current has all that was committed a stated time ago, however late messages come
 //! and however long the process slept. Tables are bounded by the number of replicas, queues by
-//! [`settings::MOST_PENDING`].
+//! [`settings::MAX_PENDING`].
 
 pub mod change;
+pub mod disk_format;
 mod election;
 mod membership;
 mod pending;
@@ -23,9 +24,8 @@
 mod replica;
 mod replication;
 pub mod settings;
-pub mod stored;
 mod update;
 
-pub use pending::{Content, Proposal, ProposalResult, TicketId};
-pub use replica::{Input, NotLeading, Output, Replica, Role};
+pub use pending::{Proposal, ProposalResult, ProposedDocument, WriteId};
+pub use replica::{Input, NotLeader, Output, Replica, Role};
 pub use settings::Settings;
--- a/crates/gaugesaddle-consensus/src/membership.rs
+++ b/crates/gaugesaddle-consensus/src/membership.rs
@@ -14,7 +14,7 @@
 //! that a second loss meets as many copies as the first did.
 
 use crate::replica::Learner;
-use crate::settings::{MOST_LEARNERS, MOST_VOTERS};
+use crate::settings::{MAX_LEARNERS, MAX_VOTERS};
 use crate::{Output, Replica, Role};
 use gaugesaddle_protocol::{ReplicaId, ReplicaMessage, State};
 
@@ -32,7 +32,7 @@
     pub(crate) fn join(&mut self, now: u64, from: ReplicaId, durable: bool) {
         if self.role != Role::Leader
             || self.state.voters.contains(&from)
-            || self.learners.len() >= MOST_LEARNERS
+            || self.learners.len() >= MAX_LEARNERS
         {
             return;
         }
@@ -42,8 +42,8 @@
     /// Takes the next step of a change of voters, if the last one is on the disks that it takes.
     pub(crate) fn change_membership(&mut self, now: u64, out: &mut Vec<Output>) {
         self.learners.retain(|_, learner| now < learner.asked + LEARNER_SILENCE);
-        let settled = self.committed == self.state.stamp && self.proposing.is_none();
-        if !settled || self.committed.term != self.ballot.term {
+        let settled = self.committed == self.state.position && self.proposing.is_none();
+        if !settled || self.committed.term != self.hard_state.term {
             return;
         }
         if !self.state.outgoing.is_empty() {
@@ -62,22 +62,23 @@
             match self.place_for(now, learner) {
                 Some(place) => voters[place] = learner,
                 // Beside a voter that is gone a further one only makes the majority larger: it is known soon.
-                None if voters.len() < MOST_VOTERS && self.has_heard_all() => voters.push(learner),
+                None if voters.len() < MAX_VOTERS && self.has_heard_all() => voters.push(learner),
                 None => return None,
             }
             return Some(voters);
         }
-        if voters.len() <= self.settings.least_voters {
+        if voters.len() <= self.settings.min_voters {
             return None;
         }
-        let silent = voters.iter().position(|v| self.is_without_contact(now, v, self.settings.silence))?;
+        let silent =
+            voters.iter().position(|v| self.is_without_contact(now, v, self.settings.removal_timeout_ms))?;
         voters.remove(silent);
         Some(voters)
     }
 
     /// A learner with a disk that has the newest state on it.
     fn caught_up_learner(&self) -> Option<ReplicaId> {
-        let caught_up = |id: &ReplicaId| self.peers.get(id).is_some_and(|p| p.matched == self.state.stamp);
+        let caught_up = |id: &ReplicaId| self.peers.get(id).is_some_and(|p| p.matched == self.state.position);
         let durable = self.learners.iter().filter(|(_, learner)| learner.durable).map(|(id, _)| *id);
         durable.into_iter().find(caught_up)
     }
@@ -85,20 +86,20 @@
     /// The voter whose place a learner takes.
     fn place_for(&self, now: u64, learner: ReplicaId) -> Option<usize> {
         let voters = &self.state.voters;
-        let same_machine = |v: &ReplicaId| v.ip == learner.ip && *v != self.ballot.me;
+        let same_machine = |v: &ReplicaId| v.ip == learner.ip && *v != self.hard_state.id;
         let predecessor = voters.iter().position(same_machine);
-        let quiet = |v: &ReplicaId| self.is_without_contact(now, v, self.settings.quiet);
+        let quiet = |v: &ReplicaId| self.is_without_contact(now, v, self.settings.replacement_timeout_ms);
         predecessor.or_else(|| voters.iter().position(quiet))
     }
 
     /// Whether every other voter has answered this leader.
     fn has_heard_all(&self) -> bool {
-        let heard = |v: &ReplicaId| self.peers.get(v).is_some_and(|p| p.round > 0);
-        self.state.voters.iter().all(|v| *v == self.ballot.me || heard(v))
+        let heard = |v: &ReplicaId| self.peers.get(v).is_some_and(|p| p.sequence > 0);
+        self.state.voters.iter().all(|v| *v == self.hard_state.id || heard(v))
     }
 
     fn is_without_contact(&self, now: u64, voter: &ReplicaId, time: u64) -> bool {
         let contact = self.peers.get(voter).and_then(|p| p.contact).unwrap_or(0);
-        *voter != self.ballot.me && now >= contact + time
+        *voter != self.hard_state.id && now >= contact + time
     }
 }
--- a/crates/gaugesaddle-consensus/src/pending.rs
+++ b/crates/gaugesaddle-consensus/src/pending.rs
@@ -1,16 +1,16 @@
 //! What waits at a replica: proposals, reads, and messages that may only go out after a write.
 
-use gaugesaddle_protocol::{Configuration, Digest, Mark, ReplicaId, ReplicaMessage};
+use gaugesaddle_protocol::{ClockReading, Configuration, Digest, ReplicaId, ReplicaMessage};
 
 /// Number of a write; they complete in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct TicketId(pub u64);
+pub struct WriteId(pub u64);
 
 /// What a proposal brings.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Content {
+pub enum ProposedDocument {
     /// A document that stands for itself.
-    Whole(Vec<u8>),
+    Full(Vec<u8>),
     /// A document that was made out of another one: it is taken only on top of that very one.
     Edited {
         /// Digest of the document that it was made out of.
@@ -20,7 +20,7 @@
     },
     /// Nothing could be made, since its proposer did not have the document that the order builds on. It is known again
     /// and refused like others, and never taken.
-    Unmade,
+    Unavailable,
 }
 
 /// An operator's change, valid in itself.
@@ -31,7 +31,7 @@
     /// The revision it brings.
     pub revision: u64,
     /// What it brings.
-    pub content: Content,
+    pub content: ProposedDocument,
     /// Digest of base and body, for knowing the order again.
     pub digest: Digest,
 }
@@ -43,11 +43,11 @@
     /// An order is what was sent, byte for byte: a document that only means the same is another order.
     pub fn new(base: u64, revision: u64, document: Vec<u8>) -> Proposal {
         let digest = Digest::of_parts(&[&base.to_le_bytes(), &document]);
-        Proposal { base, revision, content: Content::Whole(document), digest }
+        Proposal { base, revision, content: ProposedDocument::Full(document), digest }
     }
 
     /// An order to edit the document of a revision; `body` is what was sent.
-    pub fn edit(base: u64, revision: u64, body: &[u8], content: Content) -> Proposal {
+    pub fn edit(base: u64, revision: u64, body: &[u8], content: ProposedDocument) -> Proposal {
         let digest = Digest::of_parts(&[EDIT, &base.to_le_bytes(), body]);
         Proposal { base, revision, content, digest }
     }
@@ -55,9 +55,9 @@
     /// The document that it brings, on top of another one.
     pub(crate) fn document_on(self, current: &[u8]) -> Option<Vec<u8>> {
         match self.content {
-            Content::Whole(document) => Some(document),
-            Content::Edited { base, document } => (base == Digest::of(current)).then_some(document),
-            Content::Unmade => None,
+            ProposedDocument::Full(document) => Some(document),
+            ProposedDocument::Edited { base, document } => (base == Digest::of(current)).then_some(document),
+            ProposedDocument::Unavailable => None,
         }
     }
 }
@@ -66,19 +66,19 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalResult {
     /// On a majority of disks, now or earlier.
-    Taken,
+    Committed,
     /// Builds on another revision than the current one.
     Conflict {
         /// The current revision.
         current: u64,
     },
     /// Its revision does not rise.
-    NotAbove {
+    StaleRevision {
         /// The current revision.
         current: u64,
     },
     /// This replica does not lead or ceased to, or the order is too old to know whether it was taken.
-    Unclear,
+    Indeterminate,
 }
 
 /// An answer that holds only if this replica still led when it was asked.
@@ -91,23 +91,23 @@
 /// What waits for a heartbeat round of a majority.
 #[derive(Clone, Debug)]
 pub(crate) struct Confirming {
-    pub round: u64,
+    pub sequence: u64,
     pub answer: Confirmed,
 }
 
 /// What may go out only after a write.
 #[derive(Clone, Debug)]
-pub(crate) enum AfterWrite {
+pub(crate) enum PendingOnSync {
     Send(ReplicaId, ReplicaMessage),
-    AppendReply {
+    AppendResponse {
         to: ReplicaId,
         term: u64,
-        round: u64,
-        mark: Mark,
+        sequence: u64,
+        clock_reading: ClockReading,
     },
     /// Ask for votes in this term.
     Campaign {
         term: u64,
-        handover: bool,
+        leadership_transfer: bool,
     },
 }
--- a/crates/gaugesaddle-consensus/src/replica.rs
+++ b/crates/gaugesaddle-consensus/src/replica.rs
@@ -9,11 +9,13 @@
 //!     +--- newer term, no majority heard for `lease`, own disk slower than `disk`, end ----+
 //! ```
 
-use crate::pending::{AfterWrite, Confirming};
+use crate::pending::{Confirming, PendingOnSync};
 use crate::quorum::Quorum;
 use crate::update::History;
-use crate::{Proposal, ProposalResult, Settings, TicketId};
-use gaugesaddle_protocol::{Ballot, Configuration, Mark, ReplicaId, ReplicaMessage, Stamp, State};
+use crate::{Proposal, ProposalResult, Settings, WriteId};
+use gaugesaddle_protocol::{
+    ClockReading, Configuration, HardState, LogPosition, ReplicaId, ReplicaMessage, State,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What happens to a replica.
@@ -29,7 +31,7 @@
         message: ReplicaMessage,
     },
     /// A write and all before it are on the disk.
-    Persisted(TicketId),
+    Persisted(WriteId),
     /// An operator's change; answered by [`Output::Proposed`] with the same number.
     Propose(u64, Box<Proposal>),
     /// A current read; answered by [`Output::Read`] with the same number.
@@ -46,9 +48,9 @@
     /// Write and sync, then tell [`Input::Persisted`].
     Persist {
         /// Number of the write.
-        ticket: TicketId,
+        write_id: WriteId,
         /// To be kept.
-        ballot: Ballot,
+        hard_state: HardState,
         /// To be kept, where it changed.
         state: Option<Box<State>>,
     },
@@ -57,12 +59,12 @@
     /// What became of a proposal.
     Proposed(u64, ProposalResult),
     /// The current configuration; `Err` where this replica cannot tell.
-    Read(u64, Result<Option<Configuration>, NotLeading>),
+    Read(u64, Result<Option<Configuration>, NotLeader>),
 }
 
 /// This replica does not lead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NotLeading;
+pub struct NotLeader;
 
 /// What a replica does at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -79,37 +81,37 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Heartbeat {
     pub term: u64,
-    pub round: u64,
-    pub at: Stamp,
-    pub committed: Stamp,
-    pub echo: Option<Mark>,
+    pub sequence: u64,
+    pub last_position: LogPosition,
+    pub committed: LogPosition,
+    pub echoed_reading: Option<ClockReading>,
 }
 
 /// What a follower answers to it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Answer {
     pub term: u64,
-    pub round: u64,
-    pub matched: Stamp,
-    pub held: Stamp,
-    pub mark: Mark,
+    pub sequence: u64,
+    pub matched: LogPosition,
+    pub received: LogPosition,
+    pub clock_reading: ClockReading,
 }
 
 /// What a leader knows of another replica.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Progress {
     /// Newest state of this term on its disk.
-    pub matched: Stamp,
+    pub matched: LogPosition,
     /// Newest heartbeat it has answered.
-    pub round: u64,
+    pub sequence: u64,
     /// When that heartbeat was sent.
     pub contact: Option<u64>,
     /// The newest state that its present process has, on its disk or on the way there; `None`: it has not said.
-    pub held: Option<Stamp>,
+    pub received: Option<LogPosition>,
     /// The state sent last, and when.
-    pub sent: Option<(Stamp, u64)>,
+    pub sent: Option<(LogPosition, u64)>,
     /// The newest time of its own clock that it has told.
-    pub mark: Option<Mark>,
+    pub clock_reading: Option<ClockReading>,
 }
 
 /// A replica that is no voter and gets every state.
@@ -125,10 +127,10 @@
 #[derive(Clone, Debug)]
 pub struct Replica {
     pub(crate) settings: Settings,
-    pub(crate) ballot: Ballot,
+    pub(crate) hard_state: HardState,
     /// The newest state, on this disk or on its way there.
     pub(crate) state: State,
-    pub(crate) committed: Stamp,
+    pub(crate) committed: LogPosition,
     pub(crate) published: Option<Configuration>,
     pub(crate) role: Role,
     pub(crate) leader: Option<ReplicaId>,
@@ -137,7 +139,7 @@
     /// A time at which, or later, a majority followed that leader.
     pub(crate) current_at: Option<u64>,
     /// The newest state that the leader has called committed.
-    pub(crate) told_committed: Stamp,
+    pub(crate) told_committed: LogPosition,
     /// Drawn at the start, for marks.
     pub(crate) process: u64,
     pub(crate) election_at: u64,
@@ -149,17 +151,17 @@
     pub(crate) peers: BTreeMap<ReplicaId, Progress>,
     pub(crate) history: History,
     pub(crate) learners: BTreeMap<ReplicaId, Learner>,
-    pub(crate) round: u64,
-    pub(crate) rounds: VecDeque<(u64, u64)>,
+    pub(crate) sequence: u64,
+    pub(crate) heartbeats: VecDeque<(u64, u64)>,
     pub(crate) heartbeat_at: u64,
     pub(crate) join_at: u64,
     pub(crate) next_ticket: u64,
     /// Writes under way: number, when begun, term and stamp they bring.
-    pub(crate) writes: VecDeque<(TicketId, u64, u64, Stamp)>,
+    pub(crate) writes: VecDeque<(WriteId, u64, u64, LogPosition)>,
     pub(crate) has_disk: bool,
     pub(crate) durable_term: u64,
-    pub(crate) durable: Stamp,
-    pub(crate) after: VecDeque<(TicketId, AfterWrite)>,
+    pub(crate) durable: LogPosition,
+    pub(crate) after: VecDeque<(WriteId, PendingOnSync)>,
     pub(crate) proposals: VecDeque<(u64, Proposal)>,
     /// The proposal whose state is on its way to a majority.
     pub(crate) proposing: Option<u64>,
@@ -172,20 +174,20 @@
     /// A replica with what its disk holds, at a time in milliseconds. `random` seeds its election times. One that is
     /// not `durable` has no disk and only listens.
     pub fn new(
-        settings: Settings, ballot: Ballot, state: State, now: u64, random: u64, durable: bool,
+        settings: Settings, hard_state: HardState, state: State, now: u64, random: u64, durable: bool,
     ) -> Replica {
-        let (durable_term, durable_stamp) = (ballot.term, state.stamp);
+        let (durable_term, durable_stamp) = (hard_state.term, state.position);
         let mut replica = Replica {
             settings,
-            ballot,
+            hard_state,
             state,
-            committed: Stamp::default(),
+            committed: LogPosition::default(),
             published: None,
             role: Role::Follower,
             leader: None,
             heard: None,
             current_at: None,
-            told_committed: Stamp::default(),
+            told_committed: LogPosition::default(),
             process: random,
             election_at: 0,
             random: random | 1,
@@ -195,8 +197,8 @@
             peers: BTreeMap::new(),
             history: History::default(),
             learners: BTreeMap::new(),
-            round: 0,
-            rounds: VecDeque::new(),
+            sequence: 0,
+            heartbeats: VecDeque::new(),
             heartbeat_at: 0,
             join_at: now,
             next_ticket: 1,
@@ -212,7 +214,7 @@
         };
         replica.set_election_time(now);
         // After a loss of all processes nobody leads; where somebody does, the pre-votes are refused.
-        replica.election_at -= settings.election - settings.first_election;
+        replica.election_at -= settings.election_timeout_ms - settings.first_election_timeout_ms;
         replica
     }
 
@@ -222,7 +224,7 @@
         match input {
             Input::Tick => {}
             Input::Message { from, message } => self.message(now, from, message, out),
-            Input::Persisted(ticket) => self.persisted(now, ticket, out),
+            Input::Persisted(write_id) => self.persisted(now, write_id, out),
             Input::Propose(id, proposal) => self.propose(now, id, *proposal, out),
             Input::Read(id) => self.read(now, id, out),
         }
@@ -240,13 +242,13 @@
     }
 
     /// Whether it has neither voted nor heard of any state or group.
-    pub fn is_untouched(&self) -> bool {
-        self.ballot.term == 0 && self.state == State::default()
+    pub fn is_pristine(&self) -> bool {
+        self.hard_state.term == 0 && self.state == State::default()
     }
 
     /// Who this is.
     pub fn id(&self) -> ReplicaId {
-        self.ballot.me
+        self.hard_state.id
     }
 
     /// What it does.
@@ -256,7 +258,7 @@
 
     /// The term it is in.
     pub fn term(&self) -> u64 {
-        self.ballot.term
+        self.hard_state.term
     }
 
     /// Who leads, as far as it knows.
@@ -270,8 +272,8 @@
     }
 
     /// Whether those voters are on a majority of disks and no change of them is under way, as far as it knows.
-    pub fn is_settled(&self) -> bool {
-        self.committed == self.state.stamp && self.state.outgoing.is_empty()
+    pub fn is_membership_committed(&self) -> bool {
+        self.committed == self.state.position && self.state.outgoing.is_empty()
     }
 
     /// The newest configuration known to be on a majority of disks.
@@ -284,7 +286,7 @@
     /// A follower goes by its own clock alone: by the newest mark that has come back from the leader, not by when a
     /// message was read, which may have waited in a slow link or in the socket of a process that slept.
     pub fn is_fresh(&self, now: u64) -> bool {
-        if self.committed.term != self.ballot.term {
+        if self.committed.term != self.hard_state.term {
             return false;
         }
         match self.role {
@@ -292,37 +294,37 @@
             _ => {
                 self.leader.is_some()
                     && self.committed >= self.told_committed
-                    && self.current_at.is_some_and(|at| now < at + self.settings.follower_lease)
+                    && self.current_at.is_some_and(|at| now < at + self.settings.follower_lease_ms)
             }
         }
     }
 
     /// Whether it leads and a majority has answered lately.
     pub fn has_lease(&self, now: u64) -> bool {
-        self.role == Role::Leader && now < self.majority_contact() + self.settings.lease
+        self.role == Role::Leader && now < self.majority_contact() + self.settings.leader_lease_ms
     }
 
     /// Ends a leadership before the process ends, and asks a voter that has everything to lead.
-    pub fn resign(&mut self, now: u64, out: &mut Vec<Output>) {
+    pub fn transfer_leadership(&mut self, now: u64, out: &mut Vec<Output>) {
         if self.role != Role::Leader {
             return;
         }
         if let Some(successor) = self.successor() {
-            out.push(Output::Send(successor, ReplicaMessage::TakeOver { term: self.ballot.term }));
+            out.push(Output::Send(successor, ReplicaMessage::TimeoutNow { term: self.hard_state.term }));
         }
         self.step_down(now, None, out);
     }
 
     /// The voter that has this leader's state and answered last.
     fn successor(&self) -> Option<ReplicaId> {
-        let voters = self.state.voters.iter().filter(|v| **v != self.ballot.me);
+        let voters = self.state.voters.iter().filter(|v| **v != self.hard_state.id);
         let ready = voters
-            .filter_map(|v| self.peers.get(v).filter(|p| p.matched == self.state.stamp).map(|p| (v, p)));
+            .filter_map(|v| self.peers.get(v).filter(|p| p.matched == self.state.position).map(|p| (v, p)));
         ready.max_by_key(|(_, progress)| progress.contact).map(|(voter, _)| *voter)
     }
 
     pub(crate) fn is_voter(&self) -> bool {
-        self.state.voters.contains(&self.ballot.me)
+        self.state.voters.contains(&self.hard_state.id)
     }
 
     /// Whether it should ask to be taken in: it is no voter, or nobody leads as far as it knows, so that it may have
@@ -339,70 +341,76 @@
     pub(crate) fn others(&self) -> Vec<ReplicaId> {
         let voters: BTreeSet<ReplicaId> =
             self.state.voters.iter().chain(&self.state.outgoing).copied().collect();
-        voters.into_iter().filter(|v| *v != self.ballot.me).collect()
+        voters.into_iter().filter(|v| *v != self.hard_state.id).collect()
     }
 
     /// The present time, for the leader to send back.
-    pub(crate) fn mark(&self, now: u64) -> Mark {
-        Mark { process: self.process, at: now }
+    pub(crate) fn clock_reading(&self, now: u64) -> ClockReading {
+        ClockReading { process: self.process, time_ms: now }
     }
 
     fn message(&mut self, now: u64, from: ReplicaId, message: ReplicaMessage, out: &mut Vec<Output>) {
         match message {
-            ReplicaMessage::PreVote { term, last } => self.pre_vote(now, from, term, last, out),
-            ReplicaMessage::PreVoteReply { term, granted } => {
+            ReplicaMessage::RequestPreVote { term, last_position } => {
+                self.pre_vote(now, from, term, last_position, out)
+            }
+            ReplicaMessage::RequestPreVoteResponse { term, granted } => {
                 self.pre_vote_reply(now, from, term, granted, out)
             }
-            ReplicaMessage::Vote { term, last, handover } => {
-                self.vote(now, from, (term, last, handover), out)
+            ReplicaMessage::RequestVote { term, last_position, leadership_transfer } => {
+                self.vote(now, from, (term, last_position, leadership_transfer), out)
+            }
+            ReplicaMessage::RequestVoteResponse { term, granted } => {
+                self.vote_reply(now, from, term, granted, out)
             }
-            ReplicaMessage::VoteReply { term, granted } => self.vote_reply(now, from, term, granted, out),
-            ReplicaMessage::Append { term, round, at, committed, state, echo } => {
-                let heartbeat = Heartbeat { term, round, at, committed, echo };
+            ReplicaMessage::Append { term, sequence, last_position, committed, state, echoed_reading } => {
+                let heartbeat = Heartbeat { term, sequence, last_position, committed, echoed_reading };
                 self.append(now, from, heartbeat, state, out)
             }
-            ReplicaMessage::AppendReply { term, round, matched, held, mark } => {
-                self.append_reply(now, from, Answer { term, round, matched, held, mark }, out)
+            ReplicaMessage::AppendResponse { term, sequence, matched, received, clock_reading } => {
+                self.append_reply(now, from, Answer { term, sequence, matched, received, clock_reading }, out)
             }
-            ReplicaMessage::TakeOver { term } => self.take_over(now, from, term, out),
+            ReplicaMessage::TimeoutNow { term } => self.take_over(now, from, term, out),
             ReplicaMessage::Join { durable } => self.join(now, from, durable),
         }
     }
 
     /// Writes what it must not forget; the ticket of the write.
-    pub(crate) fn persist(&mut self, now: u64, with_state: bool, out: &mut Vec<Output>) -> TicketId {
-        let ticket = TicketId(self.next_ticket);
+    pub(crate) fn persist(&mut self, now: u64, with_state: bool, out: &mut Vec<Output>) -> WriteId {
+        let write_id = WriteId(self.next_ticket);
         self.next_ticket += 1;
-        self.writes.push_back((ticket, now, self.ballot.term, self.state.stamp));
+        self.writes.push_back((write_id, now, self.hard_state.term, self.state.position));
         let state = with_state.then(|| Box::new(self.state.clone()));
-        out.push(Output::Persist { ticket, ballot: self.ballot, state });
-        ticket
+        out.push(Output::Persist { write_id, hard_state: self.hard_state, state });
+        write_id
     }
 
-    fn persisted(&mut self, now: u64, ticket: TicketId, out: &mut Vec<Output>) {
-        while let Some((id, _, term, stamp)) = self.writes.front().copied() {
-            if id > ticket {
+    fn persisted(&mut self, now: u64, write_id: WriteId, out: &mut Vec<Output>) {
+        while let Some((id, _, term, position)) = self.writes.front().copied() {
+            if id > write_id {
                 break;
             }
             self.writes.pop_front();
-            (self.durable_term, self.durable) = (term, stamp);
+            (self.durable_term, self.durable) = (term, position);
         }
-        while self.after.front().is_some_and(|(id, _)| *id <= ticket) {
+        while self.after.front().is_some_and(|(id, _)| *id <= write_id) {
             let Some((_, after)) = self.after.pop_front() else { break };
             self.after_write(now, after, out);
         }
         self.advance(now, out);
     }
 
-    fn after_write(&mut self, now: u64, after: AfterWrite, out: &mut Vec<Output>) {
+    fn after_write(&mut self, now: u64, after: PendingOnSync, out: &mut Vec<Output>) {
         match after {
-            AfterWrite::Send(to, message) => out.push(Output::Send(to, message)),
-            AfterWrite::AppendReply { to, term, round, mark } => {
-                if term == self.ballot.term {
-                    self.answer_append(to, (term, round), mark, out);
+            PendingOnSync::Send(to, message) => out.push(Output::Send(to, message)),
+            PendingOnSync::AppendResponse { to, term, sequence, clock_reading } => {
+                if term == self.hard_state.term {
+                    self.answer_append(to, (term, sequence), clock_reading, out);
                 }
             }
-            AfterWrite::Campaign { term, handover } => self.campaign(now, term, handover, out),
+            PendingOnSync::Campaign { term, leadership_transfer } => {
+                self.campaign(now, term, leadership_transfer, out)
+            }
         }
     }
 
--- a/crates/gaugesaddle-consensus/src/update.rs
+++ b/crates/gaugesaddle-consensus/src/update.rs
@@ -1,18 +1,18 @@
 //! States on their way to other replicas: told against a state that the receiver has, else whole.
 
-use crate::settings::MOST_ACCEPTED;
-use gaugesaddle_protocol::{Accepted, DocumentUpdate, Stamp, State, StateUpdate};
+use crate::settings::MAX_ACCEPTED;
+use gaugesaddle_protocol::{Accepted, DocumentUpdate, LogPosition, State, StateUpdate};
 use std::collections::VecDeque;
 
 /// Earlier states that others may still have.
-const MOST_VERSIONS: usize = 16;
+const MAX_VERSIONS: usize = 16;
 /// Bytes of their documents.
-const MOST_BYTES: usize = 4 << 20;
+const MAX_BYTES: usize = 4 << 20;
 
 /// What must be known of an earlier state to tell a later one against it.
 #[derive(Clone, Debug)]
 struct Version {
-    stamp: Stamp,
+    position: LogPosition,
     revision: u64,
     document: Vec<u8>,
 }
@@ -27,13 +27,13 @@
     /// Keeps what is needed of a state that is about to be replaced.
     pub fn keep(&mut self, state: &State) {
         self.versions.push_back(Version {
-            stamp: state.stamp,
+            position: state.position,
             revision: state.revision,
             document: state.document.clone(),
         });
         let too_large = |versions: &VecDeque<Version>| {
-            versions.len() > MOST_VERSIONS
-                || versions.iter().map(|v| v.document.len()).sum::<usize>() > MOST_BYTES
+            versions.len() > MAX_VERSIONS
+                || versions.iter().map(|v| v.document.len()).sum::<usize>() > MAX_BYTES
         };
         while too_large(&self.versions) {
             self.versions.pop_front();
@@ -41,13 +41,13 @@
     }
 
     /// Tells a state against the one that the receiver has, where that is known here.
-    pub fn update(&self, held: Option<Stamp>, state: &State) -> StateUpdate {
-        let base = self.versions.iter().find(|v| Some(v.stamp) == held);
+    pub fn update(&self, held: Option<LogPosition>, state: &State) -> StateUpdate {
+        let base = self.versions.iter().find(|v| Some(v.position) == held);
         // Revisions rise with each accepted order.
         let is_new = |a: &&Accepted| base.is_none_or(|base| a.revision > base.revision);
         StateUpdate {
-            base: base.map(|base| base.stamp),
-            stamp: state.stamp,
+            base: base.map(|base| base.position),
+            position: state.position,
             revision: state.revision,
             document: DocumentUpdate::between(base.map(|base| base.document.as_slice()), &state.document),
             accepted: state.accepted.iter().filter(is_new).copied().collect(),
@@ -60,7 +60,7 @@
 
 /// Keeps the newest accepted orders only; the highest revision that is dropped. Every replica drops the same ones.
 pub(crate) fn drop_oldest(accepted: &mut Vec<Accepted>) -> Option<u64> {
-    let surplus = accepted.len().saturating_sub(MOST_ACCEPTED);
+    let surplus = accepted.len().saturating_sub(MAX_ACCEPTED);
     accepted.drain(..surplus).map(|a| a.revision).max()
 }
 
@@ -68,13 +68,15 @@
 pub(crate) fn apply(state: &State, update: StateUpdate) -> Option<State> {
     let (base, mut accepted) = match update.base {
         None => (None, Vec::new()),
-        Some(stamp) if stamp == state.stamp => (Some(state.document.as_slice()), state.accepted.clone()),
+        Some(position) if position == state.position => {
+            (Some(state.document.as_slice()), state.accepted.clone())
+        }
         Some(_) => return None,
     };
     accepted.extend(update.accepted);
     drop_oldest(&mut accepted);
     Some(State {
-        stamp: update.stamp,
+        position: update.position,
         revision: update.revision,
         document: update.document.apply(base).ok()?,
         accepted,
--- a/crates/gaugesaddle-consensus/tests/orders.rs
+++ b/crates/gaugesaddle-consensus/tests/changes.rs
@@ -6,8 +6,8 @@
 //! counts as quiet, so that any may be swapped or removed. Messages may be lost, late and out of order, and each arrives
 //! once at most.
 
-use gaugesaddle_consensus::{Input, Output, Proposal, ProposalResult, Replica, Role, Settings, TicketId};
-use gaugesaddle_protocol::{Ballot, Digest, ReplicaId, ReplicaMessage, Stamp, State};
+use gaugesaddle_consensus::{Input, Output, Proposal, ProposalResult, Replica, Role, Settings, WriteId};
+use gaugesaddle_protocol::{Digest, HardState, LogPosition, ReplicaId, ReplicaMessage, State};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -36,8 +36,8 @@
 
 #[derive(Clone)]
 struct Write {
-    ticket: TicketId,
-    ballot: Ballot,
+    write_id: WriteId,
+    hard_state: HardState,
     state: Option<State>,
 }
 
@@ -45,7 +45,7 @@
 struct Machine {
     replica: Replica,
     clock: u64,
-    ballot: Option<Ballot>,
+    hard_state: Option<HardState>,
     state: Option<State>,
     writes: Vec<Write>,
 }
@@ -58,12 +58,12 @@
     /// Who led in each term.
     leaders: BTreeMap<u64, ReplicaId>,
     /// What was called committed.
-    committed: BTreeMap<Stamp, (u64, Vec<u8>)>,
+    committed: BTreeMap<LogPosition, (u64, Vec<u8>)>,
     /// Proposals under way, and those that were confirmed.
     proposed: BTreeMap<u64, Digest>,
     confirmed: Vec<Digest>,
     incarnations: u64,
-    least_voters: usize,
+    min_voters: usize,
 }
 
 /// One thing that may happen next.
@@ -79,20 +79,20 @@
     Join(u32, u32),
 }
 
-fn settings(least_voters: usize) -> Settings {
+fn settings(min_voters: usize) -> Settings {
     Settings {
-        heartbeat: HEARTBEAT,
-        election: NEVER,
-        election_spread: 1,
-        first_election: NEVER,
-        retry: NEVER,
-        retry_spread: 1,
-        lease: NEVER,
-        disk: NEVER,
-        follower_lease: 1,
-        quiet: 0,
-        silence: 0,
-        least_voters,
+        heartbeat_interval_ms: HEARTBEAT,
+        election_timeout_ms: NEVER,
+        election_jitter_ms: 1,
+        first_election_timeout_ms: NEVER,
+        pre_vote_retry_ms: NEVER,
+        pre_vote_jitter_ms: 1,
+        leader_lease_ms: NEVER,
+        disk_stall_ms: NEVER,
+        follower_lease_ms: 1,
+        replacement_timeout_ms: 0,
+        removal_timeout_ms: 0,
+        min_voters,
     }
 }
 
@@ -109,23 +109,23 @@
             proposed: BTreeMap::new(),
             confirmed: Vec::new(),
             incarnations: 100,
-            least_voters: 2 * losses + 1,
+            min_voters: 2 * losses + 1,
         };
         for me in &voters {
-            let stamp = Stamp { term: 1, index: 1 };
-            let state = State { stamp, voters: voters.clone(), ..State::default() };
-            let ballot = Ballot { me: *me, term: 1, voted_for: Some(voters[0]) };
-            group.boot(me.ip, ballot, state);
+            let position = LogPosition { term: 1, index: 1 };
+            let state = State { position, voters: voters.clone(), ..State::default() };
+            let hard_state = HardState { id: *me, term: 1, voted_for: Some(voters[0]) };
+            group.boot(me.ip, hard_state, state);
         }
         // Everybody follows the first, itself included, so that it may be asked to stand; then everybody answers.
         let first = voters[0];
         let message = ReplicaMessage::Append {
             term: 1,
-            round: 1,
-            at: Stamp { term: 1, index: 1 },
-            committed: Stamp::default(),
+            sequence: 1,
+            last_position: LogPosition { term: 1, index: 1 },
+            committed: LogPosition::default(),
             state: None,
-            echo: None,
+            echoed_reading: None,
         };
         for ip in 1..=size {
             group.input(ip, Input::Message { from: first, message: message.clone() });
@@ -135,7 +135,10 @@
         while let Some(step) = group.quiet_step() {
             group.step(step);
         }
-        assert!(group.machines[&1].replica.is_settled() && group.machines[&1].replica.role() == Role::Leader);
+        assert!(
+            group.machines[&1].replica.is_membership_committed()
+                && group.machines[&1].replica.role() == Role::Leader
+        );
         group.budget = budget;
         group
     }
@@ -146,11 +149,16 @@
         writing.or_else(|| (!self.messages.is_empty()).then_some(Step::Deliver(0)))
     }
 
-    fn boot(&mut self, ip: u32, ballot: Ballot, state: State) {
-        let settings = settings(self.least_voters);
-        let replica = Replica::new(settings, ballot, state.clone(), NOW, u64::from(ip), true);
-        let machine =
-            Machine { replica, clock: NOW, ballot: Some(ballot), state: Some(state), writes: Vec::new() };
+    fn boot(&mut self, ip: u32, hard_state: HardState, state: State) {
+        let settings = settings(self.min_voters);
+        let replica = Replica::new(settings, hard_state, state.clone(), NOW, u64::from(ip), true);
+        let machine = Machine {
+            replica,
+            clock: NOW,
+            hard_state: Some(hard_state),
+            state: Some(state),
+            writes: Vec::new(),
+        };
         self.machines.insert(ip, machine);
     }
 
@@ -176,7 +184,7 @@
             if self.budget.crashes > 0 {
                 steps.push(Step::Crash(*ip));
             }
-            if self.budget.wipes > 0 && machine.ballot.is_some_and(|b| b.me.incarnation == 0) {
+            if self.budget.wipes > 0 && machine.hard_state.is_some_and(|b| b.id.incarnation == 0) {
                 steps.push(Step::Wipe(*ip));
             }
             if self.budget.joins > 0 && leads {
@@ -199,16 +207,16 @@
             Step::Disk(ip) => {
                 let Some(machine) = self.machines.get_mut(&ip) else { return };
                 let write = machine.writes.remove(0);
-                machine.ballot = Some(write.ballot);
+                machine.hard_state = Some(write.hard_state);
                 machine.state = write.state.or(machine.state.take());
-                self.input(ip, Input::Persisted(write.ticket));
+                self.input(ip, Input::Persisted(write.write_id));
             }
             Step::Stand(ip) => {
                 self.budget.stands -= 1;
                 let replica = &self.machines[&ip].replica;
                 let (term, leader) = (replica.term(), replica.leader());
                 if let Some(from) = leader {
-                    self.input(ip, Input::Message { from, message: ReplicaMessage::TakeOver { term } });
+                    self.input(ip, Input::Message { from, message: ReplicaMessage::TimeoutNow { term } });
                 }
             }
             Step::Heartbeat(ip) => {
@@ -233,7 +241,7 @@
             Step::Wipe(ip) => {
                 self.budget.wipes -= 1;
                 if let Some(machine) = self.machines.get_mut(&ip) {
-                    (machine.ballot, machine.state) = (None, None);
+                    (machine.hard_state, machine.state) = (None, None);
                 }
                 self.restart(ip);
             }
@@ -251,11 +259,11 @@
         let drawn = ReplicaId { ip, incarnation: self.incarnations };
         let Some(machine) = self.machines.get_mut(&ip) else { return };
         machine.writes.clear();
-        let ballot = machine.ballot.unwrap_or(Ballot { me: drawn, term: 0, voted_for: None });
+        let hard_state = machine.hard_state.unwrap_or(HardState { id: drawn, term: 0, voted_for: None });
         let state = machine.state.clone().unwrap_or_default();
         let clock = machine.clock;
         machine.replica =
-            Replica::new(settings(self.least_voters), ballot, state, clock, self.incarnations, true);
+            Replica::new(settings(self.min_voters), hard_state, state, clock, self.incarnations, true);
     }
 
     fn input(&mut self, ip: u32, input: Input) {
@@ -267,14 +275,14 @@
             match output {
                 Output::Send(to, message) => self.messages.push((me, to, message)),
                 Output::Broadcast(_) | Output::Read(..) => {}
-                Output::Persist { ticket, ballot, state } => {
+                Output::Persist { write_id, hard_state, state } => {
                     let state = state.map(|state| *state);
                     if let Some(machine) = self.machines.get_mut(&ip) {
-                        machine.writes.push(Write { ticket, ballot, state });
+                        machine.writes.push(Write { write_id, hard_state, state });
                     }
                 }
                 Output::Committed => self.note_committed(ip),
-                Output::Proposed(number, ProposalResult::Taken) => {
+                Output::Proposed(number, ProposalResult::Committed) => {
                     let digest = self.proposed[&number];
                     self.confirmed.push(digest);
                 }
@@ -291,15 +299,15 @@
     fn note_committed(&mut self, ip: u32) {
         let Some(c) = self.machines[&ip].replica.committed() else { return };
         let told = (c.revision, c.document.clone());
-        let first = self.committed.entry(c.stamp).or_insert_with(|| told.clone());
-        assert_eq!(*first, told, "{:?} has two contents", c.stamp);
+        let first = self.committed.entry(c.position).or_insert_with(|| told.clone());
+        assert_eq!(*first, told, "{:?} has two contents", c.position);
         let newest = self.committed.values().map(|(revision, _)| *revision).collect::<Vec<_>>();
         assert!(newest.windows(2).all(|pair| pair[0] <= pair[1]), "a later state goes back: {newest:?}");
     }
 
     /// What is confirmed must be found by whoever leads and has committed anything.
     fn check(&self) {
-        let Some((stamp, (revision, document))) = self.committed.iter().next_back() else {
+        let Some((position, (revision, document))) = self.committed.iter().next_back() else {
             assert!(self.confirmed.is_empty(), "confirmed and committed nowhere");
             return;
         };
@@ -307,7 +315,7 @@
             let found = self.committed.values().any(|(revision, document)| {
                 Proposal::new(revision - 1, *revision, document.clone()).digest == *digest
             });
-            assert!(found, "confirmed, and the newest is {stamp:?} {revision} {document:?}");
+            assert!(found, "confirmed, and the newest is {position:?} {revision} {document:?}");
         }
     }
 }
@@ -344,8 +352,9 @@
         terms += end.leaders.len();
         confirmed += end.confirmed.len();
         let first: Vec<ReplicaId> = begin.machines[&1].replica.voters().to_vec();
-        changed +=
-            usize::from(end.machines.values().any(|m| m.replica.is_settled() && m.replica.voters() != first));
+        changed += usize::from(
+            end.machines.values().any(|m| m.replica.is_membership_committed() && m.replica.voters() != first),
+        );
     }
     // Walks on which nothing comes about would break nothing either.
     let walks = WALKS as usize;
--- a/crates/gaugesaddle-consensus/tests/elections.rs
+++ b/crates/gaugesaddle-consensus/tests/elections.rs
@@ -26,9 +26,9 @@
     let again = group.propose(leader, 0, 5, vec![5]);
     group.run(500);
     let result = |group: &Group, id| group.calls[&id].ended.clone().map(|(_, r)| r);
-    assert_eq!(result(&group, first), Some(ProposalResult::Taken));
+    assert_eq!(result(&group, first), Some(ProposalResult::Committed));
     assert_eq!(result(&group, rival), Some(ProposalResult::Conflict { current: 5 }));
-    assert_eq!(result(&group, again), Some(ProposalResult::Taken));
+    assert_eq!(result(&group, again), Some(ProposalResult::Committed));
     assert!((1..=3).all(|ip| group.revision(ip) == 5));
 }
 
--- a/crates/gaugesaddle-consensus/tests/freshness.rs
+++ b/crates/gaugesaddle-consensus/tests/freshness.rs
@@ -5,7 +5,7 @@
 
 use gaugesaddle_consensus::{Input, Output, Replica, Settings};
 use gaugesaddle_protocol::{
-    Ballot, DocumentUpdate, Mark, ReplicaId, ReplicaMessage, Stamp, State, StateUpdate,
+    ClockReading, DocumentUpdate, HardState, LogPosition, ReplicaId, ReplicaMessage, State, StateUpdate,
 };
 use group::Group;
 
@@ -17,20 +17,30 @@
 
 fn follower() -> Replica {
     let voters = vec![id(1), id(2), id(3)];
-    let state = State { stamp: Stamp { term: 4, index: 9 }, revision: 3, voters, ..State::default() };
-    let ballot = Ballot { me: id(1), term: 4, voted_for: None };
-    Replica::new(Settings::default(), ballot, state, NOW, 7, true)
+    let state =
+        State { position: LogPosition { term: 4, index: 9 }, revision: 3, voters, ..State::default() };
+    let hard_state = HardState { id: id(1), term: 4, voted_for: None };
+    Replica::new(Settings::default(), hard_state, state, NOW, 7, true)
 }
 
 /// A heartbeat of replica 2, which leads term 4; what the follower answers.
-fn heartbeat(one: &mut Replica, now: u64, committed: u64, echo: Option<Mark>) -> Option<Mark> {
-    let at = Stamp { term: 4, index: 9 };
-    let committed = Stamp { term: 4, index: committed };
-    let message = ReplicaMessage::Append { term: 4, round: 1, at, committed, state: None, echo };
+fn heartbeat(
+    one: &mut Replica, now: u64, committed: u64, echoed_reading: Option<ClockReading>,
+) -> Option<ClockReading> {
+    let at = LogPosition { term: 4, index: 9 };
+    let committed = LogPosition { term: 4, index: committed };
+    let message = ReplicaMessage::Append {
+        term: 4,
+        sequence: 1,
+        last_position: at,
+        committed,
+        state: None,
+        echoed_reading,
+    };
     let mut out = Vec::new();
     one.handle(now, Input::Message { from: id(2), message }, &mut out);
     out.iter().find_map(|o| match o {
-        Output::Send(_, ReplicaMessage::AppendReply { mark, .. }) => Some(*mark),
+        Output::Send(_, ReplicaMessage::AppendResponse { clock_reading, .. }) => Some(*clock_reading),
         _ => None,
     })
 }
@@ -38,14 +48,14 @@
 #[test]
 fn a_heartbeat_that_waited_makes_nobody_current() {
     let mut one = follower();
-    let mark = heartbeat(&mut one, NOW, 9, None).expect("answered");
+    let clock_reading = heartbeat(&mut one, NOW, 9, None).expect("answered");
     assert!(!one.is_fresh(NOW), "the leader has not said that it heard this process");
-    heartbeat(&mut one, NOW + 120, 9, Some(mark));
-    let lease = Settings::default().follower_lease;
+    heartbeat(&mut one, NOW + 120, 9, Some(clock_reading));
+    let lease = Settings::default().follower_lease_ms;
     assert!(one.is_fresh(NOW + lease - 1), "counted from the mark");
     assert!(!one.is_fresh(NOW + lease));
     // Twenty seconds later what waited in the socket is read: sent long ago, it bears marks of then.
-    for late in [Some(mark), None, Some(Mark { at: NOW + 100, ..mark })] {
+    for late in [Some(clock_reading), None, Some(ClockReading { time_ms: NOW + 100, ..clock_reading })] {
         heartbeat(&mut one, NOW + 20_000, 9, late);
         assert!(!one.is_fresh(NOW + 20_000), "{late:?}");
     }
@@ -54,50 +64,57 @@
 #[test]
 fn marks_of_another_process_or_of_the_future_say_nothing() {
     let mut one = follower();
-    let mark = heartbeat(&mut one, NOW, 9, None).expect("answered");
-    let other = Mark { process: mark.process ^ 1, ..mark };
+    let clock_reading = heartbeat(&mut one, NOW, 9, None).expect("answered");
+    let other = ClockReading { process: clock_reading.process ^ 1, ..clock_reading };
     heartbeat(&mut one, NOW + 10, 9, Some(other));
     assert!(!one.is_fresh(NOW + 10), "a process that ran here before");
-    heartbeat(&mut one, NOW + 20, 9, Some(Mark { at: NOW + 500, ..mark }));
+    heartbeat(&mut one, NOW + 20, 9, Some(ClockReading { time_ms: NOW + 500, ..clock_reading }));
     assert!(!one.is_fresh(NOW + 20), "a time that has not come");
 }
 
 #[test]
 fn a_follower_without_what_is_committed_is_not_current() {
     let mut one = follower();
-    let mark = heartbeat(&mut one, NOW, 9, None).expect("answered");
-    heartbeat(&mut one, NOW + 10, 9, Some(mark));
+    let clock_reading = heartbeat(&mut one, NOW, 9, None).expect("answered");
+    heartbeat(&mut one, NOW + 10, 9, Some(clock_reading));
     assert!(one.is_fresh(NOW + 10));
     // The leader calls the tenth state committed, and its message was lost.
-    heartbeat(&mut one, NOW + 20, 10, Some(mark));
+    heartbeat(&mut one, NOW + 20, 10, Some(clock_reading));
     assert!(!one.is_fresh(NOW + 20), "it would hand the ninth out");
 }
 
 #[test]
 fn a_patch_for_another_state_changes_nothing_and_the_whole_one_comes() {
     let mut one = follower();
-    let at = Stamp { term: 4, index: 12 };
+    let at = LogPosition { term: 4, index: 12 };
     let update = StateUpdate {
-        base: Some(Stamp { term: 4, index: 11 }),
-        stamp: at,
+        base: Some(LogPosition { term: 4, index: 11 }),
+        position: at,
         revision: 5,
-        document: DocumentUpdate::Same,
+        document: DocumentUpdate::Unchanged,
         accepted: Vec::new(),
         forgotten: 0,
         voters: vec![id(1), id(2), id(3)],
         outgoing: Vec::new(),
     };
-    let append = |state| ReplicaMessage::Append { term: 4, round: 2, at, committed: at, state, echo: None };
+    let append = |state| ReplicaMessage::Append {
+        term: 4,
+        sequence: 2,
+        last_position: at,
+        committed: at,
+        state,
+        echoed_reading: None,
+    };
     let mut out = Vec::new();
     let message = append(Some(Box::new(update.clone())));
     one.handle(NOW + 1, Input::Message { from: id(2), message }, &mut out);
     let held = out.iter().find_map(|o| match o {
-        Output::Send(_, ReplicaMessage::AppendReply { held, .. }) => Some(*held),
+        Output::Send(_, ReplicaMessage::AppendResponse { received, .. }) => Some(*received),
         _ => None,
     });
-    assert_eq!(held, Some(Stamp { term: 4, index: 9 }), "it says what it has");
+    assert_eq!(held, Some(LogPosition { term: 4, index: 9 }), "it says what it has");
     assert!(out.iter().all(|o| !matches!(o, Output::Persist { .. })), "{out:?}");
-    let whole = StateUpdate { base: None, document: DocumentUpdate::Whole(vec![5]), ..update };
+    let whole = StateUpdate { base: None, document: DocumentUpdate::Full(vec![5]), ..update };
     one.handle(NOW + 2, Input::Message { from: id(2), message: append(Some(Box::new(whole))) }, &mut out);
     assert_eq!(one.committed().map(|c| (c.revision, c.document.clone())), Some((5, vec![5])));
 }
@@ -114,7 +131,7 @@
             group.cut.insert((cut, other));
             group.cut.insert((other, cut));
         }
-        group.run(Settings::default().follower_lease + 1);
+        group.run(Settings::default().follower_lease_ms + 1);
         for step in 0..40 {
             group.run(500);
             let replica = group.machines[&cut].replica.as_ref().expect("it runs");
@@ -124,7 +141,7 @@
             group.run(50);
             assert!(group.reads[&read].ended.is_none(), "seed {seed}: it answers a read");
             let ended = group.calls[&order].ended.clone().map(|(_, result)| result);
-            assert_eq!(ended, Some(gaugesaddle_consensus::ProposalResult::Unclear), "seed {seed}");
+            assert_eq!(ended, Some(gaugesaddle_consensus::ProposalResult::Indeterminate), "seed {seed}");
         }
         assert!(group.leader().is_some_and(|ip| ip != cut), "seed {seed}: the others go on");
     }
--- a/crates/gaugesaddle-consensus/tests/golden_disk.rs
+++ b/crates/gaugesaddle-consensus/tests/golden_disk.rs
@@ -3,9 +3,9 @@
 //!
 //! `data/ring/` holds the segments that the build before any rename wrote for the same appends.
 
-use gaugesaddle_consensus::stored;
+use gaugesaddle_consensus::disk_format;
 use gaugesaddle_log::{FileStore, Ring, SEGMENTS};
-use gaugesaddle_protocol::{Accepted, Ballot, Digest, ReplicaId, Stamp, State};
+use gaugesaddle_protocol::{Accepted, Digest, HardState, LogPosition, ReplicaId, State};
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -15,13 +15,13 @@
     ReplicaId { ip, incarnation: 0x0102_0304_0506_0708 }
 }
 
-fn hard_state(term: u64) -> Ballot {
-    Ballot { me: replica(1), term, voted_for: Some(replica(2)) }
+fn hard_state(term: u64) -> HardState {
+    HardState { id: replica(1), term, voted_for: Some(replica(2)) }
 }
 
 fn state(index: u64) -> State {
     State {
-        stamp: Stamp { term: 3, index },
+        position: LogPosition { term: 3, index },
         revision: 10 + index,
         document: format!("{{\"revision\":{}}}", 10 + index).into_bytes(),
         accepted: vec![Accepted { revision: 10 + index, digest: Digest([index as u8; 16]) }],
@@ -49,9 +49,9 @@
     let store = FileStore::open(&folder, SEGMENT_BYTES).expect("it opens");
     let mut ring = Ring::open(store).expect("it is empty");
     for index in 1..=5 {
-        ring.append(stored::records(&hard_state(index), Some(&state(index)))).expect("it is written");
+        ring.append(disk_format::records(&hard_state(index), Some(&state(index)))).expect("it is written");
     }
-    ring.append(stored::records(&hard_state(6), None)).expect("it is written");
+    ring.append(disk_format::records(&hard_state(6), None)).expect("it is written");
     for number in 0..SEGMENTS {
         let name = format!("segment-{number}");
         let written = fs::read(folder.join(&name)).expect("a segment");
@@ -69,5 +69,5 @@
     }
     let store = FileStore::open(&folder, SEGMENT_BYTES).expect("it opens");
     let ring = Ring::open(store).expect("it is read");
-    assert_eq!(stored::read(ring.slots()), Ok((Some(hard_state(6)), Some(state(5)))));
+    assert_eq!(disk_format::read(ring.slots()), Ok((Some(hard_state(6)), Some(state(5)))));
 }
--- a/crates/gaugesaddle-consensus/tests/group/mod.rs
+++ b/crates/gaugesaddle-consensus/tests/group/mod.rs
@@ -2,8 +2,8 @@
 //! synced, crashes, wiped disks. Everything draws from one seed; the history is checked afterwards.
 #![allow(dead_code)]
 
-use gaugesaddle_consensus::{Input, Output, Proposal, ProposalResult, Replica, Role, Settings, TicketId};
-use gaugesaddle_protocol::{Ballot, ReplicaId, ReplicaMessage, Stamp, State};
+use gaugesaddle_consensus::{Input, Output, Proposal, ProposalResult, Replica, Role, Settings, WriteId};
+use gaugesaddle_protocol::{HardState, LogPosition, ReplicaId, ReplicaMessage, State};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,13 +11,13 @@
 /// What a machine's disk holds.
 #[derive(Clone, Default)]
 pub struct Disk {
-    pub ballot: Option<Ballot>,
+    pub hard_state: Option<HardState>,
     pub state: Option<State>,
 }
 
 struct PendingWrite {
-    ticket: TicketId,
-    ballot: Ballot,
+    write_id: WriteId,
+    hard_state: HardState,
     state: Option<Box<State>>,
     done: u64,
 }
@@ -86,7 +86,7 @@
     /// Who led in each term.
     pub leaders: BTreeMap<u64, ReplicaId>,
     /// What was reported as committed at each stamp.
-    pub committed: BTreeMap<Stamp, (u64, Vec<u8>)>,
+    pub committed: BTreeMap<LogPosition, (u64, Vec<u8>)>,
     pub violations: Vec<String>,
     founders: Vec<ReplicaId>,
     settings: Settings,
@@ -100,7 +100,7 @@
 
     /// A group that bears the loss of so many machines.
     pub fn tolerating(losses: usize, seed: u64, size: u32, founders: u32) -> Group {
-        let settings = Settings { least_voters: 2 * losses + 1, ..Settings::default() };
+        let settings = Settings { min_voters: 2 * losses + 1, ..Settings::default() };
         let founders: Vec<ReplicaId> = (1..=founders).map(|ip| ReplicaId { ip, incarnation: 0 }).collect();
         let mut group = Group {
             now: 1000,
@@ -135,10 +135,10 @@
         let seed = self.random.next_u64();
         let (now, founders, settings) = (self.now, self.founders.clone(), self.settings);
         let Some(machine) = self.machines.get_mut(&ip) else { return };
-        let founding = bootstrap && founders.iter().any(|f| f.ip == ip);
-        let incarnation = if founding { 0 } else { seed | 1 };
-        let ballot = machine.disk.ballot.unwrap_or(Ballot {
-            me: ReplicaId { ip, incarnation },
+        let bootstrap = bootstrap && founders.iter().any(|f| f.ip == ip);
+        let incarnation = if bootstrap { 0 } else { seed | 1 };
+        let hard_state = machine.disk.hard_state.unwrap_or(HardState {
+            id: ReplicaId { ip, incarnation },
             term: 0,
             voted_for: None,
         });
@@ -146,7 +146,7 @@
         let state = machine.disk.state.clone().unwrap_or(first);
         machine.life += 1;
         machine.writes.clear();
-        machine.replica = Some(Replica::new(settings, ballot, state, now, seed, true));
+        machine.replica = Some(Replica::new(settings, hard_state, state, now, seed, true));
     }
 
     /// Adds an empty machine; its process starts.
@@ -156,11 +156,11 @@
     }
 
     /// Ends a process in order: it hands its leadership over.
-    pub fn resign(&mut self, ip: u32) {
+    pub fn transfer_leadership(&mut self, ip: u32) {
         let now = self.now;
         let Some(replica) = self.machines.get_mut(&ip).and_then(|m| m.replica.as_mut()) else { return };
         let (me, mut outputs) = (replica.id(), Vec::new());
-        replica.resign(now, &mut outputs);
+        replica.transfer_leadership(now, &mut outputs);
         for output in outputs {
             self.carry_out(ip, me, output);
         }
@@ -184,7 +184,7 @@
         // Writes reach the disk in order: some first part of them.
         if lucky {
             if let Some(write) = machine.writes.first() {
-                machine.disk.ballot = Some(write.ballot);
+                machine.disk.hard_state = Some(write.hard_state);
                 if let Some(state) = &write.state {
                     machine.disk.state = Some(*state.clone());
                 }
@@ -256,12 +256,12 @@
                     self.send(me, ReplicaId { ip: other, incarnation: 0 }, message.clone());
                 }
             }
-            Output::Persist { ticket, ballot, state } => {
+            Output::Persist { write_id, hard_state, state } => {
                 let now = self.now;
                 if let Some(machine) = self.machines.get_mut(&ip) {
                     let last = machine.writes.last().map_or(now, |w| w.done);
                     let done = last.max(now) + machine.disk_delay;
-                    machine.writes.push(PendingWrite { ticket, ballot, state, done });
+                    machine.writes.push(PendingWrite { write_id, hard_state, state, done });
                 }
             }
             Output::Committed => self.note_committed(ip),
@@ -285,9 +285,9 @@
         let replica = self.machines.get(&ip).and_then(|m| m.replica.as_ref());
         let Some(c) = replica.and_then(|r| r.committed()).cloned() else { return };
         let told = (c.revision, c.document.clone());
-        let first = self.committed.entry(c.stamp).or_insert_with(|| told.clone());
+        let first = self.committed.entry(c.position).or_insert_with(|| told.clone());
         if *first != told {
-            self.violations.push(format!("{:?}: revisions {} and {}", c.stamp, first.0, told.0));
+            self.violations.push(format!("{:?}: revisions {} and {}", c.position, first.0, told.0));
         }
     }
 
@@ -336,15 +336,15 @@
         for (ip, machine) in &mut self.machines {
             while machine.writes.first().is_some_and(|w| w.done <= now) {
                 let write = machine.writes.remove(0);
-                machine.disk.ballot = Some(write.ballot);
+                machine.disk.hard_state = Some(write.hard_state);
                 if let Some(state) = write.state {
                     machine.disk.state = Some(*state);
                 }
-                done.push((*ip, write.ticket));
+                done.push((*ip, write.write_id));
             }
         }
-        for (ip, ticket) in done {
-            self.input(ip, Input::Persisted(ticket));
+        for (ip, write_id) in done {
+            self.input(ip, Input::Persisted(write_id));
         }
     }
 
@@ -363,7 +363,7 @@
     /// Everything that the history must satisfy.
     pub fn check(&self) -> Vec<String> {
         let mut violations = self.violations.clone();
-        let stamps: Vec<(&Stamp, &(u64, Vec<u8>))> = self.committed.iter().collect();
+        let stamps: Vec<(&LogPosition, &(u64, Vec<u8>))> = self.committed.iter().collect();
         for pair in stamps.windows(2) {
             let ((older, a), (newer, b)) = (pair[0], pair[1]);
             if b.0 < a.0 {
@@ -375,14 +375,15 @@
         for (id, call) in &self.calls {
             let Some((_, result)) = &call.ended else { continue };
             let held = in_force.get(&call.revision).is_some_and(|d| **d == call.document);
-            if *result == ProposalResult::Taken && !held {
+            if *result == ProposalResult::Committed && !held {
                 violations.push(format!("call {id}: revision {} taken and lost", call.revision));
             }
-            let refused = matches!(result, ProposalResult::Conflict { .. } | ProposalResult::NotAbove { .. });
+            let refused =
+                matches!(result, ProposalResult::Conflict { .. } | ProposalResult::StaleRevision { .. });
             if refused && held {
                 violations.push(format!("call {id}: revision {} refused and in force", call.revision));
             }
-            if *result == ProposalResult::Taken {
+            if *result == ProposalResult::Committed {
                 if let Some(other) = bases.insert(call.base, call.revision).filter(|o| *o != call.revision) {
                     let both = call.revision;
                     violations.push(format!("revisions {other} and {both} both taken on {}", call.base));
@@ -394,7 +395,7 @@
             let taken_before = self
                 .calls
                 .values()
-                .filter(|c| matches!(&c.ended, Some((at, ProposalResult::Taken)) if *at <= read.begun));
+                .filter(|c| matches!(&c.ended, Some((at, ProposalResult::Committed)) if *at <= read.begun));
             let newest = taken_before.map(|c| c.revision).max().unwrap_or(0);
             if seen < newest {
                 violations.push(format!("read {id}: saw {seen}, {newest} was taken before"));
--- a/crates/gaugesaddle-consensus/tests/membership.rs
+++ b/crates/gaugesaddle-consensus/tests/membership.rs
@@ -4,7 +4,7 @@
 mod group;
 
 use gaugesaddle_consensus::{Input, Output, ProposalResult, Replica, Settings};
-use gaugesaddle_protocol::{Ballot, ReplicaId, ReplicaMessage, Stamp, State};
+use gaugesaddle_protocol::{HardState, LogPosition, ReplicaId, ReplicaMessage, State};
 use group::Group;
 use std::collections::BTreeSet;
 
@@ -25,7 +25,7 @@
     let base = group.revision(leader);
     let id = group.propose(leader, base, base + 1, vec![base as u8]);
     group.run(1000);
-    matches!(group.calls[&id].ended, Some((_, ProposalResult::Taken)))
+    matches!(group.calls[&id].ended, Some((_, ProposalResult::Committed)))
 }
 
 fn wipe(group: &mut Group, ip: u32, down: u64) {
@@ -52,7 +52,7 @@
             let me = group.machines[&victim].replica.as_ref().map(|r| r.id());
             assert!(group
                 .leading()
-                .is_some_and(|r| r.voters().contains(&me.expect("it runs")) && r.is_settled()));
+                .is_some_and(|r| r.voters().contains(&me.expect("it runs")) && r.is_membership_committed()));
             assert_eq!(group.check(), Vec::<String>::new(), "{size} replicas, seed {seed}");
         }
     }
@@ -93,7 +93,7 @@
                 // Planned: the new machine first, a second later the old one ends.
                 group.add(size + 1 + step);
                 group.run(1000);
-                group.resign(step + 1);
+                group.transfer_leadership(step + 1);
                 group.run(300);
                 group.crash(step + 1);
                 group.machines.remove(&(step + 1));
@@ -156,22 +156,23 @@
 fn a_voter_that_does_not_know_yet_that_it_is_one_gives_its_vote() {
     let id = |ip: u32, incarnation: u64| ReplicaId { ip, incarnation };
     let before = State {
-        stamp: Stamp { term: 3, index: 8 },
+        position: LogPosition { term: 3, index: 8 },
         voters: vec![id(1, 0), id(2, 0), id(3, 0)],
         ..State::default()
     };
-    let ballot = Ballot { me: id(3, 7), term: 3, voted_for: None };
-    let mut new = Replica::new(Settings::default(), ballot, before, 1000, 5, true);
+    let hard_state = HardState { id: id(3, 7), term: 3, voted_for: None };
+    let mut new = Replica::new(Settings::default(), hard_state, before, 1000, 5, true);
     let mut out = Vec::new();
-    let last = Stamp { term: 3, index: 9 };
-    let vote = ReplicaMessage::Vote { term: 4, last, handover: false };
+    let last = LogPosition { term: 3, index: 9 };
+    let vote = ReplicaMessage::RequestVote { term: 4, last_position: last, leadership_transfer: false };
     new.handle(1001, Input::Message { from: id(2, 0), message: vote }, &mut out);
-    let ticket = out.iter().rev().find_map(|o| match o {
-        Output::Persist { ticket, .. } => Some(*ticket),
+    let write_id = out.iter().rev().find_map(|o| match o {
+        Output::Persist { write_id, .. } => Some(*write_id),
         _ => None,
     });
-    new.handle(1002, Input::Persisted(ticket.expect("its vote is written first")), &mut out);
-    let granted = |o: &Output| matches!(o, Output::Send(_, ReplicaMessage::VoteReply { granted: true, .. }));
+    new.handle(1002, Input::Persisted(write_id.expect("its vote is written first")), &mut out);
+    let granted =
+        |o: &Output| matches!(o, Output::Send(_, ReplicaMessage::RequestVoteResponse { granted: true, .. }));
     assert!(out.iter().any(granted), "{out:?}");
 }
 
@@ -182,7 +183,7 @@
     for seed in 1..=100 {
         let mut group = group(1, seed, 4);
         let old = group.leader().expect("somebody leads");
-        group.resign(old);
+        group.transfer_leadership(old);
         let begun = group.now;
         while group.leader().is_none() && group.now < begun + 2000 {
             group.run(1);
@@ -211,14 +212,18 @@
         group.run(300);
         group.calls[&id].ended.clone().map(|(_, result)| result)
     };
-    assert_eq!(again(0, 1, vec![0, 0]), Some(ProposalResult::Unclear), "the first, long forgotten");
-    assert_eq!(again(100, 101, vec![100, 0]), Some(ProposalResult::Taken), "still remembered");
-    assert_eq!(again(519, 520, vec![7, 2]), Some(ProposalResult::Taken), "the newest");
+    assert_eq!(again(0, 1, vec![0, 0]), Some(ProposalResult::Indeterminate), "the first, long forgotten");
+    assert_eq!(again(100, 101, vec![100, 0]), Some(ProposalResult::Committed), "still remembered");
+    assert_eq!(again(519, 520, vec![7, 2]), Some(ProposalResult::Committed), "the newest");
     let current = orders;
     assert_eq!(
         again(100, 101, vec![9, 9]),
         Some(ProposalResult::Conflict { current }),
         "another on that base"
     );
-    assert_eq!(again(520, 520, vec![9, 9]), Some(ProposalResult::NotAbove { current }), "it does not rise");
+    assert_eq!(
+        again(520, 520, vec![9, 9]),
+        Some(ProposalResult::StaleRevision { current }),
+        "it does not rise"
+    );
 }
--- a/crates/gaugesaddle-control/src/api.rs
+++ b/crates/gaugesaddle-control/src/api.rs
@@ -1,10 +1,10 @@
 //! What backends and the operator call, over HTTP/1.1.
 
+use crate::changes;
 use crate::core::CoreHandle;
-use crate::orders;
 use crate::registrations::{self, Registered};
 use bytes::Bytes;
-use gaugesaddle_protocol::{Order, OrderBody, OrderReply};
+use gaugesaddle_protocol::{ChangeBody, ChangeReply, ConfigurationChange};
 use gaugesaddle_transport::accept;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -18,7 +18,7 @@
 use tokio::net::TcpListener;
 
 /// A configuration is at most so long.
-const MOST_CONFIGURATION: usize = 8 << 20;
+const MAX_CONFIGURATION: usize = 8 << 20;
 /// A body has so long to come, and longer where it is large.
 const BODY: Duration = Duration::from_secs(5);
 /// A head has so long to come; a connection without a call is closed after it.
@@ -56,11 +56,11 @@
     let path = request.uri().path().to_owned();
     match (request.method(), path.as_str()) {
         (&Method::GET, GET) => get(core).await,
-        (&Method::POST, PUT) => order(core, request, OrderBody::Whole).await,
-        (&Method::POST, PATCH) => order(core, request, OrderBody::Patch).await,
+        (&Method::POST, PUT) => order(core, request, ChangeBody::Full).await,
+        (&Method::POST, PATCH) => order(core, request, ChangeBody::Patch).await,
         (&Method::POST, path) => {
             if let Some(id) = path.strip_prefix(HEARTBEAT) {
-                match body(request, registrations::MOST_BYTES).await {
+                match body(request, registrations::MAX_BYTES).await {
                     Ok(body) => registered(registrations::heartbeat(core, id, &body).await),
                     Err(status) => plain(status, ""),
                 }
@@ -93,7 +93,7 @@
 }
 
 async fn get(core: &CoreHandle) -> Answer {
-    match orders::get(core).await {
+    match changes::get(core).await {
         Ok(Some(configuration)) => json(StatusCode::OK, configuration.document.into()),
         Ok(None) => plain(StatusCode::NOT_FOUND, "no configuration yet"),
         Err(()) => plain(StatusCode::SERVICE_UNAVAILABLE, "no leader"),
@@ -101,24 +101,24 @@
 }
 
 /// An order of the operator: a whole configuration, or changes of named items.
-async fn order(core: &CoreHandle, request: Request<Incoming>, read: fn(Vec<u8>) -> OrderBody) -> Answer {
+async fn order(core: &CoreHandle, request: Request<Incoming>, read: fn(Vec<u8>) -> ChangeBody) -> Answer {
     let base = request.headers().get(BASE).and_then(|v| v.to_str().ok()).and_then(|v| v.trim().parse().ok());
     let Some(base) = base else {
         return plain(StatusCode::BAD_REQUEST, "Config-Revision: expected a whole number");
     };
-    let body = match body(request, MOST_CONFIGURATION).await {
+    let body = match body(request, MAX_CONFIGURATION).await {
         Ok(body) => read(body.to_vec()),
         Err(status) => {
-            return plain(status, &format!("at most {MOST_CONFIGURATION} bytes were expected, whole"))
+            return plain(status, &format!("at most {MAX_CONFIGURATION} bytes were expected, whole"))
         }
     };
-    match orders::submit(core, Order { base, body }).await {
-        OrderReply::Taken => json(StatusCode::OK, "{}".into()),
-        OrderReply::Conflict { current } => {
+    match changes::submit(core, ConfigurationChange { base, body }).await {
+        ChangeReply::Applied => json(StatusCode::OK, "{}".into()),
+        ChangeReply::Conflict { current } => {
             plain(StatusCode::PRECONDITION_FAILED, &format!("revision {current} is in place"))
         }
-        OrderReply::Invalid { findings } => plain(StatusCode::BAD_REQUEST, &findings.join("\n")),
-        OrderReply::Unclear => plain(StatusCode::SERVICE_UNAVAILABLE, "no clear answer"),
+        ChangeReply::Invalid { findings } => plain(StatusCode::BAD_REQUEST, &findings.join("\n")),
+        ChangeReply::Indeterminate => plain(StatusCode::SERVICE_UNAVAILABLE, "no clear answer"),
     }
 }
 
--- a/crates/gaugesaddle-control/src/founding.rs
+++ b/crates/gaugesaddle-control/src/bootstrap.rs
@@ -7,7 +7,7 @@
 
 /// What is known of the seeds.
 #[derive(Clone, Debug)]
-pub struct Founding {
+pub struct Bootstrap {
     own: u32,
     seeds: Vec<u32>,
     /// Whether each machine known has a disk.
@@ -17,12 +17,12 @@
     first_start: bool,
 }
 
-impl Founding {
+impl Bootstrap {
     /// At the machine `own`, with the seeds of its boot file.
-    pub fn new(own: u32, has_disk: bool, mut seeds: Vec<u32>, first_start: bool) -> Founding {
+    pub fn new(own: u32, has_disk: bool, mut seeds: Vec<u32>, first_start: bool) -> Bootstrap {
         seeds.sort_unstable();
         seeds.dedup();
-        Founding { own, seeds, disks: [(own, has_disk)].into(), named: None, first_start }
+        Bootstrap { own, seeds, disks: [(own, has_disk)].into(), named: None, first_start }
     }
 
     /// Takes what another process says of itself; true where that names a founder for the first time.
--- a/crates/gaugesaddle-control/src/orders.rs
+++ b/crates/gaugesaddle-control/src/changes.rs
@@ -3,7 +3,7 @@
 use crate::core::CoreHandle;
 use gaugesaddle_config::{Findings, OperatorConfig};
 use gaugesaddle_consensus::{ProposalResult, Replica};
-use gaugesaddle_protocol::{Configuration, Order, OrderBody, OrderReply, Reply, Request};
+use gaugesaddle_protocol::{ChangeBody, ChangeReply, Configuration, ConfigurationChange, Reply, Request};
 use gaugesaddle_transport::Caller;
 use spdlog::info;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 const BYTES_FOR_MILLISECOND: u64 = 1000;
 
 /// Decides an order that came to any process. It is read there, so that one that cannot be read never travels.
-pub async fn submit(core: &CoreHandle, order: Order) -> OrderReply {
+pub async fn submit(core: &CoreHandle, order: ConfigurationChange) -> ChangeReply {
     if let Err(findings) = check(&order.body) {
         return refused(&findings);
     }
@@ -25,19 +25,19 @@
         if core.with(|c| c.is_leading()) {
             return decide(core, order).await;
         }
-        match ask_leader(core, Request::Order(Box::new(order)), time).await {
-            Some(Reply::Order(reply)) => reply,
-            _ => OrderReply::Unclear,
+        match ask_leader(core, Request::Change(Box::new(order)), time).await {
+            Some(Reply::Change(reply)) => reply,
+            _ => ChangeReply::Indeterminate,
         }
     };
-    tokio::time::timeout(time, deciding).await.unwrap_or(OrderReply::Unclear)
+    tokio::time::timeout(time, deciding).await.unwrap_or(ChangeReply::Indeterminate)
 }
 
 /// What is wrong with an order in itself.
-fn check(body: &OrderBody) -> Result<(), Findings> {
+fn check(body: &ChangeBody) -> Result<(), Findings> {
     match body {
-        OrderBody::Whole(document) => check_whole(document),
-        OrderBody::Patch(_) => gaugesaddle_consensus::change::read(body).map(|_| ()),
+        ChangeBody::Full(document) => check_whole(document),
+        ChangeBody::Patch(_) => gaugesaddle_consensus::change::read(body).map(|_| ()),
     }
 }
 
@@ -45,15 +45,15 @@
     OperatorConfig::parse(document).map(|_| ())
 }
 
-fn refused(findings: &Findings) -> OrderReply {
+fn refused(findings: &Findings) -> ChangeReply {
     info!("configuration refused: {findings}");
-    OrderReply::Invalid { findings: findings.0.iter().map(ToString::to_string).collect() }
+    ChangeReply::Invalid { findings: findings.0.iter().map(ToString::to_string).collect() }
 }
 
 /// Decides an order as the leader. It was read by whoever passes it on.
-pub async fn decide(core: &CoreHandle, order: Order) -> OrderReply {
+pub async fn decide(core: &CoreHandle, order: ConfigurationChange) -> ChangeReply {
     if core.with(|c| c.is_being_founded()) {
-        return OrderReply::Unclear;
+        return ChangeReply::Indeterminate;
     }
     let proposal = core.with(|c| {
         let committed = c.replica.as_ref().and_then(Replica::committed);
@@ -64,12 +64,12 @@
         Err(findings) => return refused(&findings),
     };
     match core.propose(proposal).await {
-        ProposalResult::Taken => OrderReply::Taken,
-        ProposalResult::Conflict { current } => OrderReply::Conflict { current },
-        ProposalResult::NotAbove { current } => {
-            OrderReply::Invalid { findings: vec![format!("revision: expected more than {current}")] }
+        ProposalResult::Committed => ChangeReply::Applied,
+        ProposalResult::Conflict { current } => ChangeReply::Conflict { current },
+        ProposalResult::StaleRevision { current } => {
+            ChangeReply::Invalid { findings: vec![format!("revision: expected more than {current}")] }
         }
-        ProposalResult::Unclear => OrderReply::Unclear,
+        ProposalResult::Indeterminate => ChangeReply::Indeterminate,
     }
 }
 
--- a/crates/gaugesaddle-control/src/cli.rs
+++ b/crates/gaugesaddle-control/src/cli.rs
@@ -167,7 +167,7 @@
 
 fn put(arguments: &ArgMatches) -> eyre::Result<()> {
     let text = read_text(arguments)?;
-    order(arguments, Change::Whole(&text))
+    order(arguments, Change::Full(&text))
 }
 
 fn patch(arguments: &ArgMatches) -> eyre::Result<()> {
--- a/crates/gaugesaddle-control/src/core.rs
+++ b/crates/gaugesaddle-control/src/core.rs
@@ -1,18 +1,18 @@
 //! The host of the state machines: one value that every task of the process borrows for a moment.
 
+use crate::bootstrap::Bootstrap;
 use crate::disk::{DiskEvent, Write};
-use crate::founding::Founding;
 use crate::peers::Peers;
-use gaugesaddle_catalog::Registrar;
+use gaugesaddle_catalog::CatalogReplica;
 use gaugesaddle_config::{operator::OperatorConfig, BootSettings};
-use gaugesaddle_consensus::{Input, NotLeading, Output, Proposal, ProposalResult, Replica, Settings};
-use gaugesaddle_distribution::{Distributor, Standing};
-use gaugesaddle_load_report::LoadBoard;
+use gaugesaddle_consensus::{Input, NotLeader, Output, Proposal, ProposalResult, Replica, Settings};
+use gaugesaddle_distribution::{Distributor, ReplicaStatus};
+use gaugesaddle_load_report::LoadAggregator;
 use gaugesaddle_protocol::{
-    Ballot, Configuration, Delta, Lifecycle, Origin, PeerMessage, Pull, Registration, ReplicaId, State,
-    StatusReport, Subject,
+    CatalogDelta, Configuration, HardState, Lifecycle, Origin, PeerMessage, Pull, Registration, ReplicaId,
+    State, StatusReport, Subject,
 };
-use gaugesaddle_quota::{Dealer, Limit};
+use gaugesaddle_quota::{Limit, TokenAllocator};
 use gaugesaddle_transport::Clock;
 use rand_core::{OsRng, TryRngCore};
 use spdlog::{info, warn};
@@ -42,13 +42,13 @@
 fn settings(boot: &BootSettings) -> Settings {
     let standard = Settings::default();
     let voters = 2 * boot.tolerance.machines as usize + 1;
-    Settings { least_voters: standard.least_voters.max(voters), ..standard }
+    Settings { min_voters: standard.min_voters.max(voters), ..standard }
 }
 
 /// What a task waits for from the replica.
 enum Waiting {
     Proposal(oneshot::Sender<ProposalResult>),
-    Read(oneshot::Sender<Result<Option<Configuration>, NotLeading>>),
+    Read(oneshot::Sender<Result<Option<Configuration>, NotLeader>>),
 }
 
 /// The state of the process.
@@ -59,17 +59,17 @@
     pub me: ReplicaId,
     pub replica: Option<Replica>,
     pub has_disk: bool,
-    pub founding: Founding,
+    pub bootstrap: Bootstrap,
     /// When the process began.
     started: u64,
-    pub registrar: Registrar,
-    pub dealer: Dealer,
-    /// The term for which the dealer deals.
-    dealer_term: u64,
+    pub catalog_replica: CatalogReplica,
+    pub allocator: TokenAllocator,
+    /// The term for which the dealer allocates_quota.
+    allocator_term: u64,
     pub peers: Peers,
     pub distributor: Distributor,
     /// What proxies see of the backends' load.
-    pub loads: LoadBoard,
+    pub loads: LoadAggregator,
     /// Wakes the task that tells the other processes of it.
     pub reported: Rc<Notify>,
     disk: Option<mpsc::Sender<Write>>,
@@ -95,17 +95,17 @@
         let backend_lease = (boot.heartbeat_ms as f64 * LEASE_HEARTBEATS) as u64;
         let core = Core {
             has_disk,
-            founding: Founding::new(ip, has_disk, seeds, boot.bootstrap),
+            bootstrap: Bootstrap::new(ip, has_disk, seeds, boot.bootstrap),
             started: clock.now(),
             clock,
-            registrar: Registrar::new(clock.now(), Origin(draw()), backend_lease),
+            catalog_replica: CatalogReplica::new(clock.now(), Origin(draw()), backend_lease),
             me: ReplicaId { ip, incarnation: draw() },
             replica: None,
-            dealer: Dealer::default(),
-            dealer_term: 0,
+            allocator: TokenAllocator::default(),
+            allocator_term: 0,
             peers,
             distributor: Distributor::default(),
-            loads: LoadBoard::default(),
+            loads: LoadAggregator::default(),
             reported: Rc::default(),
             disk,
             waiting: HashMap::new(),
@@ -141,17 +141,17 @@
     /// A process without a disk takes every state and never votes.
     fn listen_only(&self) {
         self.with(|core| {
-            let ballot = Ballot { me: core.me, term: 0, voted_for: None };
+            let hard_state = HardState { id: core.me, term: 0, voted_for: None };
             let now = core.clock.now();
             core.replica =
-                Some(Replica::new(settings(&core.boot), ballot, State::default(), now, draw(), false));
+                Some(Replica::new(settings(&core.boot), hard_state, State::default(), now, draw(), false));
         });
     }
 
     pub fn disk_event(&self, event: DiskEvent) {
         match event {
-            DiskEvent::Opened { ballot, state } => self.disk_opened(ballot, state),
-            DiskEvent::Persisted(ticket) => self.step(Input::Persisted(ticket)),
+            DiskEvent::Opened { hard_state, state } => self.disk_opened(hard_state, state),
+            DiskEvent::Persisted(write_id) => self.step(Input::Persisted(write_id)),
             DiskEvent::Failed(reason) => {
                 warn!("disk refused, replica stops: {reason}");
                 let failed = self.with(|core| {
@@ -164,29 +164,34 @@
         }
     }
 
-    fn disk_opened(&self, ballot: Option<Ballot>, state: Option<Box<State>>) {
+    fn disk_opened(&self, hard_state: Option<HardState>, state: Option<Box<State>>) {
         self.with(|core| {
-            let first = core.boot.bootstrap && ballot.is_none();
-            let me = match (&ballot, first) {
-                (Some(ballot), _) => ballot.me,
+            let first = core.boot.bootstrap && hard_state.is_none();
+            let me = match (&hard_state, first) {
+                (Some(hard_state), _) => hard_state.id,
                 (None, true) => ReplicaId { incarnation: 0, ..core.me },
                 (None, false) => core.me,
             };
             core.me = me;
-            let ballot = ballot.unwrap_or(Ballot { me, term: 0, voted_for: None });
+            let hard_state = hard_state.unwrap_or(HardState { id: me, term: 0, voted_for: None });
             let state = state.map(|state| *state).unwrap_or_default();
-            info!("replica {me} term {} at {:?} voters {:?}", ballot.term, state.stamp, state.voters.len());
+            info!(
+                "replica {me} term {} at {:?} voters {:?}",
+                hard_state.term,
+                state.position,
+                state.voters.len()
+            );
             let now = core.clock.now();
-            core.replica = Some(Replica::new(settings(&core.boot), ballot, state, now, draw(), true));
+            core.replica = Some(Replica::new(settings(&core.boot), hard_state, state, now, draw(), true));
             core.found_if_due();
         });
         self.timer.notify_one();
     }
 
     /// Another process says whether it has a disk, and who was named to found the group.
-    pub fn heard_of_disk(&self, ip: u32, has_disk: bool, founder: Option<u32>) {
+    pub fn heard_of_disk(&self, ip: u32, has_disk: bool, bootstrap_node: Option<u32>) {
         self.with(|core| {
-            if core.founding.heard(ip, has_disk, founder) {
+            if core.bootstrap.heard(ip, has_disk, bootstrap_node) {
                 let hello = core.hello();
                 core.peers.broadcast(&hello);
             }
@@ -201,8 +206,8 @@
     }
 
     /// Ends a leadership before the process ends.
-    pub fn resign(&self) {
-        self.drive(Replica::resign);
+    pub fn transfer_leadership(&self) {
+        self.drive(Replica::transfer_leadership);
     }
 
     fn drive(&self, act: impl FnOnce(&mut Replica, u64, &mut Vec<Output>)) {
@@ -234,7 +239,9 @@
                     let from = core.me;
                     core.peers.broadcast(&PeerMessage::Replica { from, to: None, message });
                 }),
-                Output::Persist { ticket, ballot, state } => self.persist(Write { ticket, ballot, state }),
+                Output::Persist { write_id, hard_state, state } => {
+                    self.persist(Write { write_id, hard_state, state })
+                }
                 Output::Committed => self.committed(),
                 Output::Proposed(id, result) => {
                     if let Some(Waiting::Proposal(to)) = self.with(|core| core.waiting.remove(&id)) {
@@ -251,7 +258,7 @@
     }
 
     fn persist(&self, write: Write) {
-        let ticket = write.ticket;
+        let write_id = write.write_id;
         let listens_only = self.with(|core| match &core.disk {
             Some(disk) => {
                 // The thread lives as long as the process; without it nothing is ever called persisted.
@@ -261,7 +268,7 @@
             None => true,
         });
         if listens_only {
-            self.step(Input::Persisted(ticket));
+            self.step(Input::Persisted(write_id));
         }
     }
 
@@ -273,7 +280,7 @@
             }
             // Elsewhere nothing is dealt, and whoever leads next begins anew.
             if core.is_leading() {
-                core.configure_dealer();
+                core.configure_allocator();
             }
         });
         self.announce();
@@ -303,15 +310,15 @@
         let (to, result) = oneshot::channel();
         let id = self.wait(Waiting::Proposal(to));
         self.step(Input::Propose(id, Box::new(proposal)));
-        result.await.unwrap_or(ProposalResult::Unclear)
+        result.await.unwrap_or(ProposalResult::Indeterminate)
     }
 
     /// The current configuration, if this process leads.
-    pub async fn read(&self) -> Result<Option<Configuration>, NotLeading> {
+    pub async fn read(&self) -> Result<Option<Configuration>, NotLeader> {
         let (to, result) = oneshot::channel();
         let id = self.wait(Waiting::Read(to));
         self.step(Input::Read(id));
-        result.await.unwrap_or(Err(NotLeading))
+        result.await.unwrap_or(Err(NotLeader))
     }
 
     fn wait(&self, waiting: Waiting) -> u64 {
@@ -329,7 +336,7 @@
     pub fn take_of_catalog(&self, ip: u32, message: PeerMessage) {
         let changed = self.with(|core| {
             let now = core.clock.now();
-            let (changed, answers) = core.registrar.take(now, ip, message);
+            let (changed, answers) = core.catalog_replica.take(now, ip, message);
             for answer in answers {
                 core.peers.send(ip, answer);
             }
@@ -341,30 +348,30 @@
     }
 
     /// Takes a call of a backend or proxy, and passes news on.
-    pub fn note(&self, registration: Registration) {
-        self.spread_news(|core, now| core.registrar.note(now, registration).into_iter().collect());
+    pub fn record(&self, registration: Registration) {
+        self.spread_news(|core, now| core.catalog_replica.record(now, registration).into_iter().collect());
     }
 
     /// Takes a proxy's call: its lease is renewed, and what waits for what it knows is acknowledged.
-    pub fn note_pull(&self, pull: &Pull) {
+    pub fn record_pull(&self, pull: &Pull) {
         self.with(|core| {
             let now = core.clock.now();
-            for (ip, message) in core.registrar.note_pull(now, pull) {
+            for (ip, message) in core.catalog_replica.record_pull(now, pull) {
                 core.peers.send(ip, message);
             }
         });
-        self.note(pull.proxy.clone());
+        self.record(pull.proxy.clone());
     }
 
     /// Takes what a proxy knows to have left, and passes news on.
-    pub fn note_left(&self, left: Vec<Registration>) {
-        self.spread_news(|core, now| core.registrar.note_left(now, left));
+    pub fn record_departed(&self, departed: Vec<Registration>) {
+        self.spread_news(|core, now| core.catalog_replica.record_departed(now, departed));
     }
 
     /// Ends what has fallen silent, and passes that on.
     pub fn expire(&self) {
         self.spread_news(|core, now| {
-            let ended = core.registrar.expire(now);
+            let ended = core.catalog_replica.expire(now);
             for entry in ended.iter().flat_map(|delta| &delta.entries) {
                 info!("lease of {} has run out", entry.registration.id);
             }
@@ -372,7 +379,7 @@
         });
     }
 
-    fn spread_news(&self, act: impl FnOnce(&mut Core, u64) -> Vec<Delta>) {
+    fn spread_news(&self, act: impl FnOnce(&mut Core, u64) -> Vec<CatalogDelta>) {
         let news = self.with(|core| {
             let now = core.clock.now();
             let deltas = act(core, now);
@@ -390,8 +397,8 @@
 impl Waiting {
     fn fail(self) {
         match self {
-            Waiting::Proposal(to) => drop(to.send(ProposalResult::Unclear)),
-            Waiting::Read(to) => drop(to.send(Err(NotLeading))),
+            Waiting::Proposal(to) => drop(to.send(ProposalResult::Indeterminate)),
+            Waiting::Read(to) => drop(to.send(Err(NotLeader))),
         }
     }
 }
@@ -399,18 +406,18 @@
 impl Core {
     /// Begins as a founder, once it is certain that this is one. A replica that has heard of a group never founds one.
     fn found_if_due(&mut self) {
-        let Some(founders) = self.founding.founders() else { return };
-        let fresh = self.replica.as_ref().is_some_and(Replica::is_untouched);
+        let Some(founders) = self.bootstrap.founders() else { return };
+        let fresh = self.replica.as_ref().is_some_and(Replica::is_pristine);
         if !fresh || !self.has_disk || !founders.contains(&self.me.ip) {
             return;
         }
         let voters: Vec<ReplicaId> =
             founders.into_iter().map(|ip| ReplicaId { ip, incarnation: 0 }).collect();
         info!("founds the group with {} voters", voters.len());
-        let ballot = Ballot { me: self.me, term: 0, voted_for: None };
+        let hard_state = HardState { id: self.me, term: 0, voted_for: None };
         let state = State { voters, ..State::default() };
         let now = self.clock.now();
-        self.replica = Some(Replica::new(settings(&self.boot), ballot, state, now, draw(), true));
+        self.replica = Some(Replica::new(settings(&self.boot), hard_state, state, now, draw(), true));
     }
 
     /// Whether the group is still being founded: a change taken now could be on fewer disks than may be lost.
@@ -427,9 +434,9 @@
     }
 
     /// How this process stands, for proxies.
-    pub fn standing(&self) -> Standing {
+    pub fn replica_status(&self) -> ReplicaStatus {
         let now = self.clock.now();
-        Standing { fresh: self.is_fresh(), leader: self.leader(), members: self.members(now) }
+        ReplicaStatus { fresh: self.is_fresh(), leader: self.leader(), members: self.members(now) }
     }
 
     /// Address of the leader's machine.
@@ -450,7 +457,7 @@
             role: "starting".to_owned(),
             fresh: self.is_fresh(),
             disk: self.has_disk,
-            peers_alive: self.registrar.peers().alive(now).len() as u64,
+            peers_alive: self.catalog_replica.peers().alive(now).len() as u64,
             ..StatusReport::default()
         };
         if let Some(replica) = &self.replica {
@@ -460,10 +467,10 @@
             report.voters = replica.voters().iter().map(ToString::to_string).collect();
         }
         if let Some(configuration) = self.distributor.current() {
-            report.index = configuration.stamp.index;
+            report.index = configuration.position.index;
             report.revision = configuration.revision;
         }
-        for registration in self.registrar.catalog().iter() {
+        for registration in self.catalog_replica.catalog().iter() {
             let ready = registration.lifecycle == Lifecycle::Ready;
             match registration.subject {
                 Subject::Proxy => report.proxies += u64::from(ready),
@@ -477,19 +484,19 @@
     }
 
     /// Whether it leads and may lend tokens; a new leader begins with empty buckets.
-    pub fn deals(&mut self) -> bool {
+    pub fn allocates_quota(&mut self) -> bool {
         let now = self.clock.now();
         let Some(replica) = self.replica.as_ref().filter(|r| r.has_lease(now)) else { return false };
         let term = replica.term();
-        if term != self.dealer_term {
-            self.dealer_term = term;
-            self.dealer = Dealer::default();
-            self.configure_dealer();
+        if term != self.allocator_term {
+            self.allocator_term = term;
+            self.allocator = TokenAllocator::default();
+            self.configure_allocator();
         }
         true
     }
 
-    fn configure_dealer(&mut self) {
+    fn configure_allocator(&mut self) {
         let Some(configuration) = self.distributor.current() else { return };
         let now = self.clock.now();
         // It was checked before it was proposed.
@@ -502,6 +509,6 @@
             burst: burst.max(0.0) + slack,
         };
         let limits: Vec<(String, Limit)> = limited.map(|t| (t.name, limit(t.rate_per_s, t.burst))).collect();
-        self.dealer.configure(now, &limits);
+        self.allocator.configure(now, &limits);
     }
 }
--- a/crates/gaugesaddle-control/src/disk.rs
+++ b/crates/gaugesaddle-control/src/disk.rs
@@ -1,8 +1,8 @@
 //! The disk's own thread: it writes and syncs, and opens the ring anew after an error.
 
-use gaugesaddle_consensus::{stored, TicketId};
+use gaugesaddle_consensus::{disk_format, WriteId};
 use gaugesaddle_log::{FileStore, LogError, Ring};
-use gaugesaddle_protocol::{Ballot, State};
+use gaugesaddle_protocol::{HardState, State};
 use spdlog::warn;
 use std::path::PathBuf;
 use std::sync::mpsc;
@@ -15,15 +15,15 @@
 /// Part of the disk that the ring's segments take together.
 const DISK_PART: f64 = 0.6;
 /// A segment is at most so long.
-const MOST_SEGMENT_BYTES: u64 = 8 << 20;
+const MAX_SEGMENT_BYTES: u64 = 8 << 20;
 /// Writes joined into one sync, at most.
-const MOST_JOINED: usize = 32;
+const MAX_JOINED: usize = 32;
 
 /// A write.
 #[derive(Debug)]
 pub struct Write {
-    pub ticket: TicketId,
-    pub ballot: Ballot,
+    pub write_id: WriteId,
+    pub hard_state: HardState,
     pub state: Option<Box<State>>,
 }
 
@@ -33,11 +33,11 @@
     /// The ring is open and holds this.
     Opened {
         /// `None`: the disk is empty.
-        ballot: Option<Ballot>,
+        hard_state: Option<HardState>,
         state: Option<Box<State>>,
     },
     /// A write and all before it are on the disk.
-    Persisted(TicketId),
+    Persisted(WriteId),
     /// The disk refused; writes before the next `Opened` are lost.
     Failed(String),
 }
@@ -48,7 +48,7 @@
 ) -> std::io::Result<mpsc::Sender<Write>> {
     let (writes, queue) = mpsc::channel();
     let share = (disk_mb as f64 * DISK_PART / gaugesaddle_log::SEGMENTS as f64 * 1e6) as u64;
-    let segment_bytes = share.clamp(1 << 20, MOST_SEGMENT_BYTES);
+    let segment_bytes = share.clamp(1 << 20, MAX_SEGMENT_BYTES);
     thread::Builder::new().name("disk".to_owned()).spawn(move || {
         run(folder, segment_bytes, queue, events);
     })?;
@@ -90,11 +90,11 @@
 }
 
 fn opened(ring: &Ring<FileStore>) -> DiskEvent {
-    match stored::read(ring.slots()) {
-        Ok((ballot, state)) => DiskEvent::Opened { ballot, state: state.map(Box::new) },
+    match disk_format::read(ring.slots()) {
+        Ok((hard_state, state)) => DiskEvent::Opened { hard_state, state: state.map(Box::new) },
         Err(unreadable) => {
             warn!("{unreadable}: it counts as empty");
-            DiskEvent::Opened { ballot: None, state: None }
+            DiskEvent::Opened { hard_state: None, state: None }
         }
     }
 }
@@ -105,16 +105,16 @@
 ) -> Result<(), LogError> {
     while let Ok(first) = queue.recv() {
         let mut writes = vec![first];
-        while writes.len() < MOST_JOINED {
+        while writes.len() < MAX_JOINED {
             let Ok(next) = queue.try_recv() else { break };
             writes.push(next);
         }
         let Some(last) = writes.last() else { continue };
-        let ticket = last.ticket;
+        let write_id = last.write_id;
         let newest = writes.iter().rev().find_map(|w| w.state.as_deref());
-        let records = stored::records(&last.ballot, newest);
+        let records = disk_format::records(&last.hard_state, newest);
         ring.append(records)?;
-        if events.send(DiskEvent::Persisted(ticket)).is_err() {
+        if events.send(DiskEvent::Persisted(write_id)).is_err() {
             return Ok(());
         }
     }
--- a/crates/gaugesaddle-control/src/lib.rs
+++ b/crates/gaugesaddle-control/src/lib.rs
@@ -10,13 +10,13 @@
 //! `gaugesaddle-quota`; nothing else touches them. One thread runs everything but the writes to the disk.
 
 mod api;
+pub mod bootstrap;
+mod changes;
 pub mod cli;
 mod core;
 mod disk;
-pub mod founding;
 mod loads;
 pub mod operator;
-mod orders;
 mod peers;
 mod registrations;
 mod requests;
--- a/crates/gaugesaddle-control/src/operator.rs
+++ b/crates/gaugesaddle-control/src/operator.rs
@@ -35,14 +35,14 @@
 /// What is called.
 enum Call<'a> {
     Get,
-    Order { change: Change<'a>, base: u64 },
+    ConfigurationChange { change: Change<'a>, base: u64 },
 }
 
 /// What an order brings.
 #[derive(Clone, Copy, Debug)]
 pub enum Change<'a> {
     /// A whole configuration.
-    Whole(&'a str),
+    Full(&'a str),
     /// Changes of named items.
     Patch(&'a str),
 }
@@ -50,14 +50,14 @@
 impl<'a> Change<'a> {
     fn path(self) -> &'static str {
         match self {
-            Change::Whole(_) => "Config.Put",
+            Change::Full(_) => "Config.Put",
             Change::Patch(_) => "Config.Patch",
         }
     }
 
     fn text(self) -> &'a str {
         match self {
-            Change::Whole(text) | Change::Patch(text) => text,
+            Change::Full(text) | Change::Patch(text) => text,
         }
     }
 }
@@ -73,7 +73,7 @@
             Some(base) => base,
             None => current(target).await?.map_or(Ok(0), |text| revision(&text))?,
         };
-        let answer = clear_answer(target, &Call::Order { change, base }).await?;
+        let answer = clear_answer(target, &Call::ConfigurationChange { change, base }).await?;
         match answer.status {
             200 => revision(change.text()),
             412 => bail!("another version is in place: {}", answer.text),
@@ -163,7 +163,7 @@
 async fn one_call(client: &Client, address: SocketAddrV4, call: &Call<'_>) -> Result<Clear> {
     let request = match call {
         Call::Get => client.get(format!("http://{address}/Config.Get"))?,
-        Call::Order { change, base } => client
+        Call::ConfigurationChange { change, base } => client
             .post(format!("http://{address}/{}", change.path()))?
             .header("Config-Revision", base.to_string())?
             .header("Content-Type", "application/json")?
--- a/crates/gaugesaddle-control/src/peers.rs
+++ b/crates/gaugesaddle-control/src/peers.rs
@@ -16,7 +16,7 @@
 /// Messages that wait for a peer.
 const QUEUE: usize = 256;
 /// Peers that are known at once: the machines set aside for control, and those they replaced.
-const MOST_PEERS: usize = 64;
+const MAX_PEERS: usize = 64;
 /// Time to open a connection.
 const CONNECT: Duration = Duration::from_millis(500);
 /// Time to send one message; a large state over a slow link takes a while.
@@ -34,7 +34,7 @@
 impl Peers {
     /// Makes a peer known; a connection to it is opened.
     pub fn know(&mut self, ip: u32) {
-        if self.queues.contains_key(&ip) || self.queues.len() >= MOST_PEERS {
+        if self.queues.contains_key(&ip) || self.queues.len() >= MAX_PEERS {
             return;
         }
         let (queue, messages) = mpsc::channel(QUEUE);
@@ -96,23 +96,23 @@
 
 /// Takes what a peer says on the connection that it opened.
 pub async fn listen(core: CoreHandle, mut link: Link) -> Result<(), LinkError> {
-    let PeerMessage::Hello { ip, has_disk, founder, origin, members } = link.receive().await? else {
+    let PeerMessage::Hello { ip, has_disk, bootstrap_node, origin, members } = link.receive().await? else {
         return Err(LinkError::Frame(gaugesaddle_protocol::frame::FrameError::Malformed));
     };
     core.with(|c| {
         c.know(members.into_iter().chain([ip]));
-        c.registrar.introduced(ip, origin);
+        c.catalog_replica.register_peer(ip, origin);
         // What was pushed while the peer could not be reached is lost; it pushes what is lacking here.
         let compare = c.compare(false);
         c.peers.send(ip, compare);
     });
-    core.heard_of_disk(ip, has_disk, founder);
+    core.heard_of_disk(ip, has_disk, bootstrap_node);
     open_wanted(&core);
     loop {
         let message = link.receive().await?;
         let present = core.with(|c| {
             let now = c.clock.now();
-            c.registrar.heard(now, ip, origin)
+            c.catalog_replica.record_contact(now, ip, origin)
         });
         if !present {
             // Another process runs there by now: what is left of the one before it would be taken for its word.
@@ -124,7 +124,9 @@
 
 fn take(core: &CoreHandle, ip: u32, message: PeerMessage) {
     match message {
-        PeerMessage::Hello { has_disk, founder, .. } => core.heard_of_disk(ip, has_disk, founder),
+        PeerMessage::Hello { has_disk, bootstrap_node, .. } => {
+            core.heard_of_disk(ip, has_disk, bootstrap_node)
+        }
         PeerMessage::Replica { from, to, message } => {
             if to.is_none() || to == core.with(|c| c.replica.as_ref().map(|r| r.id())) {
                 core.step(Input::Message { from, message });
@@ -150,8 +152,8 @@
         PeerMessage::Hello {
             ip: u32::from(self.boot.ip),
             has_disk: self.has_disk,
-            founder: self.founding.named(),
-            origin: self.registrar.origin(),
+            bootstrap_node: self.bootstrap.named(),
+            origin: self.catalog_replica.origin(),
             members: self.members(now),
         }
     }
@@ -167,12 +169,12 @@
     /// What this process knows, for the others.
     pub fn compare(&self, with_ranges: bool) -> PeerMessage {
         let now = self.clock.now();
-        self.registrar.compare(with_ranges, self.members(now))
+        self.catalog_replica.compare(with_ranges, self.members(now))
     }
 
     /// Addresses of the machines that serve control, this one included.
     pub fn members(&self, now: u64) -> Vec<u32> {
-        let mut members = self.registrar.peers().alive(now);
+        let mut members = self.catalog_replica.peers().alive(now);
         members.push(u32::from(self.boot.ip));
         members
     }
--- a/crates/gaugesaddle-control/src/registrations.rs
+++ b/crates/gaugesaddle-control/src/registrations.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// A heartbeat is at most so long.
-pub const MOST_BYTES: usize = 4096;
+pub const MAX_BYTES: usize = 4096;
 /// Between two looks at the acknowledgements.
 const LOOK: Duration = Duration::from_millis(3);
 
@@ -53,7 +53,7 @@
 
 /// Takes the end of a backend.
 pub async fn deregister(core: &CoreHandle, id: &str) -> Registered {
-    match core.with(|c| c.registrar.departed(id)) {
+    match core.with(|c| c.catalog_replica.departed(id)) {
         Some(registration) if !id.is_empty() => register(core, registration).await,
         _ => Registered::Malformed,
     }
@@ -61,12 +61,12 @@
 
 async fn register(core: &CoreHandle, registration: Registration) -> Registered {
     let waiting = core.with(|c| Acknowledgement::new(c.clock.now(), &registration));
-    core.note(registration);
+    core.record(registration);
     loop {
         let decided = core.with(|c| {
             let now = c.clock.now();
             let voters = c.replica.as_ref().map_or(0, |r| r.voters().len());
-            waiting.decide(now, &c.registrar, c.is_fresh(), voters)
+            waiting.decide(now, &c.catalog_replica, c.is_fresh(), voters)
         });
         match decided {
             Some(true) => return Registered::Acknowledged,
--- a/crates/gaugesaddle-control/src/requests.rs
+++ b/crates/gaugesaddle-control/src/requests.rs
@@ -1,7 +1,7 @@
 //! Requests of proxies and of other control processes, over frames.
 
 use crate::core::CoreHandle;
-use crate::{loads, orders, peers};
+use crate::{changes, loads, peers};
 use gaugesaddle_protocol::{Opening, Pull, PullReply, Reply, Request};
 use gaugesaddle_transport::{accept, Link, LinkError};
 use spdlog::debug;
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 /// An answer is held back for news at most so long.
-const MOST_WAIT: u64 = 2000;
+const MAX_WAIT: u64 = 2000;
 /// Time to send an answer; a large configuration over a slow link takes a while.
 const SEND: Duration = Duration::from_millis(4000);
 /// A connection without a request for so long is closed.
@@ -43,15 +43,15 @@
 async fn answer(core: &CoreHandle, request: Request) -> Reply {
     match request {
         Request::Pull(pull) => Reply::Pull(Box::new(answer_pull(core, *pull).await)),
-        Request::Quota { machine, wants } => core.with(|c| {
-            if !c.deals() {
+        Request::Quota { machine, requests } => core.with(|c| {
+            if !c.allocates_quota() {
                 return Reply::Unavailable;
             }
             let now = c.clock.now();
-            Reply::Quota { grants: c.dealer.lend(now, &machine, &wants) }
+            Reply::Quota { grants: c.allocator.allocate(now, &machine, &requests) }
         }),
         Request::Load { proxy, loads } => Reply::Load { loads: loads::report(core, proxy, loads) },
-        Request::Order(order) => Reply::Order(orders::decide(core, *order).await),
+        Request::Change(order) => Reply::Change(changes::decide(core, *order).await),
         Request::Read => match core.read().await {
             Ok(configuration) => Reply::Read(configuration),
             Err(_) => Reply::Unavailable,
@@ -62,19 +62,19 @@
 
 /// Renews the proxy's lease and answers when there is news for it, or when it wants an answer anyway.
 async fn answer_pull(core: &CoreHandle, mut pull: Pull) -> PullReply {
-    core.note_pull(&pull);
-    core.note_left(std::mem::take(&mut pull.left));
-    let until = Instant::now() + Duration::from_millis(u64::from(pull.wait_ms).min(MOST_WAIT));
+    core.record_pull(&pull);
+    core.record_departed(std::mem::take(&mut pull.departed));
+    let until = Instant::now() + Duration::from_millis(u64::from(pull.wait_ms).min(MAX_WAIT));
     let mut changes = core.subscribe();
     loop {
         changes.borrow_and_update();
-        if core.with(|c| c.distributor.has_news(&c.registrar, &pull)) || Instant::now() >= until {
+        if core.with(|c| c.distributor.has_changes(&c.catalog_replica, &pull)) || Instant::now() >= until {
             break;
         }
         let _ = tokio::time::timeout_at(until, changes.changed()).await;
     }
     core.with(|c| {
         let now = c.clock.now();
-        c.distributor.answer(now, &c.registrar, &pull, c.standing())
+        c.distributor.answer(now, &c.catalog_replica, &pull, c.replica_status())
     })
 }
--- a/crates/gaugesaddle-control/src/serve.rs
+++ b/crates/gaugesaddle-control/src/serve.rs
@@ -54,7 +54,7 @@
         }
     }
     info!("SIGTERM: leaving");
-    core.resign();
+    core.transfer_leadership();
     tokio::time::sleep(FAREWELL).await;
     Ok(())
 }
--- a/crates/gaugesaddle-control/src/upkeep.rs
+++ b/crates/gaugesaddle-control/src/upkeep.rs
@@ -40,7 +40,7 @@
     /// Tells every other control process that this one lives and what it knows; one of them, drawn, also compares the
     /// ranges.
     fn tell_peers(&mut self, now: u64) {
-        let alive = self.registrar.peers().alive(now);
+        let alive = self.catalog_replica.peers().alive(now);
         let drawn = alive.get(crate::core::draw() as usize % alive.len().max(1)).copied();
         self.peers.broadcast(&self.compare(false));
         if let Some(ip) = drawn {
--- a/crates/gaugesaddle-control/tests/founding.rs
+++ b/crates/gaugesaddle-control/tests/bootstrap.rs
@@ -1,23 +1,23 @@
 //! The failure: two groups are founded at the first start, or none where some seeds have no disk.
 
-use gaugesaddle_control::founding::Founding;
+use gaugesaddle_control::bootstrap::Bootstrap;
 
 /// Every process hears every other, in the order given; what each takes for the founders.
 fn founders(disks: &[(u32, bool)], seeds: &[u32], order: &[usize]) -> Vec<Option<Vec<u32>>> {
-    let mut all: Vec<Founding> =
-        disks.iter().map(|(ip, disk)| Founding::new(*ip, *disk, seeds.to_vec(), true)).collect();
+    let mut all: Vec<Bootstrap> =
+        disks.iter().map(|(ip, disk)| Bootstrap::new(*ip, *disk, seeds.to_vec(), true)).collect();
     for _ in 0..2 {
         for at in order {
             let (ip, disk) = disks[*at];
             let named = all[*at].named();
-            for (other, founding) in all.iter_mut().enumerate() {
+            for (other, bootstrap) in all.iter_mut().enumerate() {
                 if other != *at {
-                    founding.heard(ip, disk, named);
+                    bootstrap.heard(ip, disk, named);
                 }
             }
         }
     }
-    all.iter().map(Founding::founders).collect()
+    all.iter().map(Bootstrap::founders).collect()
 }
 
 #[test]
@@ -43,18 +43,18 @@
 
 #[test]
 fn nobody_founds_before_all_seeds_are_known_or_after_the_first_start() {
-    let mut early = Founding::new(1, true, vec![1, 2, 3], true);
+    let mut early = Bootstrap::new(1, true, vec![1, 2, 3], true);
     early.heard(2, true, None);
     assert_eq!(early.founders(), None);
     early.heard(3, true, None);
     assert_eq!(early.founders(), Some(vec![1, 2, 3]));
-    let mut later = Founding::new(1, true, vec![1, 2, 3], false);
+    let mut later = Bootstrap::new(1, true, vec![1, 2, 3], false);
     later.heard(2, true, None);
     later.heard(3, true, None);
     assert_eq!(later.founders(), None);
-    let mut registrar = Founding::new(1, false, vec![1, 2, 3], false);
+    let mut restarted = Bootstrap::new(1, false, vec![1, 2, 3], false);
     for ip in 2..6 {
-        registrar.heard(ip, ip > 3, None);
+        restarted.heard(ip, ip > 3, None);
     }
-    assert_eq!(registrar.named(), None, "a seed that has started again names nobody");
+    assert_eq!(restarted.named(), None, "a seed that has started again names nobody");
 }
--- a/crates/gaugesaddle-delta/src/patch.rs
+++ b/crates/gaugesaddle-delta/src/delta.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 
 /// A patched document is at most so long: the longest message between processes.
-pub const MOST_BYTES: usize = 12 << 20;
+pub const MAX_BYTES: usize = 12 << 20;
 
 /// One step of a patch.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
@@ -24,7 +24,7 @@
 
 /// What makes one version of a document out of another.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Patch {
+pub struct DocumentDelta {
     base: Digest,
     result: Digest,
     steps: Vec<Step>,
@@ -32,11 +32,11 @@
 
 /// Why a patch makes nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum PatchError {
+pub enum DeltaError {
     /// It is for another version.
     #[error("a patch for another version of the document")]
     Base,
-    /// A step reaches beyond the base, or the result is longer than [`MOST_BYTES`].
+    /// A step reaches beyond the base, or the result is longer than [`MAX_BYTES`].
     #[error("a patch that reaches beyond its document")]
     Bounds,
     /// The result is not the version that the patch names.
@@ -44,11 +44,11 @@
     Result,
 }
 
-impl Patch {
+impl DocumentDelta {
     /// What makes `new` out of `base`.
-    pub fn between(base: &[u8], new: &[u8]) -> Patch {
+    pub fn between(base: &[u8], new: &[u8]) -> DocumentDelta {
         let steps = Matcher::new(base).steps(new);
-        Patch { base: Digest::of(base), result: Digest::of(new), steps }
+        DocumentDelta { base: Digest::of(base), result: Digest::of(new), steps }
     }
 
     /// The version it is for.
@@ -71,26 +71,26 @@
     }
 
     /// Makes the new version.
-    pub fn apply(&self, base: &[u8]) -> Result<Vec<u8>, PatchError> {
+    pub fn apply(&self, base: &[u8]) -> Result<Vec<u8>, DeltaError> {
         if Digest::of(base) != self.base {
-            return Err(PatchError::Base);
+            return Err(DeltaError::Base);
         }
         let mut made = Vec::new();
         for step in &self.steps {
             let bytes = match step {
                 Step::Copy { from, length } => {
                     let (from, length) = (*from as usize, *length as usize);
-                    base.get(from..from.saturating_add(length)).ok_or(PatchError::Bounds)?
+                    base.get(from..from.saturating_add(length)).ok_or(DeltaError::Bounds)?
                 }
                 Step::Insert(bytes) => bytes,
             };
-            if made.len() + bytes.len() > MOST_BYTES {
-                return Err(PatchError::Bounds);
+            if made.len() + bytes.len() > MAX_BYTES {
+                return Err(DeltaError::Bounds);
             }
             made.extend_from_slice(bytes);
         }
         if Digest::of(&made) != self.result {
-            return Err(PatchError::Result);
+            return Err(DeltaError::Result);
         }
         Ok(made)
     }
--- a/crates/gaugesaddle-distribution/src/distributor.rs
+++ b/crates/gaugesaddle-distribution/src/distributor.rs
@@ -1,20 +1,20 @@
 //! A control process's side: the configuration in force, and what each proxy lacks of it.
 
-use gaugesaddle_catalog::Registrar;
+use gaugesaddle_catalog::CatalogReplica;
 use gaugesaddle_protocol::{Configuration, ConfigurationUpdate, Digest, DocumentUpdate, Pull, PullReply};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 
 /// Earlier versions that are kept for proxies that have not taken a newer one yet.
-pub const MOST_VERSIONS: usize = 16;
+pub const MAX_VERSIONS: usize = 16;
 /// Bytes of those versions together.
-pub const MOST_VERSION_BYTES: usize = 4 << 20;
+pub const MAX_VERSION_BYTES: usize = 4 << 20;
 /// Updates that are kept for the next proxies with the same version.
-const MOST_UPDATES: usize = 4;
+const MAX_UPDATES: usize = 4;
 
 /// How a control process stands, as a proxy is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct ReplicaStatus {
     /// Whether it was in touch with a majority of replicas a moment ago.
     pub fresh: bool,
     /// Address of the leader's machine.
@@ -48,7 +48,7 @@
 
     /// Takes a configuration that a majority has on its disks; false where it is not newer.
     pub fn take(&mut self, configuration: &Configuration) -> bool {
-        if self.current.as_ref().is_some_and(|c| c.stamp >= configuration.stamp) {
+        if self.current.as_ref().is_some_and(|c| c.position >= configuration.position) {
             return false;
         }
         let digest = Digest::of(&configuration.document);
@@ -65,39 +65,41 @@
         let bytes = |versions: &VecDeque<Version>| versions.iter().map(|v| v.document.len()).sum::<usize>();
         // The newest stays, however long it is.
         while self.versions.len() > 1
-            && (self.versions.len() > MOST_VERSIONS || bytes(&self.versions) > MOST_VERSION_BYTES)
+            && (self.versions.len() > MAX_VERSIONS || bytes(&self.versions) > MAX_VERSION_BYTES)
         {
             self.versions.pop_front();
         }
     }
 
     /// Whether a proxy lacks something.
-    pub fn has_news(&self, registrar: &Registrar, pull: &Pull) -> bool {
-        self.is_newer(pull) || registrar.has_news_for(&pull.vector, &pull.digests)
+    pub fn has_changes(&self, catalog_replica: &CatalogReplica, pull: &Pull) -> bool {
+        self.is_newer(pull) || catalog_replica.has_changes_for(&pull.vector, &pull.digests)
     }
 
     /// The answer to a proxy's call.
-    pub fn answer(&self, now: u64, registrar: &Registrar, pull: &Pull, standing: Standing) -> PullReply {
+    pub fn answer(
+        &self, now: u64, catalog_replica: &CatalogReplica, pull: &Pull, replica_status: ReplicaStatus,
+    ) -> PullReply {
         PullReply {
-            fresh: standing.fresh,
-            leader: standing.leader,
-            members: standing.members,
+            fresh: replica_status.fresh,
+            leader: replica_status.leader,
+            members: replica_status.members,
             configuration: self.update_for(pull),
-            delta: registrar.news_for(now, &pull.vector, &pull.digests).unwrap_or_default(),
+            delta: catalog_replica.changes_for(now, &pull.vector, &pull.digests).unwrap_or_default(),
         }
     }
 
     fn is_newer(&self, pull: &Pull) -> bool {
-        self.current.as_ref().is_some_and(|c| Some(c.stamp) > pull.stamp)
+        self.current.as_ref().is_some_and(|c| Some(c.position) > pull.position)
     }
 
     fn update_for(&self, pull: &Pull) -> Option<ConfigurationUpdate> {
         let current = self.current.as_ref().filter(|_| self.is_newer(pull))?;
         let document = match pull.document {
             Some(base) => self.document_for(base, &current.document),
-            None => DocumentUpdate::Whole(current.document.clone()),
+            None => DocumentUpdate::Full(current.document.clone()),
         };
-        Some(ConfigurationUpdate { stamp: current.stamp, revision: current.revision, document })
+        Some(ConfigurationUpdate { position: current.position, revision: current.revision, document })
     }
 
     fn document_for(&self, base: Digest, newest: &[u8]) -> DocumentUpdate {
@@ -109,7 +111,7 @@
         let update = DocumentUpdate::between(version.map(|v| v.document.as_slice()), newest);
         if version.is_some() {
             updates.push_back((base, update.clone()));
-            let surplus = updates.len().saturating_sub(MOST_UPDATES);
+            let surplus = updates.len().saturating_sub(MAX_UPDATES);
             updates.drain(..surplus);
         }
         update
--- a/crates/gaugesaddle-distribution/src/follower.rs
+++ b/crates/gaugesaddle-distribution/src/follower.rs
@@ -2,7 +2,9 @@
 
 use crate::Members;
 use gaugesaddle_catalog::Catalog;
-use gaugesaddle_protocol::{Configuration, Digest, Lifecycle, Pull, PullReply, Registration, Stamp, Subject};
+use gaugesaddle_protocol::{
+    Configuration, Digest, Lifecycle, LogPosition, Pull, PullReply, Registration, Subject,
+};
 
 /// Digests of the catalog's ranges go with a call so often, in milliseconds.
 const COMPARE: u64 = 3000;
@@ -11,15 +13,15 @@
 
 /// A process that calls itself current has all that was committed so long before it says so, in milliseconds: the lease of
 /// a follower of the replicas' leader (`gaugesaddle-consensus`, `Settings::follower_lease`).
-pub const CURRENT: u64 = 600;
+pub const FOLLOWER_LEASE_MS: u64 = 600;
 
 /// What has left is told at the first call to a process, up to so many: as many as leave in the time for which they are
 /// known, where all backends of a large fleet are replaced within the hour.
-const MOST_LEFT: usize = 512;
+const MAX_LEFT: usize = 512;
 
 /// What an answer brought.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Taken {
+pub struct Applied {
     /// A newer configuration, or the same one at a later place in the history.
     pub configuration: bool,
     /// Some registration is another than before.
@@ -77,8 +79,8 @@
     }
 
     /// Place of that configuration in the history.
-    pub fn stamp(&self) -> Option<Stamp> {
-        self.configuration.as_ref().map(|c| c.stamp)
+    pub fn position(&self) -> Option<LogPosition> {
+        self.configuration.as_ref().map(|c| c.position)
     }
 
     /// Whether the configuration taken last was the newest one acknowledged less than so many milliseconds ago.
@@ -105,7 +107,7 @@
     }
 
     /// Whether seeds should be looked for, since no process in touch answers; at most once in a while.
-    pub fn seeks_seeds(&mut self, now: u64) -> bool {
+    pub fn needs_discovery(&mut self, now: u64) -> bool {
         let lost = self.fresh_at.is_none_or(|at| now >= at + LOST);
         let seeks = lost && now >= self.sought + LOST;
         if seeks {
@@ -115,7 +117,7 @@
     }
 
     /// Takes the seeds that were found.
-    pub fn name_seeds(&mut self, now: u64, seeds: impl Iterator<Item = u32>) {
+    pub fn add_seeds(&mut self, now: u64, seeds: impl Iterator<Item = u32>) {
         self.members.name(now, seeds);
     }
 
@@ -131,10 +133,10 @@
         Pull {
             proxy: self.proxy.clone(),
             vector: self.catalog.vector().clone(),
-            stamp: self.stamp(),
+            position: self.position(),
             document: self.document,
             digests: if compares { self.catalog.digests() } else { Vec::new() },
-            left: if wait_ms == 0 { self.left() } else { Vec::new() },
+            departed: if wait_ms == 0 { self.left() } else { Vec::new() },
             wait_ms,
         }
     }
@@ -142,21 +144,21 @@
     /// What is known to have left.
     fn left(&self) -> Vec<Registration> {
         let left = self.catalog.iter().filter(|r| r.lifecycle.is_leaving() && r.subject != Subject::Proxy);
-        left.take(MOST_LEFT).cloned().collect()
+        left.take(MAX_LEFT).cloned().collect()
     }
 
     /// Takes the answer to a call that was made at `asked` and is good for so long.
     ///
     /// One that is read later waited in the socket of a process that slept: what it calls current was so long ago.
-    pub fn take(&mut self, now: u64, asked: u64, good_for: u64, reply: PullReply) -> Taken {
+    pub fn take(&mut self, now: u64, asked: u64, good_for: u64, reply: PullReply) -> Applied {
         if now > asked + good_for {
-            return Taken::default();
+            return Applied::default();
         }
         self.members.name(now, reply.members.iter().copied());
         self.catalog.purge(now);
         // After a gap the vector stays, and the next call asks for all that is missing.
         let mut taken =
-            Taken { registrations: self.catalog.merge(now, reply.delta).changed, ..Taken::default() };
+            Applied { registrations: self.catalog.merge(now, reply.delta).changed, ..Applied::default() };
         self.leader = reply.leader;
         // A process that has lost its group may hold a version behind the one in force elsewhere.
         if !reply.fresh {
@@ -164,13 +166,13 @@
         }
         taken.stays = true;
         self.fresh_at = Some(now);
-        if let Some(update) = reply.configuration.filter(|update| Some(update.stamp) > self.stamp()) {
+        if let Some(update) = reply.configuration.filter(|update| Some(update.position) > self.position()) {
             let base = self.configuration.as_ref().map(|c| c.document.as_slice());
             match update.document.apply(base) {
                 Ok(document) => {
                     self.document = Some(Digest::of(&document));
-                    let (stamp, revision) = (update.stamp, update.revision);
-                    self.configuration = Some(Configuration { stamp, revision, document });
+                    let (position, revision) = (update.position, update.revision);
+                    self.configuration = Some(Configuration { position, revision, document });
                     taken.configuration = true;
                 }
                 Err(_) => {
@@ -180,7 +182,7 @@
             }
         }
         if self.configuration.is_some() {
-            self.proven_at = self.proven_at.max(Some(asked.saturating_sub(CURRENT)));
+            self.proven_at = self.proven_at.max(Some(asked.saturating_sub(FOLLOWER_LEASE_MS)));
         }
         taken
     }
--- a/crates/gaugesaddle-distribution/src/lib.rs
+++ b/crates/gaugesaddle-distribution/src/lib.rs
@@ -8,13 +8,13 @@
 //! Promise: a proxy never goes back behind a configuration that it has had in force, and takes one only from a process
 //! that was in touch with a majority a stated time before the answer was taken, however long the answer or the proxy
 //! itself stood still. It knows how long ago at most its configuration was the newest one acknowledged
-//! ([`Follower::is_proven_within`]). Tables are bounded by the number of control processes, and by [`MOST_VERSIONS`] versions of
-//! [`MOST_VERSION_BYTES`] together.
+//! ([`Follower::is_proven_within`]). Tables are bounded by the number of control processes, and by [`MAX_VERSIONS`] versions of
+//! [`MAX_VERSION_BYTES`] together.
 
 mod distributor;
 mod follower;
 mod members;
 
-pub use distributor::{Distributor, Standing, MOST_VERSIONS, MOST_VERSION_BYTES};
-pub use follower::{Follower, Taken, CURRENT};
-pub use members::{Members, AVOID, FORGET};
+pub use distributor::{Distributor, ReplicaStatus, MAX_VERSIONS, MAX_VERSION_BYTES};
+pub use follower::{Applied, Follower, FOLLOWER_LEASE_MS};
+pub use members::{Members, FAILED_MEMBER_BACKOFF_MS, MEMBER_RETENTION_MS};
--- a/crates/gaugesaddle-distribution/src/members.rs
+++ b/crates/gaugesaddle-distribution/src/members.rs
@@ -5,9 +5,9 @@
 
 /// A process that failed, or was not in touch with a majority, is asked again only after the others, and so much later,
 /// in ms.
-pub const AVOID: u64 = 3000;
+pub const FAILED_MEMBER_BACKOFF_MS: u64 = 3000;
 /// A process that nobody named for so long is forgotten, in ms.
-pub const FORGET: u64 = 60_000;
+pub const MEMBER_RETENTION_MS: u64 = 60_000;
 
 /// Control processes, by the address of their machine.
 #[derive(Clone, Debug)]
@@ -28,7 +28,7 @@
     /// Some process named these.
     pub fn name(&mut self, now: u64, members: impl Iterator<Item = u32>) {
         self.named.extend(members.map(|ip| (ip, now)));
-        self.named.retain(|_, at| now < *at + FORGET);
+        self.named.retain(|_, at| now < *at + MEMBER_RETENTION_MS);
         let named = &self.named;
         self.failed.retain(|ip, _| named.contains_key(ip));
     }
@@ -41,7 +41,9 @@
     /// The one to ask: not one that failed lately, if there is another; the one on this machine first, the others in an
     /// order of this machine's own.
     pub fn choose(&self, now: u64) -> Option<u32> {
-        let failed = |ip: &u32| self.failed.get(ip).copied().filter(|at| now < *at + AVOID).unwrap_or(0);
+        let failed = |ip: &u32| {
+            self.failed.get(ip).copied().filter(|at| now < *at + FAILED_MEMBER_BACKOFF_MS).unwrap_or(0)
+        };
         let order = |ip: &u32| mix(u64::from(*ip) ^ (u64::from(self.own) << 32));
         self.named.keys().copied().min_by_key(|ip| (failed(ip), *ip != self.own, order(ip)))
     }
--- a/crates/gaugesaddle-distribution/tests/following.rs
+++ b/crates/gaugesaddle-distribution/tests/following.rs
@@ -1,10 +1,10 @@
 //! The failure: a proxy goes back behind a configuration, takes one that was current long ago, or is stuck with one; or a
 //! small change travels whole.
 
-use gaugesaddle_catalog::Registrar;
-use gaugesaddle_distribution::{Distributor, Follower, Standing};
+use gaugesaddle_catalog::CatalogReplica;
+use gaugesaddle_distribution::{Distributor, Follower, ReplicaStatus};
 use gaugesaddle_protocol::{
-    Configuration, DocumentUpdate, Lifecycle, Origin, Pull, PullReply, Registration, Stamp, Subject,
+    Configuration, DocumentUpdate, Lifecycle, LogPosition, Origin, Pull, PullReply, Registration, Subject,
 };
 
 const NOW: u64 = 1_000_000;
@@ -27,22 +27,25 @@
     let routes: Vec<String> =
         (0..200).map(|n| format!("{{\"name\":\"r{n}\",\"weight\":{}}}", n * 7)).collect();
     let document = format!("{{\"revision\":{revision},\"routes\":[{}]}}", routes.join(","));
-    Configuration { stamp: Stamp { term, index }, revision, document: document.into_bytes() }
+    Configuration { position: LogPosition { term, index }, revision, document: document.into_bytes() }
 }
 
 struct Control {
     distributor: Distributor,
-    registrar: Registrar,
+    catalog_replica: CatalogReplica,
 }
 
 impl Control {
     fn new() -> Control {
-        Control { distributor: Distributor::default(), registrar: Registrar::new(NOW, Origin(1), 4200) }
+        Control {
+            distributor: Distributor::default(),
+            catalog_replica: CatalogReplica::new(NOW, Origin(1), 4200),
+        }
     }
 
     fn answer(&self, pull: &Pull, fresh: bool) -> PullReply {
-        let standing = Standing { fresh, leader: Some(1), members: vec![1, 2] };
-        self.distributor.answer(NOW, &self.registrar, pull, standing)
+        let replica_status = ReplicaStatus { fresh, leader: Some(1), members: vec![1, 2] };
+        self.distributor.answer(NOW, &self.catalog_replica, pull, replica_status)
     }
 }
 
@@ -52,9 +55,9 @@
 
 fn size(reply: &PullReply) -> usize {
     match reply.configuration.as_ref().map(|c| &c.document) {
-        Some(DocumentUpdate::Whole(document)) => document.len(),
-        Some(DocumentUpdate::Patch(patch)) => patch.size(),
-        Some(DocumentUpdate::Same) | None => 0,
+        Some(DocumentUpdate::Full(document)) => document.len(),
+        Some(DocumentUpdate::Delta(patch)) => patch.size(),
+        Some(DocumentUpdate::Unchanged) | None => 0,
     }
 }
 
@@ -67,7 +70,7 @@
     assert!(proxy.take(NOW, NOW, GOOD_FOR, first).configuration);
     control.distributor.take(&configuration(1, 2, 6));
     let call = pull(&mut proxy);
-    assert!(control.distributor.has_news(&control.registrar, &call));
+    assert!(control.distributor.has_changes(&control.catalog_replica, &call));
     let second = control.answer(&call, true);
     assert!(size(&second) * 20 < whole, "{} of {whole} bytes", size(&second));
     assert!(proxy.take(NOW, NOW, GOOD_FOR, second).configuration);
@@ -75,10 +78,10 @@
     // A new leader writes what it found under its own term.
     control.distributor.take(&configuration(2, 3, 6));
     let third = control.answer(&pull(&mut proxy), true);
-    assert_eq!(third.configuration.as_ref().map(|c| &c.document), Some(&DocumentUpdate::Same));
+    assert_eq!(third.configuration.as_ref().map(|c| &c.document), Some(&DocumentUpdate::Unchanged));
     assert!(proxy.take(NOW, NOW, GOOD_FOR, third).configuration);
     assert_eq!(proxy.configuration(), Some(&configuration(2, 3, 6)));
-    assert!(!control.distributor.has_news(&control.registrar, &pull(&mut proxy)));
+    assert!(!control.distributor.has_changes(&control.catalog_replica, &pull(&mut proxy)));
 }
 
 #[test]
@@ -94,9 +97,9 @@
     assert!(proxy.take(NOW, NOW, GOOD_FOR, answer).configuration);
     // However sure an older one is of itself.
     let mut call = pull(&mut proxy);
-    call.stamp = None;
+    call.position = None;
     assert!(!proxy.take(NOW, NOW, GOOD_FOR, old.answer(&call, true)).configuration);
-    assert_eq!(proxy.stamp(), Some(Stamp { term: 1, index: 2 }));
+    assert_eq!(proxy.position(), Some(LogPosition { term: 1, index: 2 }));
 }
 
 #[test]
@@ -121,14 +124,14 @@
     let mut spoilt = control.answer(&pull(&mut proxy), true);
     let (base, other) = (configuration(1, 1, 77), configuration(1, 1, 78));
     let foreign = DocumentUpdate::between(Some(&base.document), &other.document);
-    assert!(matches!(foreign, DocumentUpdate::Patch(_)));
+    assert!(matches!(foreign, DocumentUpdate::Delta(_)));
     if let Some(update) = &mut spoilt.configuration {
         update.document = foreign;
     }
     assert!(!proxy.take(NOW, NOW, GOOD_FOR, spoilt).configuration);
-    assert_eq!(proxy.stamp(), Some(Stamp { term: 1, index: 1 }), "what it has stays in force");
+    assert_eq!(proxy.position(), Some(LogPosition { term: 1, index: 1 }), "what it has stays in force");
     let next = control.answer(&pull(&mut proxy), true);
-    assert!(matches!(next.configuration.as_ref().map(|c| &c.document), Some(DocumentUpdate::Whole(_))));
+    assert!(matches!(next.configuration.as_ref().map(|c| &c.document), Some(DocumentUpdate::Full(_))));
     assert!(proxy.take(NOW, NOW, GOOD_FOR, next).configuration);
     assert_eq!(proxy.configuration(), Some(&configuration(1, 2, 6)));
 }
@@ -157,12 +160,12 @@
         sequence: 4,
         lifecycle: Lifecycle::Draining,
     };
-    control.registrar.note(NOW, backend);
+    control.catalog_replica.record(NOW, backend);
     let answer = control.answer(&pull(&mut proxy), true);
     assert!(proxy.take(NOW, NOW, GOOD_FOR, answer).registrations);
-    assert!(pull(&mut proxy).left.is_empty(), "once is enough");
+    assert!(pull(&mut proxy).departed.is_empty(), "once is enough");
     let first = proxy.pull(NOW, Lifecycle::Ready, 0);
-    assert_eq!(first.left.iter().map(|r| r.id.as_str()).collect::<Vec<_>>(), ["i-1"]);
+    assert_eq!(first.departed.iter().map(|r| r.id.as_str()).collect::<Vec<_>>(), ["i-1"]);
 }
 
 #[test]
@@ -203,7 +206,7 @@
     let another = "{another,".repeat(40);
     let update = unusable.configuration.as_mut().expect("a change");
     update.document = DocumentUpdate::between(Some(another.as_bytes()), format!("{another}x").as_bytes());
-    assert!(matches!(update.document, DocumentUpdate::Patch(_)));
+    assert!(matches!(update.document, DocumentUpdate::Delta(_)));
     proxy.take(later, later, GOOD_FOR, unusable);
     assert_eq!(proxy.configuration().map(|c| c.revision), Some(5));
     assert!(!proxy.is_proven_within(later, 3000), "a change that could not be taken");
@@ -212,5 +215,5 @@
 #[test]
 fn a_process_that_calls_itself_current_lags_behind_no_more_than_is_counted() {
     let settings = gaugesaddle_consensus::Settings::default();
-    assert_eq!(gaugesaddle_distribution::CURRENT, settings.follower_lease.max(settings.lease));
+    assert_eq!(gaugesaddle_distribution::FOLLOWER_LEASE_MS, settings.follower_lease_ms.max(settings.leader_lease_ms));
 }
--- a/crates/gaugesaddle-distribution/tests/members.rs
+++ b/crates/gaugesaddle-distribution/tests/members.rs
@@ -1,6 +1,6 @@
 //! The failure: a proxy goes back to the control process that it has just left, while others are in touch.
 
-use gaugesaddle_distribution::{Members, AVOID, FORGET};
+use gaugesaddle_distribution::{Members, FAILED_MEMBER_BACKOFF_MS, MEMBER_RETENTION_MS};
 
 const NOW: u64 = 1_000_000;
 
@@ -28,8 +28,8 @@
 fn its_own_is_asked_again_after_a_while() {
     let mut members = members(3);
     members.failed(NOW, 3);
-    assert_ne!(members.choose(NOW + AVOID - 1), Some(3));
-    assert_eq!(members.choose(NOW + AVOID), Some(3));
+    assert_ne!(members.choose(NOW + FAILED_MEMBER_BACKOFF_MS - 1), Some(3));
+    assert_eq!(members.choose(NOW + FAILED_MEMBER_BACKOFF_MS), Some(3));
 }
 
 #[test]
@@ -44,6 +44,6 @@
 #[test]
 fn what_nobody_names_is_forgotten_and_news_is_taken() {
     let mut members = members(9);
-    members.name(NOW + FORGET, [7].into_iter());
-    assert_eq!(members.choose(NOW + FORGET), Some(7));
+    members.name(NOW + MEMBER_RETENTION_MS, [7].into_iter());
+    assert_eq!(members.choose(NOW + MEMBER_RETENTION_MS), Some(7));
 }
--- a/crates/gaugesaddle-load-report/src/board.rs
+++ b/crates/gaugesaddle-load-report/src/aggregator.rs
@@ -1,6 +1,6 @@
 //! A control process's side.
 
-use crate::{FRESH, MOST_BACKENDS, MOST_PROCESSES, MOST_PROXIES};
+use crate::{FRESH, MAX_BACKENDS, MAX_PROCESSES, MAX_PROXIES};
 use gaugesaddle_protocol::BackendLoad;
 use std::collections::BTreeMap;
 
@@ -13,20 +13,20 @@
 
 /// The newest report of each proxy that calls this process, and the newest sums of the other processes.
 #[derive(Clone, Debug, Default)]
-pub struct LoadBoard {
+pub struct LoadAggregator {
     proxies: BTreeMap<u64, Dated>,
     processes: BTreeMap<u32, Dated>,
 }
 
-impl LoadBoard {
+impl LoadAggregator {
     /// A proxy reports; its report before this one is void.
     pub fn report(&mut self, now: u64, proxy: u64, loads: Vec<BackendLoad>) {
-        put(&mut self.proxies, MOST_PROXIES, now, proxy, loads);
+        put(&mut self.proxies, MAX_PROXIES, now, proxy, loads);
     }
 
     /// Another control process tells the sums of its own proxies.
     pub fn take(&mut self, now: u64, process: u32, loads: Vec<BackendLoad>) {
-        put(&mut self.processes, MOST_PROCESSES, now, process, loads);
+        put(&mut self.processes, MAX_PROCESSES, now, process, loads);
     }
 
     /// The sums of the proxies that call this process, for the others.
@@ -47,7 +47,7 @@
             return;
         }
     }
-    loads.truncate(MOST_BACKENDS);
+    loads.truncate(MAX_BACKENDS);
     table.insert(key, Dated { at: now, loads });
 }
 
@@ -68,9 +68,9 @@
 /// Those with the most work and failures, where there are too many to tell.
 fn heaviest(sums: BTreeMap<u32, BackendLoad>) -> Vec<BackendLoad> {
     let mut loads: Vec<BackendLoad> = sums.into_values().collect();
-    if loads.len() > MOST_BACKENDS {
+    if loads.len() > MAX_BACKENDS {
         loads.sort_unstable_by_key(|load| std::cmp::Reverse((load.work, load.failed)));
-        loads.truncate(MOST_BACKENDS);
+        loads.truncate(MAX_BACKENDS);
     }
     loads
 }
--- a/crates/gaugesaddle-load-report/src/lib.rs
+++ b/crates/gaugesaddle-load-report/src/lib.rs
@@ -8,24 +8,24 @@
 //!                   <--sums of all---
 //! ```
 //! - [`LoadView`]: at a proxy, its own part and what it has heard of the others'.
-//! - [`LoadBoard`]: at a control process, the newest report of each proxy that calls it and the newest sums of the others.
+//! - [`LoadAggregator`]: at a control process, the newest report of each proxy that calls it and the newest sums of the others.
 //!
 //! Reports are whole, never differences: one that is lost is made good by the next, and a repeated one counts once. All of
 //! it is a guess with an age: a report that is not renewed for [`FRESH`] is void, and a proxy that hears nothing goes by
-//! what it sees itself. Tables are bounded by [`MOST_BACKENDS`], [`MOST_PROXIES`] and [`MOST_PROCESSES`].
+//! what it sees itself. Tables are bounded by [`MAX_BACKENDS`], [`MAX_PROXIES`] and [`MAX_PROCESSES`].
 
-mod board;
+mod aggregator;
 mod decaying;
 mod view;
 
-pub use board::LoadBoard;
+pub use aggregator::LoadAggregator;
 pub use view::{Health, LoadView};
 
 /// Reports and sums that are not renewed for so long are void, in ms.
 pub const FRESH: u64 = 1000;
 /// Backends in one report or sum; those with the most work are told.
-pub const MOST_BACKENDS: usize = 256;
+pub const MAX_BACKENDS: usize = 256;
 /// Proxies whose reports a control process keeps.
-pub const MOST_PROXIES: usize = 1024;
+pub const MAX_PROXIES: usize = 1024;
 /// Control processes whose sums are kept.
-pub const MOST_PROCESSES: usize = 64;
+pub const MAX_PROCESSES: usize = 64;
--- a/crates/gaugesaddle-load-report/src/view.rs
+++ b/crates/gaugesaddle-load-report/src/view.rs
@@ -1,7 +1,7 @@
 //! A proxy's side.
 
 use crate::decaying::Decaying;
-use crate::{FRESH, MOST_BACKENDS};
+use crate::{FRESH, MAX_BACKENDS};
 use gaugesaddle_protocol::BackendLoad;
 use std::collections::HashMap;
 
@@ -110,9 +110,9 @@
     pub fn report(&mut self, now: u64) -> Vec<BackendLoad> {
         let mut loads: Vec<BackendLoad> =
             self.own.iter().map(|(backend, own)| own.load(now, *backend)).collect();
-        if loads.len() > MOST_BACKENDS {
+        if loads.len() > MAX_BACKENDS {
             loads.sort_unstable_by_key(|load| std::cmp::Reverse((load.work, load.failed)));
-            loads.truncate(MOST_BACKENDS);
+            loads.truncate(MAX_BACKENDS);
         }
         self.said = !loads.is_empty();
         self.reported = loads.iter().map(|load| (load.backend, *load)).collect();
@@ -128,7 +128,7 @@
             sum.served = sum.served.saturating_sub(own.served);
             (sum.backend, sum)
         };
-        self.others = sums.into_iter().take(MOST_BACKENDS).map(without_own).collect();
+        self.others = sums.into_iter().take(MAX_BACKENDS).map(without_own).collect();
         self.heard = Some(reported_at);
     }
 
--- a/crates/gaugesaddle-load-report/tests/sharing.rs
+++ b/crates/gaugesaddle-load-report/tests/sharing.rs
@@ -1,7 +1,7 @@
 //! The failure: a proxy takes old or repeated news for work that waits, counts its own twice, or holds one neighbour's word
 //! for a backend's failure; or tables grow without a bound.
 
-use gaugesaddle_load_report::{LoadBoard, LoadView, FRESH, MOST_BACKENDS, MOST_PROXIES};
+use gaugesaddle_load_report::{LoadAggregator, LoadView, FRESH, MAX_BACKENDS, MAX_PROXIES};
 use gaugesaddle_protocol::BackendLoad;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -9,7 +9,7 @@
 const NOW: u64 = 1_000_000;
 
 /// A round of reports: each proxy reports to its process, processes tell each other, and each proxy hears the sums.
-fn exchange(now: u64, proxies: &mut [LoadView], boards: &mut [LoadBoard]) {
+fn exchange(now: u64, proxies: &mut [LoadView], boards: &mut [LoadAggregator]) {
     for (number, proxy) in proxies.iter_mut().enumerate() {
         boards[number % boards.len()].report(now, number as u64, proxy.report(now));
     }
@@ -27,7 +27,7 @@
 #[test]
 fn all_proxies_see_what_all_have_sent_and_each_its_own_at_once() {
     let mut proxies = vec![LoadView::default(); 91];
-    let mut boards = vec![LoadBoard::default(); 8];
+    let mut boards = vec![LoadAggregator::default(); 8];
     for proxy in &mut proxies {
         proxy.begin(NOW, 7, 100.0);
     }
@@ -47,7 +47,7 @@
 #[test]
 fn a_proxy_that_hears_nothing_goes_by_what_it_sees_itself() {
     let mut proxies = vec![LoadView::default(); 2];
-    let mut boards = vec![LoadBoard::default(); 1];
+    let mut boards = vec![LoadAggregator::default(); 1];
     proxies[0].begin(NOW, 1, 10.0);
     proxies[1].begin(NOW, 1, 1000.0);
     exchange(NOW, &mut proxies, &mut boards);
@@ -58,7 +58,7 @@
 #[test]
 fn a_proxy_that_has_gone_leaves_no_work_behind() {
     let mut proxies = vec![LoadView::default(); 2];
-    let mut boards = vec![LoadBoard::default(); 2];
+    let mut boards = vec![LoadAggregator::default(); 2];
     proxies[1].begin(NOW, 1, 1000.0);
     exchange(NOW, &mut proxies, &mut boards);
     // The second one is killed; its process hears nothing of it any more.
@@ -73,7 +73,7 @@
 #[test]
 fn a_backend_fails_where_several_requests_do_and_few_are_answered() {
     let mut proxies = vec![LoadView::default(); 91];
-    let mut boards = vec![LoadBoard::default(); 8];
+    let mut boards = vec![LoadAggregator::default(); 8];
     for proxy in proxies.iter_mut().take(3) {
         proxy.failed(NOW, 5);
         proxy.failed(NOW, 6);
@@ -95,7 +95,7 @@
 #[test]
 fn a_backend_that_hangs_is_known_to_all_before_its_clients_give_up() {
     let mut proxies = vec![LoadView::default(); 91];
-    let mut boards = vec![LoadBoard::default(); 8];
+    let mut boards = vec![LoadAggregator::default(); 8];
     for proxy in proxies.iter_mut().take(3) {
         proxy.begin(NOW, 5, 3000.0);
         // As long a wait, where others are answered: it is merely loaded.
@@ -128,18 +128,18 @@
 
 #[test]
 fn tables_are_bounded_and_those_with_most_work_are_told() {
-    let mut board = LoadBoard::default();
-    for proxy in 0..2 * MOST_PROXIES as u64 {
+    let mut board = LoadAggregator::default();
+    for proxy in 0..2 * MAX_PROXIES as u64 {
         let load = BackendLoad { backend: proxy as u32, work: proxy as u32, ..BackendLoad::default() };
         board.report(NOW, proxy, vec![load; 3]);
     }
     let all = board.all(NOW);
-    assert_eq!(all.len(), MOST_BACKENDS);
-    assert_eq!(all.iter().map(|l| l.work).max(), Some(3 * (MOST_PROXIES as u32 - 1)));
+    assert_eq!(all.len(), MAX_BACKENDS);
+    assert_eq!(all.iter().map(|l| l.work).max(), Some(3 * (MAX_PROXIES as u32 - 1)));
     let mut proxy = LoadView::default();
     (0..2000).for_each(|backend| proxy.begin(NOW, backend, f64::from(backend)));
     let report = proxy.report(NOW);
-    assert_eq!(report.len(), MOST_BACKENDS);
+    assert_eq!(report.len(), MAX_BACKENDS);
     assert!(report.iter().any(|l| l.work == 1999) && report.iter().all(|l| l.work >= 1744));
     proxy.heard(NOW, vec![BackendLoad { backend: 1, work: u32::MAX, failed: u32::MAX, served: 0 }; 4000]);
     assert!(proxy.work(NOW, 1).is_finite());
@@ -152,7 +152,7 @@
     #[test]
     fn after_a_round_all_see_the_same_sum(steps in prop::collection::vec((0usize..9, 0u32..5, 1u32..500, any::<bool>()), 0..120)) {
         let mut proxies = vec![LoadView::default(); 9];
-        let mut boards = vec![LoadBoard::default(); 3];
+        let mut boards = vec![LoadAggregator::default(); 3];
         let mut under_way: Vec<(usize, u32, u32)> = Vec::new();
         for (at, (proxy, backend, work, ends)) in steps.into_iter().enumerate() {
             if ends && !under_way.is_empty() {
--- a/crates/gaugesaddle-log/tests/crashes.rs
+++ b/crates/gaugesaddle-log/tests/crashes.rs
@@ -135,9 +135,9 @@
                 }
                 lose_power(&disk, &[fate]);
                 let ring = open(&disk);
-                let [ballot, state] = ring.slots();
+                let [hard_state, state] = ring.slots();
                 // What failed may be there or not; nothing older than what was reported, and nothing spoilt.
-                for (found, least) in [(ballot, &reported.0), (state, &reported.1)] {
+                for (found, least) in [(hard_state, &reported.0), (state, &reported.1)] {
                     let number = |p: &Option<Vec<u8>>| p.as_ref().map(|p| p[0]);
                     assert!(number(found) >= number(least), "append {failing}, {fate:?}: older");
                     assert!(number(found) <= Some(failing), "append {failing}, {fate:?}: from nowhere");
--- a/crates/gaugesaddle-protocol/src/catalog.rs
+++ b/crates/gaugesaddle-protocol/src/catalog.rs
@@ -35,7 +35,7 @@
     /// It has announced its end and gets no new requests.
     Draining,
     /// It has deregistered.
-    Gone,
+    Departed,
 }
 
 impl Lifecycle {
@@ -89,7 +89,7 @@
 
 /// Entries that a receiver lacks, and what it knows after taking them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct Delta {
+pub struct CatalogDelta {
     /// The entries.
     pub entries: Vec<Entry>,
     /// What the receiver must know already, so that nothing is missing in between.
--- a/crates/gaugesaddle-protocol/src/consensus.rs
+++ b/crates/gaugesaddle-protocol/src/consensus.rs
@@ -1,6 +1,6 @@
 //! Messages between the replicas of the configuration, and what they store.
 
-use gaugesaddle_delta::{Digest, Patch, PatchError};
+use gaugesaddle_delta::{DeltaError, Digest, DocumentDelta};
 use musli::{Decode, Encode};
 use std::fmt;
 use std::net::Ipv4Addr;
@@ -29,7 +29,7 @@
 
 /// Place of a state in the history: the leader's term, then a count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
-pub struct Stamp {
+pub struct LogPosition {
     /// Term of the leader that wrote it.
     pub term: u64,
     /// Rises by one with each state.
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct State {
     /// Its place in the history.
-    pub stamp: Stamp,
+    pub position: LogPosition,
     /// Revision of the configuration; 0 before the first.
     pub revision: u64,
     /// The configuration as the operator sent it.
@@ -70,35 +70,35 @@
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum DocumentUpdate {
     /// The version that the receiver has.
-    Same,
+    Unchanged,
     /// What makes it out of the version that the receiver has.
-    Patch(Patch),
+    Delta(DocumentDelta),
     /// All of it.
-    Whole(#[musli(bytes)] Vec<u8>),
+    Full(#[musli(bytes)] Vec<u8>),
 }
 
 impl DocumentUpdate {
     /// What brings a receiver with one version to another; `None`: it has none.
     pub fn between(base: Option<&[u8]>, document: &[u8]) -> DocumentUpdate {
-        let Some(base) = base else { return DocumentUpdate::Whole(document.to_vec()) };
+        let Some(base) = base else { return DocumentUpdate::Full(document.to_vec()) };
         if base == document {
-            return DocumentUpdate::Same;
+            return DocumentUpdate::Unchanged;
         }
-        let patch = Patch::between(base, document);
+        let patch = DocumentDelta::between(base, document);
         if patch.size() < document.len() {
-            DocumentUpdate::Patch(patch)
+            DocumentUpdate::Delta(patch)
         } else {
-            DocumentUpdate::Whole(document.to_vec())
+            DocumentUpdate::Full(document.to_vec())
         }
     }
 
     /// The document, where it can be made out of the version at hand.
-    pub fn apply(self, base: Option<&[u8]>) -> Result<Vec<u8>, PatchError> {
+    pub fn apply(self, base: Option<&[u8]>) -> Result<Vec<u8>, DeltaError> {
         match (self, base) {
-            (DocumentUpdate::Whole(document), _) => Ok(document),
-            (DocumentUpdate::Same, Some(base)) => Ok(base.to_vec()),
-            (DocumentUpdate::Patch(patch), Some(base)) => patch.apply(base),
-            (DocumentUpdate::Same | DocumentUpdate::Patch(_), None) => Err(PatchError::Base),
+            (DocumentUpdate::Full(document), _) => Ok(document),
+            (DocumentUpdate::Unchanged, Some(base)) => Ok(base.to_vec()),
+            (DocumentUpdate::Delta(patch), Some(base)) => patch.apply(base),
+            (DocumentUpdate::Unchanged | DocumentUpdate::Delta(_), None) => Err(DeltaError::Base),
         }
     }
 }
@@ -107,9 +107,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct StateUpdate {
     /// The state that the receiver has and this one is told against; `None`: this one is told whole.
-    pub base: Option<Stamp>,
+    pub base: Option<LogPosition>,
     /// Its place in the history.
-    pub stamp: Stamp,
+    pub position: LogPosition,
     /// Revision of the configuration.
     pub revision: u64,
     /// The configuration.
@@ -126,9 +126,9 @@
 
 /// What a replica must not forget beside the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Ballot {
+pub struct HardState {
     /// Who it is.
-    pub me: ReplicaId,
+    pub id: ReplicaId,
     /// The newest term it has seen.
     pub term: u64,
     /// For whom it voted in that term.
@@ -137,41 +137,41 @@
 
 /// A time on the steady clock of one process. Only the process that made it can read it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Mark {
+pub struct ClockReading {
     /// Drawn by the process at its start, so that a restarted one does not take an older one's mark for its own.
     pub process: u64,
     /// Milliseconds on its clock.
-    pub at: u64,
+    pub time_ms: u64,
 }
 
 /// A message from one replica to another.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ReplicaMessage {
     /// Would you vote for me in this term?
-    PreVote {
+    RequestPreVote {
         /// The term that would begin.
         term: u64,
         /// The candidate's newest state.
-        last: Stamp,
+        last_position: LogPosition,
     },
-    /// The answer to `PreVote`.
-    PreVoteReply {
+    /// The answer to `RequestPreVote`.
+    RequestPreVoteResponse {
         /// The term asked about, or a newer one where refused.
         term: u64,
         /// Whether the vote would be given.
         granted: bool,
     },
     /// A candidate asks for a vote.
-    Vote {
+    RequestVote {
         /// The candidate's term.
         term: u64,
         /// Its newest state.
-        last: Stamp,
+        last_position: LogPosition,
         /// The leader itself asked this candidate to stand: voters need not wait until they miss that leader.
-        handover: bool,
+        leadership_transfer: bool,
     },
-    /// The answer to `Vote`.
-    VoteReply {
+    /// The answer to `RequestVote`.
+    RequestVoteResponse {
         /// The voter's term.
         term: u64,
         /// Whether the vote is given; it is on the voter's disk by then.
@@ -182,32 +182,32 @@
         /// The leader's term.
         term: u64,
         /// Number of the heartbeat.
-        round: u64,
+        sequence: u64,
         /// The leader's newest state.
-        at: Stamp,
+        last_position: LogPosition,
         /// The newest state known to be on a majority of disks.
-        committed: Stamp,
+        committed: LogPosition,
         /// The state, where the receiver may lack it.
         state: Option<Box<StateUpdate>>,
         /// The newest mark that the receiver has sent to this leader: at that time of its own clock or later a majority
         /// followed this leader.
-        echo: Option<Mark>,
+        echoed_reading: Option<ClockReading>,
     },
     /// The answer to `Append`.
-    AppendReply {
+    AppendResponse {
         /// The follower's term.
         term: u64,
         /// The heartbeat it answers.
-        round: u64,
+        sequence: u64,
         /// The newest state of this term on its disk.
-        matched: Stamp,
+        matched: LogPosition,
         /// The newest state it has, on its disk or on the way there.
-        held: Stamp,
+        received: LogPosition,
         /// When the follower took that heartbeat.
-        mark: Mark,
+        clock_reading: ClockReading,
     },
     /// The leader ends its leadership and asks the receiver to stand at once.
-    TakeOver {
+    TimeoutNow {
         /// The leader's term.
         term: u64,
     },
--- a/crates/gaugesaddle-protocol/src/core.rs
+++ b/crates/gaugesaddle-protocol/src/core.rs
@@ -1,8 +1,8 @@
 //! Requests to a control process and its answers, and what control processes tell each other.
 
 use crate::{
-    BackendLoad, Delta, DocumentUpdate, QuotaGrant, QuotaWant, Registration, ReplicaId, ReplicaMessage,
-    Stamp, VersionVector,
+    BackendLoad, CatalogDelta, DocumentUpdate, LogPosition, QuotaGrant, QuotaRequest, Registration,
+    ReplicaId, ReplicaMessage, VersionVector,
 };
 use gaugesaddle_delta::Digest;
 use musli::{Decode, Encode};
@@ -15,14 +15,14 @@
     /// What it knows of the catalog.
     pub vector: VersionVector,
     /// The configuration it has in force.
-    pub stamp: Option<Stamp>,
+    pub position: Option<LogPosition>,
     /// Digest of the document of that configuration.
     pub document: Option<Digest>,
     /// Digests of the ranges of its catalog, when it has taken all changes.
     pub digests: Vec<u64>,
     /// What it knows to have left, at the first call to a process: one that has just started may not know it, and nobody
     /// else may, where all control processes ended together after they had acknowledged it.
-    pub left: Vec<Registration>,
+    pub departed: Vec<Registration>,
     /// How long the answer may be held back while there is no news, in milliseconds.
     pub wait_ms: u32,
 }
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Configuration {
     /// Its place in the history.
-    pub stamp: Stamp,
+    pub position: LogPosition,
     /// The operator's revision.
     pub revision: u64,
     /// The operator's document.
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigurationUpdate {
     /// Its place in the history.
-    pub stamp: Stamp,
+    pub position: LogPosition,
     /// The operator's revision.
     pub revision: u64,
     /// The operator's document.
@@ -62,41 +62,41 @@
     /// The newest configuration, where the proxy lacks it.
     pub configuration: Option<ConfigurationUpdate>,
     /// What the proxy lacks of the catalog.
-    pub delta: Delta,
+    pub delta: CatalogDelta,
 }
 
 /// What an order brings, as its operator sent it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub enum OrderBody {
+pub enum ChangeBody {
     /// A whole configuration.
-    Whole(#[musli(bytes)] Vec<u8>),
+    Full(#[musli(bytes)] Vec<u8>),
     /// Changes of named items.
     Patch(#[musli(bytes)] Vec<u8>),
 }
 
-impl OrderBody {
+impl ChangeBody {
     /// Its length in bytes.
     pub fn size(&self) -> usize {
         match self {
-            OrderBody::Whole(body) | OrderBody::Patch(body) => body.len(),
+            ChangeBody::Full(body) | ChangeBody::Patch(body) => body.len(),
         }
     }
 }
 
 /// An order of the operator, passed on to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Order {
+pub struct ConfigurationChange {
     /// The revision that the order builds on.
     pub base: u64,
     /// What it brings.
-    pub body: OrderBody,
+    pub body: ChangeBody,
 }
 
 /// What became of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub enum OrderReply {
+pub enum ChangeReply {
     /// It is in force, or was.
-    Taken,
+    Applied,
     /// Another version is in place.
     Conflict {
         /// Its revision.
@@ -108,7 +108,7 @@
         findings: Vec<String>,
     },
     /// Nothing is known of what became or becomes of it.
-    Unclear,
+    Indeterminate,
 }
 
 /// A request to a control process; each has one answer.
@@ -121,7 +121,7 @@
         /// Name of the proxy's machine.
         machine: String,
         /// Its wants.
-        wants: Vec<QuotaWant>,
+        requests: Vec<QuotaRequest>,
     },
     /// From a proxy: what it sees of the backends' load.
     Load {
@@ -131,7 +131,7 @@
         loads: Vec<BackendLoad>,
     },
     /// From a control process to the leader.
-    Order(Box<Order>),
+    Change(Box<ConfigurationChange>),
     /// From a control process to the leader: the current configuration.
     Read,
     /// From an operator: how does this process stand?
@@ -153,8 +153,8 @@
         /// The sums.
         loads: Vec<BackendLoad>,
     },
-    /// To `Order`.
-    Order(OrderReply),
+    /// To `ConfigurationChange`.
+    Change(ChangeReply),
     /// To `Read`: the configuration, `None` before the first.
     Read(Option<Configuration>),
     /// To `Status`.
@@ -173,7 +173,7 @@
         /// Whether it keeps the configuration on a disk.
         has_disk: bool,
         /// The machine that was named to found the group, where the seeds could not.
-        founder: Option<u32>,
+        bootstrap_node: Option<u32>,
         /// What it counts its changes under.
         origin: crate::Origin,
         /// Addresses of the machines that it knows to serve control.
@@ -191,7 +191,7 @@
     /// The sums of what the proxies that call the sender see of the backends' load.
     Load(Vec<BackendLoad>),
     /// Changes of the catalog, as they happen.
-    Push(Delta),
+    Push(CatalogDelta),
     /// The sender has taken the changes of an origin up to a number.
     Acknowledge {
         /// The origin.
--- a/crates/gaugesaddle-protocol/src/frame.rs
+++ b/crates/gaugesaddle-protocol/src/frame.rs
@@ -10,13 +10,13 @@
 /// Bytes before a message: its length (little endian, without these bytes) and the version.
 pub const HEADER_BYTES: usize = 5;
 /// A message is at most this long: a configuration of 4 MiB with room for what goes with it.
-pub const MOST_BYTES: usize = 12 << 20;
+pub const MAX_BYTES: usize = 12 << 20;
 
 /// Why a frame cannot be read.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum FrameError {
-    /// The length exceeds [`MOST_BYTES`].
-    #[error("a frame of {0} bytes, at most {MOST_BYTES} are expected")]
+    /// The length exceeds [`MAX_BYTES`].
+    #[error("a frame of {0} bytes, at most {MAX_BYTES} are expected")]
     TooLong(usize),
     /// Another version of the format, or no frame at all.
     #[error("format version {0}, expected {VERSION}")]
@@ -32,7 +32,7 @@
 /// A whole frame for a message.
 pub fn encode<T: Encode<Binary>>(message: &T) -> Result<Vec<u8>, FrameError> {
     let body = musli::storage::to_vec(message).map_err(|_| FrameError::Encode)?;
-    if body.len() > MOST_BYTES {
+    if body.len() > MAX_BYTES {
         return Err(FrameError::TooLong(body.len()));
     }
     let mut frame = Vec::with_capacity(HEADER_BYTES + body.len());
@@ -49,7 +49,7 @@
         return Err(FrameError::Version(version));
     }
     let length = u32::from_le_bytes([a, b, c, d]) as usize;
-    if length > MOST_BYTES {
+    if length > MAX_BYTES {
         return Err(FrameError::TooLong(length));
     }
     Ok(length)
--- a/crates/gaugesaddle-protocol/src/lib.rs
+++ b/crates/gaugesaddle-protocol/src/lib.rs
@@ -17,4 +17,4 @@
 pub use load::*;
 pub use quota::*;
 
-pub use gaugesaddle_delta::{Digest, Patch, PatchError};
+pub use gaugesaddle_delta::{DeltaError, Digest, DocumentDelta};
--- a/crates/gaugesaddle-protocol/tests/frames.rs
+++ b/crates/gaugesaddle-protocol/tests/frames.rs
@@ -1,7 +1,7 @@
 //! The failure: what another process sends, spoilt or foreign, ends this one or is taken for a message.
 
 use gaugesaddle_protocol::frame::{
-    body_length, decode, encode, FrameError, HEADER_BYTES, MOST_BYTES, VERSION,
+    body_length, decode, encode, FrameError, HEADER_BYTES, MAX_BYTES, VERSION,
 };
 use gaugesaddle_protocol::*;
 use proptest::prelude::*;
@@ -17,14 +17,14 @@
         sequence: 9,
         lifecycle: Lifecycle::Ready,
     };
-    let stamp = Some(Stamp { term: 2, index: 3 });
+    let position = Some(LogPosition { term: 2, index: 3 });
     Request::Pull(Box::new(Pull {
         proxy,
         vector,
-        stamp,
+        position,
         document: Some(Digest([4; 16])),
         digests: vec![1, 2, 3],
-        left: Vec::new(),
+        departed: Vec::new(),
         wait_ms: 350,
     }))
 }
@@ -32,8 +32,8 @@
 fn state() -> PeerMessage {
     let me = ReplicaId { ip: 0x0a01_0001, incarnation: 77 };
     let state = StateUpdate {
-        base: Some(Stamp { term: 4, index: 8 }),
-        stamp: Stamp { term: 4, index: 9 },
+        base: Some(LogPosition { term: 4, index: 8 }),
+        position: LogPosition { term: 4, index: 9 },
         revision: 5,
         document: DocumentUpdate::between(
             Some(b"{\"revision\":4,\"routes\":[]}"),
@@ -46,11 +46,11 @@
     };
     let message = ReplicaMessage::Append {
         term: 4,
-        round: 8,
-        at: state.stamp,
-        committed: Stamp::default(),
+        sequence: 8,
+        last_position: state.position,
+        committed: LogPosition::default(),
         state: Some(Box::new(state)),
-        echo: Some(Mark { process: 3, at: 4 }),
+        echoed_reading: Some(ClockReading { process: 3, time_ms: 4 }),
     };
     PeerMessage::Replica { from: me, to: None, message }
 }
@@ -69,9 +69,9 @@
 fn another_version_and_a_foreign_length_are_named() {
     assert_eq!(body_length([1, 0, 0, 0, VERSION + 1]), Err(FrameError::Version(VERSION + 1)));
     assert_eq!(body_length(*b"GET /"), Err(FrameError::Version(b'/')));
-    let long = (MOST_BYTES as u32 + 1).to_le_bytes();
+    let long = (MAX_BYTES as u32 + 1).to_le_bytes();
     let header = [long[0], long[1], long[2], long[3], VERSION];
-    assert_eq!(body_length(header), Err(FrameError::TooLong(MOST_BYTES + 1)));
+    assert_eq!(body_length(header), Err(FrameError::TooLong(MAX_BYTES + 1)));
 }
 
 /// Cases are the same in each run.
