--- a/crates/gaugesaddle-protocol/tests/golden_frames.rs
+++ b/crates/gaugesaddle-protocol/tests/golden_frames.rs
@@ -58,8 +58,8 @@
     ReplicaId { ip, incarnation: 0x0102_0304_0506_0708 }
 }
 
-fn stamp(index: u64) -> Stamp {
-    Stamp { term: 300, index }
+fn position(index: u64) -> LogPosition {
+    LogPosition { term: 300, index }
 }
 
 fn registration(subject: Subject, lifecycle: Lifecycle) -> Registration {
@@ -75,7 +75,7 @@
 }
 
 fn entries() -> Vec<Entry> {
-    [Lifecycle::Ready, Lifecycle::Expired, Lifecycle::Draining, Lifecycle::Gone]
+    [Lifecycle::Ready, Lifecycle::Expired, Lifecycle::Draining, Lifecycle::Departed]
         .into_iter()
         .zip([backend(), Subject::Proxy, backend(), Subject::Proxy])
         .enumerate()
@@ -87,8 +87,8 @@
         .collect()
 }
 
-fn delta() -> Delta {
-    Delta { entries: entries(), since: vector(), vector: vector(), complete_ranges: vec![1, 2, 63] }
+fn delta() -> CatalogDelta {
+    CatalogDelta { entries: entries(), since: vector(), vector: vector(), complete_ranges: vec![1, 2, 63] }
 }
 
 fn loads() -> Vec<BackendLoad> {
@@ -97,7 +97,7 @@
 
 fn state() -> State {
     State {
-        stamp: stamp(9),
+        position: position(9),
         revision: 12,
         document: b"{\"revision\":12}".to_vec(),
         accepted: vec![Accepted { revision: 12, digest: Digest([7; 16]) }],
@@ -108,10 +108,10 @@
 }
 
 fn update(document: DocumentUpdate) -> StateUpdate {
-    let State { stamp, revision, accepted, forgotten, voters, outgoing, .. } = state();
+    let State { position, revision, accepted, forgotten, voters, outgoing, .. } = state();
     StateUpdate {
-        base: Some(Stamp { term: 299, index: 8 }),
-        stamp,
+        base: Some(LogPosition { term: 299, index: 8 }),
+        position,
         revision,
         document,
         accepted,
@@ -124,14 +124,14 @@
 fn patch() -> DocumentUpdate {
     let old = br#"{"revision":11,"routes":[{"name":"a","timeoutMs":100},{"name":"b","timeoutMs":200}],"services":[]}"#;
     let new = br#"{"revision":12,"routes":[{"name":"a","timeoutMs":100},{"name":"b","timeoutMs":250}],"services":[]}"#;
-    DocumentUpdate::Patch(Patch::between(old, new))
+    DocumentUpdate::Delta(DocumentDelta::between(old, new))
 }
 
 #[test]
 fn stored_records_keep_their_bytes() {
     let mut frames = Vec::new();
     frames.push(("state", encode(&state()).expect("it encodes")));
-    let hard_state = Ballot { me: replica(4), term: 300, voted_for: Some(replica(5)) };
+    let hard_state = HardState { id: replica(4), term: 300, voted_for: Some(replica(5)) };
     frames.push(("hard state", encode(&hard_state).expect("it encodes")));
     let expected = include_str!("data/stored.txt");
     let written: Vec<String> = frames.iter().map(|(name, frame)| format!("{name}: {}", hex(frame))).collect();
@@ -156,25 +156,25 @@
         Request::Pull(Box::new(Pull {
             proxy: registration(Subject::Proxy, Lifecycle::Ready),
             vector: vector(),
-            stamp: Some(stamp(9)),
+            position: Some(position(9)),
             document: Some(Digest([8; 16])),
             digests: vec![1, 1 << 40],
-            left: vec![registration(backend(), Lifecycle::Gone)],
+            departed: vec![registration(backend(), Lifecycle::Departed)],
             wait_ms: 350,
         })),
     );
-    let wants = vec![QuotaWant { tenant: "t".to_owned(), tokens: 1, held: 200, pace: 30_000 }];
-    frames.check("request quota", Request::Quota { machine: "edge-1".to_owned(), wants });
+    let requests = vec![QuotaRequest { tenant: "t".to_owned(), tokens: 1, unused: 200, usage_rate: 30_000 }];
+    frames.check("request quota", Request::Quota { machine: "edge-1".to_owned(), requests });
     frames.check("request load", Request::Load { proxy: 99, loads: loads() });
-    let order = |body| Request::Order(Box::new(Order { base: 11, body }));
-    frames.check("request order whole", order(OrderBody::Whole(b"{\"revision\":12}".to_vec())));
-    frames.check("request order patch", order(OrderBody::Patch(b"{\"revision\":12}".to_vec())));
+    let order = |body| Request::Change(Box::new(ConfigurationChange { base: 11, body }));
+    frames.check("request order whole", order(ChangeBody::Full(b"{\"revision\":12}".to_vec())));
+    frames.check("request order patch", order(ChangeBody::Patch(b"{\"revision\":12}".to_vec())));
     frames.check("request read", Request::Read);
     frames.check("request status", Request::Status);
 }
 
 fn replies(frames: &mut Frames) {
-    let updated = |document| ConfigurationUpdate { stamp: stamp(9), revision: 12, document };
+    let updated = |document| ConfigurationUpdate { position: position(9), revision: 12, document };
     let pulled = |configuration| {
         Reply::Pull(Box::new(PullReply {
             fresh: true,
@@ -185,20 +185,20 @@
         }))
     };
     frames.check("reply pull without", pulled(None));
-    frames.check("reply pull same", pulled(Some(updated(DocumentUpdate::Same))));
+    frames.check("reply pull same", pulled(Some(updated(DocumentUpdate::Unchanged))));
     frames.check("reply pull patch", pulled(Some(updated(patch()))));
-    frames.check("reply pull whole", pulled(Some(updated(DocumentUpdate::Whole(b"{}".to_vec())))));
+    frames.check("reply pull whole", pulled(Some(updated(DocumentUpdate::Full(b"{}".to_vec())))));
     let grants = vec![QuotaGrant { tenant: "t".to_owned(), tokens: 500 }];
     frames.check("reply quota", Reply::Quota { grants });
     frames.check("reply load", Reply::Load { loads: loads() });
-    frames.check("reply order taken", Reply::Order(OrderReply::Taken));
-    frames.check("reply order conflict", Reply::Order(OrderReply::Conflict { current: 13 }));
+    frames.check("reply order taken", Reply::Change(ChangeReply::Applied));
+    frames.check("reply order conflict", Reply::Change(ChangeReply::Conflict { current: 13 }));
     let findings = vec!["routes[0]: expected".to_owned()];
-    frames.check("reply order invalid", Reply::Order(OrderReply::Invalid { findings }));
-    frames.check("reply order unclear", Reply::Order(OrderReply::Unclear));
+    frames.check("reply order invalid", Reply::Change(ChangeReply::Invalid { findings }));
+    frames.check("reply order unclear", Reply::Change(ChangeReply::Indeterminate));
     frames.check("reply read none", Reply::Read(None));
     let configuration =
-        Configuration { stamp: stamp(9), revision: 12, document: b"{\"revision\":12}".to_vec() };
+        Configuration { position: position(9), revision: 12, document: b"{\"revision\":12}".to_vec() };
     frames.check("reply read", Reply::Read(Some(configuration)));
     frames.check(
         "reply status",
@@ -226,36 +226,43 @@
         let from = replica(1);
         frames.check(name, PeerMessage::Replica { from, to: Some(replica(2)), message });
     };
-    check("replica pre-vote", ReplicaMessage::PreVote { term: 301, last: stamp(9) });
-    check("replica pre-vote reply", ReplicaMessage::PreVoteReply { term: 301, granted: true });
-    check("replica vote", ReplicaMessage::Vote { term: 301, last: stamp(9), handover: true });
-    check("replica vote reply", ReplicaMessage::VoteReply { term: 301, granted: false });
-    let mut append = |name: &str, state: Option<StateUpdate>, echo| {
+    check("replica pre-vote", ReplicaMessage::RequestPreVote { term: 301, last_position: position(9) });
+    check("replica pre-vote reply", ReplicaMessage::RequestPreVoteResponse { term: 301, granted: true });
+    check(
+        "replica vote",
+        ReplicaMessage::RequestVote { term: 301, last_position: position(9), leadership_transfer: true },
+    );
+    check("replica vote reply", ReplicaMessage::RequestVoteResponse { term: 301, granted: false });
+    let mut append = |name: &str, state: Option<StateUpdate>, echoed_reading| {
         let message = ReplicaMessage::Append {
             term: 301,
-            round: 4000,
-            at: stamp(9),
-            committed: stamp(8),
+            sequence: 4000,
+            last_position: position(9),
+            committed: position(8),
             state: state.map(Box::new),
-            echo,
+            echoed_reading,
         };
         check(name, message);
     };
     append("replica append empty", None, None);
-    append("replica append same", Some(update(DocumentUpdate::Same)), Some(Mark { process: 3, at: 70_000 }));
+    append(
+        "replica append same",
+        Some(update(DocumentUpdate::Unchanged)),
+        Some(ClockReading { process: 3, time_ms: 70_000 }),
+    );
     append("replica append patch", Some(update(patch())), None);
-    append("replica append whole", Some(update(DocumentUpdate::Whole(b"{}".to_vec()))), None);
+    append("replica append whole", Some(update(DocumentUpdate::Full(b"{}".to_vec()))), None);
     check(
         "replica append reply",
-        ReplicaMessage::AppendReply {
+        ReplicaMessage::AppendResponse {
             term: 301,
-            round: 4000,
-            matched: stamp(8),
-            held: stamp(9),
-            mark: Mark { process: 3, at: 70_000 },
+            sequence: 4000,
+            matched: position(8),
+            received: position(9),
+            clock_reading: ClockReading { process: 3, time_ms: 70_000 },
         },
     );
-    check("replica take over", ReplicaMessage::TakeOver { term: 301 });
+    check("replica take over", ReplicaMessage::TimeoutNow { term: 301 });
     check("replica join", ReplicaMessage::Join { durable: true });
 }
 
@@ -265,7 +272,7 @@
         PeerMessage::Hello {
             ip: 0x0a01_0001,
             has_disk: true,
-            founder: Some(0x0a01_0002),
+            bootstrap_node: Some(0x0a01_0002),
             origin: Origin(12),
             members: vec![1, 2, 3],
         },
--- a/crates/gaugesaddle-quota/src/dealer.rs
+++ b/crates/gaugesaddle-quota/src/allocator.rs
@@ -1,11 +1,11 @@
 //! The leader's side: a token bucket a tenant.
 
-use crate::{faded, FALLBACK, LEASE, SILENCE, SMOOTHING};
-use gaugesaddle_protocol::{QuotaGrant, QuotaWant};
+use crate::{faded, CONTACT_TIMEOUT_MS, FALLBACK_MS, LEASE_MS, SMOOTHING_MS};
+use gaugesaddle_protocol::{QuotaGrant, QuotaRequest};
 use std::collections::BTreeMap;
 
 /// A bucket holds at least what the rate brings in so many seconds, however small the burst.
-const LEAST_BUCKET: f64 = 0.1;
+const MIN_BUCKET: f64 = 0.1;
 
 /// A tenant's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -23,20 +23,21 @@
     /// When it asked last.
     asked: u64,
     /// Its pace, in tokens a second.
-    pace: f64,
+    usage_rate: f64,
     /// Tokens that it may still use: those that it had not used when it asked, and what it was lent then.
-    held: f64,
+    unused: f64,
 }
 
 impl Borrower {
     /// What it may have used at its fading pace between two times, if it has fallen silent.
     fn used_alone(&self, from: u64, to: u64) -> f64 {
-        let from = from.max(self.asked + SILENCE);
+        let from = from.max(self.asked + CONTACT_TIMEOUT_MS);
         if to <= from {
             return 0.0;
         }
-        let (before, after) = (faded(self.pace, from - self.asked), faded(self.pace, to - self.asked));
-        (before - after) * SMOOTHING / 1000.0
+        let (before, after) =
+            (faded(self.usage_rate, from - self.asked), faded(self.usage_rate, to - self.asked));
+        (before - after) * SMOOTHING_MS / 1000.0
     }
 }
 
@@ -50,11 +51,11 @@
 
 /// Lends tokens. A new leader begins with empty buckets: what the last one lent may still be used.
 #[derive(Clone, Debug, Default)]
-pub struct Dealer {
+pub struct TokenAllocator {
     buckets: BTreeMap<String, Bucket>,
 }
 
-impl Dealer {
+impl TokenAllocator {
     /// Takes the limits of a configuration; tenants without one are not listed.
     pub fn configure(&mut self, now: u64, limits: &[(String, Limit)]) {
         self.buckets.retain(|tenant, _| limits.iter().any(|(t, _)| t == tenant));
@@ -75,15 +76,16 @@
     }
 
     /// Lends the proxy on a machine what it wants, as far as there is.
-    pub fn lend(&mut self, now: u64, machine: &str, wants: &[QuotaWant]) -> Vec<QuotaGrant> {
-        let mut grants = Vec::with_capacity(wants.len());
-        for want in wants {
-            let Some(bucket) = self.buckets.get_mut(&want.tenant) else { continue };
-            let borrower = Borrower { asked: now, pace: want.pace as f64, held: want.held as f64 };
+    pub fn allocate(&mut self, now: u64, machine: &str, requests: &[QuotaRequest]) -> Vec<QuotaGrant> {
+        let mut grants = Vec::with_capacity(requests.len());
+        for request in requests {
+            let Some(bucket) = self.buckets.get_mut(&request.tenant) else { continue };
+            let borrower =
+                Borrower { asked: now, usage_rate: request.usage_rate as f64, unused: request.unused as f64 };
             bucket.borrowers.insert(machine.to_owned(), borrower);
             bucket.fill(now);
-            let tokens = bucket.take(machine, want.tokens as f64);
-            grants.push(QuotaGrant { tenant: want.tenant.clone(), tokens: tokens as u64 });
+            let tokens = bucket.take(machine, request.tokens as f64);
+            grants.push(QuotaGrant { tenant: request.tenant.clone(), tokens: tokens as u64 });
         }
         grants
     }
@@ -94,11 +96,12 @@
     /// would come on top of a full bucket, when all is used at once.
     fn fill(&mut self, now: u64) {
         let since = std::mem::replace(&mut self.filled, now);
-        self.borrowers.retain(|_, b| now < b.asked + FALLBACK + SILENCE);
+        self.borrowers.retain(|_, b| now < b.asked + FALLBACK_MS + CONTACT_TIMEOUT_MS);
         let kept_back: f64 = self.borrowers.values().map(|b| b.used_alone(since, now)).sum();
         let brought = self.limit.rate * now.saturating_sub(since) as f64 / 1000.0;
-        let held: f64 = self.borrowers.values().filter(|b| now < b.asked + LEASE).map(|b| b.held).sum();
-        let room = (self.limit.burst.max(self.limit.rate * LEAST_BUCKET) - held).max(0.0);
+        let unused: f64 =
+            self.borrowers.values().filter(|b| now < b.asked + LEASE_MS).map(|b| b.unused).sum();
+        let room = (self.limit.burst.max(self.limit.rate * MIN_BUCKET) - unused).max(0.0);
         self.tokens = (self.tokens + (brought - kept_back).max(0.0)).min(room);
     }
 
@@ -107,7 +110,7 @@
         let tokens = wanted.min(self.tokens.max(0.0)).floor();
         self.tokens -= tokens;
         if let Some(borrower) = self.borrowers.get_mut(machine) {
-            borrower.held += tokens;
+            borrower.unused += tokens;
         }
         tokens
     }
--- a/crates/gaugesaddle-quota/src/retry.rs
+++ b/crates/gaugesaddle-quota/src/retry.rs
@@ -35,7 +35,7 @@
     }
 
     /// A client's request for the service.
-    pub fn note_request(&mut self, now: u64) {
+    pub fn record_request(&mut self, now: u64) {
         let slot = now / (self.settings.window / SLOTS).max(1);
         match self.requests.back_mut() {
             Some((last, count)) if *last == slot => *count += 1,
--- a/crates/gaugesaddle-simulation/src/control.rs
+++ b/crates/gaugesaddle-simulation/src/control.rs
@@ -3,15 +3,15 @@
 use crate::disk::Disk;
 use crate::network::Node;
 use crate::Millis;
-use gaugesaddle_catalog::{Acknowledgement, Registrar};
+use gaugesaddle_catalog::{Acknowledgement, CatalogReplica};
 use gaugesaddle_consensus::{
-    stored, Input, NotLeading, Output, ProposalResult, Replica, Role, Settings, TicketId,
+    disk_format, Input, NotLeader, Output, ProposalResult, Replica, Role, Settings, WriteId,
 };
-use gaugesaddle_distribution::{Distributor, Standing};
+use gaugesaddle_distribution::{Distributor, ReplicaStatus};
 use gaugesaddle_log::Ring;
 use gaugesaddle_protocol::{
-    Ballot, Configuration, Order, OrderReply, Origin, PeerMessage, Pull, PullReply, Registration, ReplicaId,
-    ReplicaMessage, Stamp, State,
+    ChangeReply, Configuration, ConfigurationChange, HardState, LogPosition, Origin, PeerMessage, Pull,
+    PullReply, Registration, ReplicaId, ReplicaMessage, State,
 };
 use rand_pcg::rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
@@ -24,7 +24,7 @@
 /// An order or a read has so long to be answered.
 const ANSWER: Millis = 900;
 /// A proxy's call is held back at most so long.
-const MOST_WAIT: Millis = 2000;
+const MAX_WAIT: Millis = 2000;
 /// Between two looks at the acknowledgements of a held call.
 const LOOK: Millis = 3;
 /// A disk that refused is opened anew after so long.
@@ -38,7 +38,7 @@
     /// A proxy renews its lease and asks for news.
     Pull(Box<Pull>),
     /// An operator's order, or one passed on.
-    Order(Box<Order>),
+    Change(Box<ConfigurationChange>),
     /// A read of the configuration, or one passed on.
     Read,
     /// A backend's heartbeat.
@@ -52,10 +52,10 @@
 pub enum Answer {
     /// To `Pull`.
     Pull(Box<PullReply>),
-    /// To `Order`.
-    Order(OrderReply),
+    /// To `ConfigurationChange`.
+    Change(ChangeReply),
     /// To `Read`; `Err`: nobody can tell.
-    Read(Result<Option<Configuration>, NotLeading>),
+    Read(Result<Option<Configuration>, NotLeader>),
     /// To `Heartbeat` and `Deregister`: whether it is acknowledged.
     Registered(bool),
 }
@@ -122,8 +122,8 @@
 /// A write that waits for the disk.
 #[derive(Debug)]
 struct PendingWrite {
-    ticket: TicketId,
-    ballot: Ballot,
+    write_id: WriteId,
+    hard_state: HardState,
     state: Option<Box<State>>,
 }
 
@@ -139,7 +139,7 @@
     /// A configuration that this process calls committed.
     pub committed: Vec<Configuration>,
     /// What it told a proxy while it called itself current.
-    pub fresh_answers: Vec<Option<Stamp>>,
+    pub fresh_answers: Vec<Option<LogPosition>>,
 }
 
 /// A control process.
@@ -151,7 +151,7 @@
     /// The replica; none while the disk refuses.
     pub replica: Option<Replica>,
     /// Its part in the catalog.
-    pub registrar: Registrar,
+    pub catalog_replica: CatalogReplica,
     /// The configuration in force.
     pub distributor: Distributor,
     settings: Settings,
@@ -161,7 +161,7 @@
     writing: Vec<PendingWrite>,
     reopen_at: Option<Millis>,
     known: BTreeSet<u32>,
-    introduced: BTreeMap<u32, u64>,
+    register_peer: BTreeMap<u32, u64>,
     /// Proposals and reads at the own replica.
     waiting: BTreeMap<u64, Waiter>,
     /// Calls passed on to the leader, by their number there.
@@ -205,7 +205,7 @@
             started: now,
             has_disk: start.has_disk,
             replica: None,
-            registrar: Registrar::new(CLOCK_BEGINS, origin, BACKEND_LEASE),
+            catalog_replica: CatalogReplica::new(CLOCK_BEGINS, origin, BACKEND_LEASE),
             distributor: Distributor::default(),
             settings: start.settings,
             ring: None,
@@ -214,7 +214,7 @@
             writing: Vec::new(),
             reopen_at: None,
             known: start.seeds.into_iter().filter(|ip| *ip != start.ip).collect(),
-            introduced: BTreeMap::new(),
+            register_peer: BTreeMap::new(),
             waiting: BTreeMap::new(),
             forwarded: BTreeMap::new(),
             // Numbers of one process are never those of another.
@@ -236,23 +236,23 @@
 
     fn open(&mut self, now: Millis, founders: Option<Vec<ReplicaId>>) {
         let drawn = ReplicaId { ip: self.ip, incarnation: self.random.next_u64() | 1 };
-        let fresh = |me| Ballot { me, term: 0, voted_for: None };
-        let (ballot, state) = if self.has_disk {
+        let fresh = |me| HardState { id: me, term: 0, voted_for: None };
+        let (hard_state, state) = if self.has_disk {
             let Ok(ring) = Ring::open(self.disk.clone()) else { return };
-            let (ballot, state) = stored::read(ring.slots()).unwrap_or((None, None));
+            let (hard_state, state) = disk_format::read(ring.slots()).unwrap_or((None, None));
             self.ring = Some(ring);
-            let founder = ReplicaId { ip: self.ip, incarnation: 0 };
-            let founds = founders.filter(|f| f.contains(&founder) && ballot.is_none());
+            let bootstrap_node = ReplicaId { ip: self.ip, incarnation: 0 };
+            let founds = founders.filter(|f| f.contains(&bootstrap_node) && hard_state.is_none());
             match founds {
-                Some(voters) => (fresh(founder), State { voters, ..State::default() }),
-                None => (ballot.unwrap_or(fresh(drawn)), state.unwrap_or_default()),
+                Some(voters) => (fresh(bootstrap_node), State { voters, ..State::default() }),
+                None => (hard_state.unwrap_or(fresh(drawn)), state.unwrap_or_default()),
             }
         } else {
             (fresh(drawn), State::default())
         };
         let random = self.random.next_u64();
         self.replica =
-            Some(Replica::new(self.settings, ballot, state, self.clock(now), random, self.has_disk));
+            Some(Replica::new(self.settings, hard_state, state, self.clock(now), random, self.has_disk));
     }
 
     /// What has come about since this was asked last.
@@ -282,21 +282,21 @@
     }
 
     fn hello(&mut self, now: Millis, ip: u32) {
-        let (life, origin) = (self.life, self.registrar.origin());
+        let (life, origin) = (self.life, self.catalog_replica.origin());
         let members = self.members(now);
         self.effects.packets.push((Node::Control(ip), Packet::Hello { life, origin, members }));
-        let compare = self.registrar.compare(true, self.members(now));
+        let compare = self.catalog_replica.compare(true, self.members(now));
         self.say(ip, compare);
     }
 
     fn members(&self, now: Millis) -> Vec<u32> {
-        let mut members = self.registrar.peers().alive(self.clock(now));
+        let mut members = self.catalog_replica.peers().alive(self.clock(now));
         members.push(self.ip);
         members
     }
 
     fn say(&mut self, ip: u32, message: PeerMessage) {
-        let (life, origin) = (self.life, self.registrar.origin());
+        let (life, origin) = (self.life, self.catalog_replica.origin());
         let packet = Packet::Peer { life, origin, message: Box::new(message) };
         self.effects.packets.push((Node::Control(ip), packet));
     }
@@ -331,16 +331,16 @@
     fn upkeep(&mut self, now: Millis) {
         self.upkeep_at = now + UPKEEP;
         let clock = self.clock(now);
-        for delta in self.registrar.expire(clock) {
+        for delta in self.catalog_replica.expire(clock) {
             self.say_to_all(&PeerMessage::Push(delta));
             self.news = true;
         }
-        let compare = self.registrar.compare(false, self.members(now));
+        let compare = self.catalog_replica.compare(false, self.members(now));
         self.say_to_all(&compare);
-        let alive = self.registrar.peers().alive(clock);
+        let alive = self.catalog_replica.peers().alive(clock);
         if !alive.is_empty() {
             let drawn = alive[self.random.next_u64() as usize % alive.len()];
-            let compare = self.registrar.compare(true, self.members(now));
+            let compare = self.catalog_replica.compare(true, self.members(now));
             self.say(drawn, compare);
         }
     }
@@ -352,7 +352,7 @@
             waiting.retain(|_, waiter| now < waiter.until);
         }
         for waiter in late {
-            self.answer(waiter, Answer::Order(OrderReply::Unclear));
+            self.answer(waiter, Answer::Change(ChangeReply::Indeterminate));
         }
     }
 
@@ -362,7 +362,7 @@
         let fresh = self.is_fresh(now);
         let voters = self.replica.as_ref().map_or(0, |r| r.voters().len());
         for held in std::mem::take(&mut self.calls) {
-            match held.acknowledgement.decide(clock, &self.registrar, fresh, voters) {
+            match held.acknowledgement.decide(clock, &self.catalog_replica, fresh, voters) {
                 Some(acknowledged) => self.answer(held.waiter, Answer::Registered(acknowledged)),
                 None => self.calls.push(held),
             }
@@ -370,7 +370,7 @@
         let news = std::mem::take(&mut self.news);
         for held in std::mem::take(&mut self.pulls) {
             let due = now >= held.waiter.until;
-            if due || news && self.distributor.has_news(&self.registrar, &held.pull) {
+            if due || news && self.distributor.has_changes(&self.catalog_replica, &held.pull) {
                 self.answer_pull(now, held);
             } else {
                 self.pulls.push(held);
@@ -379,15 +379,16 @@
     }
 
     fn answer_pull(&mut self, now: Millis, held: HeldPull) {
-        let standing = Standing {
+        let replica_status = ReplicaStatus {
             fresh: self.is_fresh(now),
             leader: self.leader().map(|l| l.ip),
             members: self.members(now),
         };
-        if standing.fresh {
-            self.effects.fresh_answers.push(self.distributor.current().map(|c| c.stamp));
+        if replica_status.fresh {
+            self.effects.fresh_answers.push(self.distributor.current().map(|c| c.position));
         }
-        let reply = self.distributor.answer(self.clock(now), &self.registrar, &held.pull, standing);
+        let reply =
+            self.distributor.answer(self.clock(now), &self.catalog_replica, &held.pull, replica_status);
         self.answer(held.waiter, Answer::Pull(Box::new(reply)));
     }
 
@@ -413,11 +414,11 @@
             Packet::Hello { life, origin, members } => {
                 let Node::Control(ip) = from else { return };
                 self.known.extend(members.into_iter().filter(|known| *known != self.ip));
-                self.introduced(now, ip, life, origin);
+                self.register_peer(now, ip, life, origin);
             }
             Packet::Peer { life, origin, message } => {
                 let Node::Control(ip) = from else { return };
-                self.introduced(now, ip, life, origin);
+                self.register_peer(now, ip, life, origin);
                 self.receive_of_peer(now, ip, origin, *message);
             }
             Packet::Call { id, call } => self.receive_call(now, from, id, call),
@@ -431,19 +432,19 @@
     }
 
     /// A peer speaks: the first message on a connection says who it is, and a lost one ends the connection.
-    fn introduced(&mut self, now: Millis, ip: u32, life: u64, origin: Origin) {
-        if self.introduced.get(&ip).is_some_and(|known| *known >= life) {
+    fn register_peer(&mut self, now: Millis, ip: u32, life: u64, origin: Origin) {
+        if self.register_peer.get(&ip).is_some_and(|known| *known >= life) {
             return;
         }
-        self.introduced.insert(ip, life);
+        self.register_peer.insert(ip, life);
         self.known.insert(ip);
-        self.registrar.introduced(ip, origin);
+        self.catalog_replica.register_peer(ip, origin);
         self.hello(now, ip);
     }
 
     fn receive_of_peer(&mut self, now: Millis, ip: u32, origin: Origin, message: PeerMessage) {
         let clock = self.clock(now);
-        if !self.registrar.heard(clock, ip, origin) {
+        if !self.catalog_replica.record_contact(clock, ip, origin) {
             return;
         }
         if let PeerMessage::Replica { from, to, message } = message {
@@ -455,7 +456,7 @@
         if let PeerMessage::Compare { members, .. } = &message {
             self.known.extend(members.iter().copied().filter(|known| *known != self.ip));
         }
-        let (changed, answers) = self.registrar.take(clock, ip, message);
+        let (changed, answers) = self.catalog_replica.take(clock, ip, message);
         self.news |= changed;
         for answer in answers {
             self.say(ip, answer);
@@ -466,31 +467,31 @@
         let waiter = Waiter { caller, id, until: now + ANSWER };
         match call {
             Call::Pull(mut pull) => {
-                for (ip, message) in self.registrar.note_pull(self.clock(now), &pull) {
+                for (ip, message) in self.catalog_replica.record_pull(self.clock(now), &pull) {
                     self.say(ip, message);
                 }
-                self.note(now, pull.proxy.clone());
-                let left = std::mem::take(&mut pull.left);
-                for delta in self.registrar.note_left(self.clock(now), left) {
+                self.record(now, pull.proxy.clone());
+                let left = std::mem::take(&mut pull.departed);
+                for delta in self.catalog_replica.record_departed(self.clock(now), left) {
                     self.say_to_all(&PeerMessage::Push(delta));
                 }
-                let until = now + Millis::from(pull.wait_ms).min(MOST_WAIT);
+                let until = now + Millis::from(pull.wait_ms).min(MAX_WAIT);
                 self.pulls.push(HeldPull { waiter: Waiter { until, ..waiter }, pull });
                 self.news = true;
             }
             Call::Heartbeat(registration) => self.register(now, waiter, *registration),
-            Call::Deregister(id) => match self.registrar.departed(&id) {
+            Call::Deregister(id) => match self.catalog_replica.departed(&id) {
                 Some(registration) => self.register(now, waiter, registration),
                 None => self.answer(waiter, Answer::Registered(false)),
             },
-            Call::Order(order) => self.receive_order(now, waiter, *order),
+            Call::Change(order) => self.receive_order(now, waiter, *order),
             Call::Read => self.receive_read(now, waiter),
         }
     }
 
-    fn note(&mut self, now: Millis, registration: Registration) {
+    fn record(&mut self, now: Millis, registration: Registration) {
         let clock = self.clock(now);
-        if let Some(delta) = self.registrar.note(clock, registration) {
+        if let Some(delta) = self.catalog_replica.record(clock, registration) {
             self.say_to_all(&PeerMessage::Push(delta));
             self.news = true;
         }
@@ -498,7 +499,7 @@
 
     fn register(&mut self, now: Millis, waiter: Waiter, registration: Registration) {
         let acknowledgement = Acknowledgement::new(self.clock(now), &registration);
-        self.note(now, registration);
+        self.record(now, registration);
         self.calls.push(HeldCall { waiter, acknowledgement });
     }
 
@@ -514,7 +515,7 @@
         self.effects.packets.push((Node::Control(to), Packet::Call { id, call }));
     }
 
-    fn receive_order(&mut self, now: Millis, waiter: Waiter, order: Order) {
+    fn receive_order(&mut self, now: Millis, waiter: Waiter, order: ConfigurationChange) {
         let from_peer = matches!(waiter.caller, Node::Control(_));
         match self.route() {
             Some(ip) if ip == self.ip || from_peer => {
@@ -522,13 +523,14 @@
                 // Made-up documents have no services: what they make is not checked as a whole.
                 let Ok(proposal) = gaugesaddle_consensus::change::proposal(order, committed, |_| Ok(()))
                 else {
-                    return self.answer(waiter, Answer::Order(OrderReply::Invalid { findings: Vec::new() }));
+                    return self
+                        .answer(waiter, Answer::Change(ChangeReply::Invalid { findings: Vec::new() }));
                 };
                 let number = self.wait(waiter);
                 self.step(now, Input::Propose(number, Box::new(proposal)));
             }
-            Some(ip) => self.pass_on(ip, waiter, Call::Order(Box::new(order))),
-            None => self.answer(waiter, Answer::Order(OrderReply::Unclear)),
+            Some(ip) => self.pass_on(ip, waiter, Call::Change(Box::new(order))),
+            None => self.answer(waiter, Answer::Change(ChangeReply::Indeterminate)),
         }
     }
 
@@ -540,7 +542,7 @@
                 self.step(now, Input::Read(number));
             }
             Some(ip) => self.pass_on(ip, waiter, Call::Read),
-            None => self.answer(waiter, Answer::Read(Err(NotLeading))),
+            None => self.answer(waiter, Answer::Read(Err(NotLeader))),
         }
     }
 
@@ -551,11 +553,11 @@
     }
 
     /// Ends a leadership before the process ends.
-    pub fn resign(&mut self, now: Millis) {
+    pub fn transfer_leadership(&mut self, now: Millis) {
         let clock = self.clock(now);
         let mut outputs = Vec::new();
         if let Some(replica) = &mut self.replica {
-            replica.resign(clock, &mut outputs);
+            replica.transfer_leadership(clock, &mut outputs);
         }
         self.carry_out(now, outputs);
     }
@@ -575,8 +577,8 @@
 
     fn refuse(&mut self, input: &Input) {
         match input {
-            Input::Propose(number, _) => self.proposed(*number, ProposalResult::Unclear),
-            Input::Read(number) => self.read(*number, Err(NotLeading)),
+            Input::Propose(number, _) => self.proposed(*number, ProposalResult::Indeterminate),
+            Input::Read(number) => self.read(*number, Err(NotLeader)),
             _ => {}
         }
     }
@@ -590,7 +592,9 @@
                         self.say_replica(ip, None, message.clone());
                     }
                 }
-                Output::Persist { ticket, ballot, state } => self.persist(now, ticket, ballot, state),
+                Output::Persist { write_id, hard_state, state } => {
+                    self.persist(now, write_id, hard_state, state)
+                }
                 Output::Committed => self.committed(),
                 Output::Proposed(number, result) => self.proposed(number, result),
                 Output::Read(number, result) => self.read(number, result),
@@ -614,24 +618,24 @@
     fn proposed(&mut self, number: u64, result: ProposalResult) {
         let Some(waiter) = self.waiting.remove(&number) else { return };
         let reply = match result {
-            ProposalResult::Taken => OrderReply::Taken,
-            ProposalResult::Conflict { current } => OrderReply::Conflict { current },
-            ProposalResult::NotAbove { .. } => OrderReply::Invalid { findings: Vec::new() },
-            ProposalResult::Unclear => OrderReply::Unclear,
+            ProposalResult::Committed => ChangeReply::Applied,
+            ProposalResult::Conflict { current } => ChangeReply::Conflict { current },
+            ProposalResult::StaleRevision { .. } => ChangeReply::Invalid { findings: Vec::new() },
+            ProposalResult::Indeterminate => ChangeReply::Indeterminate,
         };
-        self.answer(waiter, Answer::Order(reply));
+        self.answer(waiter, Answer::Change(reply));
     }
 
-    fn read(&mut self, number: u64, result: Result<Option<Configuration>, NotLeading>) {
+    fn read(&mut self, number: u64, result: Result<Option<Configuration>, NotLeader>) {
         let Some(waiter) = self.waiting.remove(&number) else { return };
         self.answer(waiter, Answer::Read(result));
     }
 
-    fn persist(&mut self, now: Millis, ticket: TicketId, ballot: Ballot, state: Option<Box<State>>) {
+    fn persist(&mut self, now: Millis, write_id: WriteId, hard_state: HardState, state: Option<Box<State>>) {
         if !self.has_disk {
-            return self.step(now, Input::Persisted(ticket));
+            return self.step(now, Input::Persisted(write_id));
         }
-        self.writes.push_back(PendingWrite { ticket, ballot, state });
+        self.writes.push_back(PendingWrite { write_id, hard_state, state });
         self.begin_write();
     }
 
@@ -644,13 +648,13 @@
 
     /// The disk is done with the write that it had begun.
     pub fn written(&mut self, now: Millis) {
-        let Some(ticket) = self.writing.last().map(|write| write.ticket) else { return };
+        let Some(write_id) = self.writing.last().map(|write| write.write_id) else { return };
         if self.append().is_err() {
             self.disk_refused(now);
             return;
         }
         self.writing.clear();
-        self.step(now, Input::Persisted(ticket));
+        self.step(now, Input::Persisted(write_id));
         self.begin_write();
         self.look(now);
     }
@@ -659,7 +663,7 @@
     pub fn append(&mut self) -> Result<(), gaugesaddle_log::LogError> {
         let newest = self.writing.iter().rev().find_map(|write| write.state.as_deref());
         let (Some(last), Some(ring)) = (self.writing.last(), &mut self.ring) else { return Ok(()) };
-        ring.append(stored::records(&last.ballot, newest))
+        ring.append(disk_format::records(&last.hard_state, newest))
     }
 
     fn disk_refused(&mut self, now: Millis) {
@@ -669,7 +673,7 @@
         self.writing.clear();
         self.reopen_at = Some(now + REOPEN);
         for number in self.waiting.keys().copied().collect::<Vec<_>>() {
-            self.proposed(number, ProposalResult::Unclear);
+            self.proposed(number, ProposalResult::Indeterminate);
         }
     }
 }
--- a/crates/gaugesaddle-simulation/src/disk.rs
+++ b/crates/gaugesaddle-simulation/src/disk.rs
@@ -18,7 +18,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Content {
+struct ProposedDocument {
     synced: Vec<Vec<u8>>,
     unsynced: Vec<Write>,
     full: bool,
@@ -26,7 +26,7 @@
     dying: bool,
 }
 
-impl Content {
+impl ProposedDocument {
     fn apply(&mut self, write: &Write, bytes: usize) {
         self.synced[write.segment][write.offset..write.offset + bytes].copy_from_slice(&write.bytes[..bytes]);
     }
@@ -34,11 +34,11 @@
 
 /// A machine's disk; clones share it.
 #[derive(Clone, Debug)]
-pub struct Disk(Rc<RefCell<Content>>);
+pub struct Disk(Rc<RefCell<ProposedDocument>>);
 
 impl Default for Disk {
     fn default() -> Disk {
-        Disk(Rc::new(RefCell::new(Content {
+        Disk(Rc::new(RefCell::new(ProposedDocument {
             synced: vec![vec![0; SEGMENT_BYTES]; SEGMENTS],
             unsynced: Vec::new(),
             full: false,
--- a/crates/gaugesaddle-simulation/src/history.rs
+++ b/crates/gaugesaddle-simulation/src/history.rs
@@ -2,7 +2,7 @@
 
 use crate::Millis;
 use gaugesaddle_config::ConfigPatch;
-use gaugesaddle_protocol::{Configuration, OrderBody, ReplicaId, Stamp};
+use gaugesaddle_protocol::{ChangeBody, Configuration, LogPosition, ReplicaId};
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -12,7 +12,7 @@
 pub const DRAINED: Millis = 2000;
 /// A process that calls itself current has all that was committed so long ago: a follower's lease, and a few steps of
 /// clocks in whole milliseconds.
-pub const CURRENT: Millis = 605;
+pub const FOLLOWER_LEASE_MS: Millis = 605;
 
 /// In a closed deployment a key may be used so long after its removal was acknowledged.
 pub const REVOKED: Millis = 5000;
@@ -34,12 +34,12 @@
     /// One place of the history had two contents.
     TwoContents {
         /// The place.
-        stamp: Stamp,
+        position: LogPosition,
     },
     /// A later place of the history has an earlier revision.
     WentBack {
         /// The place.
-        stamp: Stamp,
+        position: LogPosition,
         /// The revision.
         revision: u64,
         /// The one before it.
@@ -167,7 +167,7 @@
     /// The revision it brings.
     pub revision: u64,
     /// What it brings.
-    pub body: OrderBody,
+    pub body: ChangeBody,
     /// When it was sent first.
     pub begun: Millis,
     /// When and how it ended.
@@ -178,8 +178,8 @@
     /// The document that is in force with its revision, if it was taken: a patch makes it of the one it builds on.
     fn makes(&self, in_force: &BTreeMap<u64, &Vec<u8>>) -> Option<Vec<u8>> {
         match &self.body {
-            OrderBody::Whole(document) => Some(document.clone()),
-            OrderBody::Patch(patch) => {
+            ChangeBody::Full(document) => Some(document.clone()),
+            ChangeBody::Patch(patch) => {
                 let base = if self.base == 0 { &[] } else { in_force.get(&self.base)?.as_slice() };
                 ConfigPatch::parse(patch).ok()?.apply(base).ok()
             }
@@ -208,7 +208,7 @@
     pub orders: Vec<OrderRecord>,
     reads: Vec<ReadRecord>,
     leaders: BTreeMap<u64, ReplicaId>,
-    committed: BTreeMap<Stamp, CommittedState>,
+    committed: BTreeMap<LogPosition, CommittedState>,
     violations: Vec<Violation>,
 }
 
@@ -245,26 +245,26 @@
 
     /// A process calls a configuration committed.
     pub fn committed(&mut self, now: Millis, configuration: Configuration) {
-        let Configuration { stamp, revision, document } = configuration;
+        let Configuration { position, revision, document } = configuration;
         let state = CommittedState { seen: now, revision, document };
-        let first = self.committed.entry(stamp).or_insert_with(|| state.clone());
+        let first = self.committed.entry(position).or_insert_with(|| state.clone());
         if (first.revision, &first.document) != (state.revision, &state.document) {
-            self.violated(Violation::TwoContents { stamp });
+            self.violated(Violation::TwoContents { position });
         }
     }
 
     /// A process told a proxy that it is current.
-    pub fn called_current(&mut self, now: Millis, ip: u32, stamp: Option<Stamp>) {
-        let due = self.committed.iter().filter(|(_, state)| state.seen + CURRENT < now);
-        if due.map(|(stamp, _)| *stamp).max() > stamp {
+    pub fn called_current(&mut self, now: Millis, ip: u32, position: Option<LogPosition>) {
+        let due = self.committed.iter().filter(|(_, state)| state.seen + FOLLOWER_LEASE_MS < now);
+        if due.map(|(position, _)| *position).max() > position {
             self.violated(Violation::StaleFresh { ip, at: now });
         }
     }
 
     /// A proxy takes its first configuration, in answer to a call made at a time.
-    pub fn started_with(&mut self, now: Millis, proxy: u32, asked: Millis, stamp: Option<Stamp>) {
-        let due = self.committed.iter().filter(|(_, state)| state.seen + CURRENT < asked);
-        if due.map(|(stamp, _)| *stamp).max() > stamp {
+    pub fn started_with(&mut self, now: Millis, proxy: u32, asked: Millis, position: Option<LogPosition>) {
+        let due = self.committed.iter().filter(|(_, state)| state.seen + FOLLOWER_LEASE_MS < asked);
+        if due.map(|(position, _)| *position).max() > position {
             self.violated(Violation::StaleStart { proxy, at: now });
         }
     }
@@ -291,9 +291,13 @@
 
     fn check_order_of_states(&self, violations: &mut Vec<Violation>) {
         let mut before = 0;
-        for (stamp, state) in &self.committed {
+        for (position, state) in &self.committed {
             if state.revision < before {
-                violations.push(Violation::WentBack { stamp: *stamp, revision: state.revision, before });
+                violations.push(Violation::WentBack {
+                    position: *position,
+                    revision: state.revision,
+                    before,
+                });
             }
             before = state.revision;
         }
--- a/crates/gaugesaddle-simulation/src/network.rs
+++ b/crates/gaugesaddle-simulation/src/network.rs
@@ -19,7 +19,7 @@
 }
 
 /// Least time that a message takes.
-const LEAST_DELAY: Millis = 1;
+const MIN_DELAY: Millis = 1;
 /// A random part of this is added.
 const DELAY_SPREAD: u64 = 4;
 
@@ -79,7 +79,7 @@
 
     /// When a message sent now arrives; `None`: never.
     pub fn send(&mut self, now: Millis, from: Node, to: Node, random: &mut Pcg64Mcg) -> Option<Millis> {
-        let mut delay = LEAST_DELAY + random.next_u64() % DELAY_SPREAD;
+        let mut delay = MIN_DELAY + random.next_u64() % DELAY_SPREAD;
         for harm in self.present(now, from, to) {
             match harm {
                 Harm::Cut => return None,
--- a/crates/gaugesaddle-simulation/src/operator.rs
+++ b/crates/gaugesaddle-simulation/src/operator.rs
@@ -3,7 +3,7 @@
 use crate::control::{Answer, Call, Packet};
 use crate::history::{History, OrderRecord, Outcome};
 use crate::Millis;
-use gaugesaddle_protocol::{Order, OrderBody, OrderReply};
+use gaugesaddle_protocol::{ChangeBody, ChangeReply, ConfigurationChange};
 use rand_pcg::rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 
@@ -14,7 +14,7 @@
 /// Between two changes on an ordinary day.
 const ORDINARY: Millis = 900;
 /// An order is given up after so many attempts.
-const MOST_ATTEMPTS: u32 = 30;
+const MAX_ATTEMPTS: u32 = 30;
 /// Bytes that documents are filled up with, so that patches have something to leave out.
 const ROUTES: u64 = 12;
 /// One patch in so many removes its route.
@@ -106,7 +106,7 @@
                 self.doing = Doing::Ordering { id: None, record, attempts, until: now + PAUSE };
                 None
             }
-            Doing::Ordering { id: None, record, attempts, .. } if attempts >= MOST_ATTEMPTS => {
+            Doing::Ordering { id: None, record, attempts, .. } if attempts >= MAX_ATTEMPTS => {
                 history.orders[record].ended = Some((now, Outcome::GivenUp));
                 self.rest(now);
                 None
@@ -138,8 +138,8 @@
         let author = if random.next_u64() % 8 == 0 { 0 } else { self.number };
         let salt = random.next_u64() % if author == 0 { 2 } else { 100 };
         let body = match random.next_u64() % 2 {
-            0 => OrderBody::Whole(document(revision, author, salt)),
-            _ => OrderBody::Patch(patch(revision, author, salt)),
+            0 => ChangeBody::Full(document(revision, author, salt)),
+            _ => ChangeBody::Patch(patch(revision, author, salt)),
         };
         history.orders.push(OrderRecord { base: self.base, revision, body, begun: now, ended: None });
         self.send(now, history.orders.len() - 1, 1, history)
@@ -149,8 +149,8 @@
         self.next_id += 1;
         self.doing = Doing::Ordering { id: Some(self.next_id), record, attempts, until: now + PATIENCE };
         let OrderRecord { base, body, .. } = &history.orders[record];
-        let order = Order { base: *base, body: body.clone() };
-        Packet::Call { id: self.next_id, call: Call::Order(Box::new(order)) }
+        let order = ConfigurationChange { base: *base, body: body.clone() };
+        Packet::Call { id: self.next_id, call: Call::Change(Box::new(order)) }
     }
 
     /// Takes an answer.
@@ -164,7 +164,7 @@
                 }
                 self.rest(now);
             }
-            (Doing::Ordering { id: own, record, attempts, .. }, Answer::Order(reply)) if own == Some(id) => {
+            (Doing::Ordering { id: own, record, attempts, .. }, Answer::Change(reply)) if own == Some(id) => {
                 self.ordered(now, record, attempts, reply, history);
             }
             // An answer to what is not waited for any more.
@@ -173,19 +173,19 @@
     }
 
     fn ordered(
-        &mut self, now: Millis, record: usize, attempts: u32, reply: OrderReply, history: &mut History,
+        &mut self, now: Millis, record: usize, attempts: u32, reply: ChangeReply, history: &mut History,
     ) {
         let outcome = match reply {
-            OrderReply::Taken => Outcome::Taken,
-            OrderReply::Conflict { .. } | OrderReply::Invalid { .. } => Outcome::Refused,
-            OrderReply::Unclear => {
+            ChangeReply::Applied => Outcome::Taken,
+            ChangeReply::Conflict { .. } | ChangeReply::Invalid { .. } => Outcome::Refused,
+            ChangeReply::Indeterminate => {
                 self.doing = Doing::Ordering { id: None, record, attempts, until: now + PAUSE };
                 return;
             }
         };
         match reply {
-            OrderReply::Taken => self.base = self.base.max(history.orders[record].revision),
-            OrderReply::Conflict { current } => self.base = current,
+            ChangeReply::Applied => self.base = self.base.max(history.orders[record].revision),
+            ChangeReply::Conflict { current } => self.base = current,
             _ => {}
         }
         history.orders[record].ended = Some((now, outcome));
--- a/crates/gaugesaddle-simulation/src/plan.rs
+++ b/crates/gaugesaddle-simulation/src/plan.rs
@@ -232,7 +232,7 @@
 /// Span in which faults strike.
 const SPAN: Millis = 18_000;
 /// Faults of a day, at most.
-const MOST_FAULTS: u64 = 14;
+const MAX_FAULTS: u64 = 14;
 /// Backends of a day.
 pub const BACKENDS: u32 = 8;
 
@@ -389,7 +389,7 @@
     /// The day of a seed.
     pub fn draw(seed: u64, shape: Shape) -> Plan {
         let mut draw = Draw(Pcg64Mcg::seed_from_u64(seed ^ 0x5eed));
-        let count = 3 + draw.below(MOST_FAULTS - 3);
+        let count = 3 + draw.below(MAX_FAULTS - 3);
         let mut faults = Vec::new();
         for _ in 0..count {
             let at = BEGIN + draw.below(SPAN);
--- a/crates/gaugesaddle-simulation/src/proxy.rs
+++ b/crates/gaugesaddle-simulation/src/proxy.rs
@@ -70,8 +70,8 @@
         if self.asked.is_some() || now < self.next_at {
             return None;
         }
-        if self.follower.seeks_seeds(now) {
-            self.follower.name_seeds(now, seeds.iter().copied());
+        if self.follower.needs_discovery(now) {
+            self.follower.add_seeds(now, seeds.iter().copied());
         }
         let ip = self.follower.choose(now)?;
         Some(self.call(now, ip))
--- a/crates/gaugesaddle-simulation/src/world.rs
+++ b/crates/gaugesaddle-simulation/src/world.rs
@@ -13,7 +13,7 @@
 use crate::proxy::Proxy;
 use crate::{Millis, Shape};
 use gaugesaddle_consensus::Settings;
-use gaugesaddle_protocol::{OrderReply, ReplicaId};
+use gaugesaddle_protocol::{ChangeReply, ReplicaId};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -31,7 +31,7 @@
 /// A replacement comes, or the replaced machine ends, so much later.
 const REPLACEMENT: Millis = 1000;
 /// A fault that would lose too much waits its turn for so long in all.
-const MOST_WAIT: Millis = 9000;
+const MAX_WAIT: Millis = 9000;
 /// Operators.
 const OPERATORS: u32 = 2;
 /// One in so many faults without a lost disk strikes beyond what must be borne: service may rest, nothing may be lost.
@@ -132,10 +132,10 @@
 pub fn play(plan: &Plan) -> Outcome {
     let mut world = World::new(plan);
     for planned in &plan.faults {
-        let until = planned.at + MOST_WAIT;
+        let until = planned.at + MAX_WAIT;
         world.push(planned.at, Event::Fault { fault: planned.fault, until });
     }
-    world.run_until(plan.end() + MOST_WAIT);
+    world.run_until(plan.end() + MAX_WAIT);
     world.end_day();
     let World { history, struck, looks_in_touch, looks_unproven, .. } = world;
     Outcome {
@@ -152,13 +152,13 @@
     fn new(plan: &Plan) -> World {
         let shape = plan.shape.clone();
         let standard = Settings::default();
-        let least_voters = standard.least_voters.max(2 * shape.losses as usize + 1);
+        let min_voters = standard.min_voters.max(2 * shape.losses as usize + 1);
         let mut world = World {
             now: 0,
             order: 0,
             events: BTreeMap::new(),
             random: Pcg64Mcg::seed_from_u64(plan.seed),
-            settings: Settings { least_voters, ..standard },
+            settings: Settings { min_voters, ..standard },
             network: Network::default(),
             wakes: BTreeMap::new(),
             machines: BTreeMap::new(),
@@ -406,8 +406,8 @@
         if let Some((term, replica)) = effects.leads {
             self.history.leads(term, replica);
         }
-        for stamp in effects.fresh_answers {
-            self.history.called_current(now, ip, stamp);
+        for position in effects.fresh_answers {
+            self.history.called_current(now, ip, position);
         }
         for configuration in effects.committed {
             self.history.committed(now, configuration);
@@ -426,7 +426,7 @@
     fn note_acknowledgement(&mut self, ip: u32, to: Node, packet: &Packet) {
         let Packet::Answer { answer, .. } = packet else { return };
         let of_end = match (to, answer) {
-            (Node::Operator(_), Answer::Order(OrderReply::Taken)) => false,
+            (Node::Operator(_), Answer::Change(ChangeReply::Applied)) => false,
             (Node::Backend(number), Answer::Registered(true)) if !self.backends[number as usize].serves() => {
                 true
             }
@@ -540,8 +540,8 @@
         machine.revision = revision;
         let (life, at) = (machine.life, proxy.deadline().max(now + 1));
         if before == 0 && revision > 0 {
-            let (asked, stamp) = (proxy.taken_of(), proxy.follower.stamp());
-            self.history.started_with(now, number, asked, stamp);
+            let (asked, position) = (proxy.taken_of(), proxy.follower.position());
+            self.history.started_with(now, number, asked, position);
         }
         if revision < before {
             self.history.violated(Violation::Regressed { proxy: number, at: now });
--- a/crates/gaugesaddle-simulation/src/world/faults.rs
+++ b/crates/gaugesaddle-simulation/src/world/faults.rs
@@ -46,7 +46,7 @@
     pub(super) fn may_lose_disk(&mut self) -> bool {
         let now = self.now;
         let leading = self.leader().and_then(|ip| self.machines[&ip].process.as_ref()?.replica.as_ref());
-        if let Some(replica) = leading.filter(|r| r.is_settled()) {
+        if let Some(replica) = leading.filter(|r| r.is_membership_committed()) {
             self.voters = replica.voters().to_vec();
         }
         let voters = self.voters.clone();
@@ -101,7 +101,7 @@
             }
             Fault::Restart { target, down } => {
                 self.strike_machine(target, false, FAREWELL + down, |w, ip| {
-                    w.drive(ip, |process, now| process.resign(now));
+                    w.drive(ip, |process, now| process.transfer_leadership(now));
                     w.push(now + FAREWELL, Event::End { ip, gone: false });
                     w.push(now + FAREWELL + down, Event::Start { ip });
                 })
@@ -245,7 +245,7 @@
     /// A process ends in order; with `gone` its machine never comes back.
     pub(super) fn end(&mut self, ip: u32, gone: bool) {
         if gone {
-            self.drive(ip, |process, now| process.resign(now));
+            self.drive(ip, |process, now| process.transfer_leadership(now));
         }
         self.kill(ip, false);
         if let Some(machine) = self.machines.get_mut(&ip) {
--- a/crates/gaugesaddle-transport/tests/link.rs
+++ b/crates/gaugesaddle-transport/tests/link.rs
@@ -2,15 +2,15 @@
 //! slowly is given up.
 
 use gaugesaddle_protocol::frame::encode;
-use gaugesaddle_protocol::{Configuration, Reply, Stamp};
+use gaugesaddle_protocol::{Configuration, LogPosition, Reply};
 use gaugesaddle_transport::{Link, LinkError};
 use std::time::{Duration, Instant};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 
 fn large() -> Reply {
-    let stamp = Stamp { term: 1, index: 2 };
-    Reply::Read(Some(Configuration { stamp, revision: 3, document: vec![7; 200_000] }))
+    let position = LogPosition { term: 1, index: 2 };
+    Reply::Read(Some(Configuration { position, revision: 3, document: vec![7; 200_000] }))
 }
 
 async fn pair() -> (Link, TcpStream) {
--- a/crates/gaugesaddle/src/edge/admission.rs
+++ b/crates/gaugesaddle/src/edge/admission.rs
@@ -5,7 +5,7 @@
 use super::refusal::Refusal;
 use gaugesaddle_config::{Route, RoutingTable, Tenant};
 use gaugesaddle_inference::{Prompt, PromptParts, TokenUsage};
-use gaugesaddle_quota::Taken;
+use gaugesaddle_quota::Admission;
 use hyper::header::HOST;
 use hyper::http::request::Parts;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 /// Priorities that one step of a tenant's rank is worth.
 const TENANT_STEP: u32 = 3;
 /// The least urgent priority that backends know.
-const LEAST_URGENT: u32 = 9;
+const MIN_URGENT: u32 = 9;
 
 /// A request that may be sent, with what is known of it.
 pub struct Admitted<'a> {
@@ -48,7 +48,7 @@
         tenant,
         prompt: parts.as_ref().map(Prompt::from).unwrap_or_default(),
         deadline: arrived + Duration::from_secs_f64(time / 1000.0),
-        priority: rank.min(LEAST_URGENT),
+        priority: rank.min(MIN_URGENT),
     })
 }
 
@@ -59,7 +59,7 @@
     if take(fleet, &tenant.name, cost) {
         return Ok(());
     }
-    fleet.purse.borrow_mut().lack(&tenant.name, cost, true);
+    fleet.allowance.borrow_mut().adjust_deficit(&tenant.name, cost, true);
     let waiting = Lacking { fleet, tenant: &tenant.name, cost };
     let wait = admitted.route.target_ms * TOKEN_WAIT_PART / 1000.0;
     let until = Instant::now() + Duration::from_secs_f64(wait);
@@ -78,7 +78,7 @@
 }
 
 fn take(fleet: &Fleet, tenant: &str, cost: u64) -> bool {
-    fleet.purse.borrow_mut().take(fleet.now(), tenant, cost) == Taken::Granted
+    fleet.allowance.borrow_mut().take(fleet.now(), tenant, cost) == Admission::Granted
 }
 
 /// A request that waits for tokens, until it is dropped.
@@ -90,7 +90,7 @@
 
 impl Drop for Lacking<'_> {
     fn drop(&mut self) {
-        self.fleet.purse.borrow_mut().lack(self.tenant, self.cost, false);
+        self.fleet.allowance.borrow_mut().adjust_deficit(self.tenant, self.cost, false);
     }
 }
 
--- a/crates/gaugesaddle/src/edge/attempts.rs
+++ b/crates/gaugesaddle/src/edge/attempts.rs
@@ -11,7 +11,7 @@
 use gaugesaddle_config::Route;
 
 /// Backends that could not even be reached before the request is given up.
-const MOST_UNREACHED: u32 = 4;
+const MAX_UNREACHED: u32 = 4;
 
 /// How an attempt that brought no answer went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -76,7 +76,7 @@
             Failed::TimedOut => return Err(Refusal::TimedOut),
         }
         let may_run_again = self.repeatable || !self.may_have_run;
-        if may_run_again && self.sent < self.most && self.unreached < MOST_UNREACHED {
+        if may_run_again && self.sent < self.most && self.unreached < MAX_UNREACHED {
             Ok(())
         } else {
             Err(self.refusal())
--- a/crates/gaugesaddle/src/edge/backend.rs
+++ b/crates/gaugesaddle/src/edge/backend.rs
@@ -13,9 +13,9 @@
 pub type BackendLink = Link<Full<Bytes>, Counted>;
 
 /// First time that a backend is avoided after a failure, in ms; it doubles with each.
-const AVOID: u64 = 400;
+const FAILED_MEMBER_BACKOFF_MS: u64 = 400;
 /// A backend is avoided at most so long, in ms.
-const MOST_AVOID: u64 = 6400;
+const MAX_AVOID: u64 = 6400;
 /// A connection that stands idle for longer is not used again unless the backend says more, in ms.
 const IDLE: u64 = 4000;
 /// Part of the time a backend names that an idle connection is used for.
@@ -119,7 +119,7 @@
     pub fn failed(&self, now: u64) {
         let failures = self.failures.get();
         self.failures.set((failures + 1).min(16));
-        self.avoid_until.set(now + (AVOID << failures.min(8)).min(MOST_AVOID));
+        self.avoid_until.set(now + (FAILED_MEMBER_BACKOFF_MS << failures.min(8)).min(MAX_AVOID));
         self.idle.borrow_mut().clear();
     }
 
--- a/crates/gaugesaddle/src/edge/dispatch.rs
+++ b/crates/gaugesaddle/src/edge/dispatch.rs
@@ -24,7 +24,7 @@
 use tokio::time::Instant;
 
 /// Failing backends are left out only where so large a part is sound: else all are tried, since the fault may be here.
-const LEAST_SOUND: f64 = 0.5;
+const MIN_SOUND: f64 = 0.5;
 
 /// A request with all that further attempts need.
 pub struct Job {
@@ -69,7 +69,7 @@
         if let Some(value) = admitted.tenant.and_then(|t| HeaderValue::from_str(&t.name).ok()) {
             head.headers.insert(TENANT, value);
         }
-        fleet.note_request(&service_name);
+        fleet.record_request(&service_name);
         fleet.note_prompt(&service_name, admitted.prompt);
         head.headers.insert(PRIORITY, HeaderValue::from(admitted.priority));
         let now = fleet.now();
@@ -190,7 +190,7 @@
         let loads = self.fleet.loads.borrow();
         let fails = |b: &Rc<Backend>| loads.health(now, load::number(b.identity)).is_failing();
         let sound = backends.iter().filter(|b| !fails(b)).count();
-        if sound as f64 >= backends.len() as f64 * LEAST_SOUND {
+        if sound as f64 >= backends.len() as f64 * MIN_SOUND {
             backends.retain(|b| !fails(b));
         }
     }
--- a/crates/gaugesaddle/src/edge/fleet.rs
+++ b/crates/gaugesaddle/src/edge/fleet.rs
@@ -3,11 +3,11 @@
 use super::backend::Backend;
 use gaugesaddle_config::boot::Bounds;
 use gaugesaddle_config::{BootSettings, OperatorConfig, Route, RoutingTable, ServiceIndex};
-use gaugesaddle_distribution::{Follower, Taken};
+use gaugesaddle_distribution::{Applied, Follower};
 use gaugesaddle_inference::{Chooser, ChooserSettings, Prompt, PromptSizes};
 use gaugesaddle_load_report::LoadView;
 use gaugesaddle_protocol::{Lifecycle, PullReply, Registration, Subject};
-use gaugesaddle_quota::{Purse, RetryBudget, RetrySettings};
+use gaugesaddle_quota::{RetryBudget, RetrySettings, TokenAllowance};
 use gaugesaddle_transport::Clock;
 use rand_pcg::rand_core::{OsRng, SeedableRng, TryRngCore};
 use rand_pcg::Pcg64Mcg;
@@ -35,7 +35,7 @@
     pub active: Rc<Cell<usize>>,
     /// Bytes of bodies that are held.
     pub held_bytes: Cell<usize>,
-    pub purse: RefCell<Purse>,
+    pub allowance: RefCell<TokenAllowance>,
     /// Wakes requests that wait for tokens.
     pub granted: Notify,
     /// Wakes the task that asks for tokens.
@@ -78,7 +78,7 @@
             terminating: Cell::new(false),
             active: Rc::default(),
             held_bytes: Cell::new(0),
-            purse: RefCell::default(),
+            allowance: RefCell::default(),
             granted: Notify::new(),
             short: Notify::new(),
             random: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
@@ -121,7 +121,7 @@
     /// Takes the answer of a control process to a call made at `asked` and good for so long, in ms; whether that process
     /// should be asked again.
     pub fn take(&self, asked: u64, good_for: u64, reply: PullReply) -> bool {
-        let taken: Taken = self.follower.borrow_mut().take(self.now(), asked, good_for, reply);
+        let taken: Applied = self.follower.borrow_mut().take(self.now(), asked, good_for, reply);
         if taken.registrations {
             self.rebuild();
         }
@@ -154,7 +154,7 @@
             table.tenants.iter().filter(|t| t.limit.is_some()).map(|t| t.name.clone()).collect();
         let bounds = self.bounds();
         let slack = bounds.quota_slack * FLOOR_PART / bounds.quota_window_s.max(1.0);
-        self.purse.borrow_mut().configure(&limited, slack / self.proxies() as f64);
+        self.allowance.borrow_mut().configure(&limited, slack / self.proxies() as f64);
     }
 
     fn rebuild(&self) {
@@ -230,9 +230,9 @@
     }
 
     /// Counts a client's request for a service.
-    pub fn note_request(&self, service: &str) {
+    pub fn record_request(&self, service: &str) {
         let now = self.now();
-        self.with_budget(service, |budget| budget.note_request(now));
+        self.with_budget(service, |budget| budget.record_request(now));
     }
 
     /// Takes one repeat of the budget that all proxies share.
--- a/crates/gaugesaddle/src/edge/follow.rs
+++ b/crates/gaugesaddle/src/edge/follow.rs
@@ -40,13 +40,13 @@
 /// Takes the seeds of the boot file, which may have changed, while no process in touch answers.
 fn read_seeds(fleet: &Fleet) {
     let now = fleet.now();
-    if !fleet.follower.borrow_mut().seeks_seeds(now) {
+    if !fleet.follower.borrow_mut().needs_discovery(now) {
         return;
     }
     // A file that cannot be read now is read again.
     if let Ok(boot) = BootSettings::read() {
         let seeds = boot.seeds.iter().map(|s| u32::from(*s.ip()));
-        fleet.follower.borrow_mut().name_seeds(now, seeds);
+        fleet.follower.borrow_mut().add_seeds(now, seeds);
     }
 }
 
@@ -81,5 +81,5 @@
     let address = fleet.boot.control_process(leader);
     let Ok(mut caller) = Caller::open(address, FAREWELL).await else { return };
     // Without this call the lease runs out by itself.
-    let _ = caller.call(&pull(&fleet, Lifecycle::Gone, 0), FAREWELL).await;
+    let _ = caller.call(&pull(&fleet, Lifecycle::Departed, 0), FAREWELL).await;
 }
--- a/crates/gaugesaddle/src/edge/lending.rs
+++ b/crates/gaugesaddle/src/edge/lending.rs
@@ -19,14 +19,14 @@
 pub async fn run(fleet: Rc<Fleet>) {
     let mut caller: Option<Caller> = None;
     loop {
-        let wants = fleet.purse.borrow_mut().wants(fleet.now());
-        if !wants.is_empty() {
+        let requests = fleet.allowance.borrow_mut().requests(fleet.now());
+        if !requests.is_empty() {
             let asked = fleet.now();
-            let request = Request::Quota { machine: fleet.boot.node_name.clone(), wants };
+            let request = Request::Quota { machine: fleet.boot.node_name.clone(), requests };
             caller = call(&fleet, caller.take(), &request, asked).await;
             fleet.granted.notify_waiters();
         }
-        if fleet.purse.borrow().is_short() {
+        if fleet.allowance.borrow().has_deficit() {
             tokio::time::sleep(SHORT_PERIOD).await;
         } else {
             let _ = tokio::time::timeout(PERIOD, fleet.short.notified()).await;
@@ -43,7 +43,7 @@
     };
     match caller.call(request, ANSWER).await.ok()? {
         Reply::Quota { grants } => {
-            fleet.purse.borrow_mut().granted(asked, &grants);
+            fleet.allowance.borrow_mut().granted(asked, &grants);
             Some(caller)
         }
         _ => None,
