--- /dev/null
+++ b/crates/gaugesaddle-edge/src/dispatch.rs
@@ -0,0 +1,310 @@
+//! Sends an admitted request to backends until one responds or no further attempt is allowed.
+
+use crate::admission::AdmittedRequest;
+use crate::api_key::ApiKeyGuard;
+use crate::attempt::{send_attempt, UpstreamResponse};
+use crate::backend::Backend;
+use crate::headers::{self, API_KEY, DEADLINE, EXPECTED_INSTANCE, LAST_EVENT_ID, PRIORITY, TENANT};
+use crate::load_reporter::{self, WorkInFlight};
+use crate::rejection::Rejection;
+use crate::retry::RetryState;
+use crate::state::EdgeState;
+use bytes::Bytes;
+use gaugesaddle_config::{Route, RoutingTable, ServiceIndex};
+use gaugesaddle_http_connection::{strip_connection_headers, CountedPermit, SendGuard};
+use gaugesaddle_inference::{Candidate, Choice, Prompt, Surroundings};
+use http_body_util::Full;
+use hyper::header::HeaderValue;
+use hyper::http::request::Parts;
+use hyper::Request;
+use rand_pcg::rand_core::RngCore;
+use std::rc::Rc;
+use tokio::time::Instant;
+
+/// Failing backends are left out only while at least this fraction is healthy; else all are used, since the fault may be
+/// on this side.
+const MIN_HEALTHY_FRACTION: f64 = 0.5;
+
+/// A request with all that further attempts need.
+pub struct Dispatch {
+    pub state: Rc<EdgeState>,
+    pub route: Route,
+    pub service_name: String,
+    pub deadline: Instant,
+    table: Rc<RoutingTable>,
+    service: ServiceIndex,
+    prompt: Prompt,
+    key: Option<ApiKeyGuard>,
+    head: Parts,
+    body: Bytes,
+    /// Identities of the backends that were tried.
+    attempted: Vec<u64>,
+    retry: RetryState,
+    _active: CountedPermit,
+}
+
+/// A backend's response whose head has arrived, with what must be recorded when its body arrives.
+pub struct StartedResponse {
+    pub response: UpstreamResponse,
+    pub backend: Rc<Backend>,
+    pub choice: Choice,
+    /// Counts as the backend's backlog until the response body begins.
+    pub work: Option<WorkInFlight>,
+    pub sent_at: Instant,
+    pub in_flight: CountedPermit,
+}
+
+impl StartedResponse {
+    /// Time since the request was sent, in ms.
+    pub fn latency_ms(&self) -> f64 {
+        self.sent_at.elapsed().as_secs_f64() * 1000.0
+    }
+}
+
+impl Dispatch {
+    /// Prepares the first attempt of an admitted request.
+    ///
+    /// # Errors
+    /// [`Rejection::Unavailable`] where the route has no service.
+    pub fn new(
+        state: Rc<EdgeState>, table: Rc<RoutingTable>, admitted: AdmittedRequest, mut head: Parts,
+        body: Bytes,
+    ) -> Result<Dispatch, Rejection> {
+        let service = pick_service(&state, admitted.route).ok_or(Rejection::Unavailable)?;
+        let key = ApiKeyGuard::new(&state, headers::text(&head.headers, &API_KEY), admitted.tenant);
+        let service_name = table.services.get(service.0).ok_or(Rejection::Unavailable)?.name.clone();
+        set_system_headers(&mut head, &admitted);
+        record_arrival(&state, &admitted, &service_name);
+        Ok(Dispatch {
+            retry: RetryState::new(admitted.route),
+            route: admitted.route.clone(),
+            prompt: admitted.prompt,
+            deadline: admitted.deadline,
+            _active: CountedPermit::acquire(&state.active_requests),
+            state,
+            table,
+            service,
+            service_name,
+            key,
+            head,
+            body,
+            attempted: Vec::new(),
+        })
+    }
+
+    /// The first response of a backend.
+    ///
+    /// # Errors
+    /// The rejection for the client where no backend responds.
+    pub async fn first_response(&mut self) -> Result<StartedResponse, Rejection> {
+        self.send(None).await
+    }
+
+    /// Another backend's response behind the last event that the client has.
+    ///
+    /// # Errors
+    /// As [`Dispatch::first_response`].
+    pub async fn resume_after(&mut self, last_event: Option<&str>) -> Result<StartedResponse, Rejection> {
+        self.send(last_event).await
+    }
+
+    async fn send(&mut self, resume_after: Option<&str>) -> Result<StartedResponse, Rejection> {
+        loop {
+            self.check_attempt_allowed()?;
+            let Some((backend, choice)) = self.choose_backend() else {
+                return Err(self.retry.no_backend());
+            };
+            let in_flight = backend.begin_request();
+            let work = Some(WorkInFlight::begin(&self.state, backend.identity, choice.work));
+            let sent_at = Instant::now();
+            let request = self.request_for(&backend, resume_after);
+            let result = send_attempt(&self.state, &backend, request, self.deadline, self.key.clone()).await;
+            self.attempted.push(backend.identity);
+            match result {
+                Ok(response) => {
+                    self.retry.record_response();
+                    if response.head.status.is_server_error() {
+                        self.record_failure(&backend);
+                    }
+                    return Ok(StartedResponse { response, backend, choice, work, sent_at, in_flight });
+                }
+                Err(failure) => {
+                    drop(work);
+                    self.record_failure(&backend);
+                    self.retry.record_failure(failure)?;
+                }
+            }
+        }
+    }
+
+    /// Whether an attempt may begin now: deadline, key, retry budget.
+    fn check_attempt_allowed(&self) -> Result<(), Rejection> {
+        if Instant::now() >= self.deadline {
+            return Err(self.retry.deadline_passed());
+        }
+        if self.key.as_ref().is_some_and(|key| !key.may_send()) {
+            return Err(self.retry.key_unproven());
+        }
+        if self.retry.is_retry() && !self.state.take_retry(&self.service_name) {
+            return Err(self.retry.no_backend());
+        }
+        Ok(())
+    }
+
+    /// Counts a failure in what is reported to the other proxies: whether the backend refused or broke off, requests are
+    /// better sent elsewhere.
+    pub fn record_failure(&self, backend: &Backend) {
+        let number = load_reporter::backend_number(backend.identity);
+        self.state.load_view.borrow_mut().failed(self.state.now(), number);
+    }
+
+    /// Counts a success in what is reported to the other proxies.
+    pub fn record_success(&self, backend: &Backend) {
+        let number = load_reporter::backend_number(backend.identity);
+        self.state.load_view.borrow_mut().served(self.state.now(), number);
+    }
+
+    /// Learns the latency of a response, for the choice of backends.
+    pub fn record_latency(&self, choice: &Choice, latency_ms: f64) {
+        let statistics = &self.state.statistics;
+        statistics.with_chooser(&self.route, &self.service_name, |chooser| {
+            chooser.note_latency(choice, latency_ms);
+        });
+    }
+
+    /// A response broke off inside a stream. Returns whether another backend may resume it.
+    pub fn record_broken_stream(&mut self) -> bool {
+        self.retry.record_broken_stream()
+    }
+
+    /// Draws a backend that was not tried yet: a healthy one where there is any.
+    fn choose_backend(&self) -> Option<(Rc<Backend>, Choice)> {
+        let now = self.state.now();
+        let backends = self.eligible_backends(now);
+        let settings = &self.state.chooser_settings;
+        let candidates: Vec<Candidate> = {
+            let loads = self.state.load_view.borrow();
+            let candidate = |backend: &Rc<Backend>| {
+                let number = load_reporter::backend_number(backend.identity);
+                let backlog =
+                    if settings.shared_load { loads.work(now, number) } else { loads.own_work(number) };
+                Candidate { identity: backend.identity, slots: backend.slots, backlog }
+            };
+            backends.iter().map(candidate).collect()
+        };
+        let proxies = self.state.proxies();
+        let sizes = self.state.statistics.prompt_sizes(&self.service_name);
+        let inflow = sizes.inflow(now, settings.news, proxies, candidates.len());
+        let fleet = Surroundings { proxies, inflow, target_ms: self.route.target_ms };
+        let mut random = self.state.random.borrow_mut();
+        let statistics = &self.state.statistics;
+        let choice = statistics.with_chooser(&self.route, &self.service_name, |chooser| {
+            chooser.choose(now, &candidates, self.prompt, fleet, &mut *random)
+        })?;
+        backends.get(choice.index).map(|backend| (backend.clone(), choice))
+    }
+
+    /// The backends that a choice is made among.
+    fn eligible_backends(&self, now: u64) -> Vec<Rc<Backend>> {
+        let settings = &self.state.chooser_settings;
+        let max_connections = self.state.max_connections(&self.table, self.service);
+        let mut backends = self.state.backends(&self.service_name);
+        backends.retain(|backend| !self.attempted.contains(&backend.identity));
+        backends.retain(|backend| {
+            backend.open_sockets() < max_connections || backend.in_flight() < backend.open_sockets()
+        });
+        let is_avoided = |backend: &Backend| settings.avoid && backend.is_avoided(now);
+        let is_healthy = |backend: &Rc<Backend>| !backend.lease_expired.get() && !is_avoided(backend);
+        if backends.iter().any(is_healthy) {
+            backends.retain(is_healthy);
+        }
+        self.leave_out_failing(now, &mut backends);
+        if settings.long_apart {
+            self.separate_long_prompts(&mut backends);
+        }
+        backends
+    }
+
+    /// Leaves out backends at which requests of any proxy fail, unless that leaves too few.
+    fn leave_out_failing(&self, now: u64, backends: &mut Vec<Rc<Backend>>) {
+        if !self.state.chooser_settings.shared_health {
+            return;
+        }
+        let loads = self.state.load_view.borrow();
+        let is_failing = |backend: &Rc<Backend>| {
+            loads.health(now, load_reporter::backend_number(backend.identity)).is_failing()
+        };
+        let healthy = backends.iter().filter(|backend| !is_failing(backend)).count();
+        if healthy as f64 >= backends.len() as f64 * MIN_HEALTHY_FRACTION {
+            backends.retain(|backend| !is_failing(backend));
+        }
+    }
+
+    /// Leaves only the backends reserved for long prompts, or only the others, by this prompt's length.
+    fn separate_long_prompts(&self, backends: &mut Vec<Rc<Backend>>) {
+        let sizes = self.state.statistics.prompt_sizes(&self.service_name);
+        let identities: Vec<u64> = backends.iter().map(|backend| backend.identity).collect();
+        let reserved = sizes.mark(&identities);
+        let is_long = sizes.is_long(self.prompt);
+        if reserved.contains(&is_long) {
+            let mut reserved = reserved.into_iter();
+            backends.retain(|_| reserved.next() == Some(is_long));
+        }
+    }
+
+    fn request_for(&self, backend: &Backend, resume_after: Option<&str>) -> Request<Full<Bytes>> {
+        let mut request = Request::new(Full::new(self.body.clone()));
+        *request.method_mut() = self.head.method.clone();
+        *request.uri_mut() = self.head.uri.clone();
+        *request.headers_mut() = self.head.headers.clone();
+        let headers = request.headers_mut();
+        let remaining_ms = self.deadline.saturating_duration_since(Instant::now()).as_millis() as u64;
+        headers.insert(DEADLINE, HeaderValue::from(remaining_ms));
+        if let Ok(id) = HeaderValue::from_str(&backend.id) {
+            headers.insert(EXPECTED_INSTANCE, id);
+        }
+        if let Some(id) = resume_after.and_then(|id| HeaderValue::from_str(id).ok()) {
+            headers.insert(LAST_EVENT_ID, id);
+        }
+        request
+    }
+}
+
+/// Replaces the headers that only this system may set.
+fn set_system_headers(head: &mut Parts, admitted: &AdmittedRequest) {
+    let headers = &mut head.headers;
+    strip_connection_headers(headers);
+    headers.remove(API_KEY);
+    headers.remove(TENANT);
+    headers.remove(EXPECTED_INSTANCE);
+    if let Some(value) = admitted.tenant.and_then(|t| HeaderValue::from_str(&t.name).ok()) {
+        headers.insert(TENANT, value);
+    }
+    headers.insert(PRIORITY, HeaderValue::from(admitted.priority));
+}
+
+fn record_arrival(state: &EdgeState, admitted: &AdmittedRequest, service: &str) {
+    let now = state.now();
+    let statistics = &state.statistics;
+    statistics.record_request(now, service);
+    statistics.record_prompt(now, service, admitted.prompt);
+    statistics.with_chooser(admitted.route, service, |chooser| {
+        chooser.note_arrival(now, admitted.prompt.subject);
+    });
+}
+
+/// Draws one of the route's services by weight.
+fn pick_service(state: &EdgeState, route: &Route) -> Option<ServiceIndex> {
+    let total: f64 = route.split.iter().map(|(_, weight)| weight).sum();
+    let uniform = state.random.borrow_mut().next_u32() as f64 / (u32::MAX as f64 + 1.0);
+    let mut remaining = uniform * total;
+    for (service, weight) in &route.split {
+        if remaining < *weight {
+            return Some(*service);
+        }
+        remaining -= weight;
+    }
+    // Rounding may leave a rest: the last service with a weight.
+    let mut weighted = route.split.iter().rev().filter(|(_, weight)| *weight > 0.0);
+    weighted.next().map(|(service, _)| *service)
+}
--- /dev/null
+++ b/crates/gaugesaddle-edge/src/http_server.rs
@@ -0,0 +1,188 @@
+//! Connections of clients, and the way of one request through the proxy.
+
+use crate::admission;
+use crate::dispatch::{Dispatch, StartedResponse};
+use crate::headers::{self, LAST_EVENT_ID};
+use crate::rejection::Rejection;
+use crate::relay::Relay;
+use crate::response_body::{rejection_response, ResponseBody};
+use crate::state::EdgeState;
+use bytes::{Bytes, BytesMut};
+use gaugesaddle_config::{RouteKind, RoutingTable};
+use gaugesaddle_http_connection::{strip_connection_headers, BUFFERED_BODY_BYTES};
+use gaugesaddle_transport::accept;
+use http_body_util::{BodyExt, LengthLimitError, Limited};
+use hyper::body::{Body, Incoming};
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{Request, Response};
+use hyper_util::rt::{TokioIo, TokioTimer};
+use std::convert::Infallible;
+use std::pin::pin;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{watch, Semaphore};
+use tokio::time::Instant;
+
+/// Time for a head, and for an idle connection, before a configuration sets them.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Fraction of the file descriptors that client connections may take; the others are for backends.
+const CLIENT_DESCRIPTOR_FRACTION: f64 = 0.55;
+/// File descriptors that are not for connections.
+const RESERVED_DESCRIPTORS: u64 = 250;
+/// Client connections that are accepted however few file descriptors there are.
+const MIN_CLIENT_CONNECTIONS: usize = 16;
+/// Fraction of the memory that buffered request bodies may take.
+const BODY_MEMORY_FRACTION: f64 = 0.25;
+
+/// Accepts clients until the task is aborted; open connections end gracefully once `closing` is true.
+pub async fn serve(state: Rc<EdgeState>, listener: TcpListener, closing: watch::Receiver<bool>) {
+    let descriptors = state.boot.limits.max_fds.saturating_sub(RESERVED_DESCRIPTORS) as f64;
+    let max_connections = (descriptors * CLIENT_DESCRIPTOR_FRACTION) as usize;
+    let permits = Arc::new(Semaphore::new(max_connections.max(MIN_CLIENT_CONNECTIONS)));
+    loop {
+        let Ok(permit) = permits.clone().acquire_owned().await else { return };
+        let (stream, _) = accept(&listener).await;
+        let state = state.clone();
+        let closing = closing.clone();
+        tokio::task::spawn_local(async move {
+            let _permit = permit;
+            serve_connection(state, stream, closing).await;
+        });
+    }
+}
+
+async fn serve_connection(state: Rc<EdgeState>, stream: TcpStream, mut closing: watch::Receiver<bool>) {
+    let _ = stream.set_nodelay(true);
+    let idle_timeout = state
+        .routing_table()
+        .map_or(DEFAULT_IDLE_TIMEOUT, |table| Duration::from_secs_f64(table.limits.idle_timeout_ms / 1000.0));
+    let service = service_fn(move |request| {
+        let state = state.clone();
+        async move { Ok::<_, Infallible>(respond(state, request).await) }
+    });
+    let mut builder = http1::Builder::new();
+    builder.timer(TokioTimer::new()).header_read_timeout(idle_timeout);
+    let mut serving = pin!(builder.serve_connection(TokioIo::new(stream), service));
+    // An error of the connection concerns its client only.
+    tokio::select! {
+        _ = serving.as_mut() => return,
+        _ = closing.wait_for(|closing| *closing) => serving.as_mut().graceful_shutdown(),
+    }
+    let _ = serving.await;
+}
+
+async fn respond(state: Rc<EdgeState>, request: Request<Incoming>) -> Response<ResponseBody> {
+    handle(state, request).await.unwrap_or_else(rejection_response)
+}
+
+async fn handle(
+    state: Rc<EdgeState>, request: Request<Incoming>,
+) -> Result<Response<ResponseBody>, Rejection> {
+    let arrived = Instant::now();
+    let table = state.routing_table().ok_or(Rejection::NotConfigured)?;
+    let (head, body) = request.into_parts();
+    let admitted = admission::identify(&table, &head, arrived)?;
+    let body = read_body(&state, &table, body, admitted.deadline).await?;
+    admission::take_quota(&state, &head, &admitted).await?;
+    let last_event_id = headers::text(&head.headers, &LAST_EVENT_ID).map(str::to_owned);
+    let mut dispatch = Dispatch::new(state.clone(), table.clone(), admitted, head, body)?;
+    let started = dispatch.first_response().await?;
+    forward(started, dispatch, last_event_id).await
+}
+
+/// Bytes of a request body that are counted while it is read.
+struct BufferedBytes<'a> {
+    state: &'a EdgeState,
+    bytes: usize,
+}
+
+impl<'a> BufferedBytes<'a> {
+    fn count(state: &'a EdgeState, bytes: usize) -> BufferedBytes<'a> {
+        state.buffered_bytes.set(state.buffered_bytes.get() + bytes);
+        BufferedBytes { state, bytes }
+    }
+}
+
+impl Drop for BufferedBytes<'_> {
+    fn drop(&mut self) {
+        let buffered = &self.state.buffered_bytes;
+        buffered.set(buffered.get().saturating_sub(self.bytes));
+    }
+}
+
+async fn read_body(
+    state: &EdgeState, table: &RoutingTable, body: Incoming, deadline: Instant,
+) -> Result<Bytes, Rejection> {
+    let max_bytes = table.limits.max_body_bytes as usize;
+    let memory_limit = (state.boot.limits.memory_mb as f64 * 1e6 * BODY_MEMORY_FRACTION) as usize;
+    let announced_bytes = body.size_hint().lower() as usize;
+    if announced_bytes > max_bytes {
+        return Err(Rejection::BodyTooLarge);
+    }
+    if state.buffered_bytes.get() + announced_bytes > memory_limit {
+        return Err(Rejection::Unavailable);
+    }
+    let _counted = BufferedBytes::count(state, announced_bytes);
+    match tokio::time::timeout_at(deadline, Limited::new(body, max_bytes).collect()).await {
+        Ok(Ok(collected)) => Ok(collected.to_bytes()),
+        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(Rejection::BodyTooLarge),
+        Ok(Err(_)) | Err(_) => Err(Rejection::BodyIncomplete),
+    }
+}
+
+/// A backend's response for the client: buffered where it is short and no stream, else relayed.
+async fn forward(
+    mut started: StartedResponse, dispatch: Dispatch, last_event_id: Option<String>,
+) -> Result<Response<ResponseBody>, Rejection> {
+    let mut response = Response::new(ResponseBody::empty());
+    let upstream = &mut started.response;
+    *response.status_mut() = upstream.head.status;
+    *response.headers_mut() = std::mem::take(&mut upstream.head.headers);
+    strip_connection_headers(response.headers_mut());
+    let is_stream =
+        matches!(dispatch.route.kind, RouteKind::Streaming { .. }) && upstream.head.status.is_success();
+    let is_short = upstream.body.size_hint().upper().is_some_and(|n| n <= BUFFERED_BODY_BYTES as u64);
+    *response.body_mut() = if is_short && !is_stream {
+        ResponseBody::Buffered(Some(read_response(started, &dispatch).await?))
+    } else {
+        ResponseBody::Relayed(Box::new(Relay::new(started, dispatch, last_event_id)))
+    };
+    Ok(response)
+}
+
+/// Reads a response body to its end, so that a broken one never reaches the client as a complete one.
+async fn read_response(started: StartedResponse, dispatch: &Dispatch) -> Result<Bytes, Rejection> {
+    let StartedResponse { response, backend, choice, work, sent_at, in_flight } = started;
+    let mut connection = response.connection;
+    let mut body = response.body;
+    let mut received = BytesMut::new();
+    let reading = async {
+        while let Some(frame) = connection.next_frame(&mut body).await {
+            if let Ok(bytes) = frame.map_err(|_| Rejection::UpstreamFailed)?.into_data() {
+                received.extend_from_slice(&bytes);
+            }
+        }
+        Ok(())
+    };
+    match tokio::time::timeout_at(dispatch.deadline, reading).await {
+        Ok(Ok(())) => {}
+        Ok(Err(rejection)) => {
+            backend.record_failure(dispatch.state.now());
+            return Err(rejection);
+        }
+        Err(_) => return Err(Rejection::TimedOut),
+    }
+    drop((in_flight, work));
+    let latency_ms = sent_at.elapsed().as_secs_f64() * 1000.0;
+    if response.head.status.is_success() {
+        dispatch.record_latency(&choice, latency_ms);
+        dispatch.record_success(&backend);
+    }
+    if connection.is_reusable().await {
+        backend.put_idle(dispatch.state.now(), connection);
+    }
+    Ok(received.freeze())
+}
--- /dev/null
+++ b/crates/gaugesaddle-edge/src/response_body.rs
@@ -0,0 +1,79 @@
+//! The body of a response to a client: buffered bytes, or a relayed stream.
+
+use crate::rejection::Rejection;
+use crate::relay::Relay;
+use bytes::Bytes;
+use hyper::body::{Body, Frame, SizeHint};
+use hyper::header::{HeaderValue, CONNECTION, RETRY_AFTER};
+use hyper::Response;
+use std::pin::Pin;
+use std::task::{Context, Poll};
+use thiserror::Error;
+
+/// A response cannot be relayed to its end; the client's connection is broken off, so that the response does not look
+/// complete.
+#[derive(Debug, Error)]
+#[error("the response broke off")]
+pub struct BrokenResponse;
+
+/// The body of a response to a client.
+pub enum ResponseBody {
+    /// All bytes are there.
+    Buffered(Option<Bytes>),
+    /// Passed on as a backend sends it.
+    Relayed(Box<Relay>),
+}
+
+impl ResponseBody {
+    /// A body without bytes.
+    pub fn empty() -> ResponseBody {
+        ResponseBody::Buffered(Some(Bytes::new()))
+    }
+}
+
+impl Body for ResponseBody {
+    type Data = Bytes;
+    type Error = BrokenResponse;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>, context: &mut Context,
+    ) -> Poll<Option<Result<Frame<Bytes>, BrokenResponse>>> {
+        match &mut *self {
+            ResponseBody::Buffered(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            ResponseBody::Relayed(relay) => {
+                relay.poll_chunk(context).map(|chunk| chunk.map(|result| result.map(Frame::data)))
+            }
+        }
+    }
+
+    fn is_end_stream(&self) -> bool {
+        match self {
+            ResponseBody::Buffered(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            ResponseBody::Relayed(_) => false,
+        }
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        match self {
+            ResponseBody::Buffered(bytes) => {
+                SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64)
+            }
+            ResponseBody::Relayed(relay) => {
+                relay.content_length().map_or_else(SizeHint::default, SizeHint::with_exact)
+            }
+        }
+    }
+}
+
+/// The response to a request that is rejected here.
+pub fn rejection_response(rejection: Rejection) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::empty());
+    *response.status_mut() = rejection.status();
+    if let Some(after) = rejection.retry_after() {
+        response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(after));
+    }
+    if rejection.closes_connection() {
+        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    }
+    response
+}
--- /dev/null
+++ b/crates/gaugesaddle-edge/src/retry/tests.rs
@@ -0,0 +1,74 @@
+//! Guards against: a non-idempotent request that is sent again after a reset or no response, or is promised not to have
+//! run though it may have.
+
+use super::*;
+
+const ALL: [AttemptFailure; 4] = [
+    AttemptFailure::NeverSent,
+    AttemptFailure::NotExecuted,
+    AttemptFailure::MayHaveRun,
+    AttemptFailure::TimedOut,
+];
+/// Longer than any request lasts: each attempt is counted in one of two bounds.
+const MAX_STEPS: u32 = 9;
+
+/// Calls `visit` with every path that a request can go, to its end.
+fn visit_every_path(
+    state: RetryState, path: &mut Vec<AttemptFailure>, visit: &mut impl FnMut(&[AttemptFailure], Rejection),
+) {
+    assert!(path.len() < MAX_STEPS as usize, "{path:?} goes on for ever");
+    for failure in ALL {
+        let mut next = state;
+        path.push(failure);
+        match next.record_failure(failure) {
+            Ok(()) => visit_every_path(next, path, visit),
+            Err(rejection) => visit(path, rejection),
+        }
+        path.pop();
+    }
+}
+
+fn promises(rejection: Rejection) -> bool {
+    [429, 503, 408, 421].contains(&rejection.status().as_u16())
+}
+
+#[test]
+fn a_request_that_may_have_run_is_retried_only_if_idempotent() {
+    let mut paths = 0;
+    for max_attempts in 1..=4 {
+        for idempotent in [false, true] {
+            visit_every_path(
+                RetryState::with_limits(idempotent, max_attempts),
+                &mut Vec::new(),
+                &mut |path, rejection| {
+                    paths += 1;
+                    let ran = |failure: &&AttemptFailure| {
+                        matches!(failure, AttemptFailure::MayHaveRun | AttemptFailure::TimedOut)
+                    };
+                    let runs = path.iter().filter(ran).count();
+                    assert!(idempotent || runs <= 1, "{path:?}");
+                    assert!(
+                        idempotent || runs == 0 || ran(&path.last().expect("a step")),
+                        "{path:?} goes on"
+                    );
+                    assert_eq!(promises(rejection), runs == 0, "{path:?} ends with {rejection:?}");
+                    let sent =
+                        path.iter().filter(|failure| **failure != AttemptFailure::NeverSent).count() as u32;
+                    assert!(sent <= max_attempts, "{path:?} goes to {sent} backends of {max_attempts}");
+                },
+            );
+        }
+    }
+    assert!(paths > 500, "{paths}");
+}
+
+#[test]
+fn a_broken_stream_is_resumed_only_if_idempotent_and_attempts_remain() {
+    for (idempotent, max_attempts, resumes) in [(true, 2, true), (true, 1, false), (false, 2, false)] {
+        let mut state = RetryState::with_limits(idempotent, max_attempts);
+        state.record_response();
+        assert!(state.is_retry());
+        assert_eq!(state.record_broken_stream(), resumes);
+        assert!(!promises(state.no_backend()) && !promises(state.deadline_passed()));
+    }
+}
--- /dev/null
+++ b/crates/gaugesaddle-edge/src/state.rs
@@ -0,0 +1,191 @@
+//! The state that all tasks of the process share: configuration, backends, quotas, and what was learned.
+
+use crate::backend::Backend;
+use crate::backend_set::BackendSet;
+use crate::service_statistics::ServiceStatistics;
+use gaugesaddle_config::{BootSettings, OperatorConfig, RoutingTable, ServiceIndex};
+use gaugesaddle_distribution::Follower;
+use gaugesaddle_inference::ChooserSettings;
+use gaugesaddle_load_report::LoadView;
+use gaugesaddle_protocol::{Lifecycle, PullReply, Registration, Subject};
+use gaugesaddle_quota::TokenAllowance;
+use gaugesaddle_transport::Clock;
+use rand_pcg::rand_core::{OsRng, SeedableRng, TryRngCore};
+use rand_pcg::Pcg64Mcg;
+use spdlog::{info, warn};
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use tokio::sync::Notify;
+
+/// Fraction of the quotas' slack that all proxies together may use without a leader.
+const UNLED_SLACK_FRACTION: f64 = 0.4;
+/// Fraction of a service's connections that is divided among the known proxies; the rest is for those not known yet.
+const CONNECTION_FRACTION: f64 = 0.9;
+
+/// Shared by all tasks of the process, on one thread.
+pub struct EdgeState {
+    pub boot: BootSettings,
+    pub clock: Clock,
+    /// Name of this incarnation of the proxy.
+    pub proxy_id: String,
+    /// What was received from the control plane.
+    pub follower: RefCell<Follower>,
+    /// SIGTERM was received.
+    pub terminating: Cell<bool>,
+    /// Requests under way.
+    pub active_requests: Rc<Cell<usize>>,
+    /// Bytes of request bodies that are buffered.
+    pub buffered_bytes: Cell<usize>,
+    /// Tokens leased from the leader, by tenant.
+    pub allowance: RefCell<TokenAllowance>,
+    /// Wakes requests that wait for tokens.
+    pub tokens_granted: Notify,
+    /// Wakes the task that requests tokens.
+    pub tokens_needed: Notify,
+    pub random: RefCell<Pcg64Mcg>,
+    /// Settings of the choice of backends.
+    pub chooser_settings: ChooserSettings,
+    /// The backends' load and failures, as all proxies see them.
+    pub load_view: RefCell<LoadView>,
+    /// Wakes the task that reports load.
+    pub load_changed: Notify,
+    /// What was learned of each service.
+    pub statistics: ServiceStatistics,
+    routing_table: RefCell<Option<Rc<RoutingTable>>>,
+    backends: BackendSet,
+}
+
+impl EdgeState {
+    /// The state of a process that has just started.
+    pub fn new(boot: BootSettings, chooser_settings: ChooserSettings) -> EdgeState {
+        let seed = OsRng.try_next_u64().unwrap_or_else(|_| u64::from(std::process::id()));
+        let clock = Clock::default();
+        let proxy_id = format!("{}#{seed:x}", boot.node_name);
+        let registration = Registration {
+            id: proxy_id.clone(),
+            zone: boot.zone.clone(),
+            subject: Subject::Proxy,
+            sequence: 0,
+            lifecycle: Lifecycle::Ready,
+        };
+        let seeds = boot.seeds.iter().map(|seed| u32::from(*seed.ip()));
+        let follower = Follower::new(clock.now(), u32::from(boot.ip), registration, seeds);
+        EdgeState {
+            proxy_id,
+            follower: RefCell::new(follower),
+            clock,
+            terminating: Cell::new(false),
+            active_requests: Rc::default(),
+            buffered_bytes: Cell::new(0),
+            allowance: RefCell::default(),
+            tokens_granted: Notify::new(),
+            tokens_needed: Notify::new(),
+            random: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
+            chooser_settings,
+            load_view: RefCell::default(),
+            load_changed: Notify::new(),
+            statistics: ServiceStatistics::new(chooser_settings, &boot.bounds),
+            routing_table: RefCell::default(),
+            backends: BackendSet::new(),
+            boot,
+        }
+    }
+
+    /// Milliseconds on the steady clock.
+    pub fn now(&self) -> u64 {
+        self.clock.now()
+    }
+
+    /// The routing table of the configuration in force.
+    pub fn routing_table(&self) -> Option<Rc<RoutingTable>> {
+        self.routing_table.borrow().clone()
+    }
+
+    /// Whether the configuration in force was the newest acknowledged one less than `bound_ms` milliseconds ago.
+    pub fn is_proven_within(&self, bound_ms: u64) -> bool {
+        self.follower.borrow().is_proven_within(self.now(), bound_ms)
+    }
+
+    /// Live proxies, this one included.
+    pub fn proxies(&self) -> usize {
+        self.backends.proxies()
+    }
+
+    /// Backends of a service that may get new requests, whatever their health.
+    pub fn backends(&self, service: &str) -> Vec<Rc<Backend>> {
+        self.backends.of_service(service)
+    }
+
+    /// Whether any configured service has a backend.
+    pub fn has_backends(&self) -> bool {
+        let Some(table) = self.routing_table() else { return false };
+        table.services.iter().any(|service| self.backends.has_service(&service.name))
+    }
+
+    /// Closes connections that have been idle too long.
+    pub fn close_stale_connections(&self) {
+        self.backends.close_stale_connections(self.now());
+    }
+
+    /// Connections that this proxy may open to one backend of a service.
+    pub fn max_connections(&self, table: &RoutingTable, service: ServiceIndex) -> usize {
+        let shared_limit = table.services.get(service.0).map_or(0.0, |s| s.max_connections);
+        if shared_limit <= 0.0 {
+            return usize::MAX;
+        }
+        ((shared_limit * CONNECTION_FRACTION / self.proxies() as f64) as usize).max(1)
+    }
+
+    /// Takes one retry from the budget that all proxies share; false where none is left.
+    pub fn take_retry(&self, service: &str) -> bool {
+        self.statistics.take_retry(self.now(), service, self.proxies())
+    }
+
+    /// Applies the answer of a control process to a call made at `called_at` whose answer is valid for `valid_ms`. Returns
+    /// whether the same process should be called again.
+    pub fn apply_pull_reply(&self, called_at: u64, valid_ms: u64, reply: PullReply) -> bool {
+        let applied = self.follower.borrow_mut().take(self.now(), called_at, valid_ms, reply);
+        if applied.registrations {
+            self.apply_registrations();
+        }
+        if applied.configuration {
+            self.apply_configuration();
+        }
+        applied.stays
+    }
+
+    fn apply_registrations(&self) {
+        let proxies_changed = self.backends.update(self.follower.borrow().catalog());
+        if proxies_changed {
+            self.configure_allowance();
+        }
+    }
+
+    /// Puts the newest received configuration in force.
+    fn apply_configuration(&self) {
+        let follower = self.follower.borrow();
+        let Some(configuration) = follower.configuration() else { return };
+        let revision = configuration.revision;
+        if self.routing_table.borrow().as_ref().is_some_and(|table| table.revision == revision) {
+            return;
+        }
+        let config = match OperatorConfig::parse(&configuration.document) {
+            Ok(config) => config,
+            Err(findings) => return warn!("configuration revision {revision} cannot be read: {findings}"),
+        };
+        let table = RoutingTable::new(config);
+        info!("configuration revision {} is in force", table.revision);
+        *self.routing_table.borrow_mut() = Some(Rc::new(table));
+        self.configure_allowance();
+    }
+
+    /// Sets the tenants with a limit, and what each may use without a leader.
+    fn configure_allowance(&self) {
+        let Some(table) = self.routing_table() else { return };
+        let limited = table.tenants.iter().filter(|tenant| tenant.limit.is_some());
+        let names: Vec<String> = limited.map(|tenant| tenant.name.clone()).collect();
+        let bounds = &self.boot.bounds;
+        let unled_rate = bounds.quota_slack * UNLED_SLACK_FRACTION / bounds.quota_window_s.max(1.0);
+        self.allowance.borrow_mut().configure(&names, unled_rate / self.proxies() as f64);
+    }
+}
--- /dev/null
+++ b/crates/gaugesaddle-http-connection/src/headers.rs
@@ -0,0 +1,27 @@
+//! Headers that a proxy must not forward.
+
+use hyper::header::{
+    HeaderMap, HeaderName, CONNECTION, CONTENT_LENGTH, TE, TRAILER, TRANSFER_ENCODING, UPGRADE,
+};
+
+/// Headers without a constant in `hyper` that concern one connection only.
+const KEEP_ALIVE: &str = "keep-alive";
+/// Answered hop by hop: the client's `Expect` is answered here.
+const EXPECT: &str = "expect";
+
+/// Removes the headers that concern one connection only (RFC 9110, section 7.6.1), those that `Connection` names included.
+pub fn strip_connection_headers(headers: &mut HeaderMap) {
+    let connection_values: Vec<_> = headers.get_all(CONNECTION).iter().cloned().collect();
+    for value in connection_values {
+        for name in value.to_str().unwrap_or("").split(',') {
+            if let Ok(name) = HeaderName::from_bytes(name.trim().as_bytes()) {
+                headers.remove(name);
+            }
+        }
+    }
+    for name in [CONNECTION, TRANSFER_ENCODING, CONTENT_LENGTH, TE, TRAILER, UPGRADE] {
+        headers.remove(name);
+    }
+    headers.remove(KEEP_ALIVE);
+    headers.remove(EXPECT);
+}
--- a/crates/gaugesaddle/src/body.rs
+++ b/crates/gaugesaddle/src/body.rs
@@ -2,9 +2,9 @@
 //! broken before a byte of it goes on; what doesn't is passed on piece by piece, once.
 
 use crate::exchange::Input;
-use crate::wire::Progress;
 use bytes::Bytes;
 use gaugesaddle_balancer::RequestId;
+use gaugesaddle_http_connection::RequestProgress;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::HeaderMap;
 use std::cell::RefCell;
@@ -43,8 +43,8 @@
 
 impl Passing {
     /// Its last byte is handed over: from now on it may run, and its client's patience is known.
-    fn whole(&mut self, progress: &Progress) {
-        progress.handed_over.set(true);
+    fn whole(&mut self, progress: &RequestProgress) {
+        progress.body_complete.set(true);
         if let Some((inputs, request)) = self.ended.take() {
             let _ = inputs.send(Input::Whole(request));
         }
@@ -63,7 +63,7 @@
 /// A request's body on its way to a backend.
 pub enum Upload {
     Whole(Option<Bytes>),
-    Passing(Passing, Rc<Progress>),
+    Passing(Passing, Rc<RequestProgress>),
 }
 
 impl CallBody {
@@ -73,7 +73,7 @@
     }
 
     /// For an attempt on that connection; `None`: an earlier one has used it up.
-    pub fn upload(&self, progress: &Rc<Progress>) -> Option<Upload> {
+    pub fn upload(&self, progress: &Rc<RequestProgress>) -> Option<Upload> {
         match self {
             CallBody::Whole(bytes) => {
                 progress.restart(true);
@@ -106,7 +106,7 @@
                             let Ok(bytes) = frame.into_data() else { continue };
                             passing.passed += bytes.len() as u64;
                             if passing.passed > MOST_BYTES {
-                                progress.client_broke.set(true);
+                                progress.client_aborted.set(true);
                                 Some(Err(BodyError::Long))
                             } else {
                                 // Nobody asks for more once the stated length is there.
@@ -117,7 +117,7 @@
                             }
                         }
                         Some(Err(_)) => {
-                            progress.client_broke.set(true);
+                            progress.client_aborted.set(true);
                             Some(Err(BodyError::Broken))
                         }
                         None => {
--- a/crates/gaugesaddle/src/cli.rs
+++ b/crates/gaugesaddle/src/cli.rs
@@ -2,7 +2,7 @@
 
 use crate::error::Error;
 use crate::operator::{self, Operator};
-use crate::{app, edge, region, state};
+use crate::{app, region, state};
 use clap::{Parser, Subcommand, ValueEnum};
 use serde::Serialize;
 use std::path::PathBuf;
@@ -76,7 +76,9 @@
     let operator = || file.as_deref().map_or(Ok(Operator::default()), operator::load);
     match arguments.command {
         None => app::run(file.clone(), operator()?),
-        Some(Command::Edge { settings }) => edge::run(&settings).map_err(|e| Error::Edge(format!("{e:#}"))),
+        Some(Command::Edge { settings }) => {
+            gaugesaddle_edge::run(&settings).map_err(|e| Error::Edge(format!("{e:#}")))
+        }
         Some(Command::Check { file }) => {
             let operator = operator::load(&file)?;
             region::check(&operator.region)?;
--- a/crates/gaugesaddle/src/exchange.rs
+++ b/crates/gaugesaddle/src/exchange.rs
@@ -4,12 +4,12 @@
 
 use crate::body::{CallBody, Payload};
 use crate::clock::Clock;
-use crate::wire::MayBegin;
 use gaugesaddle_balancer::{
     AttemptNo, Backend, ClassId, ListUpdate, Micros, Outcome, RequestId, TenantId, Time,
 };
+use gaugesaddle_http_connection::SendGuard;
 use gaugesaddle_maintenance::{Order, Verdict};
-use hyper::header::{HeaderMap, HeaderName};
+use hyper::header::HeaderName;
 use hyper::{Request, Response};
 use std::cell::Cell;
 use std::future::Future;
@@ -19,7 +19,7 @@
 use tokio::sync::oneshot;
 
 /// A body up to this size is held whole before it goes on, either way.
-pub const BODY_BYTES: usize = 64 << 10;
+pub const BODY_BYTES: usize = gaugesaddle_http_connection::BUFFERED_BODY_BYTES;
 /// The header that tells how long the sender will wait, in whole milliseconds.
 pub const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left-ms");
 
@@ -66,8 +66,8 @@
     pub clock: Clock,
 }
 
-impl MayBegin for Gate {
-    fn may_begin(&self) -> bool {
+impl SendGuard for Gate {
+    fn may_send(&self) -> bool {
         self.open.get() && self.call.wanted.get() && self.clock.now() < self.span.begin
     }
 }
@@ -176,20 +176,3 @@
     /// Sockets that are open.
     fn sockets(&self) -> usize;
 }
-
-/// Takes out what concerns one connection only (RFC 9110, 7.6.1).
-pub fn strip(headers: &mut HeaderMap) {
-    use hyper::header::*;
-    for named in headers.get_all(CONNECTION).iter().cloned().collect::<Vec<_>>() {
-        for name in named.to_str().unwrap_or("").split(',') {
-            if let Ok(name) = HeaderName::from_bytes(name.trim().as_bytes()) {
-                headers.remove(name);
-            }
-        }
-    }
-    for name in [CONNECTION, TRANSFER_ENCODING, CONTENT_LENGTH, TE, TRAILER, UPGRADE] {
-        headers.remove(name);
-    }
-    headers.remove("keep-alive");
-    headers.remove("expect");
-}
--- a/crates/gaugesaddle/src/region/client.rs
+++ b/crates/gaugesaddle/src/region/client.rs
@@ -2,7 +2,7 @@
 
 use super::{FATE, FULL, PATH, TOOK};
 use crate::clock::Clock;
-use crate::exchange::{strip, Call, BODY_BYTES, TIME_LEFT};
+use crate::exchange::{Call, BODY_BYTES, TIME_LEFT};
 use bytes::Bytes;
 use gaugesaddle_balancer::{Micros, Time};
 use gaugesaddle_federation::{Fate, Gates, HopEnd, Path, Shut};
@@ -226,7 +226,7 @@
             let (mut head, body): (_, Incoming) = answer.into_parts();
             // Broken in the middle it must not look whole; it has run all the same.
             let body = Limited::new(body, ANSWER_BYTES).collect().await.map_err(|_| Lost { begun: true })?;
-            strip(&mut head.headers);
+            gaugesaddle_http_connection::strip_connection_headers(&mut head.headers);
             return Ok(Response::from_parts(head, body.to_bytes()));
         }
     }
--- a/crates/gaugesaddle/src/server.rs
+++ b/crates/gaugesaddle/src/server.rs
@@ -2,7 +2,7 @@
 
 use crate::body::{CallBody, Download, Passing, HELD_BYTES, MOST_BYTES};
 use crate::clock::{duration, Clock};
-use crate::exchange::{strip, Answer, Arrived, Call, Input, Refusal, BODY_BYTES};
+use crate::exchange::{Answer, Arrived, Call, Input, Refusal, BODY_BYTES};
 use crate::form::{self, Form, Rules, Wrong};
 use crate::registry::Registry;
 use crate::tally::Reason;
@@ -517,7 +517,7 @@
         }
         let whole = self.clock.now();
         let request = RequestId(self.number());
-        strip(&mut head.headers);
+        gaugesaddle_http_connection::strip_connection_headers(&mut head.headers);
         let mut sent = Request::new(());
         *sent.method_mut() = head.method;
         *sent.uri_mut() = head.uri.path_and_query().map(|p| p.clone().into()).unwrap_or_default();
--- a/crates/gaugesaddle/src/upstream.rs
+++ b/crates/gaugesaddle/src/upstream.rs
@@ -2,14 +2,13 @@
 
 use crate::body::{ends_with_connection, Payload, Piece, Upload, MOST_BYTES, STALL};
 use crate::clock::{duration, Clock};
-use crate::counted::Counted;
-use crate::exchange::{
-    strip, Call, Ended, Gate, Local, Span, Target, Upstream, Upstreams, BODY_BYTES, TIME_LEFT,
-};
+use crate::exchange::{Call, Ended, Gate, Local, Span, Target, Upstream, Upstreams, BODY_BYTES, TIME_LEFT};
 use crate::registry::Registry;
-use crate::wire::MayBegin;
 use bytes::{Bytes, BytesMut};
 use gaugesaddle_balancer::{BackendState, Micros, Outcome, Time};
+use gaugesaddle_http_connection::{
+    is_out_of_descriptors, strip_connection_headers, Connection, CountedPermit, SendGuard,
+};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::SendRequest;
@@ -17,7 +16,6 @@
 use hyper::{Request, Response, StatusCode};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
-use std::io;
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use tokio::net::TcpStream;
@@ -88,7 +86,7 @@
 }
 
 /// A connection that counts among the sockets.
-type Link = crate::link::Link<Upload, Counted>;
+type Link = Connection<Upload, CountedPermit>;
 
 /// What all attempts share.
 pub struct Pool {
@@ -120,7 +118,7 @@
         // What two processes share may have become less.
         while self.sockets.get() > self.registry.bounds().upstream_sockets && kept.pop().is_some() {}
         for (since, mut link) in kept {
-            if link.alive().await && upstream.open.get() {
+            if link.is_reusable().await && upstream.open.get() {
                 upstream.idle.borrow_mut().push((since, link));
             }
         }
@@ -162,7 +160,7 @@
     async fn pooled(&self, upstream: &Node) -> Option<Link> {
         loop {
             let (since, mut link) = upstream.idle.borrow_mut().pop()?;
-            if self.clock.now() - since < self.idle_limit && link.alive().await {
+            if self.clock.now() - since < self.idle_limit && link.is_reusable().await {
                 return Some(link);
             }
         }
@@ -172,11 +170,11 @@
         if self.is_full() {
             return Err(Outcome::NeverSent); // our own want of sockets says nothing against the backend
         }
-        let slot = Counted::take(&self.sockets);
+        let slot = CountedPermit::acquire(&self.sockets);
         let dialled = tokio::time::timeout(duration(self.dial_timeout), TcpStream::connect(to)).await;
         let stream = match dialled {
             Ok(Ok(stream)) => stream,
-            Ok(Err(e)) if out_of_descriptors(&e) => return Err(Outcome::NeverSent),
+            Ok(Err(e)) if is_out_of_descriptors(&e) => return Err(Outcome::NeverSent),
             Ok(Err(_)) | Err(_) => return Err(Outcome::ConnectFailed),
         };
         let _ = stream.set_nodelay(true);
@@ -199,10 +197,10 @@
                 Err(outcome) => return outcome.into(),
             };
             // The socket asks as well, but only after the body is taken, and one that is passed on can be taken once.
-            if !gate.may_begin() {
+            if !gate.may_send() {
                 return Outcome::NeverSent.into();
             }
-            link.progress.guard(gate.clone());
+            link.progress.set_guard(gate.clone());
             let left = (span.deadline - self.clock.now()).0 / 1000;
             // An earlier attempt has had what can be sent once only, and it never ran.
             let Some(upload) = call.body.upload(&link.progress) else { return Outcome::NeverSent.into() };
@@ -224,12 +222,12 @@
                 }
                 // A pooled connection that closed, or brought more than its answer, before a byte was written:
                 // the attempt has not begun.
-                Err(()) if link.progress.client_broke.get() => Outcome::NeverSent.into(),
-                Err(()) if link.progress.shut.get() && !link.progress.begun.get() => {
+                Err(()) if link.progress.client_aborted.get() => Outcome::NeverSent.into(),
+                Err(()) if link.progress.refused.get() && !link.progress.begun.get() => {
                     Outcome::NeverSent.into()
                 }
                 Err(()) if !fresh && !link.progress.begun.get() && call.body.is_whole() => continue,
-                Err(()) if !link.progress.whole.get() => Outcome::ConnectFailed.into(),
+                Err(()) if !link.progress.fully_sent.get() => Outcome::ConnectFailed.into(),
                 Err(()) if link.progress.broken.get() => Outcome::Reset.into(),
                 // It answers, though nothing that can be used: as much against it as an error.
                 Err(()) => Outcome::Error.into(),
@@ -241,7 +239,7 @@
 impl Pool {
     /// Back among the idle, if it is of use.
     async fn keep(&self, upstream: &Rc<Node>, mut link: Link) {
-        if link.alive().await && upstream.open.get() {
+        if link.is_reusable().await && upstream.open.get() {
             self.put_aside(upstream, link);
         }
     }
@@ -253,9 +251,9 @@
         to: mpsc::Sender<Piece>,
     ) {
         // From here on the body is counted, and no longer what frames it.
-        link.progress.most.set(usize::MAX);
+        link.progress.max_response_bytes.set(usize::MAX);
         loop {
-            let piece = match tokio::time::timeout(STALL, link.frame(&mut body)).await {
+            let piece = match tokio::time::timeout(STALL, link.next_frame(&mut body)).await {
                 Ok(Some(Ok(frame))) => match frame.into_data() {
                     Ok(bytes) => {
                         passed += bytes.len() as u64;
@@ -278,11 +276,6 @@
     }
 }
 
-/// EMFILE or ENFILE.
-pub fn out_of_descriptors(e: &io::Error) -> bool {
-    matches!(e.raw_os_error(), Some(23 | 24))
-}
-
 fn request(call: &Call, upload: Upload, left: u64) -> Request<Upload> {
     let mut request = Request::new(upload);
     *request.method_mut() = call.head.method().clone();
@@ -338,7 +331,7 @@
 }
 
 fn pass_on(mut head: hyper::http::response::Parts, body: Payload) -> Response<Payload> {
-    strip(&mut head.headers);
+    strip_connection_headers(&mut head.headers);
     Response::from_parts(head, body)
 }
 
