--- a/crates/gaugesaddle-edge/src/dispatch.rs
+++ b/crates/gaugesaddle-edge/src/dispatch.rs
@@ -17,7 +17,7 @@
 use hyper::header::HeaderValue;
 use hyper::http::request::Parts;
 use hyper::Request;
-use rand_pcg::rand_core::RngCore;
+use rand_core::RngCore;
 use std::rc::Rc;
 use tokio::time::Instant;
 
--- a/crates/gaugesaddle-edge/src/state.rs
+++ b/crates/gaugesaddle-edge/src/state.rs
@@ -10,7 +10,7 @@
 use gaugesaddle_protocol::{Lifecycle, PullReply, Registration, Subject};
 use gaugesaddle_quota::TokenAllowance;
 use gaugesaddle_transport::Clock;
-use rand_pcg::rand_core::{OsRng, SeedableRng, TryRngCore};
+use rand_core::{OsRng, SeedableRng, TryRngCore};
 use rand_pcg::Pcg64Mcg;
 use spdlog::{info, warn};
 use std::cell::{Cell, RefCell};
