--- a/crates/gaugesaddle-maintenance/src/lifecycle.rs
+++ b/crates/gaugesaddle-maintenance/src/lifecycle.rs
@@ -1,14 +1,14 @@
-//! Whether a proxy wants clients, and how it lets go of those that it has.
+//! Whether a proxy accepts clients, and how it closes the connections that it has.
 
 use gaugesaddle_balancer::{Micros, Time};
 
-/// After SIGTERM without a successor new connections still come for a while (PROTOCOL of the platform: 0.2 to
-/// 0.4 s): so long they are accepted.
-pub const LISTEN_ON: Micros = Micros(500_000);
-/// Where another proxy takes over, connections between requests are kept for so long: nearly all bring another
-/// request by then and are told with its answer, which can cross nothing, while a close out of the blue can. Late
-/// enough for them, early enough for the last request to end before the drain is looked at (4 s).
-pub const IDLE_CLOSE: Micros = Micros(1_500_000);
+/// After SIGTERM without a successor new connections still arrive for 0.2 to 0.4 s (PROTOCOL of the platform); they are
+/// accepted for this long.
+pub const LISTEN_AFTER_STOP: Micros = Micros(500_000);
+/// Where another proxy takes the clients, connections between requests are kept for this long. Nearly all bring another
+/// request meanwhile and are closed with its response, which crosses nothing; a close between requests may cross one. Long
+/// enough for them, short enough for the last request to end before the platform looks at the drain (4 s).
+pub const IDLE_CLOSE_DELAY: Micros = Micros(1_500_000);
 
 /// What the proxy is doing.
 ///
@@ -16,16 +16,16 @@
 ///            drain                  stop
 ///  Serving ---------> Draining ----------+
 ///   ^   |  <---------                    v
-///   |   |    rejoin               Stopping { succeeded }
+///   |   |    rejoin               Stopping { has_successor }
 ///   |   +------------------------------> ^
 ///   |                 stop               |
-///   +--- (never back: a process that was told to end ends)
+///   +--- (never back: a process that was told to stop ends)
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Clients are welcome.
+    /// Clients are accepted.
     Serving,
-    /// The front is to send its clients elsewhere; the process stays.
+    /// Clients are to be sent elsewhere; the process stays.
     Draining {
         /// Since when.
         since: Time,
@@ -35,11 +35,11 @@
         /// Since when.
         since: Time,
         /// Another process listens on the same address.
-        succeeded: bool,
+        has_successor: bool,
     },
 }
 
-/// The state and what follows from it.
+/// The phase and what follows from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lifecycle {
     phase: Phase,
@@ -57,14 +57,14 @@
         self.phase
     }
 
-    /// The operators send its clients away. Told again it goes on as it is; one that ends, ends.
+    /// The operators send its clients away. A repeated command changes nothing; a stopping process stays one.
     pub fn drain(&mut self, now: Time) {
         if self.phase == Phase::Serving {
             self.phase = Phase::Draining { since: now };
         }
     }
 
-    /// Back to work; false where the process is ending.
+    /// Serves again; false where the process is stopping.
     pub fn rejoin(&mut self) -> bool {
         if !self.is_stopping() {
             self.phase = Phase::Serving;
@@ -72,47 +72,47 @@
         !self.is_stopping()
     }
 
-    /// The process is to end; `succeeded`: another one listens on its address.
-    pub fn stop(&mut self, now: Time, succeeded: bool) {
+    /// The process is to end; `has_successor`: another one listens on its address.
+    pub fn stop(&mut self, now: Time, has_successor: bool) {
         if !self.is_stopping() {
-            self.phase = Phase::Stopping { since: now, succeeded };
+            self.phase = Phase::Stopping { since: now, has_successor };
         }
     }
 
-    /// New clients are wanted.
-    pub fn welcomes(&self) -> bool {
+    /// Whether new clients are wanted.
+    pub fn accepts_clients(&self) -> bool {
         self.phase == Phase::Serving
     }
 
-    /// The process is to end.
+    /// Whether the process is to end.
     pub fn is_stopping(&self) -> bool {
         matches!(self.phase, Phase::Stopping { .. })
     }
 
-    /// Whether the listener stays open. While draining it does: the front asks there for the drain's end.
+    /// Whether the listener stays open. It does while draining: the platform asks there whether the drain is over.
     pub fn listens(&self, now: Time) -> bool {
         match self.phase {
             Phase::Serving | Phase::Draining { .. } => true,
-            Phase::Stopping { succeeded: true, .. } => false,
-            Phase::Stopping { since, .. } => now - since < LISTEN_ON,
+            Phase::Stopping { has_successor: true, .. } => false,
+            Phase::Stopping { since, .. } => now - since < LISTEN_AFTER_STOP,
         }
     }
 
-    /// From when on connections between requests are closed, if at all.
-    pub fn closes_idle_from(&self) -> Option<Time> {
+    /// When connections between requests are closed, if at all.
+    pub fn idle_close_time(&self) -> Option<Time> {
         match self.phase {
             Phase::Serving => None,
-            Phase::Draining { since } | Phase::Stopping { since, succeeded: true } => {
-                Some(since + IDLE_CLOSE)
+            Phase::Draining { since } | Phase::Stopping { since, has_successor: true } => {
+                Some(since + IDLE_CLOSE_DELAY)
             }
-            // Its clients have nowhere to go before the front has noticed; then the sooner the better.
-            Phase::Stopping { since, .. } => Some(since + LISTEN_ON),
+            // Its clients have nowhere to go before the platform has noticed; after that the sooner the better.
+            Phase::Stopping { since, .. } => Some(since + LISTEN_AFTER_STOP),
         }
     }
 
     /// Whether connections between requests are closed now.
-    pub fn closes_idle(&self, now: Time) -> bool {
-        self.closes_idle_from().is_some_and(|from| now >= from)
+    pub fn closes_idle_connections(&self, now: Time) -> bool {
+        self.idle_close_time().is_some_and(|time| now >= time)
     }
 }
 
--- a/crates/gaugesaddle-maintenance/tests/properties.rs
+++ b/crates/gaugesaddle-maintenance/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Orders, lists and lines in any sequence: a ban holds from its yes to the call that puts the backend back, whatever
-//! the list says in between; no bytes of the other process can do harm.
+//! Guards against: an exclusion that ends before its command, whatever is listed meanwhile, in any sequence of commands and
+//! lists; bytes of the other process that do harm.
 
 use gaugesaddle_balancer::{Backend, BackendId, BackendState, Time};
 use gaugesaddle_maintenance::*;
@@ -9,16 +9,16 @@
 #[derive(Clone, Debug)]
 enum Step {
     Told(u64, BackendState, Option<u64>),
-    Order(u64, Order),
+    Command(u64, MaintenanceCommand),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let state =
         prop_oneof![Just(BackendState::Ready), Just(BackendState::Draining), Just(BackendState::Gone)];
-    let order = prop_oneof![Just(Order::Exclude), Just(Order::Include)];
+    let command = prop_oneof![Just(MaintenanceCommand::Exclude), Just(MaintenanceCommand::Include)];
     prop_oneof![
         (0..6u64, state, proptest::option::of(0..200u64)).prop_map(|(id, s, b)| Step::Told(id, s, b)),
-        (0..8u64, order).prop_map(|(id, o)| Step::Order(id, o)),
+        (0..8u64, command).prop_map(|(id, command)| Step::Command(id, command)),
     ]
 }
 
@@ -26,18 +26,18 @@
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn a_ban_holds_until_its_end_whatever_is_listed(steps in proptest::collection::vec(step(), 1..200)) {
+    fn an_exclusion_holds_until_included_whatever_is_listed(steps in proptest::collection::vec(step(), 1..200)) {
         let mut m = Maintenance::default();
-        let (mut out, mut listed) = (BTreeSet::new(), BTreeSet::new());
+        let (mut excluded, mut listed) = (BTreeSet::new(), BTreeSet::new());
         for (i, step) in steps.into_iter().enumerate() {
             let now = Time(i as u64);
             match step {
                 Step::Told(id, state, booted) => {
                     let entry = Backend { id: BackendId(id), state, booted: booted.map(Time), ..Backend::default() };
-                    m.told(&entry);
+                    m.observe(&entry);
                     listed.insert(id);
                     let seen = m.view(&entry);
-                    if out.contains(&id) {
+                    if excluded.contains(&id) {
                         prop_assert_ne!(seen.state, BackendState::Ready);
                     } else {
                         prop_assert_eq!(seen.state, state);
@@ -45,62 +45,70 @@
                     // A start is never taken back further than the list tells.
                     prop_assert!(seen.booted >= entry.booted);
                 }
-                Step::Order(id, order) => {
-                    let known = listed.contains(&id) || out.contains(&id);
-                    let changed = match order {
-                        Order::Exclude => known && out.insert(id),
-                        Order::Include => out.remove(&id),
+                Step::Command(id, command) => {
+                    let known = listed.contains(&id) || excluded.contains(&id);
+                    let changed = match command {
+                        MaintenanceCommand::Exclude => known && excluded.insert(id),
+                        MaintenanceCommand::Include => excluded.remove(&id),
                     };
-                    let verdict = m.order(now, BackendId(id), order);
-                    let expected = if !known { Verdict::Unknown } else if changed { Verdict::Done } else { Verdict::Already };
-                    prop_assert_eq!(verdict, expected);
+                    let outcome = m.apply(now, BackendId(id), command);
+                    let expected = if !known { CommandOutcome::UnknownBackend } else if changed { CommandOutcome::Applied } else { CommandOutcome::Unchanged };
+                    prop_assert_eq!(outcome, expected);
                 }
             }
-            prop_assert_eq!(m.out().map(|b| b.0).collect::<BTreeSet<_>>(), out.clone());
+            prop_assert_eq!(m.excluded().map(|b| b.0).collect::<BTreeSet<_>>(), excluded.clone());
         }
     }
 
     #[test]
-    fn any_bytes_of_the_other_process_are_words_or_errors(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
-        let mut line = Line::default();
-        line.push(&bytes);
+    fn any_bytes_of_the_other_process_are_messages_or_errors(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+        let mut reader = MessageReader::default();
+        reader.push(&bytes);
         let lines = bytes.iter().filter(|b| **b == b'\n').count();
-        prop_assert_eq!(std::iter::from_fn(|| line.take()).count(), lines);
-        line.push(b"\n");
-        prop_assert!(line.take().is_some());
-        line.push(Word::Listening.line().as_bytes());
-        prop_assert_eq!(line.take().unwrap().unwrap(), Word::Listening);
+        prop_assert_eq!(std::iter::from_fn(|| reader.next_message()).count(), lines);
+        reader.push(b"\n");
+        prop_assert!(reader.next_message().is_some());
+        reader.push(HandoverMessage::Listening.to_line().as_bytes());
+        prop_assert_eq!(reader.next_message().unwrap().unwrap(), HandoverMessage::Listening);
     }
 }
 
-/// A backend that comes back is cold until the list tells when it started; one that never restarted warms again.
+/// An included backend starts slowly until the list shows when it started; one that never restarted starts slowly too.
 #[test]
-fn who_comes_back_counts_as_started_then_until_the_list_knows() {
+fn an_included_backend_counts_as_started_until_the_list_shows_its_start() {
     let mut m = Maintenance::default();
     let old =
         Backend { id: BackendId(1), state: BackendState::Ready, booted: Some(Time(5)), ..Backend::default() };
-    m.told(&old);
-    assert_eq!(m.order(Time(100), old.id, Order::Exclude), Verdict::Done);
-    assert_eq!(m.order(Time(200), old.id, Order::Include), Verdict::Done);
+    m.observe(&old);
+    assert_eq!(m.apply(Time(100), old.id, MaintenanceCommand::Exclude), CommandOutcome::Applied);
+    assert_eq!(m.apply(Time(200), old.id, MaintenanceCommand::Include), CommandOutcome::Applied);
     assert_eq!(m.view(&old).booted, Some(Time(200)), "the list is late");
     let new = Backend { booted: Some(Time(150)), ..old };
-    m.told(&new);
+    m.observe(&new);
     assert_eq!(m.view(&new), new, "the list knows");
 }
 
 #[test]
-fn tables_are_bounded_and_a_line_without_end_is_told() {
+fn tables_are_bounded_and_a_message_without_end_is_an_error() {
     let mut m = Maintenance::default();
-    (0..LISTED as u64 + 10).for_each(|id| m.listed(BackendId(id)));
-    assert_eq!(m.order(Time(0), BackendId(3), Order::Exclude), Verdict::Unknown, "forgotten");
+    (0..MAX_REMEMBERED_BACKENDS as u64 + 10).for_each(|id| m.remember(BackendId(id)));
+    assert_eq!(
+        m.apply(Time(0), BackendId(3), MaintenanceCommand::Exclude),
+        CommandOutcome::UnknownBackend,
+        "forgotten"
+    );
     let first = 10_000;
-    for id in first..first + EXCLUDED as u64 {
-        assert_eq!(m.order(Time(0), BackendId(id), Order::Exclude), Verdict::Done);
+    for id in first..first + MAX_EXCLUDED_BACKENDS as u64 {
+        assert_eq!(m.apply(Time(0), BackendId(id), MaintenanceCommand::Exclude), CommandOutcome::Applied);
     }
-    assert_eq!(m.order(Time(0), BackendId(9_999), Order::Exclude), Verdict::Full);
-    assert_eq!(m.order(Time(0), BackendId(first), Order::Include), Verdict::Done);
-    assert_eq!(m.take_over(Time(0), BackendId(1 << 40)), Verdict::Done, "whether listed here or not");
-    let mut line = Line::default();
-    line.push(&vec![b'x'; LINE_BYTES + 1]);
-    assert!(matches!(line.take(), Some(Err(WordError::Long))));
+    assert_eq!(m.apply(Time(0), BackendId(9_999), MaintenanceCommand::Exclude), CommandOutcome::LimitReached);
+    assert_eq!(m.apply(Time(0), BackendId(first), MaintenanceCommand::Include), CommandOutcome::Applied);
+    assert_eq!(
+        m.inherit_exclusion(Time(0), BackendId(1 << 40)),
+        CommandOutcome::Applied,
+        "whether listed here or not"
+    );
+    let mut reader = MessageReader::default();
+    reader.push(&vec![b'x'; MAX_MESSAGE_BYTES + 1]);
+    assert!(matches!(reader.next_message(), Some(Err(HandoverError::TooLong))));
 }
--- a/crates/gaugesaddle/src/admin.rs
+++ b/crates/gaugesaddle/src/admin.rs
@@ -1,12 +1,13 @@
-//! The second address: what the platform's operators ask of a running proxy. One call to a connection; every call
-//! is answered from what is held in memory, so none waits for anything but the loop's next turn.
+//! The operators' HTTP interface of a running proxy (`admin` in the platform's document). One call to a connection; every
+//! call is answered from memory, so none waits for anything but the driver's next turn.
 
+use crate::backend_set::CommandOrigin;
 use crate::clock::Clock;
 use crate::exchange::Input;
+use crate::hot_restart::HotRestart;
 use crate::registry::Registry;
-use crate::succession::Succession;
 use bytes::Bytes;
-use gaugesaddle_maintenance::{Order, Phase, Verdict, Word};
+use gaugesaddle_maintenance::{CommandOutcome, HandoverMessage, MaintenanceCommand, Phase};
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, ALLOW};
@@ -20,50 +21,51 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::AbortHandle;
 
-/// Callers that are held at once. One more ends the oldest, which has sent no whole call: a whole one is answered
-/// within a turn of the loop.
-pub const CALLERS: usize = 12;
-/// A caller that has not sent its call by then, or not read its answer, loses its place. Each holds a descriptor.
-const PATIENCE: Duration = Duration::from_millis(1500);
+/// Callers at once. One more ends the oldest, which has not sent a complete call: a complete one is answered within a
+/// turn of the driver.
+pub const MAX_CALLERS: usize = 12;
+/// A caller that has not sent its call within this time, or not read its answer, is closed: each takes a descriptor.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// A head is read up to this size.
-const HEAD_BYTES: usize = 8 << 10;
-/// After a failed accept (out of descriptors, say) the next is tried this much later.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const MAX_HEAD_BYTES: usize = 8 << 10;
+/// Delay after a failed accept (for want of descriptors, say).
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What a call needs.
+/// The interface and what its calls need.
 pub struct Admin {
     pub clock: Clock,
     pub registry: Rc<Registry>,
     pub inputs: mpsc::UnboundedSender<Input>,
-    pub succession: Rc<Succession>,
+    pub hot_restart: Rc<HotRestart>,
 }
 
-type Told = (StatusCode, &'static str);
-const OK: Told = (StatusCode::OK, "ok");
+/// Status and body of an answer.
+type Answer = (StatusCode, &'static str);
+const OK: Answer = (StatusCode::OK, "ok");
 
 impl Admin {
-    /// Answers for ever.
+    /// Answers calls for as long as the process lives.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
         let mut callers: VecDeque<AbortHandle> = VecDeque::new();
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
                     callers.retain(|c| !c.is_finished());
-                    if callers.len() >= CALLERS {
+                    if callers.len() >= MAX_CALLERS {
                         callers.pop_front().into_iter().for_each(|c| c.abort());
                     }
-                    let answered = tokio::time::timeout(PATIENCE, self.clone().converse(stream));
+                    let answered = tokio::time::timeout(CALL_TIMEOUT, self.clone().serve_connection(stream));
                     callers.push_back(tokio::task::spawn_local(answered).abort_handle());
                 }
                 Err(e) => {
                     tracing::debug!("accept of an operator's call: {e}");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    async fn converse(self: Rc<Self>, stream: TcpStream) {
+    async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
         let service = hyper::service::service_fn(|request: Request<Incoming>| {
             let admin = self.clone();
             async move {
@@ -77,24 +79,24 @@
             }
         });
         let mut http = http1::Builder::new();
-        http.max_buf_size(HEAD_BYTES).header_read_timeout(None).keep_alive(false);
+        http.max_buf_size(MAX_HEAD_BYTES).header_read_timeout(None).keep_alive(false);
         if let Err(e) = http.serve_connection(TokioIo::new(stream), service).await {
             tracing::debug!("an operator's call: {e}");
         }
     }
 
-    async fn answer(&self, request: &Request<Incoming>) -> Told {
+    async fn answer(&self, request: &Request<Incoming>) -> Answer {
         let now = self.clock.now();
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/api/ready") => self.ready(),
-            (&Method::PUT, "/api/exclude") => self.order(request, Order::Exclude).await,
-            (&Method::PUT, "/api/include") => self.order(request, Order::Include).await,
+            (&Method::PUT, "/api/exclude") => self.apply(request, MaintenanceCommand::Exclude).await,
+            (&Method::PUT, "/api/include") => self.apply(request, MaintenanceCommand::Include).await,
             (&Method::PUT, "/api/evacuate") => {
                 let drained = self.registry.change(|l| {
                     l.drain(now);
                     matches!(l.phase(), Phase::Draining { .. })
                 });
-                tracing::info!(drained, "told to drain");
+                tracing::info!(drained, "drain requested");
                 if drained {
                     OK
                 } else {
@@ -103,7 +105,7 @@
             }
             (&Method::PUT, "/api/rejoin") => {
                 let back = self.registry.change(|l| l.rejoin());
-                tracing::info!(back, "told to come back to work");
+                tracing::info!(back, "rejoin requested");
                 if back {
                     OK
                 } else {
@@ -117,34 +119,37 @@
         }
     }
 
-    fn ready(&self) -> Told {
+    fn ready(&self) -> Answer {
         match self.registry.is_ready() {
             true => OK,
             false => (StatusCode::SERVICE_UNAVAILABLE, "not ready"),
         }
     }
 
-    async fn order(&self, request: &Request<Incoming>, order: Order) -> Told {
+    async fn apply(&self, request: &Request<Incoming>, command: MaintenanceCommand) -> Answer {
         let query = request.uri().query().unwrap_or_default();
         let mut targets = form_urlencoded::parse(query.as_bytes()).filter(|(key, _)| key == "target");
         let (Some((_, name)), None) = (targets.next(), targets.next()) else {
             return (StatusCode::BAD_REQUEST, "expected target=ID once in the query");
         };
-        let (reply, verdict) = oneshot::channel();
-        let _ = self.inputs.send(Input::Maintain(name.as_ref().into(), order, reply));
-        let verdict = verdict.await;
-        tracing::info!(backend = %name, ?order, ?verdict, "maintenance");
-        match verdict {
-            Ok(Verdict::Done | Verdict::Already) => {
+        let (reply, outcome) = oneshot::channel();
+        let origin = CommandOrigin::ThisProcess;
+        let _ = self.inputs.send(Input::Maintain { name: name.as_ref().into(), command, origin, reply });
+        let outcome = outcome.await;
+        tracing::info!(backend = %name, ?command, ?outcome, "maintenance");
+        match outcome {
+            Ok(CommandOutcome::Applied | CommandOutcome::Unchanged) => {
                 let name = name.into_owned();
-                self.succession.tell(match order {
-                    Order::Exclude => Word::Exclude(name),
-                    Order::Include => Word::Include(name),
+                self.hot_restart.forward(match command {
+                    MaintenanceCommand::Exclude => HandoverMessage::Exclude(name),
+                    MaintenanceCommand::Include => HandoverMessage::Include(name),
                 });
                 OK
             }
-            Ok(Verdict::Unknown) => (StatusCode::NOT_FOUND, "no list has named that backend"),
-            Ok(Verdict::Full) => (StatusCode::INSUFFICIENT_STORAGE, "too many backends are out"),
+            Ok(CommandOutcome::UnknownBackend) => (StatusCode::NOT_FOUND, "no list has named that backend"),
+            Ok(CommandOutcome::LimitReached) => {
+                (StatusCode::INSUFFICIENT_STORAGE, "too many backends are out")
+            }
             Err(_) => (StatusCode::SERVICE_UNAVAILABLE, "the proxy ends"),
         }
     }
--- a/crates/gaugesaddle/src/app.rs
+++ b/crates/gaugesaddle/src/app.rs
@@ -1,9 +1,11 @@
 //! Start-up, signals and the end of a serving proxy.
 
+use crate::backend_set::CommandOrigin;
 use crate::driver::{Driver, Parts};
 use crate::error::Error;
 use crate::exchange::Input;
 use crate::failover::ZoneWatch;
+use crate::hot_restart::HotRestart;
 use crate::operator::{self, Operator};
 use crate::peers::{self, PeerWatch, Tier};
 use crate::region::{Own, RegionWatch, Regions};
@@ -12,10 +14,9 @@
 use crate::seam::Subsystem;
 use crate::shares::ShareWatch;
 use crate::storm::StormWatch;
-use crate::succession::Succession;
 use crate::{admin, clock, config, discovery, form, pacing, server, state, upstream};
 use gaugesaddle_federation::Share;
-use gaugesaddle_maintenance::Order;
+use gaugesaddle_maintenance::MaintenanceCommand;
 use socket2::{Domain, Socket, Type};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -29,7 +30,7 @@
 /// Descriptors kept for the listener, discovery, signals, standard streams and the runtime.
 const RESERVE: usize = 32;
 /// What the operators' calls and the line to another process take: descriptors that clients do not get.
-const OPERATORS: usize = admin::CALLERS + 3;
+const OPERATORS: usize = admin::MAX_CALLERS + 3;
 /// While two processes share what one may use, each goes by this part of it.
 const SHARED: usize = 2;
 /// How often a process that replaces another looks whether it can serve.
@@ -117,8 +118,8 @@
     };
     let bounds = [bounds(config.sockets), bounds(config.sockets / SHARED)];
     let registry = Rc::new(Registry::new(&config.name, config.names.classes(), bounds, clock.now()));
-    let succession = Rc::new(Succession::new(line(&config), registry.clone()));
-    let before = succession.call().await;
+    let hot_restart = Rc::new(HotRestart::new(line(&config), registry.clone()));
+    let before = hot_restart.connect().await;
     let bound = operator.state.socket.as_deref().map(|path| match before {
         // The process before this one answers there; its successor takes the place over.
         Some(_) => state::replace(path),
@@ -155,16 +156,23 @@
     };
     let room = config.room;
     let watch = discovery::Watch { renewal, clock, room, follow: follow.clone(), inputs: sender.clone() };
-    let (heard, orders) = mpsc::unbounded_channel();
+    let (remote_commands, commands) = mpsc::unbounded_channel();
     let listening = Rc::new(Notify::new());
     let replaces = before.is_some();
     if let Some((excluded, other)) = before {
         // Ahead of any list: what is out must not be used by the first of them.
         for name in excluded {
             let (reply, _) = tokio::sync::oneshot::channel();
-            let _ = sender.send(Input::PassedOn(name.into(), Order::Exclude, reply));
+            let _ = sender.send(Input::Maintain {
+                name: name.into(),
+                command: MaintenanceCommand::Exclude,
+                origin: CommandOrigin::OtherProcess,
+                reply,
+            });
         }
-        tokio::task::spawn_local(succession.clone().keep(other, listening.clone(), heard.clone()));
+        let following =
+            hot_restart.clone().follow_predecessor(other, listening.clone(), remote_commands.clone());
+        tokio::task::spawn_local(following);
     }
     if let Some(known) = config.known {
         let (update, index) = (gaugesaddle_balancer::ListUpdate::Cached, Some(known.index));
@@ -261,23 +269,23 @@
     let reload =
         Reload { document: config.document, file, operator, discovery, state, regions: regions.clone() };
     tokio::task::spawn_local(reload.run(hangup));
-    tokio::task::spawn_local(obey(orders, sender.clone()));
+    tokio::task::spawn_local(apply_remote_commands(commands, sender.clone()));
     if let Some(listener) = admin {
-        let (registry, succession) = (registry.clone(), succession.clone());
-        let admin = admin::Admin { clock, registry, inputs: sender, succession };
+        let (registry, hot_restart) = (registry.clone(), hot_restart.clone());
+        let admin = admin::Admin { clock, registry, inputs: sender, hot_restart };
         tokio::task::spawn_local(Rc::new(admin).run(listener));
     }
-    let asked = succession.clone();
+    let stopping = hot_restart.clone();
     let stop = async move {
         tokio::select! {
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
         }
-        let succeeded = asked.is_succeeded();
-        if let Some(tier) = tier.filter(|_| !succeeded) {
+        let has_successor = stopping.has_successor();
+        if let Some(tier) = tier.filter(|_| !has_successor) {
             tier.leave();
         }
-        succeeded
+        has_successor
     };
     tokio::pin!(stop);
     // Clients of the process before this one would wait here for backends that it does not know yet.
@@ -291,7 +299,7 @@
     registry.listening.set(true);
     listening.notify_one();
     if upgrades {
-        tokio::task::spawn_local(succession.wait(heard));
+        tokio::task::spawn_local(hot_restart.await_successors(remote_commands));
     }
     server.clone().run(listener, stop).await;
     if let Some(regions) = regions {
@@ -300,13 +308,16 @@
     Ok(())
 }
 
-/// What the operators ordered at the other process holds here as well.
-async fn obey(mut orders: mpsc::UnboundedReceiver<(String, Order)>, inputs: mpsc::UnboundedSender<Input>) {
-    while let Some((name, order)) = orders.recv().await {
-        let (reply, verdict) = tokio::sync::oneshot::channel();
-        let _ = inputs.send(Input::PassedOn(name.as_str().into(), order, reply));
-        let verdict = verdict.await;
-        tracing::info!(backend = %name, ?order, ?verdict, "maintenance, from the other process");
+/// Applies here what the operators commanded at the other process.
+async fn apply_remote_commands(
+    mut commands: mpsc::UnboundedReceiver<(String, MaintenanceCommand)>, inputs: mpsc::UnboundedSender<Input>,
+) {
+    while let Some((name, command)) = commands.recv().await {
+        let (reply, outcome) = tokio::sync::oneshot::channel();
+        let origin = CommandOrigin::OtherProcess;
+        let _ = inputs.send(Input::Maintain { name: name.as_str().into(), command, origin, reply });
+        let outcome = outcome.await;
+        tracing::info!(backend = %name, ?command, ?outcome, "maintenance, from the other process");
     }
 }
 
--- a/crates/gaugesaddle/src/driver.rs
+++ b/crates/gaugesaddle/src/driver.rs
@@ -1,14 +1,14 @@
 //! The one owner of the module, of the requests and of their attempts. It turns what happens into events
 //! and carries out actions; which backend, whether again, whether at all is the module's to say.
 
+use crate::backend_set::{BackendSet, CommandOrigin};
 use crate::clock::Clock;
 use crate::exchange::{Answer, Arrived, Call, Ended, Input, Refusal, Span, Target, Upstream, Upstreams};
 use crate::registry::{BackendRow, End, Registry};
-use crate::roster::Roster;
 use crate::seam::{Leaving, Subsystem};
 use gaugesaddle_balancer::*;
 use gaugesaddle_federation::Final;
-use gaugesaddle_maintenance::{Order, Verdict};
+use gaugesaddle_maintenance::{CommandOutcome, MaintenanceCommand};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap, VecDeque};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -132,7 +132,7 @@
     inputs: mpsc::UnboundedSender<Input>,
     follow: Rc<Notify>,
     registry: Rc<Registry>,
-    roster: Roster,
+    backend_set: BackendSet,
     subsystems: Vec<Box<dyn Subsystem>>,
 }
 
@@ -203,7 +203,7 @@
             inputs,
             follow,
             registry,
-            roster: Roster::default(),
+            backend_set: BackendSet::default(),
             subsystems,
         })
     }
@@ -309,11 +309,8 @@
             Input::Ended(request, attempt, ended) => self.ended(request, attempt, ended),
             Input::Whole(request) => self.whole(request),
             Input::List { update, index, targets } => self.list(update, index, targets),
-            Input::Maintain(name, order, reply) => {
-                let _ = reply.send(self.maintain(&name, order, false));
-            }
-            Input::PassedOn(name, order, reply) => {
-                let _ = reply.send(self.maintain(&name, order, true));
+            Input::Maintain { name, command, origin, reply } => {
+                let _ = reply.send(self.maintain(&name, command, origin));
             }
         }
     }
@@ -430,7 +427,7 @@
         }
         let mut old = if whole { std::mem::take(&mut self.backends) } else { HashMap::new() };
         if whole {
-            self.roster.restart();
+            self.backend_set.clear();
         }
         let mut entries = Vec::with_capacity(targets.len());
         let mut left_out = 0;
@@ -441,7 +438,7 @@
                 left_out += 1;
                 continue;
             }
-            let seen = self.roster.told(&target.backend);
+            let seen = self.backend_set.update(&target.backend);
             tracing::debug!(server = %target.name, state = ?seen.state, "listed");
             let ready = seen.state == BackendState::Ready;
             entries.push(seen);
@@ -492,9 +489,9 @@
     }
 
     /// Takes a backend out or puts it back: from here on nothing new goes to one that is out. `passed_on`: see
-    /// [`Roster::order`].
-    fn maintain(&mut self, name: &str, order: Order, passed_on: bool) -> Verdict {
-        let (verdict, changed) = self.roster.order(self.clock.now(), name, order, passed_on);
+    /// Applies a command of the operators; see [`BackendSet::apply`].
+    fn maintain(&mut self, name: &str, command: MaintenanceCommand, origin: CommandOrigin) -> CommandOutcome {
+        let (outcome, changed) = self.backend_set.apply(self.clock.now(), name, command, origin);
         if let Some(seen) = changed {
             if let Some(upstream) = self.backends.get(&seen.id) {
                 if seen.state == BackendState::Ready {
@@ -506,7 +503,7 @@
             self.registry.serving.set(self.backends.values().any(|u| u.is_open()));
             self.events.push(Event::Members { update: ListUpdate::Changes, backends: vec![seen] });
         }
-        verdict
+        outcome
     }
 
     /// Ends as timed out what is out at its deadline; the module still owes its answer.
@@ -604,7 +601,7 @@
             true => BackendState::Ready,
             false => BackendState::Draining,
         };
-        let seen = |u: &Rc<dyn Upstream>| self.roster.view(&u.target().backend);
+        let seen = |u: &Rc<dyn Upstream>| self.backend_set.view(&u.target().backend);
         let entry = |u: &Rc<dyn Upstream>| Backend { state: state(u), ..seen(u) };
         let backends = self.backends.values().map(entry).collect();
         self.events.push(Event::Members { update: ListUpdate::Cached, backends });
--- a/crates/gaugesaddle/src/exchange.rs
+++ b/crates/gaugesaddle/src/exchange.rs
@@ -2,13 +2,14 @@
 //! others: a front brings [`Arrived`] requests and waits for their [`Answer`]; an [`Upstream`] carries attempts
 //! to one node; discovery tells [`Target`]s. Only the driver speaks with the module.
 
+use crate::backend_set::CommandOrigin;
 use crate::body::{CallBody, Payload};
 use crate::clock::Clock;
 use gaugesaddle_balancer::{
     AttemptNo, Backend, ClassId, ListUpdate, Micros, Outcome, RequestId, TenantId, Time,
 };
 use gaugesaddle_http_connection::SendGuard;
-use gaugesaddle_maintenance::{Order, Verdict};
+use gaugesaddle_maintenance::{CommandOutcome, MaintenanceCommand};
 use hyper::header::HeaderName;
 use hyper::{Request, Response};
 use std::cell::Cell;
@@ -138,10 +139,17 @@
     },
     /// The last byte has come of a request that is passed on while it comes.
     Whole(RequestId),
-    /// The operators take a backend, by its name, out or put it back.
-    Maintain(Box<str>, Order, oneshot::Sender<Verdict>),
-    /// The same, taken by the other process of this proxy: it holds though no list has named the backend here yet.
-    PassedOn(Box<str>, Order, oneshot::Sender<Verdict>),
+    /// The operators exclude a backend or include it again.
+    Maintain {
+        /// The backend's name.
+        name: Box<str>,
+        /// What they want.
+        command: MaintenanceCommand,
+        /// Which process of this proxy took the command.
+        origin: CommandOrigin,
+        /// Gets the outcome.
+        reply: oneshot::Sender<CommandOutcome>,
+    },
 }
 
 /// A future of the one thread that all of this runs on.
--- a/crates/gaugesaddle/src/lib.rs
+++ b/crates/gaugesaddle/src/lib.rs
@@ -10,6 +10,7 @@
 
 mod admin;
 mod app;
+mod backend_set;
 mod body;
 pub mod cli;
 mod clock;
@@ -20,19 +21,18 @@
 mod exchange;
 mod failover;
 mod form;
+mod hot_restart;
 pub mod operator;
 mod pacing;
 mod peers;
 mod region;
 pub mod registry;
 mod renewal;
-mod roster;
 mod seam;
 mod server;
 mod shares;
 pub mod state;
 mod storm;
-mod succession;
 pub mod table;
 mod tally;
 mod tap;
--- a/crates/gaugesaddle/src/registry.rs
+++ b/crates/gaugesaddle/src/registry.rs
@@ -246,7 +246,7 @@
     pub(crate) fn is_ready(&self) -> bool {
         (self.serving.get() || self.elsewhere.get())
             && self.listening.get()
-            && self.lifecycle.get().welcomes()
+            && self.lifecycle.get().accepts_clients()
             && !self.cut_off.get()
     }
 
--- a/crates/gaugesaddle/src/server.rs
+++ b/crates/gaugesaddle/src/server.rs
@@ -10,7 +10,7 @@
 use bytes::{Bytes, BytesMut};
 use gaugesaddle_balancer::{Micros, RequestId, Time};
 use gaugesaddle_federation::Path;
-use gaugesaddle_maintenance::{IDLE_CLOSE, LISTEN_ON};
+use gaugesaddle_maintenance::{IDLE_CLOSE_DELAY, LISTEN_AFTER_STOP};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, CONNECTION, RETRY_AFTER};
@@ -263,10 +263,10 @@
             }
             tokio::select! {
                 biased;
-                succeeded = &mut stop, if !self.registry.lifecycle().is_stopping() => {
+                has_successor = &mut stop, if !self.registry.lifecycle().is_stopping() => {
                     let now = self.clock.now();
-                    self.registry.change(|l| l.stop(now, succeeded));
-                    let more = if succeeded { Duration::ZERO } else { duration(LISTEN_ON) };
+                    self.registry.change(|l| l.stop(now, has_successor));
+                    let more = if has_successor { Duration::ZERO } else { duration(LISTEN_AFTER_STOP) };
                     end.as_mut().reset(Instant::now() + more);
                 }
                 () = &mut end, if self.registry.lifecycle().is_stopping() => break,
@@ -287,7 +287,7 @@
         for stream in queued(listener) {
             self.clone().serve(stream);
         }
-        let last = Instant::now() + duration(IDLE_CLOSE) + duration(self.rules.longest);
+        let last = Instant::now() + duration(IDLE_CLOSE_DELAY) + duration(self.rules.longest);
         while !self.links.borrow().is_empty() && Instant::now() < last {
             self.let_go(self.clock.now());
             tokio::select! {
@@ -300,7 +300,7 @@
     /// Closes connections between requests where the proxy does not want their clients any more.
     fn let_go(&self, now: Time) {
         let lifecycle = self.registry.lifecycle();
-        if !lifecycle.closes_idle(now) {
+        if !lifecycle.closes_idle_connections(now) {
             return;
         }
         let why = if lifecycle.is_stopping() { Reason::ClosedStopping } else { Reason::ClosedDraining };
@@ -417,7 +417,7 @@
                 _ if wrong.get() => Reason::ClosedWrong,
                 (Err(e), _) if e.is_parse() => Reason::ClosedUnreadable,
                 _ if self.registry.lifecycle().is_stopping() => Reason::ClosedStopping,
-                _ if !self.registry.lifecycle().welcomes() => Reason::ClosedDraining,
+                _ if !self.registry.lifecycle().accepts_clients() => Reason::ClosedDraining,
                 _ => Reason::ClosedByClient,
             };
             if !socket.is_ended() && (!gone.why.makes_room() || socket.is_unread()) {
@@ -459,7 +459,7 @@
         }
         self.keep_few();
         // What came in one piece with this request was taken with it.
-        let last = !self.registry.lifecycle().welcomes() && !behind;
+        let last = !self.registry.lifecycle().accepts_clients() && !behind;
         if last || wrong.get() || link.told.get().is_some() {
             answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
