--- a/crates/gaugesaddle-overload/src/lib.rs
+++ b/crates/gaugesaddle-overload/src/lib.rs
@@ -1,24 +1,43 @@
-//! Storms of retries and reconnects, as one proxy sees them: decisions without I/O, clock or threads.
+//! Retry storms and reconnect storms, as one proxy sees them: detection and damping, decided without I/O, clock or threads.
 //!
-//! - [`Storm`] is the whole: a host tells it of arrivals, refusals and ends, asks it a few times a second for the
-//!   [`gaugesaddle_balancer::Pressure`] to hand to the module, and for each refusal when its client may come back.
-//! - [`Watch`] tells storms from honest growth by what comes again, not by how much comes.
-//! - [`Pace`] finds the rate that the fleet can bear while it is under one.
-//! - [`Calendar`] deals out moments to come back, no more a second than that rate.
-//! - [`Ledger`] knows who comes back before its moment.
+//! - [`OverloadController`] owns the rest. Its host tells it of arrivals, refusals and outcomes, and calls it a few times a
+//!   second for the [`gaugesaddle_balancer::Pressure`] to hand to the balancer. For each refusal it says when the client may
+//!   retry.
+//! - [`StormDetector`] tells storms from growth by how much comes again, not by how much comes.
+//! - [`RateLimiter`] finds the rate that the fleet sustains during a storm.
+//! - [`RetrySchedule`] assigns seconds for retries, no more a second than that rate.
+//! - [`RetryAccounting`] knows who retries before its time.
 //!
-//! What is turned away is the module's to say, by worth; nothing here refuses a request. It never panics; every table
-//! has a fixed bound; every function of time takes `now` as an argument, and a `now` that goes back counts as standing
-//! still.
+//! ```
+//! use gaugesaddle_balancer::Time;
+//! use gaugesaddle_overload::{OverloadController, Settings, StormPhase};
+//!
+//! let settings = Settings { longest_s: 30, sources: 1000 };
+//! let mut controller = OverloadController::new(settings, 7)?;
+//! let now = Time(1_000_000);
+//! let (is_retry, returns_early) = controller.arrived(now, false, Some(42), 1);
+//! assert!(!is_retry && !returns_early);
+//! assert_eq!(controller.state(), StormPhase::Calm);
+//! assert_eq!(controller.refused(now, 1, 2), 2, "without a storm the usual advice holds");
+//! # Ok::<(), gaugesaddle_balancer::ConfigError>(())
+//! ```
+//!
+//! Which request is refused stays the balancer's decision, by priority weight; nothing here refuses one.
+//!
+//! **Guarantees.** Nothing panics on any input. A `now` that goes back counts as standing still. Advice lies within the
+//! settings, and no second is overfilled while another is free.
+//!
+//! **Bounds.** The schedule has at most 600 seconds, the accounting [`Settings::sources`] sources (the one seen longest ago
+//! is forgotten first), the memory of request keys 16,384 keys of five seconds.
 
-mod calendar;
-mod ledger;
-mod pace;
-mod storm;
-mod watch;
+mod controller;
+mod rate_limiter;
+mod retry_accounting;
+mod retry_schedule;
+mod storm_detector;
 
-pub use calendar::Calendar;
-pub use ledger::Ledger;
-pub use pace::Pace;
-pub use storm::{Look, Settings, Storm};
-pub use watch::{Figures, Second, State, Watch};
+pub use controller::{Observation, OverloadController, Settings};
+pub use rate_limiter::RateLimiter;
+pub use retry_accounting::RetryAccounting;
+pub use retry_schedule::RetrySchedule;
+pub use storm_detector::{StormDetector, StormPhase, TrafficCounts, TrafficFigures};
--- a/crates/gaugesaddle-repository-checks/src/documents.rs
+++ b/crates/gaugesaddle-repository-checks/src/documents.rs
@@ -116,5 +116,6 @@
 fn is_path(word: &str) -> bool {
     let is_plain = word.chars().all(|c| c.is_ascii_alphanumeric() || "_-./".contains(c));
     let has_folder = word.contains('/') && !word.starts_with('/') && !word.starts_with("..");
-    is_plain && has_folder && EXTENSIONS.iter().any(|extension| word.ends_with(extension))
+    let is_placeholder = word.starts_with(|c: char| c.is_ascii_uppercase());
+    is_plain && has_folder && !is_placeholder && EXTENSIONS.iter().any(|extension| word.ends_with(extension))
 }
--- a/crates/gaugesaddle/src/app.rs
+++ b/crates/gaugesaddle/src/app.rs
@@ -182,7 +182,7 @@
         let told = config.max_retry_after.map(|max| (max.0 / 1_000_000).max(1));
         let longest_s = operator.storm.longest_retry_after_s.min(told.unwrap_or(u64::MAX));
         let settings = gaugesaddle_overload::Settings { longest_s, sources: operator.storm.sources };
-        gaugesaddle_overload::Storm::new(settings, config.seed)
+        gaugesaddle_overload::OverloadController::new(settings, config.seed)
     });
     let mut subsystems: Vec<Box<dyn Subsystem>> = Vec::new();
     if let Some(storm) = storm.transpose().map_err(Error::Storm)? {
--- a/crates/gaugesaddle/src/registry.rs
+++ b/crates/gaugesaddle/src/registry.rs
@@ -156,7 +156,7 @@
     /// Connections accepted so far.
     pub(crate) connects: Cell<u64>,
     /// What the proxy stands in, and since when; calm where storms are not watched.
-    pub(crate) storm: Cell<gaugesaddle_overload::State>,
+    pub(crate) storm: Cell<gaugesaddle_overload::StormPhase>,
     pub(crate) storm_seen: RefCell<Option<StormState>>,
     /// Other regions, where there are some.
     pub(crate) region: RefCell<Option<RegionView>>,
@@ -202,7 +202,7 @@
             listening: Cell::default(),
             lifecycle: Cell::default(),
             connects: Cell::default(),
-            storm: Cell::new(gaugesaddle_overload::State::Calm),
+            storm: Cell::new(gaugesaddle_overload::StormPhase::Calm),
             storm_seen: RefCell::default(),
             region: RefCell::default(),
             peers: RefCell::default(),
--- a/crates/gaugesaddle/src/server.rs
+++ b/crates/gaugesaddle/src/server.rs
@@ -625,7 +625,7 @@
         let mut answer = plain(status, "refused");
         answer.headers_mut().insert(RETRY_AFTER, HeaderValue::from(refusal.after_s));
         // In a storm places are worth more than a connect: half of them stay for those that are served.
-        if self.registry.storm.get().damps()
+        if self.registry.storm.get().is_damping()
             && self.links.borrow().len() > self.registry.bounds().connections / 2
         {
             link.tell_to_close(self.clock.now(), Reason::ClosedStorm);
--- a/crates/gaugesaddle/src/storm.rs
+++ b/crates/gaugesaddle/src/storm.rs
@@ -4,18 +4,18 @@
 use crate::registry::{End, Registry, StormState};
 use crate::seam::Subsystem;
 use gaugesaddle_balancer::{Arrival, Balancer, ClassId, Event, Time};
-use gaugesaddle_overload::{State, Storm};
+use gaugesaddle_overload::{OverloadController, StormPhase};
 use std::rc::Rc;
 
 pub struct StormWatch {
-    storm: Storm,
+    storm: OverloadController,
     registry: Rc<Registry>,
     /// Connections that it knows of.
     connects: u64,
 }
 
 impl StormWatch {
-    pub fn new(storm: Storm, registry: Rc<Registry>) -> StormWatch {
+    pub fn new(storm: OverloadController, registry: Rc<Registry>) -> StormWatch {
         StormWatch { storm, registry, connects: 0 }
     }
 }
@@ -27,26 +27,26 @@
         let connects = self.registry.connects.get();
         (self.connects..connects).for_each(|_| storm.connected());
         self.connects = connects;
-        let Some(look) = storm.look(now) else { return };
+        let Some(observation) = storm.observe(now) else { return };
         let (state, figures) = (storm.state(), storm.figures());
-        if let Some(left) = look.left {
-            tracing::info!("{} after {}: {figures}", state.name(), left.name());
+        if let Some(previous) = observation.previous {
+            tracing::info!("{} after {}: {figures}", state.name(), previous.name());
             self.registry.storm.set(state);
         }
-        if let Some(pressure) = look.pressure {
+        if let Some(pressure) = observation.pressure {
             events.push(Event::Pressure(pressure));
         }
         let mut seen = self.registry.storm_seen.borrow_mut();
         let old = seen.take();
-        let began = look.left == Some(State::Rising) && state == State::Storm;
+        let began = observation.previous == Some(StormPhase::Rising) && state == StormPhase::Storm;
         *seen = Some(StormState {
             state: state.name().into(),
-            since_us: old.as_ref().filter(|_| look.left.is_none()).map_or(now.0, |o| o.since_us),
+            since_us: old.as_ref().filter(|_| observation.previous.is_none()).map_or(now.0, |o| o.since_us),
             storms: old.map_or(0, |o| o.storms) + u64::from(began),
             per_s: figures.per_s,
             usual_per_s: figures.usual_per_s,
             repeats: figures.repeats,
-            let_in_per_s: storm.let_in_per_s(),
+            let_in_per_s: storm.admitted_per_s(),
         });
     }
 
@@ -69,6 +69,6 @@
 
     fn refusing(&mut self, now: Time, source: u64, out_of_turn: bool, refusal: &mut Refusal) {
         refusal.after_s = self.storm.refused(now, source, refusal.after_s);
-        refusal.by_client = out_of_turn && self.storm.state().damps();
+        refusal.by_client = out_of_turn && self.storm.state().is_damping();
     }
 }
