--- a/crates/gaugesaddle-overload/src/storm_detector.rs
+++ b/crates/gaugesaddle-overload/src/storm_detector.rs
@@ -56,11 +56,11 @@
 /// Time constant of the usual rate, in seconds: minutes, so that a storm of one minute does not become usual, and short beside
 /// the growth of a day.
 const USUAL_MEMORY_S: f64 = 180.0;
-/// One second counts for at clip this multiple of what is usual: a burst moves the memory little.
+/// An observation counts for at most this multiple of the usual rate: a burst hardly moves the memory.
 const BURST_CLIP: f64 = 3.0;
 /// Seconds of memory before the usual rate is known.
 const MIN_USUAL_MEMORY_S: f64 = 10.0;
-/// Part of the requests that come again from which there is pressure. Usual clients retry at clip once, after a
+/// Fraction of retries from which there is pressure. Usual clients retry at most once, after a
 /// failure: a tenth would mean that a tenth fails.
 const MIN_REPEAT_FRACTION: f64 = 0.25;
 /// Beside it, either this multiple of the usual rate is needed ...
@@ -75,7 +75,7 @@
 pub struct TrafficCounts {
     /// Requests.
     pub requests: u32,
-    /// Of these, so many were requests before.
+    /// Retries among them.
     pub repeats: u32,
     /// New connections.
     pub connects: u32,
