--- a/crates/gaugesaddle-consensus/src/disk_format.rs
+++ b/crates/gaugesaddle-consensus/src/disk_format.rs
@@ -1,61 +1,94 @@
-//! What a replica's disk holds: who it is and how it voted in one slot, the state in the other.
+//! The records on a replica's disk: the hard state in one slot, the state in the other.
 
 use gaugesaddle_protocol::{HardState, State};
 use musli::alloc::Global;
 use musli::mode::Binary;
 use musli::{Decode, Encode};
+use std::fmt;
 use thiserror::Error;
 
-/// Version of the format, the first byte of each record; another one's records cannot be read.
-const FORMAT: u8 = 2;
-/// Slot of the ballot.
-const BALLOT_SLOT: usize = 0;
+/// Version of the format, the first byte of each record. Records of another version cannot be decoded.
+const FORMAT_VERSION: u8 = 2;
+/// Slot of the hard state.
+const HARD_STATE_SLOT: usize = 0;
 /// Slot of the state.
 const STATE_SLOT: usize = 1;
 
-/// A part of what the disk holds cannot be read.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("what the disk holds cannot be read")]
-pub struct Unreadable;
+/// One of the two records.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Record {
+    /// Identity, term and vote.
+    HardState,
+    /// The replicated state.
+    State,
+}
+
+impl fmt::Display for Record {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            Record::HardState => "hard state",
+            Record::State => "state",
+        })
+    }
+}
+
+/// A record cannot be decoded.
+#[derive(Debug, Error)]
+pub enum DiskFormatError {
+    /// It was written by a version of the program with another format, or is empty.
+    #[error("the {record} on the disk cannot be decoded: its format version is not {FORMAT_VERSION}")]
+    Version {
+        /// The record.
+        record: Record,
+    },
+    /// Its bytes are not an encoding of such a record.
+    #[error("the {record} on the disk cannot be decoded")]
+    Malformed {
+        /// The record.
+        record: Record,
+        /// What the decoder found.
+        source: musli::storage::Error,
+    },
+}
 
 /// The records of a write, each with its slot.
 pub fn records(hard_state: &HardState, state: Option<&State>) -> Vec<(usize, Vec<u8>)> {
     let mut records = Vec::with_capacity(2);
-    push(&mut records, BALLOT_SLOT, hard_state);
+    push(&mut records, HARD_STATE_SLOT, hard_state);
     if let Some(state) = state {
         push(&mut records, STATE_SLOT, state);
     }
     records
 }
 
-/// Ballot and state of a disk's slots; `None` where the disk has none yet.
+/// Hard state and state of a disk's slots; `None` for an empty slot.
 ///
-/// Where one part cannot be read both are of no use: a replica that kept its name and not its state could elect or
-/// confirm what its own acknowledgements rule out.
-pub fn read(slots: &[Option<Vec<u8>>; 2]) -> Result<(Option<HardState>, Option<State>), Unreadable> {
+/// If one record cannot be decoded, neither is returned: a replica that retained its identity without its state could
+/// elect a leader, or confirm a state, against its own acknowledgements.
+pub fn read(slots: &[Option<Vec<u8>>; 2]) -> Result<(Option<HardState>, Option<State>), DiskFormatError> {
     let [hard_state, state] = slots;
-    Ok((part(hard_state)?, part(state)?))
+    let hard_state = decode(Record::HardState, hard_state.as_deref())?;
+    let state = decode(Record::State, state.as_deref())?;
+    Ok((hard_state, state))
 }
 
 fn push<T: Encode<Binary>>(records: &mut Vec<(usize, Vec<u8>)>, slot: usize, value: &T) {
-    // Memory is the only thing that encoding can fail for.
+    // Encoding into a vector can only fail for lack of memory.
     if let Ok(encoded) = musli::storage::to_vec(value) {
         let mut bytes = Vec::with_capacity(1 + encoded.len());
-        bytes.push(FORMAT);
+        bytes.push(FORMAT_VERSION);
         bytes.extend_from_slice(&encoded);
         records.push((slot, bytes));
     }
 }
 
-fn part<T>(bytes: &Option<Vec<u8>>) -> Result<Option<T>, Unreadable>
+fn decode<T>(record: Record, bytes: Option<&[u8]>) -> Result<Option<T>, DiskFormatError>
 where
     T: for<'de> Decode<'de, Binary, Global>,
 {
-    match bytes {
-        Some(bytes) => {
-            let encoded = bytes.strip_prefix(&[FORMAT]).ok_or(Unreadable)?;
-            musli::storage::from_slice(encoded).map(Some).map_err(|_| Unreadable)
-        }
-        None => Ok(None),
-    }
+    let Some(bytes) = bytes else { return Ok(None) };
+    let encoded = bytes.strip_prefix(&[FORMAT_VERSION]).ok_or(DiskFormatError::Version { record })?;
+    let value = musli::storage::from_slice(encoded)
+        .map_err(|source| DiskFormatError::Malformed { record, source })?;
+    Ok(Some(value))
 }
--- a/crates/gaugesaddle-consensus/src/election.rs
+++ b/crates/gaugesaddle-consensus/src/election.rs
@@ -1,12 +1,20 @@
-//! Elections: pre-votes, votes, and the end of a leadership.
+//! Elections: pre-votes (thesis 9.6), votes (3.4), and the end of a leadership (3.10, 6.2).
 
-use crate::pending::PendingOnSync;
-use crate::replica::{NotLeader, Progress};
-use crate::update::History;
-use crate::{Output, ProposalResult, Replica, Role};
+use crate::history::History;
+use crate::progress::Progress;
+use crate::writes::{CampaignKind, PendingOnSync};
+use crate::{Output, Replica, Role, Storage};
 use gaugesaddle_protocol::{LogPosition, ReplicaId, ReplicaMessage};
 
-/// The next pseudo-random number after one (xorshift); elections need no better one.
+/// The fields of `RequestVote`.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct VoteRequest {
+    pub term: u64,
+    pub last_position: LogPosition,
+    pub kind: CampaignKind,
+}
+
+/// The next pseudo-random number (xorshift); election time-outs need no better generator.
 fn next_random(mut x: u64) -> u64 {
     x ^= x << 13;
     x ^= x >> 7;
@@ -14,149 +22,154 @@
 }
 
 impl Replica {
-    pub(crate) fn set_election_time(&mut self, now: u64) {
+    /// A number from 0 to below `bound_ms`; 0 where that is 0.
+    fn draw_jitter_ms(&mut self, bound_ms: u64) -> u64 {
         self.random = next_random(self.random);
-        let spread = self.random % self.settings.election_jitter_ms.max(1);
-        self.election_at = now + self.settings.election_timeout_ms + spread;
+        self.random % bound_ms.max(1)
     }
 
-    /// Pre-votes are asked for anew soon: a majority may come up at any moment.
-    fn set_retry_time(&mut self, now: u64) {
-        self.random = next_random(self.random);
-        self.election_at =
-            now + self.settings.pre_vote_retry_ms + self.random % self.settings.pre_vote_jitter_ms.max(1);
+    /// Starts the full election time-out anew.
+    pub(crate) fn reset_election_deadline(&mut self, now: u64) {
+        let jitter_ms = self.draw_jitter_ms(self.settings.election_jitter_ms);
+        self.election_deadline = now + self.settings.election_timeout_ms + jitter_ms;
+    }
+
+    /// Starts the shorter time-out between attempts while nobody leads: a majority may come up at any moment.
+    fn reset_pre_vote_deadline(&mut self, now: u64) {
+        let jitter_ms = self.draw_jitter_ms(self.settings.pre_vote_jitter_ms);
+        self.election_deadline = now + self.settings.pre_vote_retry_ms + jitter_ms;
     }
 
-    /// Whether a leader has been heard so lately that nobody else should stand.
-    fn follows_living_leader(&self, now: u64) -> bool {
-        self.leader.is_some() && self.heard.is_some_and(|at| now < at + self.settings.election_timeout_ms)
+    /// Whether a leader has been in contact within the least election time-out: nobody else should be elected then
+    /// (thesis 4.2.3).
+    fn follows_live_leader(&self, now: u64) -> bool {
+        let is_recent = |contact_ms: u64| now < contact_ms + self.settings.election_timeout_ms;
+        self.leader.is_some() && self.leader_contact_ms.is_some_and(is_recent)
     }
 
-    pub(crate) fn begin_election(&mut self, now: u64, out: &mut Vec<Output>) {
-        self.set_retry_time(now);
+    /// The election time-out has passed: requests pre-votes for the next term, without entering it.
+    pub(crate) fn start_pre_vote(&mut self, now: u64, out: &mut Vec<Output>) {
+        self.reset_pre_vote_deadline(now);
         self.leader = None;
-        // A replica whose disk hangs could not keep its vote.
-        if !self.is_voter() || self.disk_hangs(now) {
+        // A replica whose disk stalls could not persist its vote.
+        if !self.is_voter() || self.is_disk_stalled(now) {
             return;
         }
         self.role = Role::Follower;
-        self.pre_votes = [self.hard_state.id].into();
+        self.pre_votes_granted = [self.hard_state.id].into();
         let message = ReplicaMessage::RequestPreVote {
             term: self.hard_state.term + 1,
             last_position: self.state.position,
         };
-        for other in self.others() {
-            out.push(Output::Send(other, message.clone()));
+        for voter in self.other_voters() {
+            out.push(Output::Send(voter, message.clone()));
         }
-        self.stand_if_wanted(now, out);
+        self.campaign_if_pre_elected(now, out);
     }
 
-    /// Whether it may give votes. Whom they count for is the candidate's matter: a replica that was made a voter a moment
-    /// ago may not know of it yet, and a group that has lost another voter needs it. One that has an empty disk has a new
-    /// identity and is in nobody's group.
+    /// Whether it may grant votes. It need not be among the voters that it knows: a replica that has just become one may
+    /// not have that state yet, and a group that has lost another voter needs its vote. The candidate counts only votes of
+    /// its voters. A replica with an empty disk has a new identity and belongs to no group.
     fn may_vote(&self) -> bool {
-        self.has_disk && !self.state.voters.is_empty()
+        self.storage == Storage::Durable && !self.state.voters.is_empty()
     }
 
-    pub(crate) fn pre_vote(
+    pub(crate) fn handle_pre_vote_request(
         &mut self, now: u64, from: ReplicaId, term: u64, last_position: LogPosition, out: &mut Vec<Output>,
     ) {
-        let led = self.role == Role::Leader || self.follows_living_leader(now);
-        let granted =
-            !led && self.may_vote() && term > self.hard_state.term && last_position >= self.state.position;
+        let is_led = self.role == Role::Leader || self.follows_live_leader(now);
+        let is_up_to_date = last_position >= self.state.position;
+        let granted = !is_led && self.may_vote() && term > self.hard_state.term && is_up_to_date;
         let term = if granted { term } else { self.hard_state.term };
         out.push(Output::Send(from, ReplicaMessage::RequestPreVoteResponse { term, granted }));
     }
 
-    pub(crate) fn pre_vote_reply(
+    pub(crate) fn handle_pre_vote_response(
         &mut self, now: u64, from: ReplicaId, term: u64, granted: bool, out: &mut Vec<Output>,
     ) {
-        if granted && self.role == Role::Follower && term == self.hard_state.term + 1 && self.leader.is_none()
-        {
-            self.pre_votes.insert(from);
-            self.stand_if_wanted(now, out);
+        let is_for_next_term = term == self.hard_state.term + 1;
+        if granted && self.role == Role::Follower && is_for_next_term && self.leader.is_none() {
+            self.pre_votes_granted.insert(from);
+            self.campaign_if_pre_elected(now, out);
         } else if !granted && term > self.hard_state.term {
             self.observe_term(now, term, out);
         }
     }
 
-    fn stand_if_wanted(&mut self, now: u64, out: &mut Vec<Output>) {
-        if self.quorum().is_reached(|v| self.pre_votes.contains(v)) {
-            self.stand(now, false, out);
+    fn campaign_if_pre_elected(&mut self, now: u64, out: &mut Vec<Output>) {
+        if self.quorum().is_reached(|voter| self.pre_votes_granted.contains(voter)) {
+            self.become_candidate(now, CampaignKind::Election, out);
         }
     }
 
-    /// The leader has ended its leadership and asks this replica to lead.
-    pub(crate) fn take_over(&mut self, now: u64, from: ReplicaId, term: u64, out: &mut Vec<Output>) {
-        let asked = term == self.hard_state.term && self.leader == Some(from) && self.role == Role::Follower;
-        if asked && self.is_voter() && !self.disk_hangs(now) {
-            self.stand(now, true, out);
+    /// The leader asks this voter to campaign at once (thesis 3.10).
+    pub(crate) fn handle_timeout_now(&mut self, now: u64, from: ReplicaId, term: u64, out: &mut Vec<Output>) {
+        let is_from_leader =
+            term == self.hard_state.term && self.leader == Some(from) && self.role == Role::Follower;
+        if is_from_leader && self.is_voter() && !self.is_disk_stalled(now) {
+            self.become_candidate(now, CampaignKind::LeadershipTransfer, out);
         }
     }
 
-    /// Becomes a candidate of the next term.
-    fn stand(&mut self, now: u64, leadership_transfer: bool, out: &mut Vec<Output>) {
-        self.pre_votes.clear();
-        // A candidate's round has its full time: two writes to disks lie in it.
-        self.set_election_time(now);
+    /// Enters the next term as a candidate. It requests votes once its own one is durable.
+    fn become_candidate(&mut self, now: u64, kind: CampaignKind, out: &mut Vec<Output>) {
+        self.pre_votes_granted.clear();
+        // The full time-out: a campaign includes two disk writes, the candidate's and the voters'.
+        self.reset_election_deadline(now);
         self.role = Role::Candidate;
         self.leader = None;
         self.hard_state.term += 1;
         self.hard_state.voted_for = Some(self.hard_state.id);
-        self.votes.clear();
-        self.refusals.clear();
-        let write_id = self.persist(now, false, out);
-        self.after.push_back((
-            write_id,
-            PendingOnSync::Campaign { term: self.hard_state.term, leadership_transfer },
-        ));
+        self.votes_granted.clear();
+        self.votes_rejected.clear();
+        let write_id = self.persist_hard_state(now, out);
+        self.after_sync(write_id, PendingOnSync::Campaign { term: self.hard_state.term, kind });
     }
 
-    /// The own vote is on the disk: asks the others for theirs.
-    pub(crate) fn campaign(&mut self, now: u64, term: u64, leadership_transfer: bool, out: &mut Vec<Output>) {
+    /// The candidate's own vote is durable: requests the others'.
+    pub(crate) fn request_votes(&mut self, now: u64, term: u64, kind: CampaignKind, out: &mut Vec<Output>) {
         if self.role != Role::Candidate || term != self.hard_state.term {
             return;
         }
-        self.votes.insert(self.hard_state.id);
-        for other in self.others() {
-            let last_position = self.state.position;
-            out.push(Output::Send(
-                other,
-                ReplicaMessage::RequestVote { term, last_position, leadership_transfer },
-            ));
+        self.votes_granted.insert(self.hard_state.id);
+        let message = ReplicaMessage::RequestVote {
+            term,
+            last_position: self.state.position,
+            leadership_transfer: kind == CampaignKind::LeadershipTransfer,
+        };
+        for voter in self.other_voters() {
+            out.push(Output::Send(voter, message.clone()));
         }
         self.lead_if_elected(now, out);
     }
 
-    pub(crate) fn vote(
-        &mut self, now: u64, from: ReplicaId,
-        (term, last_position, leadership_transfer): (u64, LogPosition, bool), out: &mut Vec<Output>,
+    pub(crate) fn handle_vote_request(
+        &mut self, now: u64, from: ReplicaId, request: VoteRequest, out: &mut Vec<Output>,
     ) {
-        let waits = !leadership_transfer && self.follows_living_leader(now);
-        if !self.may_vote() || (term > self.hard_state.term && waits) {
+        let VoteRequest { term, last_position, kind } = request;
+        // A replica that was removed, or partitioned, must not depose a live leader (thesis 4.2.3).
+        let protects_leader = kind == CampaignKind::Election && self.follows_live_leader(now);
+        if !self.may_vote() || (term > self.hard_state.term && protects_leader) {
             return;
         }
         if term > self.hard_state.term {
             self.observe_term(now, term, out);
         }
-        let free = self.hard_state.voted_for.is_none_or(|v| v == from);
-        if term < self.hard_state.term
-            || !free
-            || last_position < self.state.position
-            || self.role != Role::Follower
-        {
-            let refusal = ReplicaMessage::RequestVoteResponse { term: self.hard_state.term, granted: false };
-            out.push(Output::Send(from, refusal));
+        let has_vote = self.hard_state.voted_for.is_none_or(|voted_for| voted_for == from);
+        let is_up_to_date = last_position >= self.state.position;
+        if term < self.hard_state.term || !has_vote || !is_up_to_date || self.role != Role::Follower {
+            let response = ReplicaMessage::RequestVoteResponse { term: self.hard_state.term, granted: false };
+            out.push(Output::Send(from, response));
             return;
         }
         self.hard_state.voted_for = Some(from);
-        self.set_election_time(now);
-        let write_id = self.persist(now, false, out);
-        let reply = ReplicaMessage::RequestVoteResponse { term, granted: true };
-        self.after.push_back((write_id, PendingOnSync::Send(from, reply)));
+        self.reset_election_deadline(now);
+        let write_id = self.persist_hard_state(now, out);
+        let response = ReplicaMessage::RequestVoteResponse { term, granted: true };
+        self.after_sync(write_id, PendingOnSync::Send(from, response));
     }
 
-    pub(crate) fn vote_reply(
+    pub(crate) fn handle_vote_response(
         &mut self, now: u64, from: ReplicaId, term: u64, granted: bool, out: &mut Vec<Output>,
     ) {
         if term > self.hard_state.term {
@@ -166,42 +179,44 @@
             return;
         }
         if granted {
-            // A vote may come before the own one is on the disk; that one is counted as well only then.
-            self.votes.insert(from);
+            // It may arrive before the own vote is durable, which is counted only then.
+            self.votes_granted.insert(from);
             self.lead_if_elected(now, out);
         } else {
-            self.refusals.insert(from);
-            self.give_way(now);
+            self.votes_rejected.insert(from);
+            self.abandon_lost_campaign(now);
         }
     }
 
-    /// Ends a candidature that too many have refused: a rival has their votes. Waiting for its end would leave the group
-    /// without a leader for as long again.
-    fn give_way(&mut self, now: u64) {
-        if !self.quorum().is_reached(|v| !self.refusals.contains(v)) {
+    /// Ends a campaign that can no longer be won, since a rival has the votes. Waiting for the time-out would leave the
+    /// group without a leader for as long again.
+    fn abandon_lost_campaign(&mut self, now: u64) {
+        let can_be_won = self.quorum().is_reached(|voter| !self.votes_rejected.contains(voter));
+        if !can_be_won {
             self.role = Role::Follower;
-            self.set_retry_time(now);
+            self.reset_pre_vote_deadline(now);
         }
     }
 
     fn lead_if_elected(&mut self, now: u64, out: &mut Vec<Output>) {
-        if !self.quorum().is_reached(|v| self.votes.contains(v)) || !self.votes.contains(&self.hard_state.id)
-        {
+        let has_quorum = self.quorum().is_reached(|voter| self.votes_granted.contains(voter));
+        if !has_quorum || !self.votes_granted.contains(&self.hard_state.id) {
             return;
         }
         self.role = Role::Leader;
         self.leader = Some(self.hard_state.id);
-        self.peers = self.others().into_iter().map(|p| (p, Progress::default())).collect();
+        // The election counts as contact with every voter; otherwise the lease would have ended before it began.
+        let progress = Progress { contact_ms: Some(now), ..Progress::default() };
+        self.progress = self.other_voters().into_iter().map(|voter| (voter, progress.clone())).collect();
         self.learners.clear();
-        self.heartbeats.clear();
-        let assumed = Some(now);
-        self.peers.values_mut().for_each(|p| p.contact = assumed);
+        self.sent_heartbeats.clear();
         self.history = History::default();
+        // The state found is written under the new term: only a state of the own term can be committed (thesis 3.6.2).
         self.replace_state(now, |_| {}, out);
-        self.heartbeat(now, out);
+        self.broadcast_heartbeat(now, out);
     }
 
-    /// A newer term: whoever was leader or candidate follows.
+    /// Enters a newer term as a follower that has not voted.
     pub(crate) fn observe_term(&mut self, now: u64, term: u64, out: &mut Vec<Output>) {
         if term <= self.hard_state.term {
             return;
@@ -209,54 +224,67 @@
         self.step_down(now, None, out);
         self.hard_state.term = term;
         self.hard_state.voted_for = None;
-        self.persist(now, false, out);
+        self.persist_hard_state(now, out);
     }
 
-    /// Follows, and gives no clear answer to what waits.
+    /// Becomes a follower. What waits for this leadership is answered as indeterminate.
     pub(crate) fn step_down(&mut self, now: u64, leader: Option<ReplicaId>, out: &mut Vec<Output>) {
         if self.role == Role::Leader {
-            self.set_election_time(now);
+            self.reset_election_deadline(now);
         }
         self.role = Role::Follower;
         self.leader = leader;
-        self.current_at = None;
-        self.votes.clear();
-        self.pre_votes.clear();
-        for id in self.proposing.take().into_iter().chain(self.proposals.drain(..).map(|(id, _)| id)) {
-            out.push(Output::Proposed(id, ProposalResult::Indeterminate));
-        }
-        for waiting in self.confirming.drain(..) {
-            out.push(match waiting.answer {
-                crate::pending::Confirmed::Read(id, _) => Output::Read(id, Err(NotLeader)),
-                crate::pending::Confirmed::Proposal(id, _) => {
-                    Output::Proposed(id, ProposalResult::Indeterminate)
-                }
-            });
-        }
-        for id in self.early.drain(..) {
-            out.push(Output::Read(id, Err(NotLeader)));
-        }
-    }
-
-    pub(crate) fn disk_hangs(&self, now: u64) -> bool {
-        self.writes.front().is_some_and(|(_, begun, _, _)| now > begun + self.settings.disk_stall_ms)
+        self.fresh_as_of_ms = None;
+        self.votes_granted.clear();
+        self.pre_votes_granted.clear();
+        self.abandon_proposals(out);
+        self.abandon_confirmations(out);
     }
 
+    /// Ends a leadership without contact with a quorum, or whose own disk stalls.
     pub(crate) fn check_lease(&mut self, now: u64, out: &mut Vec<Output>) {
-        if self.role == Role::Leader && (!self.has_lease(now) || self.disk_hangs(now)) {
+        if self.role == Role::Leader && (!self.has_lease(now) || self.is_disk_stalled(now)) {
             self.step_down(now, None, out);
         }
     }
 
-    /// When the last heartbeat was sent that a majority has answered.
-    pub(crate) fn majority_contact(&self) -> u64 {
-        let contact = |v: &ReplicaId| {
-            if *v == self.hard_state.id {
-                u64::MAX / 2
+    /// When the newest heartbeat was sent that a quorum has acknowledged, in milliseconds.
+    pub(crate) fn quorum_contact_ms(&self) -> u64 {
+        // The leader is always in contact with itself. Half the range leaves room for a lease to be added.
+        const ALWAYS_MS: u64 = u64::MAX / 2;
+        let contact_ms = |voter: &ReplicaId| {
+            if *voter == self.hard_state.id {
+                ALWAYS_MS
             } else {
-                self.peers.get(v).and_then(|p| p.contact).unwrap_or(0)
+                self.progress.get(voter).and_then(|p| p.contact_ms).unwrap_or(0)
             }
         };
-        self.quorum().reaches(contact)
+        self.quorum().highest_reached(contact_ms)
+    }
+
+    /// Ends a leadership before the process ends: a voter that has the newest state is asked to campaign at once.
+    ///
+    /// Without such a voter, and on a replica that does not lead, nothing is sent. Pending requests are answered as
+    /// indeterminate.
+    pub fn transfer_leadership(&mut self, now: u64, out: &mut Vec<Output>) {
+        if self.role != Role::Leader {
+            return;
+        }
+        if let Some(target) = self.transfer_target() {
+            let message = ReplicaMessage::TimeoutNow { term: self.hard_state.term };
+            out.push(Output::Send(target, message));
+        }
+        self.step_down(now, None, out);
+    }
+
+    /// Of the voters on which the newest state is durable, the one with the newest contact.
+    fn transfer_target(&self) -> Option<ReplicaId> {
+        let newest = self.state.position;
+        let other_voters = self.state.voters.iter().filter(|voter| **voter != self.hard_state.id);
+        let up_to_date = other_voters.filter_map(|voter| {
+            let progress = self.progress.get(voter)?;
+            (progress.matched == newest).then_some((voter, progress))
+        });
+        up_to_date.max_by_key(|(_, progress)| progress.contact_ms).map(|(voter, _)| *voter)
     }
 }
--- a/crates/gaugesaddle-consensus/src/update.rs
+++ b/crates/gaugesaddle-consensus/src/history.rs
@@ -1,15 +1,15 @@
-//! States on their way to other replicas: told against a state that the receiver has, else whole.
+//! State updates for other replicas: a delta against a state that the receiver has, else the full state.
 
 use crate::settings::MAX_ACCEPTED;
 use gaugesaddle_protocol::{Accepted, DocumentUpdate, LogPosition, State, StateUpdate};
 use std::collections::VecDeque;
 
-/// Earlier states that others may still have.
+/// Earlier states that are retained as bases of deltas.
 const MAX_VERSIONS: usize = 16;
-/// Bytes of their documents.
+/// Limit on the total size of their documents.
 const MAX_BYTES: usize = 4 << 20;
 
-/// What must be known of an earlier state to tell a later one against it.
+/// The parts of an earlier state that a delta needs.
 #[derive(Clone, Debug)]
 struct Version {
     position: LogPosition,
@@ -17,34 +17,35 @@
     document: Vec<u8>,
 }
 
-/// The states that a leader has had lately.
+/// The newest earlier states of a leader. The oldest leaves first, beyond [`MAX_VERSIONS`] or [`MAX_BYTES`].
 #[derive(Clone, Debug, Default)]
 pub(crate) struct History {
     versions: VecDeque<Version>,
 }
 
 impl History {
-    /// Keeps what is needed of a state that is about to be replaced.
-    pub fn keep(&mut self, state: &State) {
+    /// Adds a state that is about to be replaced.
+    pub fn push(&mut self, state: &State) {
         self.versions.push_back(Version {
             position: state.position,
             revision: state.revision,
             document: state.document.clone(),
         });
-        let too_large = |versions: &VecDeque<Version>| {
-            versions.len() > MAX_VERSIONS
-                || versions.iter().map(|v| v.document.len()).sum::<usize>() > MAX_BYTES
-        };
-        while too_large(&self.versions) {
+        while self.exceeds_limits() {
             self.versions.pop_front();
         }
     }
 
-    /// Tells a state against the one that the receiver has, where that is known here.
-    pub fn update(&self, held: Option<LogPosition>, state: &State) -> StateUpdate {
-        let base = self.versions.iter().find(|v| Some(v.position) == held);
-        // Revisions rise with each accepted order.
-        let is_new = |a: &&Accepted| base.is_none_or(|base| a.revision > base.revision);
+    fn exceeds_limits(&self) -> bool {
+        let bytes: usize = self.versions.iter().map(|version| version.document.len()).sum();
+        self.versions.len() > MAX_VERSIONS || bytes > MAX_BYTES
+    }
+
+    /// An update to `state` for a receiver that has the state at `received`; full where that one is not retained.
+    pub fn update(&self, received: Option<LogPosition>, state: &State) -> StateUpdate {
+        let base = self.versions.iter().find(|version| Some(version.position) == received);
+        // Revisions rise with each accepted change.
+        let is_new = |accepted: &&Accepted| base.is_none_or(|base| accepted.revision > base.revision);
         StateUpdate {
             base: base.map(|base| base.position),
             position: state.position,
@@ -58,13 +59,14 @@
     }
 }
 
-/// Keeps the newest accepted orders only; the highest revision that is dropped. Every replica drops the same ones.
+/// Drops the oldest accepted changes beyond [`MAX_ACCEPTED`], the same ones on every replica. Returns the highest
+/// revision that was dropped.
 pub(crate) fn drop_oldest(accepted: &mut Vec<Accepted>) -> Option<u64> {
     let surplus = accepted.len().saturating_sub(MAX_ACCEPTED);
-    accepted.drain(..surplus).map(|a| a.revision).max()
+    accepted.drain(..surplus).map(|accepted| accepted.revision).max()
 }
 
-/// The state that an update makes of the one at hand; `None` where it is told against another.
+/// The state that results from an update; `None` where its base is another state than the present one.
 pub(crate) fn apply(state: &State, update: StateUpdate) -> Option<State> {
     let (base, mut accepted) = match update.base {
         None => (None, Vec::new()),
--- a/crates/gaugesaddle-consensus/src/lib.rs
+++ b/crates/gaugesaddle-consensus/src/lib.rs
@@ -1,31 +1,76 @@
-//! Replicas of the operator's configuration: election, replication, membership and current reads, without I/O.
-//!
-//! [`Replica`] takes [`Input`]s with the steady time at which they happened and returns [`Output`]s. The replicated
-//! [`State`](gaugesaddle_protocol::State) is one value that each change replaces: the history kept is one state long,
-//! and a state travels as what changed since the one that the receiver has. What Raft says of a log's last entry holds for it: a state's [`LogPosition`](gaugesaddle_protocol::Stamp)
-//! orders it, a vote goes only to a candidate whose stamp is not older, and a new leader writes the state it found
-//! under its own term before it calls anything committed.
-//!
-//! The group changes by joint consensus: a successor takes all that is there first, then one state names both groups,
-//! and a majority of each decides until the next state names the new one alone.
-//!
-//! Promises, at any number of lost messages and crashed processes: what is reported as taken is on a majority of
-//! disks; no two leaders share a term; a replica with an empty disk is another replica and never votes for the old
-//! one; a replica that calls itself current has all that was committed a stated time ago, however late messages come
-//! and however long the process slept. Tables are bounded by the number of replicas, queues by
-//! [`settings::MAX_PENDING`].
+//! Raft for the operator's configuration: election, replication, membership changes and linearizable reads, without I/O.
+//!
+//! The replicated [`State`](gaugesaddle_protocol::State) is one value that each change replaces, so the log is one entry
+//! long, and a state travels as a delta against the one that the receiver has. What Raft requires of a log's last entry is
+//! required of the state's [`LogPosition`](gaugesaddle_protocol::LogPosition): a vote goes only to a candidate whose
+//! position is not older, and a new leader writes the state that it found under its own term before anything is committed
+//! (Ongaro, *Consensus: Bridging Theory and Practice*, 2014, section 3.6).
+//!
+//! # Main types
+//!
+//! - [`Replica`] is the state machine. It takes an [`Input`] with the steady time at which it happened and appends the
+//!   [`Output`]s that its host must carry out. [`Role`] draws its transitions.
+//! - [`Proposal`] is a change on its way into the state, [`ProposalResult`] its outcome; [`change`] makes proposals out of
+//!   operators' requests.
+//! - [`disk_format`] encodes what [`Output::Persist`] writes. The host owns disk, sockets, clock and random numbers.
+//!
+//! # Example
+//!
+//! A replica without a disk joins as a learner and never votes:
+//!
+//! ```rust
+//! use gaugesaddle_consensus::{Input, Output, Replica, Role, Settings, Storage};
+//! use gaugesaddle_protocol::{HardState, ReplicaId, ReplicaMessage, State};
+//!
+//! let id = ReplicaId { ip: 0x0a00_0001, incarnation: 7 };
+//! let hard_state = HardState { id, term: 0, voted_for: None };
+//! let (now, seed) = (1_000, 42);
+//! let mut replica =
+//!     Replica::new(Settings::default(), hard_state, State::default(), now, seed, Storage::Diskless);
+//!
+//! let mut out = Vec::new();
+//! replica.handle(replica.deadline(), Input::Tick, &mut out);
+//! assert_eq!(out, [Output::Broadcast(ReplicaMessage::Join { durable: false })]);
+//! assert_eq!(replica.role(), Role::Follower);
+//! assert!(!replica.is_fresh(now));
+//! ```
+//!
+//! # Guarantees
+//!
+//! With any number of lost messages and crashed processes:
+//!
+//! - A change reported as [`ProposalResult::Committed`] is durable on a quorum.
+//! - A term has at most one leader.
+//! - A replica with an empty disk is another replica: it never votes in the place of the old one.
+//! - A replica that [is fresh](Replica::is_fresh) has everything that was committed one lease ago, however late messages
+//!   arrive and however long the process was suspended.
+//!
+//! Votes and acknowledgements are sent only after [`Input::Persisted`] of the write that contains them. The host may lose
+//! and reorder messages.
+//!
+//! # Bounds
+//!
+//! Tables are bounded by the number of replicas ([`settings::MAX_VOTERS`], [`settings::MAX_LEARNERS`]), queues by
+//! [`settings::MAX_PENDING`], accepted changes by [`settings::MAX_ACCEPTED`].
 
 pub mod change;
+mod commit;
 pub mod disk_format;
 mod election;
+mod follower;
+mod history;
+mod interface;
 mod membership;
-mod pending;
+mod progress;
+mod proposal;
 mod quorum;
+mod read_index;
 mod replica;
 mod replication;
 pub mod settings;
-mod update;
+mod writes;
 
-pub use pending::{Proposal, ProposalResult, ProposedDocument, WriteId};
-pub use replica::{Input, NotLeader, Output, Replica, Role};
+pub use interface::{Input, NotLeader, Output, Role, Storage, WriteId};
+pub use proposal::{Proposal, ProposalResult, ProposedDocument};
+pub use replica::Replica;
 pub use settings::Settings;
--- a/crates/gaugesaddle-consensus/src/membership.rs
+++ b/crates/gaugesaddle-consensus/src/membership.rs
@@ -1,55 +1,64 @@
-//! Which replicas vote, changed by joint consensus.
+//! Changes of the group of voters by joint consensus (thesis 4.3).
 //!
-//! A replica that is no voter asks whoever leads to be taken in, and gets every state. Only once it has the newest does
-//! the leader change the group:
+//! A replica that does not vote broadcasts `Join` and becomes a learner: the leader sends it every state. Only once the
+//! newest state is durable there does the leader change the group:
 //!
 //! ```text
-//!  settled --successor has all, or a voter is silent--> joint: voters and outgoing, a majority of each decides
-//!     ^                                                   |
-//!     +------------- committed: outgoing is emptied ------+
+//!             a learner has caught up, or a voter
+//!             has not responded for too long
+//!  committed ------------------------------------> joint: voters and outgoing, a majority of each decides
+//!      ^                                             |
+//!      +--- joint state committed: outgoing emptied -+
 //! ```
 //!
-//! A successor takes the place of the voter that had its machine (its disk was lost), else of one that does not answer
-//! (its machine may have been replaced), else it is added. Nobody loses a vote before its successor has the state, so
-//! that a second loss meets as many copies as the first did.
+//! A learner replaces the voter that ran on its machine (whose disk was lost), else a voter that does not respond (whose
+//! machine may have been replaced), else it is added. No vote is removed before its successor has the state, so that a
+//! second loss meets as many replicas of the state as the first did.
 
-use crate::replica::Learner;
+use crate::progress::Learner;
 use crate::settings::{MAX_LEARNERS, MAX_VOTERS};
-use crate::{Output, Replica, Role};
+use crate::{Output, Replica, Role, Storage};
 use gaugesaddle_protocol::{ReplicaId, ReplicaMessage, State};
 
-/// A replica that wants to be taken in asks so often, in milliseconds.
-const JOIN: u64 = 300;
-/// A learner that has not asked for so long is forgotten.
-const LEARNER_SILENCE: u64 = 2000;
+/// Interval between the `Join` broadcasts of a replica that does not vote.
+const JOIN_INTERVAL_MS: u64 = 300;
+/// A learner whose latest `Join` is older is dropped. Five broadcasts in a row may be lost.
+const LEARNER_TIMEOUT_MS: u64 = 2000;
+
+/// What a learner does to the group when it becomes a voter.
+enum Admission {
+    /// It takes the slot of the voter at this index.
+    Replace(usize),
+    /// It is added to the voters.
+    Add,
+}
 
 impl Replica {
-    pub(crate) fn ask_to_join(&mut self, now: u64, out: &mut Vec<Output>) {
-        self.join_at = now + JOIN;
-        out.push(Output::Broadcast(ReplicaMessage::Join { durable: self.has_disk }));
+    pub(crate) fn broadcast_join(&mut self, now: u64, out: &mut Vec<Output>) {
+        self.join_deadline = now + JOIN_INTERVAL_MS;
+        let durable = self.storage == Storage::Durable;
+        out.push(Output::Broadcast(ReplicaMessage::Join { durable }));
     }
 
-    pub(crate) fn join(&mut self, now: u64, from: ReplicaId, durable: bool) {
-        if self.role != Role::Leader
-            || self.state.voters.contains(&from)
-            || self.learners.len() >= MAX_LEARNERS
-        {
+    pub(crate) fn handle_join(&mut self, now: u64, from: ReplicaId, durable: bool) {
+        let is_voter = self.state.voters.contains(&from);
+        if self.role != Role::Leader || is_voter || self.learners.len() >= MAX_LEARNERS {
             return;
         }
-        self.learners.insert(from, Learner { asked: now, durable });
+        self.learners.insert(from, Learner { joined_ms: now, durable });
     }
 
-    /// Takes the next step of a change of voters, if the last one is on the disks that it takes.
-    pub(crate) fn change_membership(&mut self, now: u64, out: &mut Vec<Output>) {
-        self.learners.retain(|_, learner| now < learner.asked + LEARNER_SILENCE);
-        let settled = self.committed == self.state.position && self.proposing.is_none();
-        if !settled || self.committed.term != self.hard_state.term {
+    /// Takes the next step of a membership change, once the previous one is committed.
+    pub(crate) fn advance_membership(&mut self, now: u64, out: &mut Vec<Output>) {
+        self.learners.retain(|_, learner| now < learner.joined_ms + LEARNER_TIMEOUT_MS);
+        let is_idle = self.committed == self.state.position && self.replicating_proposal.is_none();
+        if !is_idle || self.committed.term != self.hard_state.term {
             return;
         }
         if !self.state.outgoing.is_empty() {
             self.replace_state(now, |state| state.outgoing.clear(), out);
         } else if let Some(voters) = self.next_voters(now) {
-            self.learners.retain(|l, _| !voters.contains(l));
+            self.learners.retain(|learner, _| !voters.contains(learner));
             let change = |state: &mut State| state.outgoing = std::mem::replace(&mut state.voters, voters);
             self.replace_state(now, change, out);
         }
@@ -59,47 +68,56 @@
     fn next_voters(&self, now: u64) -> Option<Vec<ReplicaId>> {
         let mut voters = self.state.voters.clone();
         if let Some(learner) = self.caught_up_learner() {
-            match self.place_for(now, learner) {
-                Some(place) => voters[place] = learner,
-                // Beside a voter that is gone a further one only makes the majority larger: it is known soon.
-                None if voters.len() < MAX_VOTERS && self.has_heard_all() => voters.push(learner),
-                None => return None,
+            match self.admission_of(now, learner)? {
+                Admission::Replace(slot) => voters[slot] = learner,
+                Admission::Add => voters.push(learner),
             }
             return Some(voters);
         }
         if voters.len() <= self.settings.min_voters {
             return None;
         }
-        let silent =
-            voters.iter().position(|v| self.is_without_contact(now, v, self.settings.removal_timeout_ms))?;
-        voters.remove(silent);
+        let timeout_ms = self.settings.removal_timeout_ms;
+        let unresponsive = voters.iter().position(|voter| self.is_unresponsive(now, voter, timeout_ms))?;
+        voters.remove(unresponsive);
         Some(voters)
     }
 
-    /// A learner with a disk that has the newest state on it.
+    /// A learner with a disk on which the newest state is durable.
     fn caught_up_learner(&self) -> Option<ReplicaId> {
-        let caught_up = |id: &ReplicaId| self.peers.get(id).is_some_and(|p| p.matched == self.state.position);
-        let durable = self.learners.iter().filter(|(_, learner)| learner.durable).map(|(id, _)| *id);
-        durable.into_iter().find(caught_up)
+        let newest = self.state.position;
+        let has_caught_up = |id: &ReplicaId| self.progress.get(id).is_some_and(|p| p.matched == newest);
+        let mut durable = self.learners.iter().filter(|(_, learner)| learner.durable).map(|(id, _)| *id);
+        durable.find(has_caught_up)
     }
 
-    /// The voter whose place a learner takes.
-    fn place_for(&self, now: u64, learner: ReplicaId) -> Option<usize> {
+    /// How a learner becomes a voter; `None` while it must wait.
+    fn admission_of(&self, now: u64, learner: ReplicaId) -> Option<Admission> {
         let voters = &self.state.voters;
-        let same_machine = |v: &ReplicaId| v.ip == learner.ip && *v != self.hard_state.id;
-        let predecessor = voters.iter().position(same_machine);
-        let quiet = |v: &ReplicaId| self.is_without_contact(now, v, self.settings.replacement_timeout_ms);
-        predecessor.or_else(|| voters.iter().position(quiet))
+        let is_predecessor = |voter: &ReplicaId| voter.ip == learner.ip && *voter != self.hard_state.id;
+        if let Some(slot) = voters.iter().position(is_predecessor) {
+            return Some(Admission::Replace(slot));
+        }
+        let timeout_ms = self.settings.replacement_timeout_ms;
+        if let Some(slot) = voters.iter().position(|voter| self.is_unresponsive(now, voter, timeout_ms)) {
+            return Some(Admission::Replace(slot));
+        }
+        // Beside a dead voter one more only raises the majority. Whether a voter is dead shows soon: a new leader waits
+        // until all have responded, or one has timed out.
+        let may_add = voters.len() < MAX_VOTERS && self.have_all_voters_responded();
+        may_add.then_some(Admission::Add)
     }
 
-    /// Whether every other voter has answered this leader.
-    fn has_heard_all(&self) -> bool {
-        let heard = |v: &ReplicaId| self.peers.get(v).is_some_and(|p| p.sequence > 0);
-        self.state.voters.iter().all(|v| *v == self.hard_state.id || heard(v))
+    /// Whether every other voter has acknowledged a heartbeat of this leader.
+    fn have_all_voters_responded(&self) -> bool {
+        let has_responded =
+            |voter: &ReplicaId| self.progress.get(voter).is_some_and(|p| p.acknowledged_sequence > 0);
+        self.state.voters.iter().all(|voter| *voter == self.hard_state.id || has_responded(voter))
     }
 
-    fn is_without_contact(&self, now: u64, voter: &ReplicaId, time: u64) -> bool {
-        let contact = self.peers.get(voter).and_then(|p| p.contact).unwrap_or(0);
-        *voter != self.hard_state.id && now >= contact + time
+    /// Whether another voter has acknowledged no heartbeat that was sent within the time-out.
+    fn is_unresponsive(&self, now: u64, voter: &ReplicaId, timeout_ms: u64) -> bool {
+        let contact_ms = self.progress.get(voter).and_then(|p| p.contact_ms).unwrap_or(0);
+        *voter != self.hard_state.id && now >= contact_ms + timeout_ms
     }
 }
--- a/crates/gaugesaddle-consensus/src/quorum.rs
+++ b/crates/gaugesaddle-consensus/src/quorum.rs
@@ -1,39 +1,45 @@
-//! Majorities, of one group of voters or of two while the group changes.
+//! Majorities: of one group of voters, or of both groups during joint consensus (thesis 4.3).
 
 use gaugesaddle_protocol::{ReplicaId, State};
 
-/// Who must agree before something is decided.
+/// The voters whose agreement a decision needs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Quorum<'a> {
     voters: &'a [ReplicaId],
+    /// The group before the change under way; empty between changes.
     outgoing: &'a [ReplicaId],
 }
 
 impl<'a> Quorum<'a> {
-    /// The quorum of a state.
+    /// The quorum by which a state is decided.
     pub fn of(state: &'a State) -> Quorum<'a> {
         Quorum { voters: &state.voters, outgoing: &state.outgoing }
     }
 
-    /// Whether those that agree are a majority of the voters and, during a change, of the outgoing ones.
+    /// Whether those who agree are a majority of the voters and, during a change, of the outgoing ones.
     pub fn is_reached(self, agrees: impl Fn(&ReplicaId) -> bool) -> bool {
-        let reached = |group: &[ReplicaId]| group.iter().filter(|v| agrees(v)).count() > group.len() / 2;
-        !self.voters.is_empty()
-            && reached(self.voters)
-            && (self.outgoing.is_empty() || reached(self.outgoing))
+        let has_majority = |group: &[ReplicaId]| {
+            let agreeing = group.iter().filter(|voter| agrees(voter)).count();
+            agreeing > group.len() / 2
+        };
+        if self.voters.is_empty() || !has_majority(self.voters) {
+            return false;
+        }
+        self.outgoing.is_empty() || has_majority(self.outgoing)
     }
 
-    /// The highest number that the numbers of a quorum reach.
-    pub fn reaches(self, number: impl Fn(&ReplicaId) -> u64) -> u64 {
-        let reached = |group: &[ReplicaId]| {
-            let mut numbers: Vec<u64> = group.iter().map(&number).collect();
+    /// The highest number that a quorum of voters has reached; 0 without voters.
+    pub fn highest_reached(self, number_of: impl Fn(&ReplicaId) -> u64) -> u64 {
+        let reached_by_majority = |group: &[ReplicaId]| {
+            let mut numbers: Vec<u64> = group.iter().map(&number_of).collect();
             numbers.sort_unstable_by(|a, b| b.cmp(a));
             numbers.get(group.len() / 2).copied().unwrap_or(0)
         };
+        let reached = reached_by_majority(self.voters);
         if self.outgoing.is_empty() {
-            reached(self.voters)
+            reached
         } else {
-            reached(self.voters).min(reached(self.outgoing))
+            reached.min(reached_by_majority(self.outgoing))
         }
     }
 }
--- a/crates/gaugesaddle-consensus/src/settings.rs
+++ b/crates/gaugesaddle-consensus/src/settings.rs
@@ -1,43 +1,44 @@
-//! Times and bounds of a replica.
+//! Time-outs and limits of a replica.
 
-/// Proposals and reads that wait at a leader; the operators have at most eight orders under way.
+/// Limit on the proposals, and on the reads and rejections, that wait at a leader. The operators have at most eight
+/// requests under way.
 pub const MAX_PENDING: usize = 64;
-/// Accepted configurations that are remembered for repeated orders: hundreds of changes a day, of which an operator
-/// sends only the newest few again.
+/// Accepted changes that are remembered to recognize repeated requests. There are hundreds of changes a day, and operators
+/// repeat only the newest few.
 pub const MAX_ACCEPTED: usize = 512;
-/// Replicas that vote; more would only slow each change.
+/// Limit on the voters. More would only slow each change.
 pub const MAX_VOTERS: usize = 9;
-/// Replicas that listen without a vote: a control process on each of the machines set aside, and room.
+/// Limit on the learners: a control process on each of the machines set aside for it, with headroom.
 pub const MAX_LEARNERS: usize = 64;
 
-/// Times in milliseconds of the steady clock.
+/// Time-outs in milliseconds on the steady clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Between heartbeats of a leader.
+    /// Interval between a leader's heartbeats.
     pub heartbeat_interval_ms: u64,
-    /// Least silence of a leader before an election.
+    /// Least election time-out: time without a heartbeat after which a follower requests pre-votes.
     pub election_timeout_ms: u64,
-    /// A random part of this is added to it.
+    /// Upper limit of the random part of the election time-out.
     pub election_jitter_ms: u64,
-    /// Least time before an election of a replica that has just started and has heard nobody.
+    /// Least first election time-out of a replica that has just started. At most `election_timeout_ms`.
     pub first_election_timeout_ms: u64,
-    /// Least time between two rounds of pre-votes while nobody leads, which cost nothing but messages.
+    /// Least interval between two requests for pre-votes while nobody leads. They cost messages only.
     pub pre_vote_retry_ms: u64,
-    /// A random part of this is added to it.
+    /// Upper limit of the random part of that interval.
     pub pre_vote_jitter_ms: u64,
-    /// A leader without answers of a majority for so long steps down.
+    /// A leader steps down when no quorum has acknowledged a heartbeat sent within this time.
     pub leader_lease_ms: u64,
-    /// A write to the own disk that takes longer ends a leadership.
+    /// A leader steps down when one of its own disk writes takes longer.
     pub disk_stall_ms: u64,
-    /// A follower calls itself current for so long after the newest mark that its leader has echoed.
+    /// How long a follower counts as fresh after the newest clock reading that its leader has echoed.
     pub follower_lease_ms: u64,
-    /// A voter that has not answered for so long gives its place to a replica that waits for one: that one answers, and
-    /// the other may come back as it did.
+    /// A voter that has not responded for this time is replaced by a learner that has caught up. The learner responds, and
+    /// the voter can return as a learner in its turn.
     pub replacement_timeout_ms: u64,
-    /// A voter that has not answered for so long loses its vote also where nobody takes its place.
+    /// A voter that has not responded for this time is removed even without a replacement.
     pub removal_timeout_ms: u64,
-    /// Silent voters without a successor are not removed below this number: the disks that must hold a change so that it
-    /// survives the losses to be borne.
+    /// Removal without replacement stops at this number of voters: the number of disks that must have a change for it to
+    /// survive the tolerated losses.
     pub min_voters: usize,
 }
 
--- /dev/null
+++ b/crates/gaugesaddle-consensus/src/writes.rs
@@ -0,0 +1,114 @@
+//! Disk writes under way, and what must wait until one of them is durable.
+//!
+//! Raft requires that a vote and an acknowledgement leave a replica only once they are durable (thesis 3.8). Such messages
+//! are queued here with the write that they depend on.
+
+use crate::{Output, Replica, WriteId};
+use gaugesaddle_protocol::{ClockReading, LogPosition, ReplicaId, ReplicaMessage, State};
+
+/// Why a candidate requests votes (raft-rs calls it the campaign type).
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum CampaignKind {
+    /// The election time-out passed and a quorum granted its pre-votes.
+    Election,
+    /// The leader sent `TimeoutNow`: voters need not wait until they miss that leader (thesis 3.10).
+    LeadershipTransfer,
+}
+
+/// A write that the disk has not confirmed.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct PendingWrite {
+    pub id: WriteId,
+    /// When it was requested, in milliseconds.
+    pub requested_ms: u64,
+    /// The term that is durable after it.
+    pub term: u64,
+    /// The newest state that is durable after it.
+    pub position: LogPosition,
+}
+
+/// An action that depends on a write.
+#[derive(Clone, Debug)]
+pub(crate) enum PendingOnSync {
+    Send(ReplicaId, ReplicaMessage),
+    AppendResponse {
+        to: ReplicaId,
+        term: u64,
+        sequence: u64,
+        clock_reading: ClockReading,
+    },
+    /// Request votes in this term.
+    Campaign {
+        term: u64,
+        kind: CampaignKind,
+    },
+}
+
+/// An action and the write that must be durable before it.
+#[derive(Clone, Debug)]
+pub(crate) struct BlockedAction {
+    pub write_id: WriteId,
+    pub action: PendingOnSync,
+}
+
+impl Replica {
+    /// Writes the hard state alone.
+    pub(crate) fn persist_hard_state(&mut self, now: u64, out: &mut Vec<Output>) -> WriteId {
+        self.persist(now, None, out)
+    }
+
+    /// Writes hard state and state together.
+    pub(crate) fn persist_state(&mut self, now: u64, out: &mut Vec<Output>) -> WriteId {
+        let state = Box::new(self.state.clone());
+        self.persist(now, Some(state), out)
+    }
+
+    fn persist(&mut self, now: u64, state: Option<Box<State>>, out: &mut Vec<Output>) -> WriteId {
+        let write_id = WriteId(self.next_write);
+        self.next_write += 1;
+        self.pending_writes.push_back(PendingWrite {
+            id: write_id,
+            requested_ms: now,
+            term: self.hard_state.term,
+            position: self.state.position,
+        });
+        out.push(Output::Persist { write_id, hard_state: self.hard_state, state });
+        write_id
+    }
+
+    /// Queues an action until a write is durable.
+    pub(crate) fn after_sync(&mut self, write_id: WriteId, action: PendingOnSync) {
+        self.blocked_actions.push_back(BlockedAction { write_id, action });
+    }
+
+    pub(crate) fn handle_persisted(&mut self, now: u64, write_id: WriteId, out: &mut Vec<Output>) {
+        while let Some(write) = self.pending_writes.front().copied().filter(|w| w.id <= write_id) {
+            self.pending_writes.pop_front();
+            self.durable_term = write.term;
+            self.durable_position = write.position;
+        }
+        while self.blocked_actions.front().is_some_and(|blocked| blocked.write_id <= write_id) {
+            let Some(blocked) = self.blocked_actions.pop_front() else { break };
+            self.run_blocked_action(now, blocked.action, out);
+        }
+        self.advance(now, out);
+    }
+
+    fn run_blocked_action(&mut self, now: u64, action: PendingOnSync, out: &mut Vec<Output>) {
+        match action {
+            PendingOnSync::Send(to, message) => out.push(Output::Send(to, message)),
+            PendingOnSync::AppendResponse { to, term, sequence, clock_reading } => {
+                if term == self.hard_state.term {
+                    self.send_append_response(to, term, sequence, clock_reading, out);
+                }
+            }
+            PendingOnSync::Campaign { term, kind } => self.request_votes(now, term, kind, out),
+        }
+    }
+
+    /// Whether the oldest write has been under way for longer than `disk_stall_ms`.
+    pub(crate) fn is_disk_stalled(&self, now: u64) -> bool {
+        let oldest = self.pending_writes.front();
+        oldest.is_some_and(|write| now > write.requested_ms + self.settings.disk_stall_ms)
+    }
+}
--- a/crates/gaugesaddle-consensus/tests/disk_format.rs
+++ b/crates/gaugesaddle-consensus/tests/disk_format.rs
@@ -1,11 +1,11 @@
-//! The failure: a replica goes on with its name and not its state, or with what another version of the program has written.
+//! The failure: a replica continues with its identity and without its state, or with records of another format version.
 
-use gaugesaddle_consensus::disk_format::{read, records, Unreadable};
+use gaugesaddle_consensus::disk_format::{read, records, DiskFormatError, Record};
 use gaugesaddle_protocol::{HardState, LogPosition, ReplicaId, State};
 
 fn hard_state() -> HardState {
-    let me = ReplicaId { ip: 7, incarnation: 9 };
-    HardState { id: me, term: 4, voted_for: Some(me) }
+    let id = ReplicaId { ip: 7, incarnation: 9 };
+    HardState { id, term: 4, voted_for: Some(id) }
 }
 
 fn slots(hard_state: &HardState, state: Option<&State>) -> [Option<Vec<u8>>; 2] {
@@ -17,25 +17,32 @@
 }
 
 #[test]
-fn what_was_written_is_read() {
+fn encoded_records_are_decoded() {
     let state =
         State { position: LogPosition { term: 4, index: 2 }, document: vec![1, 2], ..State::default() };
-    assert_eq!(read(&slots(&hard_state(), Some(&state))), Ok((Some(hard_state()), Some(state))));
-    assert_eq!(read(&slots(&hard_state(), None)), Ok((Some(hard_state()), None)));
-    assert_eq!(read(&[None, None]), Ok((None, None)));
+    let decoded = |slots: &[Option<Vec<u8>>; 2]| read(slots).expect("the records are decoded");
+    assert_eq!(decoded(&slots(&hard_state(), Some(&state))), (Some(hard_state()), Some(state)));
+    assert_eq!(decoded(&slots(&hard_state(), None)), (Some(hard_state()), None));
+    assert_eq!(decoded(&[None, None]), (None, None));
 }
 
 #[test]
-fn one_part_that_cannot_be_read_makes_the_disk_useless() {
+fn one_undecodable_record_makes_both_unusable() {
     let good = slots(&hard_state(), Some(&State::default()));
-    for slot in 0..2 {
-        let mut cut = good.clone();
-        cut[slot] = cut[slot].take().map(|bytes| bytes[..bytes.len() / 2].to_vec());
-        assert_eq!(read(&cut), Err(Unreadable), "slot {slot} cut short");
+    for (slot, wanted) in [Record::HardState, Record::State].into_iter().enumerate() {
+        let mut truncated = good.clone();
+        truncated[slot] = truncated[slot].take().map(|bytes| bytes[..bytes.len() / 2].to_vec());
+        let result = read(&truncated);
+        let is_malformed =
+            matches!(&result, Err(DiskFormatError::Malformed { record, .. }) if *record == wanted);
+        assert!(is_malformed, "truncated {wanted}: {result:?}");
         let mut other = good.clone();
         if let Some(bytes) = &mut other[slot] {
             bytes[0] += 1;
         }
-        assert_eq!(read(&other), Err(Unreadable), "slot {slot} of another version");
+        let result = read(&other);
+        let is_other_version =
+            matches!(&result, Err(DiskFormatError::Version { record }) if *record == wanted);
+        assert!(is_other_version, "{wanted} of another version: {result:?}");
     }
 }
--- a/crates/gaugesaddle-consensus/tests/elections.rs
+++ b/crates/gaugesaddle-consensus/tests/elections.rs
@@ -1,4 +1,5 @@
-//! The failure: a group that founds nothing, two leaders, a change that is taken and lost, a wiped voter that votes.
+//! The failure: a bootstrapped group that elects nobody, a change that is accepted twice, or a long time without a
+//! leader although a majority runs.
 
 mod group;
 
@@ -6,19 +7,19 @@
 use group::Group;
 
 #[test]
-fn three_founders_elect_one_leader_and_take_a_fourth_in() {
+fn three_bootstrap_voters_elect_one_leader_and_add_a_fourth() {
     let mut group = Group::new(1, 4, 3);
-    let leader = group.run_to_leader(5000).expect("somebody leads");
+    let leader = group.run_to_leader(5000).expect("a replica leads");
     group.run(2000);
-    let replica = group.machines[&leader].replica.as_ref().expect("it runs");
+    let replica = group.machines[&leader].replica.as_ref().expect("its process runs");
     assert_eq!(replica.voters().len(), 4);
     assert_eq!(group.check(), Vec::<String>::new());
 }
 
 #[test]
-fn a_change_is_taken_once_and_answered_alike_when_it_is_sent_again() {
+fn a_repeated_proposal_is_committed_once_and_gets_the_same_result() {
     let mut group = Group::new(2, 3, 3);
-    let leader = group.run_to_leader(5000).expect("somebody leads");
+    let leader = group.run_to_leader(5000).expect("a replica leads");
     group.run(300);
     let first = group.propose(leader, 0, 5, vec![5]);
     let rival = group.propose(leader, 0, 6, vec![6]);
@@ -32,24 +33,24 @@
     assert!((1..=3).all(|ip| group.revision(ip) == 5));
 }
 
-/// The incident inc-fbca: after a loss of all power the first replica up asked before a majority was there, and then
-/// not again for most of a second.
+/// The incident inc-fbca: after a power loss the first replica to start requested pre-votes before a majority ran, and
+/// then not again for most of a second.
 #[test]
-fn a_leader_stands_soon_after_a_majority_is_up_again() {
+fn a_leader_is_elected_within_450_ms_after_a_majority_has_restarted() {
     for seed in 1..=40 {
         let mut group = Group::new(seed, 4, 3);
-        group.run_to_leader(5000).expect("somebody leads");
+        group.run_to_leader(5000).expect("a replica leads");
         group.run(3000);
         (1..=4).for_each(|ip| group.crash(ip));
         group.run(800);
-        // One after the other, as machines come up; the third makes a majority.
+        // One after the other, as machines start; the third completes a majority.
         for (ip, wait) in [(1, 200), (2, 100), (3, 0)] {
             group.start(ip, false);
             group.run(wait);
         }
         let up = group.now;
-        group.run_to_leader(3000).expect("somebody leads again");
-        let took = group.now - up;
-        assert!(took <= 450, "seed {seed}: {took} ms without a leader though a majority is up");
+        group.run_to_leader(3000).expect("a replica leads again");
+        let elapsed = group.now - up;
+        assert!(elapsed <= 450, "seed {seed}: {elapsed} ms without a leader although a majority runs");
     }
 }
--- a/crates/gaugesaddle-consensus/tests/faults.rs
+++ b/crates/gaugesaddle-consensus/tests/faults.rs
@@ -1,5 +1,5 @@
-//! The failure: under lost messages, cuts, crashes, wiped and slow disks a change that was taken is lost, one that was
-//! refused is in force, a read goes back, or two replicas lead one term.
+//! The failure: under lost messages, partitions, crashes, wiped and slow disks a confirmed change is lost, a rejected one
+//! takes effect, a read returns an older state, or two replicas lead one term.
 
 mod group;
 
@@ -10,7 +10,7 @@
 /// Steps of a history.
 const STEPS: u64 = 60;
 
-/// What the operator does next.
+/// The operator's next requests.
 fn operate(group: &mut Group, step: u64) {
     let ips: Vec<u32> = group.machines.keys().copied().collect();
     let ip = ips[group.below(ips.len() as u64) as usize];
@@ -20,7 +20,7 @@
     let body = vec![step as u8, group.below(200) as u8];
     group.propose(target, base, revision, body.clone());
     match group.below(4) {
-        // The same order again, and a rival on the same base.
+        // The same change again, or a rival on the same base.
         0 => drop(group.propose(target, base, revision, body)),
         1 => drop(group.propose(ip, base, revision, vec![200, step as u8])),
         _ => {}
@@ -29,8 +29,8 @@
     group.read(reader);
 }
 
-/// One fault, or the end of one.
-fn harm(group: &mut Group, down: &mut Vec<u32>, tolerance: usize) {
+/// Injects one fault, or ends one.
+fn inject_fault(group: &mut Group, down: &mut Vec<u32>, tolerance: usize) {
     let ips: Vec<u32> = group.machines.keys().copied().collect();
     let ip = ips[group.below(ips.len() as u64) as usize];
     let other = ips[group.below(ips.len() as u64) as usize];
@@ -40,27 +40,27 @@
             down.push(ip);
         }
         2 if down.len() < tolerance && !down.contains(&ip) && group.below(2) == 0 => {
-            // The disk is lost; the machine counts as down until it is taken in again.
+            // The disk is lost; the machine counts as down until it votes again.
             group.crash(ip);
             group.wipe(ip);
             group.start(ip, false);
-            settle(group, ip);
+            run_until_voting(group, ip);
         }
         3 => {
             if let Some(ip) = down.pop() {
                 group.start(ip, false);
             }
         }
-        4 => drop(group.cut.insert((ip, other))),
-        5 => group.cut.clear(),
-        6 => group.loss = group.below(25),
+        4 => drop(group.partitioned.insert((ip, other))),
+        5 => group.partitioned.clear(),
+        6 => group.loss_percent = group.below(25),
         7 => {
             let delay = 1 + group.below(300);
             if let Some(machine) = group.machines.get_mut(&ip) {
-                machine.disk_delay = delay;
+                machine.disk_delay_ms = delay;
             }
         }
-        // All processes at once; their disks are kept.
+        // All processes at once; their disks are retained.
         8 if group.below(6) == 0 => {
             for ip in &ips {
                 group.crash(*ip);
@@ -72,32 +72,32 @@
     }
 }
 
-/// Waits until a replaced disk votes, in a calm network.
-fn settle(group: &mut Group, ip: u32) {
-    group.cut.clear();
-    group.loss = 0;
+/// Ends all faults and waits until the replica of a replaced disk votes.
+fn run_until_voting(group: &mut Group, ip: u32) {
+    group.partitioned.clear();
+    group.loss_percent = 0;
     for machine in group.machines.values_mut() {
-        machine.disk_delay = 3;
+        machine.disk_delay_ms = 3;
     }
     for _ in 0..400 {
         group.run(20);
-        let me = group.machines[&ip].replica.as_ref().map(|r| r.id());
+        let id = group.machines[&ip].replica.as_ref().map(|r| r.id());
         let leader = group.leader().and_then(|l| group.machines[&l].replica.as_ref());
-        if leader.is_some_and(|l| me.is_some_and(|me| l.voters().contains(&me))) {
+        if leader.is_some_and(|l| id.is_some_and(|id| l.voters().contains(&id))) {
             return;
         }
     }
-    panic!("a replaced disk of {ip} is not taken in within 8 s of calm");
+    panic!("the replaced disk of {ip} does not vote within 8 s without faults");
 }
 
 fn history(seed: u64, size: u32, tolerance: usize) -> Group {
     let mut group = Group::tolerating(tolerance, seed, size, size.min(3));
     group.run_to_leader(5000);
-    // The others are taken in before anything is lost.
+    // The others become voters before anything is lost.
     group.run(3000);
     let mut down = Vec::new();
     for step in 0..STEPS {
-        harm(&mut group, &mut down, tolerance);
+        inject_fault(&mut group, &mut down, tolerance);
         operate(&mut group, step);
         let span = 20 + group.below(400);
         group.run(span);
@@ -105,13 +105,13 @@
     group
 }
 
-fn calm(group: &mut Group) {
-    group.cut.clear();
-    group.loss = 0;
+fn end_faults(group: &mut Group) {
+    group.partitioned.clear();
+    group.loss_percent = 0;
     let ips: Vec<u32> = group.machines.keys().copied().collect();
     for ip in ips {
         if let Some(machine) = group.machines.get_mut(&ip) {
-            machine.disk_delay = 3;
+            machine.disk_delay_ms = 3;
         }
         if group.machines[&ip].replica.is_none() {
             group.start(ip, false);
@@ -119,55 +119,55 @@
     }
 }
 
-fn hold(size: u32, tolerance: usize) {
+fn check_random_histories(size: u32, tolerance: usize) {
     for seed in 1..=SEEDS {
         let mut group = history(seed, size, tolerance);
-        calm(&mut group);
+        end_faults(&mut group);
         let leader = group.run_to_leader(10_000);
-        assert!(leader.is_some(), "{size} replicas, seed {seed}: nobody leads in the calm");
+        assert!(leader.is_some(), "{size} replicas, seed {seed}: nobody leads after the faults");
         group.run(1500);
-        let leader = group.leader().expect("still led");
+        let leader = group.leader().expect("a replica still leads");
         let revision = group.revision(leader);
         let id = group.propose(leader, revision, revision + 1, vec![255]);
         group.run(1000);
         let ended = group.calls[&id].ended.clone();
-        assert!(ended.is_some(), "{size} replicas, seed {seed}: an order in the calm has no answer");
+        assert!(ended.is_some(), "{size} replicas, seed {seed}: a change after the faults has no result");
         assert_eq!(group.check(), Vec::<String>::new(), "{size} replicas, seed {seed}");
     }
 }
 
 #[test]
-fn three_replicas_keep_every_promise() {
-    hold(3, 1);
+fn guarantees_hold_under_faults_with_three_replicas() {
+    check_random_histories(3, 1);
 }
 
 #[test]
-fn four_replicas_keep_every_promise() {
-    hold(4, 1);
+fn guarantees_hold_under_faults_with_four_replicas() {
+    check_random_histories(4, 1);
 }
 
 #[test]
-fn five_replicas_keep_every_promise() {
-    hold(5, 2);
+fn guarantees_hold_under_faults_with_five_replicas() {
+    check_random_histories(5, 2);
 }
 
 #[test]
-fn eight_replicas_keep_every_promise() {
-    hold(8, 2);
+fn guarantees_hold_under_faults_with_eight_replicas() {
+    check_random_histories(8, 2);
 }
 
 #[test]
-fn a_change_survives_a_wiped_disk_and_a_loss_of_all_power() {
+fn a_committed_change_survives_a_wiped_disk_and_a_power_loss() {
     for seed in 1..=SEEDS {
         let mut group = Group::new(seed, 4, 3);
-        group.run_to_leader(5000).expect("somebody leads");
+        group.run_to_leader(5000).expect("a replica leads");
         group.run(3000);
-        let leader = group.leader().expect("still led");
+        let leader = group.leader().expect("a replica still leads");
         let id = group.propose(leader, 0, 7, vec![7]);
         while group.calls[&id].ended.is_none() {
             group.run(1);
         }
-        // The machine that acknowledged loses its disk, and all others their power, in the same moment.
+        // The leader's machine loses its disk, and all others their power, at the same time.
         for ip in 1..=4 {
             group.crash(ip);
         }
@@ -176,11 +176,11 @@
             group.start(ip, false);
         }
         group.run(6000);
-        let reader = group.leader().expect("the three others elect one of them");
-        assert_ne!(reader, leader, "seed {seed}: an empty disk leads");
+        let reader = group.leader().expect("one of the three others leads");
+        assert_ne!(reader, leader, "seed {seed}: a replica with an empty disk leads");
         assert_eq!(group.revision(reader), 7, "seed {seed}");
         let voters = group.machines[&reader].replica.as_ref().map(|r| r.voters().to_vec());
-        assert_eq!(voters.map(|v| v.len()), Some(4), "seed {seed}: the wiped machine is taken in again");
+        assert_eq!(voters.map(|v| v.len()), Some(4), "seed {seed}: the wiped machine votes again");
         assert_eq!(group.check(), Vec::<String>::new(), "seed {seed}");
     }
 }
--- a/crates/gaugesaddle-consensus/tests/golden_disk.rs
+++ b/crates/gaugesaddle-consensus/tests/golden_disk.rs
@@ -1,4 +1,4 @@
-//! The failure: a renamed or moved field leaves a replica's disk unreadable for the next build, or a written one for the
+//! The failure: a renamed or moved field makes a replica's disk unreadable for the next build, or a new disk for the
 //! build before.
 //!
 //! `data/ring/` holds the segments that the build before any rename wrote for the same appends.
@@ -35,23 +35,24 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/ring")
 }
 
-/// A folder of this test's own, emptied first.
+/// An empty directory for one test.
 fn folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = fs::remove_dir_all(&folder);
-    fs::create_dir_all(&folder).expect("a folder");
+    fs::create_dir_all(&folder).expect("the directory is created");
     folder
 }
 
 #[test]
-fn the_same_appends_write_the_recorded_segments() {
+fn appends_write_the_recorded_segments() {
     let folder = folder("golden-written");
-    let store = FileStore::open(&folder, SEGMENT_BYTES).expect("it opens");
-    let mut ring = Ring::open(store).expect("it is empty");
+    let store = FileStore::open(&folder, SEGMENT_BYTES).expect("the store opens");
+    let mut ring = Ring::open(store).expect("the ring opens");
     for index in 1..=5 {
-        ring.append(disk_format::records(&hard_state(index), Some(&state(index)))).expect("it is written");
+        ring.append(disk_format::records(&hard_state(index), Some(&state(index))))
+            .expect("the record is appended");
     }
-    ring.append(disk_format::records(&hard_state(6), None)).expect("it is written");
+    ring.append(disk_format::records(&hard_state(6), None)).expect("the record is appended");
     for number in 0..SEGMENTS {
         let name = format!("segment-{number}");
         let written = fs::read(folder.join(&name)).expect("a segment");
@@ -61,13 +62,14 @@
 }
 
 #[test]
-fn the_recorded_segments_are_read() {
+fn recorded_segments_are_decoded() {
     let folder = folder("golden-read");
     for number in 0..SEGMENTS {
         let name = format!("segment-{number}");
-        fs::copy(recorded().join(&name), folder.join(&name)).expect("it is copied");
+        fs::copy(recorded().join(&name), folder.join(&name)).expect("the segment is copied");
     }
-    let store = FileStore::open(&folder, SEGMENT_BYTES).expect("it opens");
-    let ring = Ring::open(store).expect("it is read");
-    assert_eq!(disk_format::read(ring.slots()), Ok((Some(hard_state(6)), Some(state(5)))));
+    let store = FileStore::open(&folder, SEGMENT_BYTES).expect("the store opens");
+    let ring = Ring::open(store).expect("the ring opens");
+    let decoded = disk_format::read(ring.slots()).expect("both records are decoded");
+    assert_eq!(decoded, (Some(hard_state(6)), Some(state(5))));
 }
--- a/crates/gaugesaddle-consensus/tests/membership.rs
+++ b/crates/gaugesaddle-consensus/tests/membership.rs
@@ -1,26 +1,26 @@
-//! The failure: a second loss right after a repair or a replacement leaves no majority, a member that was taken out never
-//! comes back, a new one is of no use to a group that loses another, or a planned end leaves the group without a leader.
+//! The failure: a second loss right after a repair or a replacement leaves no majority, a removed voter never returns, a
+//! new voter does not help a group that loses another, or a planned end leaves the group without a leader.
 
 mod group;
 
-use gaugesaddle_consensus::{Input, Output, ProposalResult, Replica, Settings};
+use gaugesaddle_consensus::{Input, Output, ProposalResult, Replica, Settings, Storage};
 use gaugesaddle_protocol::{HardState, LogPosition, ReplicaId, ReplicaMessage, State};
 use group::Group;
 use std::collections::BTreeSet;
 
 const SEEDS: u64 = 30;
 
-/// A calm group of so many machines that bears the loss of some.
+/// A group of `size` machines, all voting, that tolerates `losses` of them.
 fn group(losses: usize, seed: u64, size: u32) -> Group {
     let mut group = Group::tolerating(losses, seed, size, size.min(3));
-    group.run_to_leader(5000).expect("somebody leads");
+    group.run_to_leader(5000).expect("a replica leads");
     group.run(3000);
-    assert_eq!(group.voting().len(), size as usize, "seed {seed}");
+    assert_eq!(group.voting_machines().len(), size as usize, "seed {seed}");
     group
 }
 
-/// Has a change taken within a time.
-fn change(group: &mut Group, within: u64) -> bool {
+/// Whether a change is committed by a leader that is elected within `within` milliseconds.
+fn commits_change(group: &mut Group, within: u64) -> bool {
     let Some(leader) = group.run_to_leader(within) else { return false };
     let base = group.revision(leader);
     let id = group.propose(leader, base, base + 1, vec![base as u8]);
@@ -28,69 +28,74 @@
     matches!(group.calls[&id].ended, Some((_, ProposalResult::Committed)))
 }
 
-fn wipe(group: &mut Group, ip: u32, down: u64) {
+fn restart_with_empty_disk(group: &mut Group, ip: u32, down_ms: u64) {
     group.crash(ip);
     group.wipe(ip);
-    group.run(down);
+    group.run(down_ms);
     group.start(ip, false);
 }
 
 #[test]
-fn no_vote_is_lost_before_its_successor_has_the_state() {
+fn the_voters_never_decrease_while_a_wiped_disk_is_replaced() {
     for (losses, size) in [(1, 3), (1, 4), (2, 5), (2, 8)] {
         for seed in 1..=SEEDS {
             let mut group = group(losses, seed, size);
             let victim = 1 + (seed as u32 % size);
-            wipe(&mut group, victim, 300);
+            restart_with_empty_disk(&mut group, victim, 300);
             for _ in 0..4000 {
                 group.run(1);
-                if let Some(leading) = group.leading() {
+                if let Some(leading) = group.leading_replica() {
                     let voters = leading.voters().len();
                     assert!(voters >= size as usize, "{size} replicas, seed {seed}: {voters} voters");
                 }
             }
-            let me = group.machines[&victim].replica.as_ref().map(|r| r.id());
+            let id = group.machines[&victim].replica.as_ref().map(|r| r.id());
             assert!(group
-                .leading()
-                .is_some_and(|r| r.voters().contains(&me.expect("it runs")) && r.is_membership_committed()));
+                .leading_replica()
+                .is_some_and(
+                    |r| r.voters().contains(&id.expect("its process runs")) && r.is_membership_committed()
+                ));
             assert_eq!(group.check(), Vec::<String>::new(), "{size} replicas, seed {seed}");
         }
     }
 }
 
 #[test]
-fn a_second_disk_may_be_lost_as_soon_as_the_first_has_caught_up() {
+fn every_disk_may_be_lost_in_turn_once_the_previous_one_has_caught_up() {
     for (losses, size) in [(1, 3), (1, 4), (2, 5), (2, 8)] {
         for seed in 1..=SEEDS {
             let mut group = group(losses, seed, size);
-            // One machine is gone for good and another comes; then every disk in turn is lost, each 4 s after the last.
-            let gone = 1 + (seed as u32 % size);
-            group.crash(gone);
-            group.machines.remove(&gone);
+            // One machine is replaced by another; then every disk in turn is lost, each 4 s after the previous one.
+            let removed = 1 + (seed as u32 % size);
+            group.crash(removed);
+            group.machines.remove(&removed);
             group.run(1000);
             group.add(size + 1);
             group.run(4000);
             let victims: Vec<u32> = group.machines.keys().copied().collect();
             for victim in victims {
-                assert!(change(&mut group, 4000), "{size} replicas, seed {seed}: stuck before {victim}");
-                wipe(&mut group, victim, 300);
+                assert!(
+                    commits_change(&mut group, 4000),
+                    "{size} replicas, seed {seed}: stuck before {victim}"
+                );
+                restart_with_empty_disk(&mut group, victim, 300);
                 group.run(4000);
             }
-            assert!(change(&mut group, 4000), "{size} replicas, seed {seed}: stuck at the end");
+            assert!(commits_change(&mut group, 4000), "{size} replicas, seed {seed}: stuck at the end");
             let machines: BTreeSet<u32> = group.machines.keys().copied().collect();
-            assert_eq!(group.voting(), machines, "{size} replicas, seed {seed}");
+            assert_eq!(group.voting_machines(), machines, "{size} replicas, seed {seed}");
             assert_eq!(group.check(), Vec::<String>::new(), "{size} replicas, seed {seed}");
         }
     }
 }
 
 #[test]
-fn replacements_in_a_row_leave_no_dead_voter_behind() {
+fn consecutive_replacements_leave_no_dead_voter() {
     for (losses, size) in [(1, 3), (1, 4), (2, 5), (2, 8)] {
         for seed in 1..=SEEDS {
             let mut group = group(losses, seed, size);
             for step in 0..size {
-                // Planned: the new machine first, a second later the old one ends.
+                // Planned: the new machine starts first, the old one ends a second later.
                 group.add(size + 1 + step);
                 group.run(1000);
                 group.transfer_leadership(step + 1);
@@ -99,61 +104,61 @@
                 group.machines.remove(&(step + 1));
                 group.run(4000);
             }
-            assert!(change(&mut group, 4000), "{size} replicas, seed {seed}");
+            assert!(commits_change(&mut group, 4000), "{size} replicas, seed {seed}");
             let machines: BTreeSet<u32> = group.machines.keys().copied().collect();
-            assert_eq!(group.voting(), machines, "{size} replicas, seed {seed}");
+            assert_eq!(group.voting_machines(), machines, "{size} replicas, seed {seed}");
             assert_eq!(group.check(), Vec::<String>::new(), "{size} replicas, seed {seed}");
         }
     }
 }
 
-/// The machine of the leader is gone, and the one that takes its place is up before there is another leader: that one does
-/// not know yet who is gone, and a vote more beside a dead one only makes the majority larger.
+/// The leader's machine is lost, and its replacement starts before another leader is elected. That leader does not know
+/// yet who is dead, and one more vote beside a dead one only raises the majority.
 #[test]
-fn a_successor_is_not_added_beside_a_voter_that_nobody_has_heard() {
+fn a_learner_is_not_added_beside_a_voter_that_has_not_responded() {
     for seed in 1..=SEEDS {
         let mut group = group(1, seed, 3);
-        let gone = group.leader().expect("somebody leads");
-        group.crash(gone);
-        group.machines.remove(&gone);
+        let removed = group.leader().expect("a replica leads");
+        group.crash(removed);
+        group.machines.remove(&removed);
         group.add(4);
         for _ in 0..4000 {
             group.run(1);
-            let voters = group.leading().map_or(3, |r| r.voters().len());
+            let voters = group.leading_replica().map_or(3, |r| r.voters().len());
             assert_eq!(voters, 3, "seed {seed}, {} ms", group.now);
         }
         let machines: BTreeSet<u32> = group.machines.keys().copied().collect();
-        assert_eq!(group.voting(), machines, "seed {seed}");
+        assert_eq!(group.voting_machines(), machines, "seed {seed}");
     }
 }
 
 #[test]
-fn a_voter_that_was_cut_off_and_taken_out_votes_again() {
+fn a_voter_removed_during_a_partition_returns_after_it() {
     for seed in 1..=SEEDS {
         let mut group = group(1, seed, 4);
-        let cut = group.leader().expect("somebody leads");
-        let others: Vec<u32> = (1..=4).filter(|ip| *ip != cut).collect();
+        let isolated = group.leader().expect("a replica leads");
+        let others: Vec<u32> = (1..=4).filter(|ip| *ip != isolated).collect();
         for other in &others {
-            group.cut.insert((cut, *other));
-            group.cut.insert((*other, cut));
+            group.partitioned.insert((isolated, *other));
+            group.partitioned.insert((*other, isolated));
         }
         group.run(20_000);
-        assert_eq!(group.voting(), others.iter().copied().collect(), "seed {seed}");
-        assert!(change(&mut group, 3000));
-        group.cut.clear();
+        assert_eq!(group.voting_machines(), others.iter().copied().collect(), "seed {seed}");
+        assert!(commits_change(&mut group, 3000));
+        group.partitioned.clear();
         group.run(3000);
-        assert_eq!(group.voting().len(), 4, "seed {seed}: it is back and does not vote");
-        // It is as good as the others: any of them may go.
+        assert_eq!(group.voting_machines().len(), 4, "seed {seed}: it is reachable and does not vote");
+        // Its vote counts like the others': any of them may be lost.
         group.crash(others[0]);
-        assert!(change(&mut group, 4000), "seed {seed}");
+        assert!(commits_change(&mut group, 4000), "seed {seed}");
         assert_eq!(group.check(), Vec::<String>::new(), "seed {seed}");
     }
 }
 
-/// Of three voters one was replaced a moment ago; the new one has the state from before the change, and the leader dies.
-/// The two that are left are a majority only if the new one votes.
+/// Of three voters one was just replaced. The new one still has the state from before the change, and the leader dies. The
+/// remaining two are a majority only if the new one votes.
 #[test]
-fn a_voter_that_does_not_know_yet_that_it_is_one_gives_its_vote() {
+fn a_voter_votes_before_it_has_the_state_that_made_it_one() {
     let id = |ip: u32, incarnation: u64| ReplicaId { ip, incarnation };
     let before = State {
         position: LogPosition { term: 3, index: 8 },
@@ -161,7 +166,7 @@
         ..State::default()
     };
     let hard_state = HardState { id: id(3, 7), term: 3, voted_for: None };
-    let mut new = Replica::new(Settings::default(), hard_state, before, 1000, 5, true);
+    let mut new = Replica::new(Settings::default(), hard_state, before, 1000, 5, Storage::Durable);
     let mut out = Vec::new();
     let last = LogPosition { term: 3, index: 9 };
     let vote = ReplicaMessage::RequestVote { term: 4, last_position: last, leadership_transfer: false };
@@ -176,32 +181,32 @@
     assert!(out.iter().any(granted), "{out:?}");
 }
 
-/// Time without a leader after a planned end, of all seeds: what its silence would cost is never waited for.
+/// The longest time without a leader after a planned end, over all seeds: no election time-out passes.
 #[test]
-fn a_leader_that_ends_hands_over() {
+fn a_leadership_transfer_takes_at_most_60_ms() {
     let mut longest = 0;
     for seed in 1..=100 {
         let mut group = group(1, seed, 4);
-        let old = group.leader().expect("somebody leads");
+        let old = group.leader().expect("a replica leads");
         group.transfer_leadership(old);
-        let begun = group.now;
-        while group.leader().is_none() && group.now < begun + 2000 {
+        let started_at = group.now;
+        while group.leader().is_none() && group.now < started_at + 2000 {
             group.run(1);
         }
         assert_ne!(group.leader(), Some(old), "seed {seed}");
-        longest = longest.max(group.now - begun);
-        assert!(change(&mut group, 500), "seed {seed}");
+        longest = longest.max(group.now - started_at);
+        assert!(commits_change(&mut group, 500), "seed {seed}");
         assert_eq!(group.check(), Vec::<String>::new(), "seed {seed}");
     }
     assert!(longest <= 60, "{longest} ms without a leader");
 }
 
 #[test]
-fn an_order_that_may_have_been_forgotten_is_not_refused() {
+fn a_proposal_older_than_the_accepted_list_is_not_rejected() {
     let mut group = group(1, 1, 3);
-    let leader = group.leader().expect("somebody leads");
-    let orders = 520u64;
-    for n in 0..orders {
+    let leader = group.leader().expect("a replica leads");
+    let changes = 520u64;
+    for n in 0..changes {
         let id = group.propose(leader, n, n + 1, vec![n as u8, (n >> 8) as u8]);
         while group.calls[&id].ended.is_none() {
             group.run(1);
@@ -212,18 +217,22 @@
         group.run(300);
         group.calls[&id].ended.clone().map(|(_, result)| result)
     };
-    assert_eq!(again(0, 1, vec![0, 0]), Some(ProposalResult::Indeterminate), "the first, long forgotten");
-    assert_eq!(again(100, 101, vec![100, 0]), Some(ProposalResult::Committed), "still remembered");
+    assert_eq!(
+        again(0, 1, vec![0, 0]),
+        Some(ProposalResult::Indeterminate),
+        "the first, dropped from the list"
+    );
+    assert_eq!(again(100, 101, vec![100, 0]), Some(ProposalResult::Committed), "still in the list");
     assert_eq!(again(519, 520, vec![7, 2]), Some(ProposalResult::Committed), "the newest");
-    let current = orders;
+    let current = changes;
     assert_eq!(
         again(100, 101, vec![9, 9]),
         Some(ProposalResult::Conflict { current }),
-        "another on that base"
+        "another change on that base"
     );
     assert_eq!(
         again(520, 520, vec![9, 9]),
         Some(ProposalResult::StaleRevision { current }),
-        "it does not rise"
+        "its revision does not rise"
     );
 }
--- a/crates/gaugesaddle-consensus/tests/proposals.rs
+++ b/crates/gaugesaddle-consensus/tests/proposals.rs
@@ -1,4 +1,4 @@
-//! The failure: a patch is merged with another configuration than the one it names, or the same order is not known again.
+//! The failure: a patch is applied to another configuration than its base, or a repeated change is not recognized.
 
 use gaugesaddle_consensus::change::{proposal, read};
 use gaugesaddle_consensus::ProposedDocument;
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_patch_is_made_only_of_the_revision_that_it_names() {
+fn a_patch_is_applied_only_to_its_base_revision() {
     let on = |configuration: Option<&Configuration>, base| {
         proposal(patch(base), configuration, |_| Ok(())).expect("readable").content
     };
@@ -26,40 +26,44 @@
     assert_eq!(
         on(Some(&committed(3, DOCUMENT)), 4),
         ProposedDocument::Unavailable,
-        "a state behind the one it names"
+        "an older state than its base"
     );
     assert_eq!(
         on(Some(&committed(5, DOCUMENT)), 4),
         ProposedDocument::Unavailable,
-        "a state behind which it is too late"
+        "a newer state than its base"
     );
     assert_eq!(on(None, 4), ProposedDocument::Unavailable);
-    assert!(matches!(on(None, 0), ProposedDocument::Edited { .. }), "before the first there is nothing");
+    assert!(matches!(on(None, 0), ProposedDocument::Edited { .. }), "base 0 is the empty document");
 }
 
 #[test]
-fn the_same_order_is_known_again_whatever_is_in_force_and_no_other_is_taken_for_it() {
+fn the_digest_identifies_a_change_whatever_is_committed() {
     let current = committed(4, DOCUMENT);
     let later = committed(5, DOCUMENT);
-    let digest = |order: ConfigurationChange, on: &Configuration| {
-        proposal(order, Some(on), |_| Ok(())).map(|p| p.digest).ok()
+    let digest = |change: ConfigurationChange, on: &Configuration| {
+        proposal(change, Some(on), |_| Ok(())).map(|p| p.digest).ok()
     };
     assert_eq!(digest(patch(4), &current), digest(patch(4), &later));
     assert_ne!(digest(patch(4), &current), digest(patch(3), &current), "on another base");
-    let whole = ConfigurationChange { base: 4, body: ChangeBody::Full(PATCH.to_vec()) };
-    assert_ne!(digest(patch(4), &current), digest(whole, &current), "a whole configuration with these bytes");
+    let full = ConfigurationChange { base: 4, body: ChangeBody::Full(PATCH.to_vec()) };
+    assert_ne!(
+        digest(patch(4), &current),
+        digest(full, &current),
+        "a full configuration with the same bytes"
+    );
 }
 
 #[test]
-fn what_a_patch_makes_is_checked_as_a_whole() {
+fn the_result_of_a_patch_is_validated_as_a_full_configuration() {
     let current = committed(4, DOCUMENT);
-    let mut seen = Vec::new();
-    let result = proposal(patch(4), Some(&current), |made| {
-        seen = made.to_vec();
-        gaugesaddle_config::OperatorConfig::parse(made).map(|_| ())
+    let mut validated = Vec::new();
+    let result = proposal(patch(4), Some(&current), |document| {
+        validated = document.to_vec();
+        gaugesaddle_config::OperatorConfig::parse(document).map(|_| ())
     });
-    assert!(seen.starts_with(br#"{"revision":5,"#), "the whole is checked, not the patch");
-    assert!(result.is_err(), "its routes name no service");
+    assert!(validated.starts_with(br#"{"revision":5,"#), "the result is validated, not the patch");
+    assert!(result.is_err(), "its routes have no service");
     assert!(read(&ChangeBody::Patch(b"{}".to_vec())).is_err());
     assert_eq!(read(&ChangeBody::Patch(PATCH.to_vec())).ok(), Some(5));
 }
--- a/crates/gaugesaddle-consensus/tests/changes.rs
+++ b/crates/gaugesaddle-consensus/tests/random_walks.rs
@@ -1,32 +1,32 @@
 //! The failure: in some order of messages, writes, crashes and lost disks two replicas lead one term, a confirmed change is
-//! lost, or a change of voters lets two groups decide.
+//! lost, or a membership change lets two groups decide independently.
 //!
-//! Orders are drawn, many of them, within bounds on how often each thing happens; it is no exhaustive search. Clocks are
-//! left out, so that nothing rests on them: anybody may stand at any time, nobody's lease runs out, and every voter
-//! counts as quiet, so that any may be swapped or removed. Messages may be lost, late and out of order, and each arrives
-//! once at most.
+//! Many random walks, with a limit on how often each event happens; this is no exhaustive search. No property depends on
+//! time here: any replica may campaign at any time, no lease expires, and every voter counts as unresponsive, so that any
+//! may be replaced or removed. Messages may be lost, delayed and reordered, and each arrives at most once.
 
-use gaugesaddle_consensus::{Input, Output, Proposal, ProposalResult, Replica, Role, Settings, WriteId};
+use gaugesaddle_consensus::{
+    Input, Output, Proposal, ProposalResult, Replica, Role, Settings, Storage, WriteId,
+};
 use gaugesaddle_protocol::{Digest, HardState, LogPosition, ReplicaId, ReplicaMessage, State};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// Far longer than any way lasts.
-const NEVER: u64 = 1 << 40;
+/// Far longer than any walk lasts.
+const NEVER_MS: u64 = 1 << 40;
 const NOW: u64 = 1 << 41;
-/// Between two heartbeats.
-const HEARTBEAT: u64 = 120;
+const HEARTBEAT_INTERVAL_MS: u64 = 120;
 
-/// Walks of each group.
+/// Walks for each size of the group.
 const WALKS: u64 = 3000;
-/// Steps of a walk, at most.
-const STEPS: usize = 400;
+/// Limit on the steps of a walk.
+const MAX_STEPS: usize = 400;
 
-/// How often each thing may happen on one walk.
+/// How often each event may still happen on a walk.
 #[derive(Clone, Copy, Debug)]
 struct Budget {
-    stands: u8,
+    campaigns: u8,
     heartbeats: u8,
     proposals: u8,
     crashes: u8,
@@ -57,21 +57,22 @@
     budget: Budget,
     /// Who led in each term.
     leaders: BTreeMap<u64, ReplicaId>,
-    /// What was called committed.
+    /// Revision and document that were reported as committed at each position.
     committed: BTreeMap<LogPosition, (u64, Vec<u8>)>,
-    /// Proposals under way, and those that were confirmed.
+    /// Digests of the proposals under way, by request number.
     proposed: BTreeMap<u64, Digest>,
+    /// Digests of those reported as committed.
     confirmed: Vec<Digest>,
     incarnations: u64,
     min_voters: usize,
 }
 
-/// One thing that may happen next.
+/// An event that may happen next.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Deliver(usize),
-    Disk(u32),
-    Stand(u32),
+    CompleteWrite(u32),
+    Campaign(u32),
     Heartbeat(u32),
     Propose(u32),
     Crash(u32),
@@ -81,14 +82,14 @@
 
 fn settings(min_voters: usize) -> Settings {
     Settings {
-        heartbeat_interval_ms: HEARTBEAT,
-        election_timeout_ms: NEVER,
+        heartbeat_interval_ms: HEARTBEAT_INTERVAL_MS,
+        election_timeout_ms: NEVER_MS,
         election_jitter_ms: 1,
-        first_election_timeout_ms: NEVER,
-        pre_vote_retry_ms: NEVER,
+        first_election_timeout_ms: NEVER_MS,
+        pre_vote_retry_ms: NEVER_MS,
         pre_vote_jitter_ms: 1,
-        leader_lease_ms: NEVER,
-        disk_stall_ms: NEVER,
+        leader_lease_ms: NEVER_MS,
+        disk_stall_ms: NEVER_MS,
         follower_lease_ms: 1,
         replacement_timeout_ms: 0,
         removal_timeout_ms: 0,
@@ -97,13 +98,13 @@
 }
 
 impl Group {
-    /// A settled group of so many voters that the first one leads.
+    /// A group of `size` voters with a committed membership, led by the first one.
     fn new(size: u32, losses: usize, budget: Budget) -> Group {
         let voters: Vec<ReplicaId> = (1..=size).map(|ip| ReplicaId { ip, incarnation: 0 }).collect();
         let mut group = Group {
             machines: BTreeMap::new(),
             messages: Vec::new(),
-            budget: Budget { stands: 1, heartbeats: 0, proposals: 0, crashes: 0, wipes: 0, joins: 0 },
+            budget: Budget { campaigns: 1, heartbeats: 0, proposals: 0, crashes: 0, wipes: 0, joins: 0 },
             leaders: BTreeMap::new(),
             committed: BTreeMap::new(),
             proposed: BTreeMap::new(),
@@ -111,13 +112,13 @@
             incarnations: 100,
             min_voters: 2 * losses + 1,
         };
-        for me in &voters {
+        for id in &voters {
             let position = LogPosition { term: 1, index: 1 };
             let state = State { position, voters: voters.clone(), ..State::default() };
-            let hard_state = HardState { id: *me, term: 1, voted_for: Some(voters[0]) };
-            group.boot(me.ip, hard_state, state);
+            let hard_state = HardState { id: *id, term: 1, voted_for: Some(voters[0]) };
+            group.start(id.ip, hard_state, state);
         }
-        // Everybody follows the first, itself included, so that it may be asked to stand; then everybody answers.
+        // All follow the first one, itself included, so that it accepts `TimeoutNow`; then all messages are delivered.
         let first = voters[0];
         let message = ReplicaMessage::Append {
             term: 1,
@@ -131,8 +132,8 @@
             group.input(ip, Input::Message { from: first, message: message.clone() });
         }
         group.messages.clear();
-        group.step(Step::Stand(1));
-        while let Some(step) = group.quiet_step() {
+        group.step(Step::Campaign(1));
+        while let Some(step) = group.faultless_step() {
             group.step(step);
         }
         assert!(
@@ -143,15 +144,16 @@
         group
     }
 
-    /// A step that goes on without anything going wrong.
-    fn quiet_step(&self) -> Option<Step> {
-        let writing = self.machines.iter().find(|(_, m)| !m.writes.is_empty()).map(|(ip, _)| Step::Disk(*ip));
+    /// A step that is no fault and needs no budget.
+    fn faultless_step(&self) -> Option<Step> {
+        let writing =
+            self.machines.iter().find(|(_, m)| !m.writes.is_empty()).map(|(ip, _)| Step::CompleteWrite(*ip));
         writing.or_else(|| (!self.messages.is_empty()).then_some(Step::Deliver(0)))
     }
 
-    fn boot(&mut self, ip: u32, hard_state: HardState, state: State) {
+    fn start(&mut self, ip: u32, hard_state: HardState, state: State) {
         let settings = settings(self.min_voters);
-        let replica = Replica::new(settings, hard_state, state.clone(), NOW, u64::from(ip), true);
+        let replica = Replica::new(settings, hard_state, state.clone(), NOW, u64::from(ip), Storage::Durable);
         let machine = Machine {
             replica,
             clock: NOW,
@@ -167,13 +169,13 @@
         for (ip, machine) in &self.machines {
             let leads = machine.replica.role() == Role::Leader;
             if !machine.writes.is_empty() {
-                steps.push(Step::Disk(*ip));
+                steps.push(Step::CompleteWrite(*ip));
             }
-            if self.budget.stands > 0
+            if self.budget.campaigns > 0
                 && machine.replica.role() == Role::Follower
                 && machine.replica.leader().is_some()
             {
-                steps.push(Step::Stand(*ip));
+                steps.push(Step::Campaign(*ip));
             }
             if self.budget.heartbeats > 0 && leads {
                 steps.push(Step::Heartbeat(*ip));
@@ -204,15 +206,15 @@
                     self.input(to.ip, Input::Message { from, message });
                 }
             }
-            Step::Disk(ip) => {
+            Step::CompleteWrite(ip) => {
                 let Some(machine) = self.machines.get_mut(&ip) else { return };
                 let write = machine.writes.remove(0);
                 machine.hard_state = Some(write.hard_state);
                 machine.state = write.state.or(machine.state.take());
                 self.input(ip, Input::Persisted(write.write_id));
             }
-            Step::Stand(ip) => {
-                self.budget.stands -= 1;
+            Step::Campaign(ip) => {
+                self.budget.campaigns -= 1;
                 let replica = &self.machines[&ip].replica;
                 let (term, leader) = (replica.term(), replica.leader());
                 if let Some(from) = leader {
@@ -222,7 +224,7 @@
             Step::Heartbeat(ip) => {
                 self.budget.heartbeats -= 1;
                 if let Some(machine) = self.machines.get_mut(&ip) {
-                    machine.clock += HEARTBEAT;
+                    machine.clock += HEARTBEAT_INTERVAL_MS;
                 }
                 self.input(ip, Input::Tick);
             }
@@ -253,27 +255,33 @@
         }
     }
 
-    /// The process begins anew with what its disk holds.
+    /// Restarts a machine's process from its disk.
     fn restart(&mut self, ip: u32) {
         self.incarnations += 1;
-        let drawn = ReplicaId { ip, incarnation: self.incarnations };
+        let new_id = ReplicaId { ip, incarnation: self.incarnations };
         let Some(machine) = self.machines.get_mut(&ip) else { return };
         machine.writes.clear();
-        let hard_state = machine.hard_state.unwrap_or(HardState { id: drawn, term: 0, voted_for: None });
+        let hard_state = machine.hard_state.unwrap_or(HardState { id: new_id, term: 0, voted_for: None });
         let state = machine.state.clone().unwrap_or_default();
         let clock = machine.clock;
-        machine.replica =
-            Replica::new(settings(self.min_voters), hard_state, state, clock, self.incarnations, true);
+        machine.replica = Replica::new(
+            settings(self.min_voters),
+            hard_state,
+            state,
+            clock,
+            self.incarnations,
+            Storage::Durable,
+        );
     }
 
     fn input(&mut self, ip: u32, input: Input) {
         let Some(machine) = self.machines.get_mut(&ip) else { return };
         let mut outputs = Vec::new();
         machine.replica.handle(machine.clock, input, &mut outputs);
-        let me = machine.replica.id();
+        let id = machine.replica.id();
         for output in outputs {
             match output {
-                Output::Send(to, message) => self.messages.push((me, to, message)),
+                Output::Send(to, message) => self.messages.push((id, to, message)),
                 Output::Broadcast(_) | Output::Read(..) => {}
                 Output::Persist { write_id, hard_state, state } => {
                     let state = state.map(|state| *state);
@@ -281,7 +289,7 @@
                         machine.writes.push(Write { write_id, hard_state, state });
                     }
                 }
-                Output::Committed => self.note_committed(ip),
+                Output::Committed => self.record_committed(ip),
                 Output::Proposed(number, ProposalResult::Committed) => {
                     let digest = self.proposed[&number];
                     self.confirmed.push(digest);
@@ -291,21 +299,21 @@
         }
         let replica = &self.machines[&ip].replica;
         if replica.role() == Role::Leader {
-            let first = *self.leaders.entry(replica.term()).or_insert(me);
-            assert_eq!(first, me, "two lead term {}", replica.term());
+            let first = *self.leaders.entry(replica.term()).or_insert(id);
+            assert_eq!(first, id, "two lead term {}", replica.term());
         }
     }
 
-    fn note_committed(&mut self, ip: u32) {
+    fn record_committed(&mut self, ip: u32) {
         let Some(c) = self.machines[&ip].replica.committed() else { return };
-        let told = (c.revision, c.document.clone());
-        let first = self.committed.entry(c.position).or_insert_with(|| told.clone());
-        assert_eq!(*first, told, "{:?} has two contents", c.position);
+        let reported = (c.revision, c.document.clone());
+        let first = self.committed.entry(c.position).or_insert_with(|| reported.clone());
+        assert_eq!(*first, reported, "{:?} has two contents", c.position);
         let newest = self.committed.values().map(|(revision, _)| *revision).collect::<Vec<_>>();
-        assert!(newest.windows(2).all(|pair| pair[0] <= pair[1]), "a later state goes back: {newest:?}");
+        assert!(newest.windows(2).all(|pair| pair[0] <= pair[1]), "revisions do not rise: {newest:?}");
     }
 
-    /// What is confirmed must be found by whoever leads and has committed anything.
+    /// Every confirmed proposal must be among the committed states.
     fn check(&self) {
         let Some((position, (revision, document))) = self.committed.iter().next_back() else {
             assert!(self.confirmed.is_empty(), "confirmed and committed nowhere");
@@ -320,19 +328,19 @@
     }
 }
 
-/// Goes on in a drawn order until nothing is left to happen, or for so many steps.
-fn walk(seed: u64, mut group: Group, most: usize) -> Group {
+/// Takes random steps until none is possible, at most `max_steps`.
+fn walk(seed: u64, mut group: Group, max_steps: usize) -> Group {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
-    for _ in 0..most {
+    for _ in 0..max_steps {
         let steps = group.steps();
         if steps.is_empty() {
             break;
         }
-        // What goes on by itself mostly does, or nothing would ever come about.
-        let by_itself = |step: &Step| matches!(step, Step::Deliver(_) | Step::Disk(_));
-        let (moving, others): (Vec<Step>, Vec<Step>) = steps.into_iter().partition(by_itself);
-        let goes_on = others.is_empty() || !moving.is_empty() && random.next_u64() % 10 != 0;
-        let among = if goes_on { moving } else { others };
+        // Messages and writes make up most steps; otherwise no election would ever complete.
+        let is_progress = |step: &Step| matches!(step, Step::Deliver(_) | Step::CompleteWrite(_));
+        let (progressing, others): (Vec<Step>, Vec<Step>) = steps.into_iter().partition(is_progress);
+        let progresses = others.is_empty() || !progressing.is_empty() && random.next_u64() % 10 != 0;
+        let among = if progresses { progressing } else { others };
         let step = among[random.next_u64() as usize % among.len()];
         // One message in sixteen is lost.
         match step {
@@ -344,19 +352,19 @@
     group
 }
 
-fn hold(size: u32, losses: usize, budget: Budget) {
-    let begin = Group::new(size, losses, budget);
+fn check_random_walks(size: u32, losses: usize, budget: Budget) {
+    let initial = Group::new(size, losses, budget);
     let (mut terms, mut confirmed, mut changed) = (0, 0, 0);
     for seed in 0..WALKS {
-        let end = walk(seed, begin.clone(), STEPS);
+        let end = walk(seed, initial.clone(), MAX_STEPS);
         terms += end.leaders.len();
         confirmed += end.confirmed.len();
-        let first: Vec<ReplicaId> = begin.machines[&1].replica.voters().to_vec();
+        let first: Vec<ReplicaId> = initial.machines[&1].replica.voters().to_vec();
         changed += usize::from(
             end.machines.values().any(|m| m.replica.is_membership_committed() && m.replica.voters() != first),
         );
     }
-    // Walks on which nothing comes about would break nothing either.
+    // Walks without elections, commitments and membership changes would prove nothing.
     let walks = WALKS as usize;
     assert!(terms > walks, "{terms} terms led on {walks} walks");
     assert!(confirmed > walks / 4, "{confirmed} changes confirmed on {walks} walks");
@@ -364,16 +372,28 @@
 }
 
 #[test]
-fn three_voters_of_which_one_is_lost() {
-    hold(3, 1, Budget { stands: 4, heartbeats: 12, proposals: 3, crashes: 3, wipes: 1, joins: 4 });
+fn invariants_hold_on_random_walks_of_three_voters() {
+    check_random_walks(
+        3,
+        1,
+        Budget { campaigns: 4, heartbeats: 12, proposals: 3, crashes: 3, wipes: 1, joins: 4 },
+    );
 }
 
 #[test]
-fn four_voters_of_which_one_is_lost() {
-    hold(4, 1, Budget { stands: 4, heartbeats: 12, proposals: 3, crashes: 3, wipes: 1, joins: 4 });
+fn invariants_hold_on_random_walks_of_four_voters() {
+    check_random_walks(
+        4,
+        1,
+        Budget { campaigns: 4, heartbeats: 12, proposals: 3, crashes: 3, wipes: 1, joins: 4 },
+    );
 }
 
 #[test]
-fn five_voters_of_which_two_are_lost() {
-    hold(5, 2, Budget { stands: 4, heartbeats: 14, proposals: 3, crashes: 3, wipes: 2, joins: 6 });
+fn invariants_hold_on_random_walks_of_five_voters() {
+    check_random_walks(
+        5,
+        2,
+        Budget { campaigns: 4, heartbeats: 14, proposals: 3, crashes: 3, wipes: 2, joins: 6 },
+    );
 }
--- a/crates/gaugesaddle-control/src/core.rs
+++ b/crates/gaugesaddle-control/src/core.rs
@@ -5,7 +5,7 @@
 use crate::peers::Peers;
 use gaugesaddle_catalog::CatalogReplica;
 use gaugesaddle_config::{operator::OperatorConfig, BootSettings};
-use gaugesaddle_consensus::{Input, NotLeader, Output, Proposal, ProposalResult, Replica, Settings};
+use gaugesaddle_consensus::{Input, NotLeader, Output, Proposal, ProposalResult, Replica, Settings, Storage};
 use gaugesaddle_distribution::{Distributor, ReplicaStatus};
 use gaugesaddle_load_report::LoadAggregator;
 use gaugesaddle_protocol::{
@@ -143,8 +143,14 @@
         self.with(|core| {
             let hard_state = HardState { id: core.me, term: 0, voted_for: None };
             let now = core.clock.now();
-            core.replica =
-                Some(Replica::new(settings(&core.boot), hard_state, State::default(), now, draw(), false));
+            core.replica = Some(Replica::new(
+                settings(&core.boot),
+                hard_state,
+                State::default(),
+                now,
+                draw(),
+                Storage::Diskless,
+            ));
         });
     }
 
@@ -182,7 +188,8 @@
                 state.voters.len()
             );
             let now = core.clock.now();
-            core.replica = Some(Replica::new(settings(&core.boot), hard_state, state, now, draw(), true));
+            core.replica =
+                Some(Replica::new(settings(&core.boot), hard_state, state, now, draw(), Storage::Durable));
             core.found_if_due();
         });
         self.timer.notify_one();
@@ -417,7 +424,8 @@
         let hard_state = HardState { id: self.me, term: 0, voted_for: None };
         let state = State { voters, ..State::default() };
         let now = self.clock.now();
-        self.replica = Some(Replica::new(settings(&self.boot), hard_state, state, now, draw(), true));
+        self.replica =
+            Some(Replica::new(settings(&self.boot), hard_state, state, now, draw(), Storage::Durable));
     }
 
     /// Whether the group is still being founded: a change taken now could be on fewer disks than may be lost.
--- a/crates/gaugesaddle-simulation/src/control.rs
+++ b/crates/gaugesaddle-simulation/src/control.rs
@@ -5,7 +5,7 @@
 use crate::Millis;
 use gaugesaddle_catalog::{Acknowledgement, CatalogReplica};
 use gaugesaddle_consensus::{
-    disk_format, Input, NotLeader, Output, ProposalResult, Replica, Role, Settings, WriteId,
+    disk_format, Input, NotLeader, Output, ProposalResult, Replica, Role, Settings, Storage, WriteId,
 };
 use gaugesaddle_distribution::{Distributor, ReplicaStatus};
 use gaugesaddle_log::Ring;
@@ -251,8 +251,8 @@
             (fresh(drawn), State::default())
         };
         let random = self.random.next_u64();
-        self.replica =
-            Some(Replica::new(self.settings, hard_state, state, self.clock(now), random, self.has_disk));
+        let storage = if self.has_disk { Storage::Durable } else { Storage::Diskless };
+        self.replica = Some(Replica::new(self.settings, hard_state, state, self.clock(now), random, storage));
     }
 
     /// What has come about since this was asked last.
