--- a/crates/gaugesaddle-control/src/disk.rs
+++ b/crates/gaugesaddle-control/src/disk.rs
@@ -81,12 +81,7 @@
 }
 
 fn open(folder: &std::path::Path, segment_bytes: u64) -> Result<Ring<FileStore>, LogError> {
-    let store = FileStore::open(folder, segment_bytes).map_err(|source| LogError::Disk {
-        action: "opening",
-        segment: 0,
-        source,
-    })?;
-    Ring::open(store)
+    Ring::open(FileStore::open(folder, segment_bytes)?)
 }
 
 fn opened(ring: &Ring<FileStore>) -> DiskEvent {
--- a/crates/gaugesaddle-log/src/file.rs
+++ b/crates/gaugesaddle-log/src/file.rs
@@ -1,33 +1,35 @@
-//! Segments as files of a folder.
+//! Segments as files of a directory.
 
-use crate::{Store, SEGMENTS};
+use crate::{LogError, Store, SEGMENTS};
 use std::fs::{File, OpenOptions};
 use std::io::{self, ErrorKind};
 use std::os::unix::fs::FileExt;
 use std::path::Path;
 
-/// Segments in a folder.
+/// The segments in a directory: `segment-0`, `segment-1` and so on.
 #[derive(Debug)]
 pub struct FileStore {
     files: Vec<File>,
-    bytes: u64,
+    segment_bytes: u64,
 }
 
 impl FileStore {
-    /// Opens the segments, and makes and preallocates those that are missing.
-    pub fn open(folder: &Path, segment_bytes: u64) -> io::Result<FileStore> {
-        std::fs::create_dir_all(folder)?;
+    /// Opens the segments of a directory. Missing ones are created, and short ones are extended to `segment_bytes`.
+    ///
+    /// # Errors
+    ///
+    /// [`LogError::Open`] with the path that could not be opened, created or extended.
+    pub fn open(directory: &Path, segment_bytes: u64) -> Result<FileStore, LogError> {
+        std::fs::create_dir_all(directory)
+            .map_err(|source| LogError::Open { path: directory.to_owned(), source })?;
         let mut files = Vec::with_capacity(SEGMENTS);
-        for number in 0..SEGMENTS {
-            let path = folder.join(format!("segment-{number}"));
-            let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)?;
-            if file.metadata()?.len() < segment_bytes {
-                file.set_len(segment_bytes)?;
-                file.sync_all()?;
-            }
+        for segment in 0..SEGMENTS {
+            let path = directory.join(format!("segment-{segment}"));
+            let file =
+                open_segment(&path, segment_bytes).map_err(|source| LogError::Open { path, source })?;
             files.push(file);
         }
-        Ok(FileStore { files, bytes: segment_bytes })
+        Ok(FileStore { files, segment_bytes })
     }
 
     fn file(&self, segment: usize) -> io::Result<&File> {
@@ -35,23 +37,32 @@
     }
 }
 
+fn open_segment(path: &Path, segment_bytes: u64) -> io::Result<File> {
+    let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)?;
+    if file.metadata()?.len() < segment_bytes {
+        file.set_len(segment_bytes)?;
+        file.sync_all()?;
+    }
+    Ok(file)
+}
+
 impl Store for FileStore {
     fn segment_bytes(&self) -> u64 {
-        self.bytes
+        self.segment_bytes
     }
 
     fn read(&self, segment: usize, offset: u64, buffer: &mut [u8]) -> io::Result<usize> {
         let file = self.file(segment)?;
-        let mut done = 0;
-        while done < buffer.len() {
-            match file.read_at(&mut buffer[done..], offset + done as u64) {
+        let mut filled = 0;
+        while filled < buffer.len() {
+            match file.read_at(&mut buffer[filled..], offset + filled as u64) {
                 Ok(0) => break,
-                Ok(n) => done += n,
+                Ok(n) => filled += n,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
             }
         }
-        Ok(done)
+        Ok(filled)
     }
 
     fn write(&mut self, segment: usize, offset: u64, bytes: &[u8]) -> io::Result<()> {
--- a/crates/gaugesaddle-log/src/lib.rs
+++ b/crates/gaugesaddle-log/src/lib.rs
@@ -1,9 +1,8 @@
-//! A ring of preallocated files that keeps the newest records through any crash.
+//! A ring of preallocated segment files that retains the newest records through any crash.
 //!
-//! [`Ring`] appends records of two slots, each record replacing the slot's last one. A segment begins with a copy of
-//! both, so that the one before it may be overwritten later and no segment is ever needed for what another holds.
-//! Records carry a checksum over their place, so that neither a torn write nor what a segment held before it was
-//! used again reads as a record.
+//! [`Ring`] appends records to two slots; each record replaces the slot's previous one. A segment begins with a copy of
+//! both slots, so that no older segment is needed and the oldest can be overwritten. A record's checksum covers the
+//! generation of its segment: neither a torn write nor what remains of a segment's earlier use is taken for a record.
 //!
 //! ```text
 //!  segment 0            segment 1            segment 2
@@ -11,52 +10,49 @@
 //!                                  ^ end
 //! ```
 //!
-//! What [`Ring::append`] returned for is on the disk. After an error nothing is known, and the ring is opened anew.
+//! # Main types
+//!
+//! - [`Ring`] decides what is written where and recovers it. It owns its [`Store`].
+//! - [`Store`] is the disk that it needs; [`FileStore`] is the one in use, and tests bring their own.
+//! - [`LogError`] tells which operation failed.
+//!
+//! # Example
+//!
+//! ```rust
+//! use gaugesaddle_log::{FileStore, LogError, Ring};
+//!
+//! # fn main() -> Result<(), LogError> {
+//! let directory = std::env::temp_dir().join(format!("gaugesaddle-log-doc-{}", std::process::id()));
+//! let mut ring = Ring::open(FileStore::open(&directory, 4096)?)?;
+//! ring.append(vec![(0, b"vote".to_vec()), (1, b"state".to_vec())])?;
+//! ring.append(vec![(0, b"later vote".to_vec())])?;
+//!
+//! let reopened = Ring::open(FileStore::open(&directory, 4096)?)?;
+//! assert_eq!(reopened.slots(), &[Some(b"later vote".to_vec()), Some(b"state".to_vec())]);
+//! # let _ = std::fs::remove_dir_all(&directory);
+//! # Ok(())
+//! # }
+//! ```
+//!
+//! # Guarantees
+//!
+//! Once [`Ring::append`] has returned `Ok`, its records survive a power loss, as long as the [`Store`] honors
+//! [`Store::sync`]. After an error its records may or may not be on the disk, and the ring must be opened again. Earlier
+//! records are retained in either case. Opening never panics, whatever the segments contain.
+//!
+//! # Bounds
+//!
+//! The disk use is [`SEGMENTS`] times the segment size. In memory there is one record of each slot. The two newest records
+//! together must fit into one segment ([`LogError::TooLong`]).
 
+mod error;
 mod file;
 mod record;
+mod recovery;
 mod ring;
+mod store;
 
+pub use error::{DiskOperation, LogError};
 pub use file::FileStore;
 pub use ring::{Ring, Slots};
-
-use std::io;
-use thiserror::Error;
-
-/// Number of segments: the one in use, the one before it, and the one that is overwritten next.
-pub const SEGMENTS: usize = 3;
-
-/// Files of equal, fixed length; what the ring needs of a disk.
-pub trait Store {
-    /// Bytes of each segment.
-    fn segment_bytes(&self) -> u64;
-    /// Reads up to the buffer's length; fewer only at the segment's end.
-    fn read(&self, segment: usize, offset: u64, buffer: &mut [u8]) -> io::Result<usize>;
-    /// Writes all bytes.
-    fn write(&mut self, segment: usize, offset: u64, bytes: &[u8]) -> io::Result<()>;
-    /// Returns when all that was written to the segment would survive a loss of power.
-    fn sync(&mut self, segment: usize) -> io::Result<()>;
-}
-
-/// Why the ring cannot go on.
-#[derive(Debug, Error)]
-pub enum LogError {
-    /// The disk refused.
-    #[error("{action} segment {segment}: {source}")]
-    Disk {
-        /// What was tried.
-        action: &'static str,
-        /// Which file.
-        segment: usize,
-        /// What the disk said.
-        source: io::Error,
-    },
-    /// The records do not fit into a segment.
-    #[error("records of {bytes} bytes, a segment holds {most}")]
-    TooLong {
-        /// Their length together.
-        bytes: u64,
-        /// The segment's length.
-        most: u64,
-    },
-}
+pub use store::{Store, SEGMENTS};
--- a/crates/gaugesaddle-log/src/record.rs
+++ b/crates/gaugesaddle-log/src/record.rs
@@ -3,24 +3,31 @@
 //! ```text
 //! magic 4 | generation 8 | sequence 8 | slot 1 | length 4 | checksum 4 | payload
 //! ```
-//! The checksum covers all but itself, so that a record of an older generation of the segment is none.
+//!
+//! Lengths are in bytes, numbers little endian. The checksum (CRC-32) covers everything but itself.
 
-/// Bytes before a payload.
+/// Length of the header, in bytes.
 pub const HEADER_BYTES: usize = 29;
+/// Number of slots.
+pub const SLOTS: usize = 2;
+/// First bytes of each record.
 const MAGIC: [u8; 4] = *b"GSR1";
 
-/// What a record's header says.
+/// A record's header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
+    /// Rises by one with each segment that is begun; all records of a segment share it.
     pub generation: u64,
+    /// Rises by one with each record.
     pub sequence: u64,
     pub slot: u8,
+    /// Length of the payload in bytes.
     pub length: u32,
     checksum: u32,
 }
 
 impl Header {
-    /// Reads a header; `None` where there is none.
+    /// Decodes a header; `None` where the bytes are none.
     pub fn read(bytes: &[u8]) -> Option<Header> {
         let (magic, rest) = bytes.split_first_chunk::<4>()?;
         let (generation, rest) = rest.split_first_chunk::<8>()?;
@@ -40,8 +47,8 @@
         })
     }
 
-    /// Whether the payload is the one that was written.
-    pub fn covers(&self, payload: &[u8]) -> bool {
+    /// Whether the checksum matches this header and payload.
+    pub fn matches(&self, payload: &[u8]) -> bool {
         self.checksum == checksum(&self.fields(), payload)
     }
 
@@ -56,7 +63,7 @@
     }
 }
 
-/// A whole record.
+/// Encodes a record: header and payload.
 pub fn encode(generation: u64, sequence: u64, slot: u8, payload: &[u8]) -> Vec<u8> {
     let header = Header { generation, sequence, slot, length: payload.len() as u32, checksum: 0 };
     let mut bytes = header.fields();
--- a/crates/gaugesaddle-log/tests/crashes.rs
+++ b/crates/gaugesaddle-log/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! The failure: power is lost at any point of any write, and what had been reported as on the disk is gone or changed.
+//! The failure: power is lost at any point of any write, and a record that was reported as durable is lost or changed.
 
 use gaugesaddle_log::{Ring, Store, SEGMENTS};
 use proptest::prelude::*;
@@ -9,7 +9,7 @@
 
 const SEGMENT_BYTES: usize = 400;
 
-/// A write since the last sync.
+/// A write that has not been synced.
 #[derive(Clone, Debug)]
 struct Unsynced {
     segment: usize,
@@ -22,7 +22,7 @@
 struct Disk {
     synced: Vec<Vec<u8>>,
     unsynced: Vec<Unsynced>,
-    /// Writes and syncs that still succeed.
+    /// Number of writes and syncs that still succeed.
     budget: usize,
 }
 
@@ -31,9 +31,9 @@
         Disk { synced: vec![vec![0; SEGMENT_BYTES]; SEGMENTS], unsynced: Vec::new(), budget: usize::MAX }
     }
 
-    fn spend(&mut self) -> io::Result<()> {
+    fn use_budget(&mut self) -> io::Result<()> {
         if self.budget == 0 {
-            return Err(io::Error::other("the disk refuses"));
+            return Err(io::Error::other("an injected disk error"));
         }
         self.budget -= 1;
         Ok(())
@@ -46,9 +46,9 @@
 }
 
 #[derive(Clone)]
-struct Cached(Rc<RefCell<Disk>>);
+struct CachedDisk(Rc<RefCell<Disk>>);
 
-impl Store for Cached {
+impl Store for CachedDisk {
     fn segment_bytes(&self) -> u64 {
         SEGMENT_BYTES as u64
     }
@@ -57,52 +57,52 @@
         for write in disk.unsynced.clone() {
             disk.apply(&write, write.bytes.len());
         }
-        let rest = &disk.synced[segment][(offset as usize).min(SEGMENT_BYTES)..];
-        let n = rest.len().min(buffer.len());
-        buffer[..n].copy_from_slice(&rest[..n]);
+        let remaining = &disk.synced[segment][(offset as usize).min(SEGMENT_BYTES)..];
+        let n = remaining.len().min(buffer.len());
+        buffer[..n].copy_from_slice(&remaining[..n]);
         Ok(n)
     }
     fn write(&mut self, segment: usize, offset: u64, bytes: &[u8]) -> io::Result<()> {
         let mut disk = self.0.borrow_mut();
-        disk.spend()?;
+        disk.use_budget()?;
         disk.unsynced.push(Unsynced { segment, offset: offset as usize, bytes: bytes.to_vec() });
         Ok(())
     }
     fn sync(&mut self, segment: usize) -> io::Result<()> {
         let mut disk = self.0.borrow_mut();
-        disk.spend()?;
-        let (due, rest): (Vec<Unsynced>, Vec<Unsynced>) =
+        disk.use_budget()?;
+        let (synced, others): (Vec<Unsynced>, Vec<Unsynced>) =
             std::mem::take(&mut disk.unsynced).into_iter().partition(|w| w.segment == segment);
-        disk.unsynced = rest;
-        for write in due {
+        disk.unsynced = others;
+        for write in synced {
             disk.apply(&write, write.bytes.len());
         }
         Ok(())
     }
 }
 
-/// How a write that was not synced fares when power is lost: gone, there, or its first bytes only.
+/// What a power loss makes of an unsynced write: lost, complete, or cut off after some bytes.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum Outcome {
     Missing,
     Present,
     Torn(usize),
 }
 
-fn lose_power(disk: &Rc<RefCell<Disk>>, fates: &[Fate]) {
+fn lose_power(disk: &Rc<RefCell<Disk>>, outcomes: &[Outcome]) {
     let mut disk = disk.borrow_mut();
     disk.budget = usize::MAX;
     for (index, write) in std::mem::take(&mut disk.unsynced).into_iter().enumerate() {
-        match fates.get(index % fates.len().max(1)).copied().unwrap_or(Fate::Missing) {
-            Fate::Missing => {}
-            Fate::Present => disk.apply(&write, write.bytes.len()),
-            Fate::Torn(at) => disk.apply(&write, at % (write.bytes.len() + 1)),
+        match outcomes.get(index % outcomes.len().max(1)).copied().unwrap_or(Outcome::Missing) {
+            Outcome::Missing => {}
+            Outcome::Present => disk.apply(&write, write.bytes.len()),
+            Outcome::Torn(at) => disk.apply(&write, at % (write.bytes.len() + 1)),
         }
     }
 }
 
-fn open(disk: &Rc<RefCell<Disk>>) -> Ring<Cached> {
-    Ring::open(Cached(disk.clone())).expect("a disk that reads opens")
+fn open(disk: &Rc<RefCell<Disk>>) -> Ring<CachedDisk> {
+    Ring::open(CachedDisk(disk.clone())).expect("a readable disk opens")
 }
 
 fn payload(number: u8, length: usize) -> Vec<u8> {
@@ -110,12 +110,19 @@
 }
 
 #[test]
-fn each_point_of_failure_of_each_of_forty_appends_keeps_what_was_reported() {
-    let fates = [Fate::Missing, Fate::Present, Fate::Torn(1), Fate::Torn(13), Fate::Torn(28), Fate::Torn(40)];
+fn a_failed_append_loses_no_durable_record() {
+    let outcomes = [
+        Outcome::Missing,
+        Outcome::Present,
+        Outcome::Torn(1),
+        Outcome::Torn(13),
+        Outcome::Torn(28),
+        Outcome::Torn(40),
+    ];
     for failing in 0..40u8 {
-        // Within one append: the write refused, the sync refused.
+        // Within one append: the write fails, the sync fails.
         for budget in 0..2 {
-            for fate in fates {
+            for outcome in outcomes {
                 let disk = Rc::new(RefCell::new(Disk::new()));
                 let mut ring = open(&disk);
                 let mut reported = (None, None);
@@ -127,22 +134,22 @@
                         (0, payload(number, 3 + usize::from(number) % 5)),
                         (1, payload(number, 20 + usize::from(number) % 70)),
                     ];
-                    let kept = (Some(records[0].1.clone()), Some(records[1].1.clone()));
+                    let appended = (Some(records[0].1.clone()), Some(records[1].1.clone()));
                     match ring.append(records) {
-                        Ok(()) => reported = kept,
+                        Ok(()) => reported = appended,
                         Err(_) => assert_eq!(number, failing),
                     }
                 }
-                lose_power(&disk, &[fate]);
+                lose_power(&disk, &[outcome]);
                 let ring = open(&disk);
                 let [hard_state, state] = ring.slots();
-                // What failed may be there or not; nothing older than what was reported, and nothing spoilt.
-                for (found, least) in [(hard_state, &reported.0), (state, &reported.1)] {
+                // The failed append may or may not be there; nothing older than the last durable one is, and nothing corrupt.
+                for (found, durable) in [(hard_state, &reported.0), (state, &reported.1)] {
                     let number = |p: &Option<Vec<u8>>| p.as_ref().map(|p| p[0]);
-                    assert!(number(found) >= number(least), "append {failing}, {fate:?}: older");
-                    assert!(number(found) <= Some(failing), "append {failing}, {fate:?}: from nowhere");
-                    if number(found) == number(least) {
-                        assert_eq!(found, least, "append {failing}, {fate:?}: changed");
+                    assert!(number(found) >= number(durable), "append {failing}, {outcome:?}: older");
+                    assert!(number(found) <= Some(failing), "append {failing}, {outcome:?}: never written");
+                    if number(found) == number(durable) {
+                        assert_eq!(found, durable, "append {failing}, {outcome:?}: changed");
                     }
                 }
             }
@@ -151,28 +158,32 @@
 }
 
 #[test]
-fn a_disk_that_refuses_is_opened_anew_and_goes_on() {
+fn a_ring_reopened_after_a_disk_error_has_all_durable_records() {
     let disk = Rc::new(RefCell::new(Disk::new()));
     let mut ring = open(&disk);
-    ring.append(vec![(0, payload(1, 4))]).expect("it writes");
+    ring.append(vec![(0, payload(1, 4))]).expect("the append succeeds");
     disk.borrow_mut().budget = 0;
     assert!(ring.append(vec![(0, payload(2, 4))]).is_err());
     disk.borrow_mut().budget = usize::MAX;
     let mut ring = open(&disk);
     assert_eq!(ring.slots()[0], Some(payload(1, 4)));
-    ring.append(vec![(1, payload(3, 9))]).expect("it writes again");
+    ring.append(vec![(1, payload(3, 9))]).expect("the append succeeds after reopening");
     let ring = open(&disk);
     assert_eq!(ring.slots(), &[Some(payload(1, 4)), Some(payload(3, 9))]);
 }
 
 #[test]
-fn records_that_fit_no_segment_are_refused() {
+fn records_larger_than_a_segment_are_rejected() {
     let disk = Rc::new(RefCell::new(Disk::new()));
     assert!(open(&disk).append(vec![(1, payload(1, SEGMENT_BYTES))]).is_err());
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
-    prop_oneof![Just(Fate::Missing), Just(Fate::Present), any::<u16>().prop_map(|at| Fate::Torn(at.into()))]
+fn outcome() -> impl Strategy<Value = Outcome> {
+    prop_oneof![
+        Just(Outcome::Missing),
+        Just(Outcome::Present),
+        any::<u16>().prop_map(|at| Outcome::Torn(at.into()))
+    ]
 }
 
 /// Cases are the same in each run.
@@ -181,23 +192,23 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, rng_seed: SEED, ..ProptestConfig::default() })]
 
-    /// Any number of losses of power, each in the middle of something.
+    /// Any number of power losses at any point.
     #[test]
-    fn any_history_of_power_losses_keeps_what_was_reported(
-        lives in proptest::collection::vec(
+    fn any_sequence_of_power_losses_retains_durable_records(
+        processes in proptest::collection::vec(
             (proptest::collection::vec((0usize..2, 1usize..60), 1..30), 0usize..40,
-             proptest::collection::vec(fate(), 1..4)), 1..12),
+             proptest::collection::vec(outcome(), 1..4)), 1..12),
     ) {
         let disk = Rc::new(RefCell::new(Disk::new()));
         let mut reported: [u32; 2] = [0, 0];
         let mut written: [u32; 2] = [0, 0];
         let mut number: u32 = 0;
-        for (appends, budget, fates) in lives {
+        for (appends, budget, outcomes) in processes {
             let mut ring = open(&disk);
             for (slot, found) in ring.slots().iter().enumerate() {
                 let found = found.as_ref().map_or(0, |p| u32::from_le_bytes([p[0], p[1], p[2], p[3]]));
-                prop_assert!(found >= reported[slot], "slot {} went back", slot);
-                prop_assert!(found <= written[slot], "slot {} holds what was never written", slot);
+                prop_assert!(found >= reported[slot], "slot {} has an older record", slot);
+                prop_assert!(found <= written[slot], "slot {} has a record that was never written", slot);
                 reported[slot] = found;
             }
             disk.borrow_mut().budget = budget;
@@ -211,15 +222,15 @@
                 }
                 reported[slot] = number;
             }
-            lose_power(&disk, &fates);
+            lose_power(&disk, &outcomes);
         }
     }
 
-    /// Whatever a disk holds, opening it does not panic.
+    /// Opening a disk with any contents does not panic.
     #[test]
-    fn a_spoilt_disk_opens(bytes in proptest::collection::vec(any::<u8>(), 0..SEGMENT_BYTES), at in 0usize..SEGMENTS) {
+    fn a_corrupt_disk_opens_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..SEGMENT_BYTES), at in 0usize..SEGMENTS) {
         let disk = Rc::new(RefCell::new(Disk::new()));
         disk.borrow_mut().synced[at][..bytes.len()].copy_from_slice(&bytes);
-        let _ = Ring::open(Cached(disk)).map(|ring| ring.slots().clone());
+        let _ = Ring::open(CachedDisk(disk)).map(|ring| ring.slots().clone());
     }
 }
