--- a/crates/gaugesaddle-consensus/src/proposal.rs
+++ b/crates/gaugesaddle-consensus/src/proposal.rs
@@ -39,13 +39,13 @@
     /// A proposal of a full document. Its identity is the request byte for byte: a document that differs only in
     /// formatting is another proposal.
     pub fn new(base: u64, revision: u64, document: Vec<u8>) -> Proposal {
-        let digest = Digest::of_parts(&[&base.to_le_bytes(), &document]);
+        let digest = Digest::of_concatenation(&[&base.to_le_bytes(), &document]);
         Proposal { base, revision, content: ProposedDocument::Full(document), digest }
     }
 
     /// A proposal made out of a patch; `body` is the patch as the operator sent it.
     pub fn edit(base: u64, revision: u64, body: &[u8], content: ProposedDocument) -> Proposal {
-        let digest = Digest::of_parts(&[PATCH_DIGEST_PREFIX, &base.to_le_bytes(), body]);
+        let digest = Digest::of_concatenation(&[PATCH_DIGEST_PREFIX, &base.to_le_bytes(), body]);
         Proposal { base, revision, content, digest }
     }
 
--- a/crates/gaugesaddle-delta/src/delta.rs
+++ b/crates/gaugesaddle-delta/src/delta.rs
@@ -1,178 +1,95 @@
-//! Making and applying patches.
+//! Creating and applying deltas.
 
+use crate::instruction::Instruction;
+use crate::matcher::Matcher;
 use crate::Digest;
 use musli::{Decode, Encode};
-use std::collections::HashMap;
 use thiserror::Error;
 
-/// A patched document is at most so long: the longest message between processes.
+/// Limit on the length of a result, in bytes: that of a message between processes.
 pub const MAX_BYTES: usize = 12 << 20;
 
-/// One step of a patch.
-#[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-enum Step {
-    /// Takes bytes of the base.
-    Copy {
-        /// Where they begin.
-        from: u32,
-        /// How many they are.
-        length: u32,
-    },
-    /// Brings bytes that the base does not have there.
-    Insert(#[musli(bytes)] Vec<u8>),
-}
+/// Bytes that a copy instruction takes on the wire, about.
+const COPY_WIRE_BYTES: usize = 10;
+/// Bytes that an insert instruction takes on the wire beside what it inserts, about.
+const INSERT_OVERHEAD_BYTES: usize = 4;
+/// Bytes that a delta takes on the wire beside its instructions, about: two digests and lengths.
+const DELTA_OVERHEAD_BYTES: usize = 64;
 
-/// What makes one version of a document out of another.
+/// Instructions that turn one version of a document into another. The order of fields is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct DocumentDelta {
     base: Digest,
     result: Digest,
-    steps: Vec<Step>,
+    instructions: Vec<Instruction>,
 }
 
-/// Why a patch makes nothing.
+/// Why a delta cannot be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DeltaError {
-    /// It is for another version.
-    #[error("a patch for another version of the document")]
-    Base,
-    /// A step reaches beyond the base, or the result is longer than [`MAX_BYTES`].
-    #[error("a patch that reaches beyond its document")]
-    Bounds,
-    /// The result is not the version that the patch names.
-    #[error("a patch that does not make the version it names")]
-    Result,
+    /// The document at hand is not the delta's base, or there is none.
+    #[error("the delta has another base than this document")]
+    BaseMismatch,
+    /// An instruction reaches beyond the base, or the result is longer than [`MAX_BYTES`].
+    #[error("the delta reaches beyond its base, or its result beyond {MAX_BYTES} bytes")]
+    OutOfBounds,
+    /// The result is not the version that the delta names.
+    #[error("the delta does not yield the version that it names")]
+    ResultMismatch,
 }
 
 impl DocumentDelta {
-    /// What makes `new` out of `base`.
+    /// The delta that turns `base` into `new`.
     pub fn between(base: &[u8], new: &[u8]) -> DocumentDelta {
-        let steps = Matcher::new(base).steps(new);
-        DocumentDelta { base: Digest::of(base), result: Digest::of(new), steps }
+        let instructions = Matcher::new(base).instructions(new);
+        DocumentDelta { base: Digest::of(base), result: Digest::of(new), instructions }
     }
 
-    /// The version it is for.
+    /// Digest of the version to which it applies.
     pub fn base(&self) -> Digest {
         self.base
     }
 
-    /// The version it makes.
+    /// Digest of the version that it yields.
     pub fn result(&self) -> Digest {
         self.result
     }
 
-    /// About how many bytes it takes on the wire.
+    /// Approximate size on the wire, in bytes.
     pub fn size(&self) -> usize {
-        let size = |step: &Step| match step {
-            Step::Copy { .. } => 10,
-            Step::Insert(bytes) => 4 + bytes.len(),
+        let size = |instruction: &Instruction| match instruction {
+            Instruction::Copy { .. } => COPY_WIRE_BYTES,
+            Instruction::Insert(bytes) => INSERT_OVERHEAD_BYTES + bytes.len(),
         };
-        64 + self.steps.iter().map(size).sum::<usize>()
+        DELTA_OVERHEAD_BYTES + self.instructions.iter().map(size).sum::<usize>()
     }
 
-    /// Makes the new version.
+    /// Returns the new version.
+    ///
+    /// # Errors
+    ///
+    /// Any [`DeltaError`], where `base` is another document or the delta is corrupt.
     pub fn apply(&self, base: &[u8]) -> Result<Vec<u8>, DeltaError> {
         if Digest::of(base) != self.base {
-            return Err(DeltaError::Base);
+            return Err(DeltaError::BaseMismatch);
         }
-        let mut made = Vec::new();
-        for step in &self.steps {
-            let bytes = match step {
-                Step::Copy { from, length } => {
+        let mut result = Vec::new();
+        for instruction in &self.instructions {
+            let bytes = match instruction {
+                Instruction::Copy { from, length } => {
                     let (from, length) = (*from as usize, *length as usize);
-                    base.get(from..from.saturating_add(length)).ok_or(DeltaError::Bounds)?
+                    base.get(from..from.saturating_add(length)).ok_or(DeltaError::OutOfBounds)?
                 }
-                Step::Insert(bytes) => bytes,
+                Instruction::Insert(bytes) => bytes,
             };
-            if made.len() + bytes.len() > MAX_BYTES {
-                return Err(DeltaError::Bounds);
-            }
-            made.extend_from_slice(bytes);
-        }
-        if Digest::of(&made) != self.result {
-            return Err(DeltaError::Result);
-        }
-        Ok(made)
-    }
-}
-
-/// Splits a document into pieces that end at commas and brackets.
-fn pieces(document: &[u8]) -> impl Iterator<Item = &[u8]> {
-    document.split_inclusive(|byte| matches!(byte, b',' | b'{' | b'}' | b'[' | b']'))
-}
-
-/// The pieces of a base.
-struct Matcher<'a> {
-    pieces: Vec<&'a [u8]>,
-    /// Where each piece begins, and the end.
-    offsets: Vec<usize>,
-    /// Numbers of the pieces with these bytes, rising.
-    places: HashMap<&'a [u8], Vec<usize>>,
-}
-
-impl<'a> Matcher<'a> {
-    fn new(base: &'a [u8]) -> Matcher<'a> {
-        let pieces: Vec<&[u8]> = pieces(base).collect();
-        let mut offsets = Vec::with_capacity(pieces.len() + 1);
-        let mut places: HashMap<&[u8], Vec<usize>> = HashMap::new();
-        let mut offset = 0;
-        for (number, piece) in pieces.iter().enumerate() {
-            offsets.push(offset);
-            offset += piece.len();
-            places.entry(piece).or_default().push(number);
-        }
-        offsets.push(offset);
-        Matcher { pieces, offsets, places }
-    }
-
-    fn steps(&self, new: &[u8]) -> Vec<Step> {
-        let mut steps = Steps::default();
-        // Where the next piece is expected: behind the last one that was copied.
-        let mut expected = 0;
-        for piece in pieces(new) {
-            match self.find(piece, expected) {
-                Some(number) => {
-                    steps.copy(self.offsets[number], piece.len());
-                    expected = number + 1;
-                }
-                None => steps.insert(piece),
-            }
-        }
-        steps.done
-    }
-
-    /// The number of an equal piece: the expected one, else the next one behind it, else the first.
-    fn find(&self, piece: &[u8], expected: usize) -> Option<usize> {
-        if self.pieces.get(expected) == Some(&piece) {
-            return Some(expected);
-        }
-        let places = self.places.get(piece)?;
-        let behind = places.partition_point(|number| *number < expected);
-        places.get(behind).or(places.first()).copied()
-    }
-}
-
-/// Steps as they are found; neighbours are joined.
-#[derive(Default)]
-struct Steps {
-    done: Vec<Step>,
-}
-
-impl Steps {
-    fn copy(&mut self, at: usize, bytes: usize) {
-        if let Some(Step::Copy { from, length }) = self.done.last_mut() {
-            if *from as usize + *length as usize == at {
-                *length += bytes as u32;
-                return;
+            if result.len() + bytes.len() > MAX_BYTES {
+                return Err(DeltaError::OutOfBounds);
             }
+            result.extend_from_slice(bytes);
         }
-        self.done.push(Step::Copy { from: at as u32, length: bytes as u32 });
-    }
-
-    fn insert(&mut self, bytes: &[u8]) {
-        match self.done.last_mut() {
-            Some(Step::Insert(inserted)) => inserted.extend_from_slice(bytes),
-            _ => self.done.push(Step::Insert(bytes.to_vec())),
+        if Digest::of(&result) != self.result {
+            return Err(DeltaError::ResultMismatch);
         }
+        Ok(result)
     }
 }
--- a/crates/gaugesaddle-delta/src/digest.rs
+++ b/crates/gaugesaddle-delta/src/digest.rs
@@ -1,23 +1,23 @@
-//! What tells versions of a document apart.
+//! Digests that identify versions of a document.
 
 use musli::{Decode, Encode};
 
-/// A digest of some bytes (the first half of their BLAKE3 hash): equal for equal bytes, and nobody finds two others with
-/// the same one.
+/// The first 128 bits of a BLAKE3 hash: equal for equal bytes, and collision-resistant for others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Digest(pub [u8; 16]);
 
 impl Digest {
     /// The digest of a document.
     pub fn of(document: &[u8]) -> Digest {
-        Digest::of_parts(&[document])
+        Digest::of_concatenation(&[document])
     }
 
-    /// The digest of several byte strings in a row.
-    pub fn of_parts(parts: &[&[u8]]) -> Digest {
+    /// The digest of the concatenation of several byte strings. Where a string begins is not part of it: a caller that
+    /// needs that uses strings of fixed length before the last one.
+    pub fn of_concatenation(strings: &[&[u8]]) -> Digest {
         let mut hasher = blake3::Hasher::new();
-        for part in parts {
-            hasher.update(part);
+        for string in strings {
+            hasher.update(string);
         }
         let mut digest = [0; 16];
         hasher.finalize_xof().fill(&mut digest);
--- a/crates/gaugesaddle-delta/src/lib.rs
+++ b/crates/gaugesaddle-delta/src/lib.rs
@@ -1,22 +1,40 @@
-//! Differences between two versions of a document, so that a change of a large configuration travels as what changed.
+//! Deltas between two versions of a document, so that a change of a large configuration travels as what changed.
 //!
-//! A [`DocumentDelta`] makes one version out of another: it names both by their [`Digest`]s, and is refused on any other base or
-//! where the result is not the version named. Documents are JSON, so versions are compared in pieces that end at commas
-//! and brackets. Any document may be patched; one without these only makes larger patches.
+//! # Main types
+//!
+//! - [`DocumentDelta`] turns one version into another. It names both by their [`Digest`]s, and is rejected on any other
+//!   base or if the result is not the version that it names ([`DeltaError`]).
+//! - [`Digest`] identifies a version by its bytes.
+//!
+//! Like VCDIFF (RFC 3284), a delta is a list of instructions that copy from the base or insert new bytes. Documents are
+//! JSON, so versions are compared in chunks that end at commas and brackets. Any document is accepted; one without these
+//! only yields larger deltas.
+//!
+//! # Example
+//!
+//! ```rust
+//! use gaugesaddle_delta::{DeltaError, DocumentDelta};
 //!
-//! ```
-//! use gaugesaddle_delta::DocumentDelta;
 //! let (old, new) = (br#"{"revision":1,"routes":[]}"#, br#"{"revision":2,"routes":[]}"#);
 //! let delta = DocumentDelta::between(old, new);
 //! assert_eq!(delta.apply(old).as_deref(), Ok(new.as_slice()));
-//! assert!(delta.apply(b"another").is_err());
+//! assert_eq!(delta.apply(b"another"), Err(DeltaError::BaseMismatch));
 //! ```
 //!
-//! Bounds: a result is at most [`MAX_BYTES`] long; the work is linear in the versions' lengths but for the search for
-//! the next equal piece, which is logarithmic in how often that piece occurs.
+//! # Guarantees
+//!
+//! [`DocumentDelta::apply`] returns the version that the delta names or an error. It never panics, whatever a decoded
+//! delta contains.
+//!
+//! # Bounds
+//!
+//! A result is at most [`MAX_BYTES`] long. The work is linear in the lengths of the versions, except for the search for
+//! the next equal chunk, which is logarithmic in how often that chunk occurs.
 
 mod delta;
 mod digest;
+mod instruction;
+mod matcher;
 
 pub use delta::{DeltaError, DocumentDelta, MAX_BYTES};
 pub use digest::Digest;
--- a/crates/gaugesaddle-protocol/src/consensus.rs
+++ b/crates/gaugesaddle-protocol/src/consensus.rs
@@ -98,7 +98,7 @@
             (DocumentUpdate::Full(document), _) => Ok(document),
             (DocumentUpdate::Unchanged, Some(base)) => Ok(base.to_vec()),
             (DocumentUpdate::Delta(patch), Some(base)) => patch.apply(base),
-            (DocumentUpdate::Unchanged | DocumentUpdate::Delta(_), None) => Err(DeltaError::Base),
+            (DocumentUpdate::Unchanged | DocumentUpdate::Delta(_), None) => Err(DeltaError::BaseMismatch),
         }
     }
 }
