--- a/crates/gaugesaddle-consensus/src/commit.rs
+++ b/crates/gaugesaddle-consensus/src/commit.rs
@@ -82,7 +82,7 @@
             out.push(Output::Proposed(request, ProposalResult::Committed));
             return;
         }
-        if (1..=self.state.forgotten).contains(&proposal.revision) {
+        if (1..=self.state.pruned_revision).contains(&proposal.revision) {
             // Its record may have been dropped, and an accepted proposal is never rejected. Revision 0 never was accepted.
             out.push(Output::Proposed(request, ProposalResult::Indeterminate));
             return;
@@ -109,7 +109,7 @@
             state.document = document;
             state.accepted.push(accepted);
             let dropped = history::drop_oldest(&mut state.accepted);
-            state.forgotten = state.forgotten.max(dropped.unwrap_or(0));
+            state.pruned_revision = state.pruned_revision.max(dropped.unwrap_or(0));
         };
         self.replace_state(now, change, out);
     }
--- a/crates/gaugesaddle-consensus/src/history.rs
+++ b/crates/gaugesaddle-consensus/src/history.rs
@@ -52,7 +52,7 @@
             revision: state.revision,
             document: DocumentUpdate::between(base.map(|base| base.document.as_slice()), &state.document),
             accepted: state.accepted.iter().filter(is_new).copied().collect(),
-            forgotten: state.forgotten,
+            pruned_revision: state.pruned_revision,
             voters: state.voters.clone(),
             outgoing: state.outgoing.clone(),
         }
@@ -82,7 +82,7 @@
         revision: update.revision,
         document: update.document.apply(base).ok()?,
         accepted,
-        forgotten: update.forgotten,
+        pruned_revision: update.pruned_revision,
         voters: update.voters,
         outgoing: update.outgoing,
     })
--- a/crates/gaugesaddle-consensus/tests/freshness.rs
+++ b/crates/gaugesaddle-consensus/tests/freshness.rs
@@ -93,7 +93,7 @@
         revision: 5,
         document: DocumentUpdate::Unchanged,
         accepted: Vec::new(),
-        forgotten: 0,
+        pruned_revision: 0,
         voters: vec![id(1), id(2), id(3)],
         outgoing: Vec::new(),
     };
--- a/crates/gaugesaddle-consensus/tests/golden_disk.rs
+++ b/crates/gaugesaddle-consensus/tests/golden_disk.rs
@@ -25,7 +25,7 @@
         revision: 10 + index,
         document: format!("{{\"revision\":{}}}", 10 + index).into_bytes(),
         accepted: vec![Accepted { revision: 10 + index, digest: Digest([index as u8; 16]) }],
-        forgotten: 9,
+        pruned_revision: 9,
         voters: vec![replica(1), replica(2), replica(3)],
         outgoing: vec![replica(4)],
     }
--- a/crates/gaugesaddle-control/src/peers.rs
+++ b/crates/gaugesaddle-control/src/peers.rs
@@ -97,7 +97,7 @@
 /// Takes what a peer says on the connection that it opened.
 pub async fn listen(core: CoreHandle, mut link: Link) -> Result<(), LinkError> {
     let PeerMessage::Hello { ip, has_disk, bootstrap_node, origin, members } = link.receive().await? else {
-        return Err(LinkError::Frame(gaugesaddle_protocol::frame::FrameError::Malformed));
+        return Err(LinkError::Frame(gaugesaddle_protocol::frame::FrameError::Unexpected));
     };
     core.with(|c| {
         c.know(members.into_iter().chain([ip]));
--- a/crates/gaugesaddle-protocol/src/catalog.rs
+++ b/crates/gaugesaddle-protocol/src/catalog.rs
@@ -1,22 +1,22 @@
-//! Registrations of backends and proxies as they are passed between processes.
+//! The catalog of backends and proxies: registrations and their changes.
 
 use musli::{Decode, Encode};
 
-/// One incarnation of a control process; a restarted one counts its changes anew under another number.
+/// One incarnation of a control process. A restarted one numbers its changes from 1 under another origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Origin(pub u64);
 
-/// How many changes of each origin are known.
+/// A version vector: for each origin the number of its newest known change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct VersionVector(pub Vec<(Origin, u64)>);
 
 impl VersionVector {
-    /// The changes known of an origin.
+    /// Number of the newest known change of an origin; 0 without any.
     pub fn of(&self, origin: Origin) -> u64 {
         self.0.iter().find(|(o, _)| *o == origin).map_or(0, |(_, n)| *n)
     }
 
-    /// Notes that the changes of an origin are known up to a number.
+    /// Records that the changes of an origin are known up to a number.
     pub fn advance(&mut self, origin: Origin, change: u64) {
         match self.0.iter_mut().find(|(o, _)| *o == origin) {
             Some((_, n)) => *n = (*n).max(change),
@@ -25,36 +25,44 @@
     }
 }
 
-/// Where a registration stands. The order is that of precedence at equal sequence numbers.
+/// Lifecycle of a registration. The greater variant takes precedence at equal sequence numbers.
+///
+/// ```text
+///  Ready <--renewed, lease timed out--> Expired
+///    |                                    |
+///    +--announced its end--> Draining <---+
+///    |                          |         |
+///    +--deregistered------> Departed <----+
+/// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub enum Lifecycle {
-    /// May get requests.
+    /// It is ready for requests.
     Ready,
-    /// Its lease has run out.
+    /// Its lease has expired.
     Expired,
-    /// It has announced its end and gets no new requests.
+    /// It has announced its end and receives no new requests.
     Draining,
     /// It has deregistered.
     Departed,
 }
 
 impl Lifecycle {
-    /// An announced end is never taken back: a restart has another identity.
+    /// Whether its end is announced. This is never revoked: a restarted process has another identity.
     pub fn is_leaving(self) -> bool {
         self >= Lifecycle::Draining
     }
 }
 
-/// What a registration is about.
+/// The kind of process that a registration describes.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Subject {
     /// A backend of a service.
     Backend {
         /// Name of the service.
         service: String,
-        /// Where it serves, as `ip:port`.
+        /// Its address, as `ip:port`.
         address: String,
-        /// Requests that it works on at once.
+        /// Number of requests that it processes concurrently.
         slots: u32,
     },
     /// A proxy of the data plane.
@@ -64,19 +72,19 @@
 /// A registration: soft state that its owner renews.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Registration {
-    /// Identity of this incarnation of the backend or proxy.
+    /// Identity of this incarnation of the backend or proxy, unique in the fleet.
     pub id: String,
     /// Its zone.
     pub zone: String,
-    /// What it is.
+    /// The kind of process.
     pub subject: Subject,
     /// Rises with each call of the registered process.
     pub sequence: u64,
-    /// Where it stands.
+    /// Its lifecycle.
     pub lifecycle: Lifecycle,
 }
 
-/// A registration with the change that brought it.
+/// A registration with the change that created or updated it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Entry {
     /// The control process that accepted the change.
@@ -87,16 +95,16 @@
     pub registration: Registration,
 }
 
-/// Entries that a receiver lacks, and what it knows after taking them.
+/// Entries that a receiver lacks, and what it knows after applying them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct CatalogDelta {
     /// The entries.
     pub entries: Vec<Entry>,
-    /// What the receiver must know already, so that nothing is missing in between.
+    /// The changes that the receiver must already have, so that there is no gap.
     pub since: VersionVector,
-    /// What it knows then.
+    /// The changes that it has afterwards.
     pub vector: VersionVector,
-    /// Ranges of which `entries` holds every registration that lives, as far as the sender knows: what the receiver has
-    /// besides these is known to nobody any more. Empty unless the sender has heard the whole fleet.
+    /// Ranges of which `entries` contains every live registration, as far as the sender knows: no process knows the
+    /// receiver's other registrations of these ranges any more. Empty unless the sender has received the full catalog.
     pub complete_ranges: Vec<u8>,
 }
--- a/crates/gaugesaddle-protocol/src/core.rs
+++ b/crates/gaugesaddle-protocol/src/core.rs
@@ -1,4 +1,4 @@
-//! Requests to a control process and its answers, and what control processes tell each other.
+//! Requests to a control process and its replies, and the messages between control processes.
 
 use crate::{
     BackendLoad, CatalogDelta, DocumentUpdate, LogPosition, QuotaGrant, QuotaRequest, Registration,
@@ -7,30 +7,30 @@
 use gaugesaddle_delta::Digest;
 use musli::{Decode, Encode};
 
-/// A proxy renews its lease and asks for what it lacks.
+/// A proxy renews its lease and requests the changes that it lacks.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Pull {
     /// The proxy's own registration.
     pub proxy: Registration,
-    /// What it knows of the catalog.
+    /// The catalog changes that it has.
     pub vector: VersionVector,
-    /// The configuration it has in force.
+    /// Position of the configuration that it uses; `None` without any.
     pub position: Option<LogPosition>,
     /// Digest of the document of that configuration.
     pub document: Option<Digest>,
-    /// Digests of the ranges of its catalog, when it has taken all changes.
+    /// Digests of the ranges of its catalog; empty unless it has applied all changes.
     pub digests: Vec<u64>,
-    /// What it knows to have left, at the first call to a process: one that has just started may not know it, and nobody
-    /// else may, where all control processes ended together after they had acknowledged it.
+    /// The departed registrations that it knows, in the first call to a control process. One that has just started may
+    /// not know them, and no other one may either if all control processes ended together after acknowledging them.
     pub departed: Vec<Registration>,
-    /// How long the answer may be held back while there is no news, in milliseconds.
+    /// How long the reply may be delayed while there are no changes, in milliseconds (long polling).
     pub wait_ms: u32,
 }
 
-/// A configuration on its way to a proxy.
+/// A committed configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Configuration {
-    /// Its place in the history.
+    /// Its position in the history.
     pub position: LogPosition,
     /// The operator's revision.
     pub revision: u64,
@@ -42,7 +42,7 @@
 /// A configuration for a proxy that may have an earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigurationUpdate {
-    /// Its place in the history.
+    /// Its position in the history.
     pub position: LogPosition,
     /// The operator's revision.
     pub revision: u64,
@@ -50,27 +50,27 @@
     pub document: DocumentUpdate,
 }
 
-/// The answer to a [`Pull`].
+/// The reply to a [`Pull`].
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct PullReply {
-    /// Whether this process was in touch with a majority of replicas a moment ago.
+    /// Whether this process was in contact with a majority of replicas within its lease.
     pub fresh: bool,
-    /// Address of the leader's machine.
+    /// IPv4 address of the leader's machine; `None` where it is not known.
     pub leader: Option<u32>,
-    /// Addresses of the machines that serve control.
+    /// IPv4 addresses of the machines that run a control process.
     pub members: Vec<u32>,
-    /// The newest configuration, where the proxy lacks it.
+    /// The newest configuration, if the proxy lacks it.
     pub configuration: Option<ConfigurationUpdate>,
-    /// What the proxy lacks of the catalog.
+    /// The catalog changes that the proxy lacks.
     pub delta: CatalogDelta,
 }
 
-/// What an order brings, as its operator sent it.
+/// The body of a change, byte for byte as the operator sent it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ChangeBody {
-    /// A whole configuration.
+    /// A full configuration.
     Full(#[musli(bytes)] Vec<u8>),
-    /// Changes of named items.
+    /// A patch of named items.
     Patch(#[musli(bytes)] Vec<u8>),
 }
 
@@ -83,168 +83,169 @@
     }
 }
 
-/// An order of the operator, passed on to the leader.
+/// An operator's change, forwarded to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigurationChange {
-    /// The revision that the order builds on.
+    /// The revision on which it builds.
     pub base: u64,
-    /// What it brings.
+    /// The new configuration or a patch.
     pub body: ChangeBody,
 }
 
-/// What became of an order.
+/// The result of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ChangeReply {
-    /// It is in force, or was.
+    /// It is committed, now or by an earlier identical request.
     Applied,
-    /// Another version is in place.
+    /// Rejected: another revision than its base is current.
     Conflict {
-        /// Its revision.
+        /// The current revision.
         current: u64,
     },
-    /// It is invalid.
+    /// Rejected: it is invalid.
     Invalid {
-        /// Every finding, a line each.
+        /// One line for each finding.
         findings: Vec<String>,
     },
-    /// Nothing is known of what became or becomes of it.
+    /// Unknown: it may or may not be, or become, committed.
     Indeterminate,
 }
 
-/// A request to a control process; each has one answer.
+/// A request to a control process; each has one reply.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Request {
     /// From a proxy.
     Pull(Box<Pull>),
-    /// From a proxy to the leader.
+    /// From a proxy to the leader: requests for tokens.
     Quota {
         /// Name of the proxy's machine.
         machine: String,
-        /// Its wants.
+        /// One request for each tenant.
         requests: Vec<QuotaRequest>,
     },
-    /// From a proxy: what it sees of the backends' load.
+    /// From a proxy: the backends' load as it observes it.
     Load {
-        /// A number that this process of the proxy has drawn.
+        /// Random number of this proxy process.
         proxy: u64,
-        /// Its part.
+        /// One entry for each backend.
         loads: Vec<BackendLoad>,
     },
-    /// From a control process to the leader.
+    /// From a control process to the leader: an operator's change.
     Change(Box<ConfigurationChange>),
     /// From a control process to the leader: the current configuration.
     Read,
-    /// From an operator: how does this process stand?
+    /// From an operator: the status of this process.
     Status,
 }
 
-/// The answer to a [`Request`].
+/// The reply to a [`Request`].
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Reply {
     /// To a `Pull`.
     Pull(Box<PullReply>),
     /// To `Quota`.
     Quota {
-        /// What is lent, for a lease.
+        /// Tokens leased to the proxy, by tenant.
         grants: Vec<QuotaGrant>,
     },
-    /// To `Load`: what all proxies together see, this one included.
+    /// To `Load`: what all proxies together observe, including this one.
     Load {
         /// The sums.
         loads: Vec<BackendLoad>,
     },
-    /// To `ConfigurationChange`.
+    /// To `Change`.
     Change(ChangeReply),
     /// To `Read`: the configuration, `None` before the first.
     Read(Option<Configuration>),
     /// To `Status`.
     Status(Box<StatusReport>),
-    /// This process does not lead, or cannot tell what is asked.
+    /// This process does not lead, or cannot answer the request.
     Unavailable,
 }
 
-/// What one control process tells another; none has an answer of its own.
+/// A message from one control process to another. None has a reply of its own.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum PeerMessage {
-    /// The first message: who speaks.
+    /// The first message on a connection: the sender introduces itself.
     Hello {
-        /// Address of its machine.
+        /// IPv4 address of its machine.
         ip: u32,
-        /// Whether it keeps the configuration on a disk.
+        /// Whether it stores the configuration on a disk.
         has_disk: bool,
-        /// The machine that was named to found the group, where the seeds could not.
+        /// The machine that an operator named as bootstrap node, where the seeds could not bootstrap the group.
         bootstrap_node: Option<u32>,
-        /// What it counts its changes under.
+        /// The origin under which it numbers its changes.
         origin: crate::Origin,
-        /// Addresses of the machines that it knows to serve control.
+        /// IPv4 addresses of the machines that it knows to run a control process.
         members: Vec<u32>,
     },
-    /// For the replica.
+    /// A message for the receiver's replica.
     Replica {
-        /// The sender; it may be known only after the connection is open.
+        /// The sending replica; it may exist only some time after the connection was opened.
         from: ReplicaId,
-        /// The receiver, `None`: whichever replica is there. A message for the disk that a machine had is for nobody.
+        /// The receiving replica; `None` for whichever runs there. A message to the replica of a lost disk is dropped.
         to: Option<ReplicaId>,
-        /// What is said.
+        /// The message.
         message: ReplicaMessage,
     },
-    /// The sums of what the proxies that call the sender see of the backends' load.
+    /// The backends' load: the sums of what the proxies that call the sender observe.
     Load(Vec<BackendLoad>),
     /// Changes of the catalog, as they happen.
     Push(CatalogDelta),
-    /// The sender has taken the changes of an origin up to a number.
+    /// The sender has applied the changes of an origin up to a number.
     Acknowledge {
         /// The origin.
         origin: crate::Origin,
         /// The number.
         change: u64,
     },
-    /// What the sender knows: the receiver pushes what it lacks.
+    /// What the sender has: the receiver pushes the changes that it lacks (anti-entropy).
     Compare {
         /// The sender's vector.
         vector: VersionVector,
         /// Digests of the ranges of its catalog.
         digests: Vec<u64>,
-        /// Addresses of the machines that it knows to serve control: one that was silent while another came is told of it.
+        /// IPv4 addresses of the machines that it knows to run a control process, for a receiver that was unreachable
+        /// while one was added.
         members: Vec<u32>,
     },
 }
 
-/// How a control process stands.
+/// The status of a control process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct StatusReport {
-    /// The replica, machine and disk.
+    /// Identity of its replica: machine and disk incarnation.
     pub replica: String,
-    /// What it does at present.
+    /// Its role.
     pub role: String,
     /// Its term.
     pub term: u64,
-    /// Who leads, as far as it knows.
+    /// The leader, as far as it knows.
     pub leader: Option<String>,
-    /// Who votes.
+    /// The voters.
     pub voters: Vec<String>,
-    /// Count of the newest state on a majority of disks.
+    /// Index of the newest committed state.
     pub index: u64,
-    /// Revision of the configuration in force.
+    /// Revision of the committed configuration.
     pub revision: u64,
-    /// Whether it was in touch with a majority a moment ago.
+    /// Whether it was in contact with a majority within its lease.
     pub fresh: bool,
-    /// Whether it keeps the configuration on a disk.
+    /// Whether it stores the configuration on a disk.
     pub disk: bool,
-    /// Other control processes that spoke lately.
+    /// Number of other control processes that are alive.
     pub peers_alive: u64,
-    /// Backends that may get requests.
+    /// Number of backends that are ready for requests.
     pub backends: u64,
-    /// Backends that have announced their end or have ended.
+    /// Number of backends that are draining or have departed.
     pub backends_leaving: u64,
-    /// Proxies that live.
+    /// Number of live proxies.
     pub proxies: u64,
 }
 
-/// What opens a connection to a control process.
+/// The first message on a connection to a control process: what follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Opening {
-    /// Requests follow, each answered in turn.
+    /// [`Request`]s follow, each with its [`Reply`] in turn.
     Requests,
     /// [`PeerMessage`]s follow.
     Peer,
--- a/crates/gaugesaddle-protocol/src/frame.rs
+++ b/crates/gaugesaddle-protocol/src/frame.rs
@@ -1,37 +1,50 @@
-//! Frames: how a message is laid out on a connection.
+//! Frames: the layout of a message on a connection.
+//!
+//! ```text
+//! length 4 | version 1 | message
+//! ```
+//!
+//! The length is that of the message in bytes, little endian.
 
 use musli::alloc::Global;
 use musli::mode::Binary;
 use musli::{Decode, Encode};
 use thiserror::Error;
 
-/// Version of the format; another version's frames are refused.
+/// Version of the format; frames of another version are rejected.
 pub const VERSION: u8 = 3;
-/// Bytes before a message: its length (little endian, without these bytes) and the version.
+/// Length of the header before a message, in bytes.
 pub const HEADER_BYTES: usize = 5;
-/// A message is at most this long: a configuration of 4 MiB with room for what goes with it.
+/// Limit on the length of a message, in bytes: a configuration of 4 MiB with headroom for the rest.
 pub const MAX_BYTES: usize = 12 << 20;
 
-/// Why a frame cannot be read.
-#[derive(Debug, Error, PartialEq, Eq)]
+/// Why a frame cannot be encoded or decoded.
+#[derive(Debug, Error)]
 pub enum FrameError {
-    /// The length exceeds [`MAX_BYTES`].
-    #[error("a frame of {0} bytes, at most {MAX_BYTES} are expected")]
+    /// The length, in bytes, exceeds [`MAX_BYTES`].
+    #[error("a message of {0} bytes, the limit is {MAX_BYTES}")]
     TooLong(usize),
-    /// Another version of the format, or no frame at all.
+    /// The peer uses another version of the format, or another protocol.
     #[error("format version {0}, expected {VERSION}")]
     Version(u8),
-    /// The message is no such message.
+    /// The bytes are not an encoding of the expected type.
     #[error("a message that cannot be decoded")]
-    Malformed,
+    Malformed(#[source] musli::storage::Error),
+    /// The message is valid, but not expected at this point of the protocol.
+    #[error("a message that is not expected here")]
+    Unexpected,
     /// The message cannot be encoded.
     #[error("a message that cannot be encoded")]
-    Encode,
+    Encode(#[source] musli::storage::Error),
 }
 
-/// A whole frame for a message.
+/// Encodes a message as a frame.
+///
+/// # Errors
+///
+/// [`FrameError::Encode`], or [`FrameError::TooLong`] where it exceeds [`MAX_BYTES`].
 pub fn encode<T: Encode<Binary>>(message: &T) -> Result<Vec<u8>, FrameError> {
-    let body = musli::storage::to_vec(message).map_err(|_| FrameError::Encode)?;
+    let body = musli::storage::to_vec(message).map_err(FrameError::Encode)?;
     if body.len() > MAX_BYTES {
         return Err(FrameError::TooLong(body.len()));
     }
@@ -42,23 +55,31 @@
     Ok(frame)
 }
 
-/// The length of the message behind a header.
+/// Length of the message after a header, in bytes.
+///
+/// # Errors
+///
+/// [`FrameError::Version`] or [`FrameError::TooLong`].
 pub fn body_length(header: [u8; HEADER_BYTES]) -> Result<usize, FrameError> {
-    let [a, b, c, d, version] = header;
+    let [b0, b1, b2, b3, version] = header;
     if version != VERSION {
         return Err(FrameError::Version(version));
     }
-    let length = u32::from_le_bytes([a, b, c, d]) as usize;
+    let length = u32::from_le_bytes([b0, b1, b2, b3]) as usize;
     if length > MAX_BYTES {
         return Err(FrameError::TooLong(length));
     }
     Ok(length)
 }
 
-/// The message in a frame's body.
+/// Decodes a frame's message; `body` is the frame without its header.
+///
+/// # Errors
+///
+/// [`FrameError::Malformed`].
 pub fn decode<T>(body: &[u8]) -> Result<T, FrameError>
 where
     T: for<'de> Decode<'de, Binary, Global>,
 {
-    musli::storage::from_slice(body).map_err(|_| FrameError::Malformed)
+    musli::storage::from_slice(body).map_err(FrameError::Malformed)
 }
--- a/crates/gaugesaddle-protocol/src/lib.rs
+++ b/crates/gaugesaddle-protocol/src/lib.rs
@@ -1,8 +1,37 @@
 //! Typed messages between the processes of the fleet.
 //!
-//! A connection carries frames: a length, a format version and one message in `musli`'s storage encoding. The
-//! types are data only; what they mean is decided by the crates above. Every decoder is total: what cannot be read
-//! is an [`frame::FrameError`] and changes nothing.
+//! The types are data only; the crates above decide what they mean. A connection carries [`frame`]s: a length, a format
+//! version and one message in `musli`'s storage encoding. That encoding writes the positions of fields and variants, not
+//! their names: a field or variant may be renamed but not moved, and new ones are added at the end only.
+//! `tests/golden_frames.rs` checks this for every message.
+//!
+//! # Main types
+//!
+//! - [`Opening`] is the first message on a connection to a control process; [`Request`]s with their [`Reply`], or
+//!   [`PeerMessage`]s follow.
+//! - [`ReplicaMessage`] and [`State`]: consensus on the configuration ([`consensus`]).
+//! - [`Registration`], [`VersionVector`] and [`CatalogDelta`]: backends and proxies ([`catalog`]).
+//! - [`QuotaRequest`], [`QuotaGrant`] and [`BackendLoad`]: tokens of tenants and load of backends.
+//!
+//! # Example
+//!
+//! ```rust
+//! use gaugesaddle_protocol::frame::{body_length, decode, encode, FrameError, HEADER_BYTES};
+//! use gaugesaddle_protocol::Request;
+//!
+//! # fn main() -> Result<(), FrameError> {
+//! let frame = encode(&Request::Status)?;
+//! let (header, body) = frame.split_first_chunk::<HEADER_BYTES>().expect("a frame has a header");
+//! assert_eq!(body_length(*header)?, body.len());
+//! assert_eq!(decode::<Request>(body)?, Request::Status);
+//! # Ok(())
+//! # }
+//! ```
+//!
+//! # Guarantees and bounds
+//!
+//! Decoders are total: any bytes yield a message or a [`frame::FrameError`], never a panic. A message is at most
+//! [`frame::MAX_BYTES`] long, which [`frame::body_length`] checks before anything is allocated.
 
 pub mod catalog;
 pub mod consensus;
--- a/crates/gaugesaddle-protocol/src/load.rs
+++ b/crates/gaugesaddle-protocol/src/load.rs
@@ -1,16 +1,16 @@
-//! What proxies tell each other of the backends' load, by way of the control processes.
+//! The backends' load as observed by the proxies, reported by way of the control processes.
 
 use musli::{Decode, Encode};
 
-/// What some proxies together see of one backend.
+/// Load of one backend: the sum of what some proxies observe.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct BackendLoad {
-    /// A number for its identity. Two backends with one number are taken for one: each looks busier than it is.
+    /// Hash of its identity. Two backends with equal hashes are added up: each seems busier than it is.
     pub backend: u32,
-    /// Work that was sent there and has not begun to be answered, in tokens.
+    /// Work of the requests that have no response yet, in tokens.
     pub work: u32,
-    /// Requests that failed there lately, in sixteenths.
+    /// Smoothed number of recently failed requests, in sixteenths.
     pub failed: u32,
-    /// Requests that were answered there lately, in sixteenths.
+    /// Smoothed number of recently served requests, in sixteenths.
     pub served: u32,
 }
--- a/crates/gaugesaddle-protocol/src/quota.rs
+++ b/crates/gaugesaddle-protocol/src/quota.rs
@@ -1,25 +1,25 @@
-//! Requests for tokens of tenants and what the leader lends.
+//! Tokens of tenants: the proxies' requests and the leader's leases.
 
 use musli::{Decode, Encode};
 
-/// One tenant's line of a request.
+/// A proxy's request for one tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct QuotaRequest {
     /// The tenant.
     pub tenant: String,
-    /// Tokens that the proxy would like to have.
+    /// Number of tokens requested.
     pub tokens: u64,
-    /// Tokens that it was lent and has not used yet.
+    /// Leased tokens that it has not used yet.
     pub unused: u64,
-    /// Tokens a second that the proxy has used lately, and may go on using when no leader answers.
+    /// Recent usage in tokens per second; the proxy may continue at this rate while no leader responds.
     pub usage_rate: u64,
 }
 
-/// One tenant's line of an answer.
+/// The leader's grant for one tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct QuotaGrant {
     /// The tenant.
     pub tenant: String,
-    /// Tokens lent, to be used within the lease.
+    /// Tokens leased, to be used within the lease.
     pub tokens: u64,
 }
--- a/crates/gaugesaddle-protocol/tests/frames.rs
+++ b/crates/gaugesaddle-protocol/tests/frames.rs
@@ -1,4 +1,4 @@
-//! The failure: what another process sends, spoilt or foreign, ends this one or is taken for a message.
+//! The failure: corrupt or foreign bytes of another process end this one, or are taken for a message.
 
 use gaugesaddle_protocol::frame::{
     body_length, decode, encode, FrameError, HEADER_BYTES, MAX_BYTES, VERSION,
@@ -30,7 +30,7 @@
 }
 
 fn state() -> PeerMessage {
-    let me = ReplicaId { ip: 0x0a01_0001, incarnation: 77 };
+    let id = ReplicaId { ip: 0x0a01_0001, incarnation: 77 };
     let state = StateUpdate {
         base: Some(LogPosition { term: 4, index: 8 }),
         position: LogPosition { term: 4, index: 9 },
@@ -40,8 +40,8 @@
             b"{\"revision\":5,\"routes\":[]}",
         ),
         accepted: vec![Accepted { revision: 5, digest: Digest([9; 16]) }],
-        forgotten: 2,
-        voters: vec![me],
+        pruned_revision: 2,
+        voters: vec![id],
         outgoing: Vec::new(),
     };
     let message = ReplicaMessage::Append {
@@ -52,26 +52,29 @@
         state: Some(Box::new(state)),
         echoed_reading: Some(ClockReading { process: 3, time_ms: 4 }),
     };
-    PeerMessage::Replica { from: me, to: None, message }
+    PeerMessage::Replica { from: id, to: None, message }
 }
 
 #[test]
-fn messages_come_back_as_they_were() {
-    let frame = encode(&pull()).expect("it encodes");
+fn encoded_messages_are_decoded() {
+    let frame = encode(&pull()).expect("the message is encoded");
     let header = frame[..HEADER_BYTES].try_into().expect("a header");
-    assert_eq!(body_length(header), Ok(frame.len() - HEADER_BYTES));
-    assert_eq!(decode(&frame[HEADER_BYTES..]), Ok(pull()));
-    let frame = encode(&state()).expect("it encodes");
-    assert_eq!(decode(&frame[HEADER_BYTES..]), Ok(state()));
+    assert_eq!(body_length(header).ok(), Some(frame.len() - HEADER_BYTES));
+    assert_eq!(decode(&frame[HEADER_BYTES..]).ok(), Some(pull()));
+    let frame = encode(&state()).expect("the message is encoded");
+    assert_eq!(decode(&frame[HEADER_BYTES..]).ok(), Some(state()));
 }
 
 #[test]
-fn another_version_and_a_foreign_length_are_named() {
-    assert_eq!(body_length([1, 0, 0, 0, VERSION + 1]), Err(FrameError::Version(VERSION + 1)));
-    assert_eq!(body_length(*b"GET /"), Err(FrameError::Version(b'/')));
+fn another_version_and_an_excessive_length_are_rejected() {
+    let later = body_length([1, 0, 0, 0, VERSION + 1]);
+    assert!(matches!(later, Err(FrameError::Version(version)) if version == VERSION + 1), "{later:?}");
+    let http = body_length(*b"GET /");
+    assert!(matches!(http, Err(FrameError::Version(b'/'))), "{http:?}");
     let long = (MAX_BYTES as u32 + 1).to_le_bytes();
     let header = [long[0], long[1], long[2], long[3], VERSION];
-    assert_eq!(body_length(header), Err(FrameError::TooLong(MAX_BYTES + 1)));
+    let too_long = body_length(header);
+    assert!(matches!(too_long, Err(FrameError::TooLong(bytes)) if bytes == MAX_BYTES + 1), "{too_long:?}");
 }
 
 /// Cases are the same in each run.
@@ -81,8 +84,8 @@
     #![proptest_config(ProptestConfig { cases: 50_000, failure_persistence: None, rng_seed: SEED, ..ProptestConfig::default() })]
 
     #[test]
-    fn spoilt_requests_are_errors_or_other_requests(at in 0usize..200, byte in any::<u8>(), cut in 0usize..200) {
-        let frame = encode(&pull()).expect("it encodes");
+    fn decoding_corrupt_requests_does_not_panic(at in 0usize..200, byte in any::<u8>(), cut in 0usize..200) {
+        let frame = encode(&pull()).expect("the message is encoded");
         let mut body = frame[HEADER_BYTES..].to_vec();
         let at = at % body.len();
         body[at] = byte;
@@ -93,8 +96,8 @@
     }
 
     #[test]
-    fn spoilt_states_are_errors_or_other_states(at in 0usize..200, byte in any::<u8>()) {
-        let frame = encode(&state()).expect("it encodes");
+    fn decoding_corrupt_states_does_not_panic(at in 0usize..200, byte in any::<u8>()) {
+        let frame = encode(&state()).expect("the message is encoded");
         let mut body = frame[HEADER_BYTES..].to_vec();
         let at = at % body.len();
         body[at] = byte;
@@ -103,7 +106,7 @@
     }
 
     #[test]
-    fn noise_is_no_message(body in proptest::collection::vec(any::<u8>(), 0..120)) {
+    fn decoding_random_bytes_does_not_panic(body in proptest::collection::vec(any::<u8>(), 0..120)) {
         let _ = decode::<Request>(&body);
         let _ = decode::<Reply>(&body);
         let _ = decode::<PeerMessage>(&body);
--- a/crates/gaugesaddle-protocol/tests/golden_frames.rs
+++ b/crates/gaugesaddle-protocol/tests/golden_frames.rs
@@ -1,4 +1,4 @@
-//! The failure: a renamed or moved field changes what processes of two builds say to each other.
+//! The failure: a renamed or moved field makes the messages of two builds incompatible.
 //!
 //! `data/frames.txt` holds one frame of every message variant, as the build before any rename wrote it.
 
@@ -39,10 +39,11 @@
         T: Encode<Binary> + Debug + PartialEq + for<'de> Decode<'de, Binary, Global>,
     {
         self.checked += 1;
-        let frame = encode(&message).expect("it encodes");
+        let frame = encode(&message).expect("the message is encoded");
         match golden(name) {
             Some(recorded) if recorded == frame => {
-                assert_eq!(decode::<T>(&recorded[HEADER_BYTES..]).as_ref(), Ok(&message), "{name}");
+                let decoded = decode::<T>(&recorded[HEADER_BYTES..]).ok();
+                assert_eq!(decoded.as_ref(), Some(&message), "{name}");
             }
             _ => self.differing.push(format!("{name}: {}", hex(&frame))),
         }
@@ -101,21 +102,21 @@
         revision: 12,
         document: b"{\"revision\":12}".to_vec(),
         accepted: vec![Accepted { revision: 12, digest: Digest([7; 16]) }],
-        forgotten: 4,
+        pruned_revision: 4,
         voters: vec![replica(1), replica(2)],
         outgoing: vec![replica(3)],
     }
 }
 
 fn update(document: DocumentUpdate) -> StateUpdate {
-    let State { position, revision, accepted, forgotten, voters, outgoing, .. } = state();
+    let State { position, revision, accepted, pruned_revision, voters, outgoing, .. } = state();
     StateUpdate {
         base: Some(LogPosition { term: 299, index: 8 }),
         position,
         revision,
         document,
         accepted,
-        forgotten,
+        pruned_revision,
         voters,
         outgoing,
     }
@@ -130,9 +131,9 @@
 #[test]
 fn stored_records_keep_their_bytes() {
     let mut frames = Vec::new();
-    frames.push(("state", encode(&state()).expect("it encodes")));
+    frames.push(("state", encode(&state()).expect("the message is encoded")));
     let hard_state = HardState { id: replica(4), term: 300, voted_for: Some(replica(5)) };
-    frames.push(("hard state", encode(&hard_state).expect("it encodes")));
+    frames.push(("hard state", encode(&hard_state).expect("the message is encoded")));
     let expected = include_str!("data/stored.txt");
     let written: Vec<String> = frames.iter().map(|(name, frame)| format!("{name}: {}", hex(frame))).collect();
     assert_eq!(written, expected.lines().collect::<Vec<_>>());
