--- a/crates/gaugesaddle-inference/src/affinity.rs
+++ b/crates/gaugesaddle-inference/src/affinity.rs
@@ -1,21 +1,27 @@
-//! Which backends keep a part of a prompt: rendezvous hashing, the same at every proxy without a message.
+//! Cache affinity: which backends cache a prompt's prefix.
+//!
+//! Rendezvous hashing (Thaler and Ravishankar, 1998) gives the same answer at every proxy without a message, and a
+//! backend that disappears moves only the prefixes that it cached.
 
 use gaugesaddle_balancer::mix;
 
-/// The rank of a backend for a part; the highest keep it.
-pub fn rank(part: u64, backend: u64) -> u64 {
-    mix(mix(part) ^ backend)
+/// Start value of the hash in [`identity`].
+const IDENTITY_SEED: u64 = 0x9ae1_6a3b_2f90_404f;
+
+/// The rank of a backend for a prefix. Backends with the highest ranks cache it.
+pub fn rank(prefix: u64, backend: u64) -> u64 {
+    mix(mix(prefix) ^ backend)
 }
 
-/// A number for a backend's identity.
+/// The hash of an identity, such as a backend's.
 pub fn identity(id: &str) -> u64 {
-    id.bytes().fold(0x9ae1_6a3b_2f90_404f, |hash, byte| mix(hash ^ u64::from(byte)))
+    id.bytes().fold(IDENTITY_SEED, |hash, byte| mix(hash ^ u64::from(byte)))
 }
 
-/// Indices of so many backends with the highest ranks, the highest first.
-pub fn ranked(part: u64, backends: &[u64], count: usize) -> Vec<usize> {
-    let mut ranked: Vec<(u64, usize)> =
-        backends.iter().enumerate().map(|(index, backend)| (rank(part, *backend), index)).collect();
+/// Indices of the `count` backends with the highest ranks, the highest first.
+pub fn ranked(prefix: u64, backends: &[u64], count: usize) -> Vec<usize> {
+    let with_rank = |(index, backend): (usize, &u64)| (rank(prefix, *backend), index);
+    let mut ranked: Vec<(u64, usize)> = backends.iter().enumerate().map(with_rank).collect();
     if count < ranked.len() {
         ranked.select_nth_unstable_by(count, |a, b| b.cmp(a));
         ranked.truncate(count);
@@ -24,11 +30,11 @@
     ranked.into_iter().map(|(_, index)| index).collect()
 }
 
-/// Marks the `copies` highest ranks among backends.
-pub fn warm(part: u64, backends: &[u64], copies: usize) -> Vec<bool> {
-    let mut marks = vec![false; backends.len()];
-    for index in ranked(part, backends, copies) {
-        marks[index] = true;
+/// For each backend whether it is among the `count` with the highest ranks.
+pub fn is_among_highest(prefix: u64, backends: &[u64], count: usize) -> Vec<bool> {
+    let mut is_among = vec![false; backends.len()];
+    for index in ranked(prefix, backends, count) {
+        is_among[index] = true;
     }
-    marks
+    is_among
 }
--- a/crates/gaugesaddle-inference/src/chooser.rs
+++ b/crates/gaugesaddle-inference/src/chooser.rs
@@ -1,254 +1,223 @@
-//! Shares by the clamped formula, and the draw inside a kind.
+//! The choice of a backend: HALB's shares for the speed classes, and a uniform draw within one.
 
 use crate::settings::ChooserSettings;
-use crate::{bands, warmth, Prompt, Rate};
+use crate::speed_class::{work_tokens, BackendSize, CacheState, Members, SpeedClass, OVERHEAD_TOKENS};
+use crate::{affinity, latency_bands, Prompt, Rate};
 use gaugesaddle_balancer::halb_shares;
 use rand_core::RngCore;
 use std::collections::BTreeMap;
 
-/// Parts whose rate is remembered.
-const MOST_PARTS: usize = 8192;
-/// What a request takes that reads nothing, in tokens that could be read in that time.
-pub const OVERHEAD_TOKENS: f64 = 300.0;
-/// Part of the shared tokens that a backend next in rank is taken to have yet to read: it keeps them if it was tried
-/// before.
-const NEXT_UNREAD: f64 = 0.5;
+/// Prefixes whose rate is remembered. A new prefix drops idle ones from a full table; while it stays full, arrivals are
+/// recorded for no prefix.
+const MAX_PREFIXES: usize = 8192;
+/// Rate, in requests per second, up to which a prefix is dropped from a full table.
+const IDLE_PREFIX_RATE_PER_S: f64 = 0.01;
+/// Lower limit on the time of a token, in milliseconds, against a division by 0.
+const MIN_TOKEN_MS: f64 = 1e-6;
 
 /// A backend that may get the request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// Number of its identity, see [`warmth::identity`].
+    /// Hash of its identity, see [`affinity::identity`].
     pub identity: u64,
-    /// Requests that it works on at once: backends of one size are taken to be equally fast.
+    /// Number of requests that it processes concurrently. Backends with equal numbers are treated as equally fast.
     pub slots: u32,
-    /// Work that waits there, in tokens.
-    pub backlog: f64,
-}
-
-/// What a backend is taken to keep of a prompt.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Keeps {
-    /// Its shared parts.
-    All,
-    /// Its shared parts, if the prompt's keepers had too much to do before.
-    Perhaps,
-    /// Nothing.
-    Nothing,
-}
-
-/// A kind of backends, for one request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Kind {
-    slots: u32,
-    keeps: Keeps,
-    /// How much work waits there, see [`bands`].
-    band: u32,
-}
-
-/// What latencies are learned for: a token is read equally fast whatever is kept and waits.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Reader {
-    slots: u32,
-}
-
-impl From<&Kind> for Reader {
-    fn from(kind: &Kind) -> Reader {
-        Reader { slots: kind.slots }
-    }
+    /// Work that is queued there, in tokens.
+    pub backlog_tokens: f64,
 }
 
 /// The backend that was drawn, and what is expected of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice {
-    /// Its place among the candidates.
+    /// Its index among the candidates.
     pub index: usize,
-    /// What its latency teaches something of.
-    pub reader: Reader,
-    /// Work that the request brings there, in tokens.
-    pub work: f64,
-    /// The same, with what waits there before it.
-    pub ahead: f64,
-    /// Whether it is taken to keep the prompt's shared parts.
-    pub warm: bool,
-}
-
-/// The members of a kind, and what waits at one of them on the mean.
-#[derive(Debug, Default)]
-struct Members {
-    indices: Vec<usize>,
-    backlog: f64,
+    /// The size for which its latency is recorded.
+    pub size: BackendSize,
+    /// Work that the request adds there, in tokens.
+    pub work_tokens: f64,
+    /// The same plus the work queued before it, in tokens.
+    pub work_until_done_tokens: f64,
+    /// Whether it is expected to have the prompt's shared prefix in its cache.
+    pub is_cached: bool,
 }
 
-/// What is known of the traffic that a choice belongs to.
+/// The state of the fleet at the time of a choice.
 #[derive(Clone, Copy, Debug)]
-pub struct Surroundings {
-    /// Proxies that arrivals are spread over.
+pub struct FleetView {
+    /// Number of proxies over which arrivals are spread.
     pub proxies: usize,
-    /// Work that arrives at one backend while news of it travels, in tokens.
-    pub inflow: f64,
-    /// The objective of the request's answer, in ms.
-    pub target_ms: f64,
+    /// Work that arrives at one backend while a load report travels, in tokens.
+    pub inflow_tokens: f64,
+    /// Latency objective of the request, in milliseconds.
+    pub objective_ms: f64,
 }
 
 /// Chooses backends of one service for one route.
 #[derive(Clone, Debug)]
 pub struct Chooser {
     settings: ChooserSettings,
-    /// Milliseconds for a token read.
-    latencies: BTreeMap<Reader, f64>,
+    /// Learned milliseconds per token.
+    token_ms: BTreeMap<BackendSize, f64>,
     arrivals: Rate,
-    parts: BTreeMap<u64, Rate>,
+    prefix_arrivals: BTreeMap<u64, Rate>,
 }
 
 impl Chooser {
-    /// Knows nothing yet.
+    /// A chooser that has learned nothing yet.
     pub fn new(settings: ChooserSettings) -> Chooser {
-        Chooser { settings, latencies: BTreeMap::new(), arrivals: Rate::default(), parts: BTreeMap::new() }
+        Chooser {
+            settings,
+            token_ms: BTreeMap::new(),
+            arrivals: Rate::default(),
+            prefix_arrivals: BTreeMap::new(),
+        }
     }
 
-    /// An arrival at this proxy.
-    pub fn note_arrival(&mut self, now: u64, part: Option<u64>) {
-        let smoothing = self.settings.rate_smoothing;
-        self.arrivals.note(now, smoothing);
-        let Some(part) = part else { return };
-        if self.parts.len() >= MOST_PARTS && !self.parts.contains_key(&part) {
-            self.parts.retain(|_, rate| rate.at(now, smoothing) > 0.01);
+    /// Records an arrival at this proxy at `now` milliseconds, with the prompt's shared prefix.
+    pub fn record_arrival(&mut self, now: u64, prefix: Option<u64>) {
+        let smoothing_ms = self.settings.rate_smoothing_ms;
+        self.arrivals.record(now, smoothing_ms);
+        let Some(prefix) = prefix else { return };
+        if self.prefix_arrivals.len() >= MAX_PREFIXES && !self.prefix_arrivals.contains_key(&prefix) {
+            self.prefix_arrivals.retain(|_, rate| rate.at(now, smoothing_ms) > IDLE_PREFIX_RATE_PER_S);
         }
-        if self.parts.len() < MOST_PARTS {
-            self.parts.entry(part).or_default().note(now, smoothing);
+        if self.prefix_arrivals.len() < MAX_PREFIXES {
+            self.prefix_arrivals.entry(prefix).or_default().record(now, smoothing_ms);
         }
     }
 
-    /// A served request took so many milliseconds, to its first event where it is a stream.
-    pub fn note_latency(&mut self, choice: &Choice, latency: f64) {
-        let part = self.settings.latency_part;
-        let sample = latency / choice.ahead.max(OVERHEAD_TOKENS);
-        let learned = self.latencies.entry(choice.reader).or_insert(sample);
-        *learned += part * (sample - *learned);
+    /// Records the latency of a served request in milliseconds; for a stream that of its first event.
+    pub fn record_latency(&mut self, choice: &Choice, latency_ms: f64) {
+        let sample = latency_ms / choice.work_until_done_tokens.max(OVERHEAD_TOKENS);
+        let learned = self.token_ms.entry(choice.size).or_insert(sample);
+        *learned += self.settings.latency_weight * (sample - *learned);
     }
 
-    /// Draws a backend; `None` where there is none.
+    /// Draws a backend; `None` without candidates.
     pub fn choose(
-        &self, now: u64, candidates: &[Candidate], prompt: Prompt, around: Surroundings,
-        random: &mut impl RngCore,
+        &self, now: u64, candidates: &[Candidate], prompt: Prompt, view: FleetView, random: &mut impl RngCore,
     ) -> Option<Choice> {
-        let rate = self.rate(now, prompt) * around.proxies.max(1) as f64;
-        let kinds = self.kinds(candidates, prompt.subject, rate, around.inflow);
-        let shares = self.shares(&kinds, prompt, rate, around.target_ms);
-        let at = draw(&shares, random)?;
-        let (kind, members) = kinds.get(at)?;
-        let index = *members.indices.get(below(random, members.indices.len()))?;
-        let work = work(prompt, kind.keeps, 1.0);
-        let ahead = work + candidates.get(index)?.backlog;
-        Some(Choice { index, reader: Reader::from(kind), work, ahead, warm: kind.keeps == Keeps::All })
+        let rate_per_s = self.local_rate_per_s(now, prompt) * view.proxies.max(1) as f64;
+        let classes = self.classify(candidates, prompt.prefix, rate_per_s, view.inflow_tokens);
+        let shares = self.shares(&classes, prompt, rate_per_s, view.objective_ms);
+        let (class, members) = classes.get(draw_weighted(&shares, random)?)?;
+        let index = *members.indices.get(draw_below(members.indices.len(), random))?;
+        let work_tokens = work_tokens(prompt, class.cache, 1.0);
+        Some(Choice {
+            index,
+            size: BackendSize::from(class),
+            work_tokens,
+            work_until_done_tokens: work_tokens + candidates.get(index)?.backlog_tokens,
+            is_cached: class.cache == CacheState::Cached,
+        })
     }
 
-    /// Requests a second at this proxy that may be taken to be like this one.
-    fn rate(&self, now: u64, prompt: Prompt) -> f64 {
-        let smoothing = self.settings.rate_smoothing;
-        match prompt.subject {
-            Some(part) => {
-                let seen = self.parts.get(&part).map_or(0.0, |r| r.at(now, smoothing));
-                (seen - self.settings.chance * 1000.0 / smoothing).max(0.0)
-            }
-            None => self.arrivals.at(now, smoothing),
-        }
+    /// Rate of similar requests at this proxy: with the same prefix, or of all requests without one.
+    fn local_rate_per_s(&self, now: u64, prompt: Prompt) -> f64 {
+        let smoothing_ms = self.settings.rate_smoothing_ms;
+        let Some(prefix) = prompt.prefix else { return self.arrivals.at(now, smoothing_ms) };
+        let observed = self.prefix_arrivals.get(&prefix).map_or(0.0, |rate| rate.at(now, smoothing_ms));
+        let by_chance = self.settings.chance_arrivals * 1000.0 / smoothing_ms;
+        (observed - by_chance).max(0.0)
     }
 
-    /// The members of each kind.
-    fn kinds(
-        &self, candidates: &[Candidate], part: Option<u64>, rate: f64, inflow: f64,
-    ) -> Vec<(Kind, Members)> {
-        let keeps = self.keepers(candidates, part, rate);
-        let bands = self.bands(candidates, inflow);
-        let mut kinds: BTreeMap<Kind, Members> = BTreeMap::new();
+    /// Groups the candidates into speed classes.
+    fn classify(
+        &self, candidates: &[Candidate], prefix: Option<u64>, rate_per_s: f64, inflow_tokens: f64,
+    ) -> Vec<(SpeedClass, Members)> {
+        let cache_states = self.cache_states(candidates, prefix, rate_per_s);
+        let bands = self.bands(candidates, inflow_tokens);
+        let mut classes: BTreeMap<SpeedClass, Members> = BTreeMap::new();
         for (index, candidate) in candidates.iter().enumerate() {
-            let Candidate { slots, backlog, .. } = *candidate;
-            let kind = Kind { slots, keeps: keeps[index], band: bands[index] };
-            let members = kinds.entry(kind).or_default();
-            members.indices.push(index);
-            members.backlog += (backlog - members.backlog) / members.indices.len() as f64;
+            let class = SpeedClass { slots: candidate.slots, cache: cache_states[index], band: bands[index] };
+            classes.entry(class).or_default().add(index, candidate.backlog_tokens);
         }
-        kinds.into_iter().collect()
+        classes.into_iter().collect()
     }
 
-    fn bands(&self, candidates: &[Candidate], inflow: f64) -> Vec<u32> {
-        if !self.settings.backlog {
+    fn bands(&self, candidates: &[Candidate], inflow_tokens: f64) -> Vec<u32> {
+        if !self.settings.use_backlog {
             return vec![0; candidates.len()];
         }
-        let backlogs: Vec<f64> = candidates.iter().map(|c| c.backlog).collect();
-        bands::of(&backlogs, inflow * self.settings.band, self.settings.light_part)
+        let backlogs: Vec<f64> = candidates.iter().map(|candidate| candidate.backlog_tokens).collect();
+        let width = inflow_tokens * self.settings.band_width;
+        latency_bands::assign(&backlogs, width, self.settings.least_loaded_fraction)
     }
 
-    /// What each candidate is taken to keep of a part.
-    fn keepers(&self, candidates: &[Candidate], part: Option<u64>, rate: f64) -> Vec<Keeps> {
-        let mut keeps = vec![Keeps::Nothing; candidates.len()];
-        let (Some(part), copies) = (part, self.settings.copies) else { return keeps };
-        if copies == 0 {
-            return keeps;
+    /// Whether each candidate is expected to have a prefix in its cache.
+    fn cache_states(
+        &self, candidates: &[Candidate], prefix: Option<u64>, rate_per_s: f64,
+    ) -> Vec<CacheState> {
+        let mut states = vec![CacheState::Uncached; candidates.len()];
+        let Some(prefix) = prefix else { return states };
+        if self.settings.min_cached_backends == 0 {
+            return states;
         }
-        let copies = copies + (rate / self.settings.rate_for_copy) as usize;
-        let identities: Vec<u64> = candidates.iter().map(|c| c.identity).collect();
-        let ranked = warmth::ranked(part, &identities, copies + self.settings.next_copies);
-        for (place, index) in ranked.into_iter().enumerate() {
-            keeps[index] = if place < copies { Keeps::All } else { Keeps::Perhaps };
+        let for_rate = (rate_per_s / self.settings.rate_per_cached_backend) as usize;
+        let cached = self.settings.min_cached_backends + for_rate;
+        let identities: Vec<u64> = candidates.iter().map(|candidate| candidate.identity).collect();
+        let ranked = affinity::ranked(prefix, &identities, cached + self.settings.fallback_backends);
+        for (rank, index) in ranked.into_iter().enumerate() {
+            states[index] = if rank < cached { CacheState::Cached } else { CacheState::PossiblyCached };
         }
-        keeps
+        states
     }
 
-    /// The clamped formula. Speeds are what the latencies tell under the present load; a kind without data counts as
-    /// equally fast. What waits at a backend counts as far as it makes the answer late: up to there all are equally good,
-    /// and the one that reads least is best for the others. A backend serves as many requests at once as it has slots: each
-    /// slot is one of the formula's servers.
-    fn shares(&self, kinds: &[(Kind, Members)], prompt: Prompt, rate: f64, target_ms: f64) -> Vec<f64> {
-        let typical = self.latencies.values().copied().reduce(f64::max).unwrap_or(1.0);
-        let good = target_ms * self.settings.target_part;
-        let latency = |kind: &Kind, backlog: f64| {
-            let learned = self.latencies.get(&Reader::from(kind)).copied();
-            let token_ms = learned.unwrap_or(typical).max(1e-6);
-            let own = token_ms * work(prompt, kind.keeps, self.settings.read_again);
-            let late = (token_ms * (work(prompt, kind.keeps, 1.0) + backlog) - good).max(0.0);
-            (own + late) / 1000.0
+    /// The fraction of the traffic for each class, by HALB's clamped formula. Each slot of a backend is one of the formula's
+    /// servers.
+    fn shares(
+        &self, classes: &[(SpeedClass, Members)], prompt: Prompt, rate_per_s: f64, objective_ms: f64,
+    ) -> Vec<f64> {
+        let servers = |(class, members): &(SpeedClass, Members)| {
+            members.indices.len() as f64 * f64::from(class.slots.max(1))
+        };
+        let total_servers: f64 = classes.iter().map(servers).sum();
+        let rate_per_server = rate_per_s / total_servers.max(1.0);
+        // Latencies are learned under the present load. In M/G/1/PS the latency is 1 / (speed - rate), so the speed is:
+        let speed = |(class, members): &(SpeedClass, Members)| {
+            let latency_s = self.expected_latency_s(class, members, prompt, objective_ms);
+            1.0 / latency_s + rate_per_server
         };
-        let servers =
-            |kind: &Kind, members: &Members| members.indices.len() as f64 * f64::from(kind.slots.max(1));
-        let total: f64 = kinds.iter().map(|(kind, members)| servers(kind, members)).sum();
-        let even = rate / total.max(1.0);
-        let backlog = |members: &Members| if self.settings.backlog { members.backlog } else { 0.0 };
-        let table: Vec<(f64, f64)> = kinds
-            .iter()
-            .map(|(kind, members)| (servers(kind, members), 1.0 / latency(kind, backlog(members)) + even))
-            .collect();
-        halb_shares(&table, Some(rate))
+        let table: Vec<(f64, f64)> = classes.iter().map(|class| (servers(class), speed(class))).collect();
+        halb_shares(&table, Some(rate_per_s))
     }
-}
 
-/// What a request takes at a backend, in tokens read; a shared one that is read again weighs so much.
-fn work(prompt: Prompt, keeps: Keeps, read_again: f64) -> f64 {
-    let (own, shared) = ((prompt.total - prompt.shared) as f64, prompt.shared as f64);
-    let unread = match keeps {
-        Keeps::All => 0.0,
-        Keeps::Perhaps => NEXT_UNREAD,
-        Keeps::Nothing => 1.0,
-    };
-    OVERHEAD_TOKENS + own + shared * unread * read_again
+    /// The latency that a class counts with. Its backlog counts only as far as it delays the response beyond the objective:
+    /// up to there all classes are equally good for this request, and the one that computes least is best for the others.
+    fn expected_latency_s(
+        &self, class: &SpeedClass, members: &Members, prompt: Prompt, objective_ms: f64,
+    ) -> f64 {
+        // A size without samples counts as the slowest of the others.
+        let slowest_ms = self.token_ms.values().copied().reduce(f64::max).unwrap_or(1.0);
+        let learned_ms = self.token_ms.get(&BackendSize::from(class)).copied();
+        let token_ms = learned_ms.unwrap_or(slowest_ms).max(MIN_TOKEN_MS);
+        let backlog = if self.settings.use_backlog { members.mean_backlog } else { 0.0 };
+        let own_ms = token_ms * work_tokens(prompt, class.cache, self.settings.recompute_weight);
+        let response_ms = token_ms * (work_tokens(prompt, class.cache, 1.0) + backlog);
+        let late_ms = (response_ms - objective_ms * self.settings.objective_fraction).max(0.0);
+        (own_ms + late_ms) / 1000.0
+    }
 }
 
-fn draw(shares: &[f64], random: &mut impl RngCore) -> Option<usize> {
-    let mut left = unit(random) * shares.iter().sum::<f64>();
-    for (index, share) in shares.iter().enumerate() {
-        if *share > 0.0 && left < *share {
+/// An index, with probabilities in proportion to the weights; `None` without a positive weight.
+fn draw_weighted(weights: &[f64], random: &mut impl RngCore) -> Option<usize> {
+    let mut remaining = draw_unit(random) * weights.iter().sum::<f64>();
+    for (index, weight) in weights.iter().enumerate() {
+        if *weight > 0.0 && remaining < *weight {
             return Some(index);
         }
-        left -= share;
+        remaining -= weight;
     }
-    shares.iter().rposition(|share| *share > 0.0)
+    // Rounding may leave a remainder.
+    weights.iter().rposition(|weight| *weight > 0.0)
 }
 
-fn unit(random: &mut impl RngCore) -> f64 {
+/// A number from 0 to below 1.
+fn draw_unit(random: &mut impl RngCore) -> f64 {
     (random.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-fn below(random: &mut impl RngCore, n: usize) -> usize {
-    ((unit(random) * n as f64) as usize).min(n.saturating_sub(1))
+/// A number from 0 to below `n`; 0 where `n` is 0.
+fn draw_below(n: usize, random: &mut impl RngCore) -> usize {
+    ((draw_unit(random) * n as f64) as usize).min(n.saturating_sub(1))
 }
--- a/crates/gaugesaddle-inference/src/event_scanner.rs
+++ b/crates/gaugesaddle-inference/src/event_scanner.rs
@@ -1,54 +1,56 @@
-//! The events of a stream: where each ends, and the id of the last whole one.
+//! Server-sent events: where each event of a stream ends, and the ID of the last complete one.
 
-/// Bytes of one event that are held while its end has not come; a longer one is passed on in pieces.
-pub const MOST_EVENT_BYTES: usize = 256 << 10;
+/// Limit on the bytes of an incomplete event, in bytes. A longer one is forwarded incomplete.
+pub const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// Splits a stream into whole events.
+/// Splits a stream into complete events.
 #[derive(Clone, Debug, Default)]
 pub struct EventScanner {
-    held: Vec<u8>,
+    /// The beginning of an incomplete event.
+    buffer: Vec<u8>,
     last_id: Option<String>,
 }
 
 impl EventScanner {
-    /// Takes bytes and returns those of whole events, in order.
+    /// Adds bytes of the stream and returns those of the events that are complete now, in order.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<u8> {
-        self.held.extend_from_slice(bytes);
-        let Some(end) = end_of_events(&self.held) else {
-            if self.held.len() > MOST_EVENT_BYTES {
-                return std::mem::take(&mut self.held);
+        self.buffer.extend_from_slice(bytes);
+        let Some(end) = end_of_events(&self.buffer) else {
+            if self.buffer.len() > MAX_EVENT_BYTES {
+                return std::mem::take(&mut self.buffer);
             }
             return Vec::new();
         };
-        let rest = self.held.split_off(end);
-        let whole = std::mem::replace(&mut self.held, rest);
-        if let Some(id) = last_id(&whole) {
+        let incomplete = self.buffer.split_off(end);
+        let complete = std::mem::replace(&mut self.buffer, incomplete);
+        if let Some(id) = last_id(&complete) {
             self.last_id = Some(id);
         }
-        whole
+        complete
     }
 
-    /// Bytes of an event that has not ended.
+    /// Returns the bytes of an incomplete event at the end of the stream.
     pub fn finish(&mut self) -> Vec<u8> {
-        std::mem::take(&mut self.held)
+        std::mem::take(&mut self.buffer)
     }
 
-    /// The id of the last whole event.
+    /// The ID of the last complete event that had one.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 }
 
-/// Just behind the last blank line.
+/// The offset after the last blank line.
 fn end_of_events(bytes: &[u8]) -> Option<usize> {
-    let at = |pattern: &[u8]| {
-        bytes.windows(pattern.len()).rposition(|window| window == pattern).map(|i| i + pattern.len())
+    let end_of_last = |pattern: &[u8]| {
+        let start = bytes.windows(pattern.len()).rposition(|window| window == pattern)?;
+        Some(start + pattern.len())
     };
-    at(b"\n\n").max(at(b"\r\n\r\n"))
+    end_of_last(b"\n\n").max(end_of_last(b"\r\n\r\n"))
 }
 
 fn last_id(events: &[u8]) -> Option<String> {
-    let lines = events.split(|byte| *byte == b'\n').rev();
-    let id = lines.filter_map(|line| line.strip_prefix(b"id:")).next()?;
+    let newest_first = events.split(|byte| *byte == b'\n').rev();
+    let id = newest_first.filter_map(|line| line.strip_prefix(b"id:")).next()?;
     std::str::from_utf8(id).ok().map(|id| id.trim().to_owned())
 }
--- a/crates/gaugesaddle-inference/src/lib.rs
+++ b/crates/gaugesaddle-inference/src/lib.rs
@@ -1,29 +1,69 @@
-//! Which backend gets a request: HALB over kinds, and a uniform draw inside the kind, without I/O.
-//!
-//! A kind is a group that is treated as equally fast. For one prompt, a backend that keeps the prompt's shared part
-//! is faster than one that has to read it again; so the *warm* and the *cold* backends of a service are two kinds of
-//! that prompt, each with the latency expected of it (learned for a token read, times the tokens that it
-//! would have to read), and the formula decides how much spills from warm to cold as
-//! the prompt's own traffic grows. Who is warm needs no message: all proxies rank the backends by the same hash of
-//! prompt part and backend.
-//!
-//! - [`Chooser`]: shares and draw, latencies learned, arrival rates.
-//! - [`warmth`]: the ranking.
-//! - [`PromptSizes`]: backends kept for long prompts.
-//! - [`events`]: the events of a stream, for passing on whole and for continuing.
-//! - [`PromptParts`]: what a request says of its prompt.
+//! Which backend gets a request: HALB over speed classes, and a uniform draw within the class, without I/O.
+//!
+//! A speed class is a group of backends that are treated as equally fast. For one prompt, a backend that has the prompt's
+//! shared prefix in its cache is faster than one that has to compute it again. So the cached and the uncached backends of
+//! a service are different classes for that prompt. Each has an expected latency (learned per token, times the tokens that
+//! it would have to compute), and the formula decides how much traffic spills from cached to uncached backends as the
+//! prompt's own traffic grows. Which backends have a prefix cached takes no message: all proxies rank the backends by the
+//! same hash of prefix and backend ([`affinity`]).
+//!
+//! # Main types
+//!
+//! - [`Chooser`] owns learned latencies and arrival rates of one service and route, and draws a [`Choice`] among
+//!   [`Candidate`]s, given a [`FleetView`]. [`ChooserSettings`] are its parameters.
+//! - [`PromptBlocks`] is a request's prompt as its client describes it, [`Prompt`] what a choice needs of it.
+//! - [`PromptSizes`] reserves backends for long prompts.
+//! - [`EventScanner`] splits a stream into complete events, to forward and to resume it.
+//!
+//! # Example
+//!
+//! ```rust
+//! use gaugesaddle_inference::{affinity, Candidate, Chooser, ChooserSettings, FleetView, Prompt, PromptBlocks};
+//! use rand_core::RngCore;
+//! # struct Random(u64);
+//! # impl RngCore for Random {
+//! #     fn next_u32(&mut self) -> u32 { self.next_u64() as u32 }
+//! #     fn next_u64(&mut self) -> u64 { self.0 = self.0.wrapping_mul(6364136223846793005).wrapping_add(1); self.0 }
+//! #     fn fill_bytes(&mut self, bytes: &mut [u8]) { bytes.fill_with(|| self.next_u64() as u8) }
+//! # }
+//! # let mut random = Random(7);
+//!
+//! let blocks = PromptBlocks::parse("5c1e07a2:4000,e4402b7d:250").expect("ID:TOKENS, separated by commas");
+//! let prompt = Prompt::from(&blocks);
+//! let candidates: Vec<Candidate> = ["i-1", "i-2", "i-3"]
+//!     .map(|id| Candidate { identity: affinity::identity(id), slots: 64, backlog_tokens: 0.0 })
+//!     .into();
+//! let view = FleetView { proxies: 1, inflow_tokens: 4000.0, objective_ms: 800.0 };
+//!
+//! let chooser = Chooser::new(ChooserSettings::default());
+//! let choice = chooser.choose(0, &candidates, prompt, view, &mut random).expect("there are candidates");
+//! assert!(choice.is_cached, "at low load the prompt goes to the backend that caches its prefix");
+//! ```
+//!
+//! # Guarantees
+//!
+//! Two proxies with the same candidates agree on which of them cache a prefix. Where a candidate disappears, only the
+//! prompts that it cached move. Clients' headers are parsed without a panic.
+//!
+//! # Bounds
+//!
+//! A [`Chooser`] remembers the rates of at most 8192 prefixes, a [`PromptBlocks`] has at most 64 blocks, an
+//! [`EventScanner`] buffers at most [`MAX_EVENT_BYTES`] and the bytes of one call.
 
-mod bands;
+pub mod affinity;
 mod chooser;
-pub mod events;
+mod event_scanner;
+mod latency_bands;
 mod prompt;
+mod prompt_sizes;
 mod rate;
 mod settings;
-mod sizes;
-pub mod warmth;
+mod speed_class;
 
-pub use chooser::{Candidate, Choice, Chooser, Reader, Surroundings, OVERHEAD_TOKENS};
-pub use prompt::{Prompt, PromptParts, TokenUsage};
+pub use chooser::{Candidate, Choice, Chooser, FleetView};
+pub use event_scanner::{EventScanner, MAX_EVENT_BYTES};
+pub use prompt::{Prompt, PromptBlock, PromptBlocks, TokenUsage};
+pub use prompt_sizes::PromptSizes;
 pub use rate::Rate;
-pub use settings::{ChooserSettings, UnknownSetting};
-pub use sizes::PromptSizes;
+pub use settings::{ChooserSettings, InvalidSetting};
+pub use speed_class::{BackendSize, OVERHEAD_TOKENS};
--- a/crates/gaugesaddle-inference/src/prompt.rs
+++ b/crates/gaugesaddle-inference/src/prompt.rs
@@ -1,76 +1,82 @@
-//! What a request says of its prompt.
+//! What a client reports of a request's prompt in its headers.
 
-/// Parts of a prompt that are looked at; more are no use for a choice.
-const MOST_PARTS: usize = 64;
+/// Limit on the blocks that are parsed; further ones do not improve a choice.
+const MAX_BLOCKS: usize = 64;
 
-/// The parts of a prompt, in order.
+/// A block of a prompt, such as a system prompt or a document.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PromptBlock {
+    /// The client's identifier of the block: equal for requests that share it.
+    pub id: u64,
+    /// Length of the block in tokens.
+    pub tokens: u64,
+}
+
+/// The blocks of a prompt, in order. All but the last one may be shared with other requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PromptParts(pub Vec<(u64, u64)>);
+pub struct PromptBlocks(pub Vec<PromptBlock>);
 
-impl PromptParts {
-    /// Reads `ID:TOKENS,ID:TOKENS`, IDs in hex; `None` where it is not of that form.
-    pub fn parse(text: &str) -> Option<PromptParts> {
-        let part = |item: &str| {
+impl PromptBlocks {
+    /// Parses `ID:TOKENS,ID:TOKENS`, with IDs in hexadecimal; `None` for any other text.
+    pub fn parse(text: &str) -> Option<PromptBlocks> {
+        let block = |item: &str| {
             let (id, tokens) = item.trim().split_once(':')?;
-            Some((u64::from_str_radix(id, 16).ok()?, tokens.parse().ok()?))
+            Some(PromptBlock { id: u64::from_str_radix(id, 16).ok()?, tokens: tokens.parse().ok()? })
         };
-        text.split(',').take(MOST_PARTS).map(part).collect::<Option<Vec<_>>>().map(PromptParts)
+        let blocks: Option<Vec<PromptBlock>> = text.split(',').take(MAX_BLOCKS).map(block).collect();
+        blocks.map(PromptBlocks)
     }
 
-    /// The last part that other requests may share: all but the prompt's own last one.
-    pub fn subject(&self) -> Option<u64> {
+    /// ID of the last block that may be shared; of the only block where there is one.
+    pub fn shared_prefix(&self) -> Option<u64> {
         let shared = self.0.len().checked_sub(1)?;
-        self.0.get(shared.saturating_sub(1)).map(|(id, _)| *id)
+        self.0.get(shared.saturating_sub(1)).map(|block| block.id)
     }
 }
 
 /// What a choice needs to know of a prompt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Its last part that others share, if it has parts.
-    pub subject: Option<u64>,
-    /// Tokens of the parts that others share.
-    pub shared: u64,
-    /// Tokens of all parts.
-    pub total: u64,
+    /// ID of its last block that may be shared; `None` without blocks.
+    pub prefix: Option<u64>,
+    /// Tokens of the blocks that may be shared.
+    pub shared_tokens: u64,
+    /// Tokens of all blocks.
+    pub total_tokens: u64,
 }
 
 impl Prompt {
-    /// Tokens that a backend has to read which keeps the shared parts, or does not.
-    pub fn unread(&self, warm: bool) -> u64 {
-        if warm {
-            self.total - self.shared
-        } else {
-            self.total
-        }
+    /// Tokens that a backend has to compute even if it has the shared blocks in its cache.
+    pub fn own_tokens(&self) -> u64 {
+        self.total_tokens - self.shared_tokens
     }
 }
 
-impl From<&PromptParts> for Prompt {
-    fn from(parts: &PromptParts) -> Prompt {
-        let total = parts.0.iter().fold(0, |sum: u64, (_, tokens)| sum.saturating_add(*tokens));
-        let own = parts.0.last().map_or(0, |(_, tokens)| *tokens);
-        Prompt { subject: parts.subject(), shared: total - own, total }
+impl From<&PromptBlocks> for Prompt {
+    fn from(blocks: &PromptBlocks) -> Prompt {
+        let total_tokens = blocks.0.iter().fold(0, |sum: u64, block| sum.saturating_add(block.tokens));
+        let own_tokens = blocks.0.last().map_or(0, |block| block.tokens);
+        Prompt { prefix: blocks.shared_prefix(), shared_tokens: total_tokens - own_tokens, total_tokens }
     }
 }
 
-/// Tokens of a prompt, and the most that may come out.
+/// Tokens of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TokenUsage {
-    /// Of the prompt.
+    /// Tokens of the prompt.
     pub prompt: u64,
-    /// Out, at most.
+    /// Maximum number of output tokens.
     pub output: u64,
 }
 
 impl TokenUsage {
-    /// Reads `PROMPT,OUTPUT`.
+    /// Parses `PROMPT,OUTPUT`; `None` for any other text.
     pub fn parse(text: &str) -> Option<TokenUsage> {
         let (prompt, output) = text.split_once(',')?;
         Some(TokenUsage { prompt: prompt.trim().parse().ok()?, output: output.trim().parse().ok()? })
     }
 
-    /// Both together.
+    /// Prompt and output together.
     pub fn total(&self) -> u64 {
         self.prompt.saturating_add(self.output)
     }
--- a/crates/gaugesaddle-inference/src/prompt_sizes.rs
+++ b/crates/gaugesaddle-inference/src/prompt_sizes.rs
@@ -1,100 +1,112 @@
-//! Long prompts apart from the others: assignment of sizes to groups of backends.
+//! Backends reserved for long prompts.
 //!
-//! While an engine reads a long prompt, everybody else on that backend waits: first tokens and the pauses between
-//! events both suffer. So a part of the backends, as large as the long prompts' part of the work asks for, is kept for
-//! them. All proxies keep the same ones: those that rank highest for a fixed number.
+//! While an engine computes a long prompt, all other requests on that backend wait: time to first token and time between
+//! tokens both suffer. A fraction of the backends, as large as the long prompts' fraction of the work, is therefore
+//! reserved for them. All proxies reserve the same ones: those with the highest rank for a fixed key.
 
-use crate::{warmth, Prompt, Rate, OVERHEAD_TOKENS};
+use crate::{affinity, Prompt, Rate, OVERHEAD_TOKENS};
 
-/// A prompt of so many times the mean is long.
-const LONG: f64 = 10.0;
-/// Part that one prompt has in the smoothed figures, at least.
-const PART: f64 = 0.0005;
-/// Part of the work that long prompts are taken to be before any is seen, and how many prompts that counts as.
-const LONG_PART: f64 = 0.15;
-const PRIOR: u32 = 400;
-/// Mean tokens of a prompt that are taken before any is seen, and how many prompts that counts as: in a large fleet a
-/// proxy sees few.
-const MEAN: f64 = 2000.0;
-const MEAN_PRIOR: u32 = 30;
-/// The number of backends kept is changed only when it is off by more than this.
-const SLACK: f64 = 0.8;
-/// Backends kept, for each that the long prompts' part of the work would fill: they vary more.
-const ROOM: f64 = 1.4;
+/// A prompt is long from this multiple of the mean.
+const LONG_PROMPT_FACTOR: f64 = 10.0;
+/// Least weight of one prompt in the smoothed figures.
+const MIN_SAMPLE_WEIGHT: f64 = 0.0005;
+/// Long prompts' fraction of the work before any prompt was observed.
+const PRIOR_LONG_FRACTION: f64 = 0.15;
+/// Number of prompts that this prior counts as.
+const PRIOR_LONG_SAMPLES: u32 = 400;
+/// Mean length of a prompt in tokens before any was observed.
+const PRIOR_MEAN_TOKENS: f64 = 2000.0;
+/// Number of prompts that this prior counts as. In a large fleet one proxy observes few.
+const PRIOR_MEAN_SAMPLES: u32 = 30;
+/// The reservation follows the long prompts' fraction only if it is off by more than this fraction of itself.
+const RESERVATION_HYSTERESIS: f64 = 0.8;
+/// Backends reserved for each one that the long prompts would occupy on average: their work varies more.
+const RESERVATION_HEADROOM: f64 = 1.4;
 /// Fewer backends are not divided.
-const LEAST_BACKENDS: usize = 4;
-/// Smoothing of the arrival rate, in ms.
-const SMOOTHING: f64 = 5000.0;
-/// What backends are ranked for.
-const RESERVED: u64 = 0x6c6f_6e67;
+const MIN_BACKENDS: usize = 4;
+/// Time constant of the smoothed arrival rate, in milliseconds.
+const RATE_SMOOTHING_MS: f64 = 5000.0;
+/// The key for which backends are ranked: "long" in ASCII.
+const RESERVATION_KEY: u64 = 0x6c6f_6e67;
 
-/// What the prompts of one service are like.
+/// Statistics of the prompts of one service.
 #[derive(Clone, Copy, Debug)]
 pub struct PromptSizes {
-    seen: u32,
-    mean: f64,
-    /// Long prompts' part of the work.
-    long: f64,
-    /// The part by which backends are kept; follows `long` when that is well off.
-    kept: f64,
+    samples: u32,
+    mean_tokens: f64,
+    /// Long prompts' fraction of the work.
+    long_fraction: f64,
+    /// The fraction by which backends are reserved. It follows `long_fraction` with a hysteresis.
+    reserved_fraction: f64,
     arrivals: Rate,
 }
 
 impl Default for PromptSizes {
     fn default() -> PromptSizes {
-        PromptSizes { seen: 0, mean: MEAN, long: LONG_PART, kept: LONG_PART, arrivals: Rate::default() }
+        PromptSizes {
+            samples: 0,
+            mean_tokens: PRIOR_MEAN_TOKENS,
+            long_fraction: PRIOR_LONG_FRACTION,
+            reserved_fraction: PRIOR_LONG_FRACTION,
+            arrivals: Rate::default(),
+        }
     }
 }
 
 impl PromptSizes {
-    /// Takes a prompt into account; tokens that a backend that keeps its shared part would read.
-    pub fn note(&mut self, now: u64, prompt: Prompt) {
-        self.arrivals.note(now, SMOOTHING);
-        if prompt.total == 0 {
+    /// Records a prompt that arrived at `now` milliseconds, by its own tokens.
+    pub fn record(&mut self, now: u64, prompt: Prompt) {
+        self.arrivals.record(now, RATE_SMOOTHING_MS);
+        if prompt.total_tokens == 0 {
             return;
         }
-        let tokens = prompt.unread(true) as f64;
-        self.seen = self.seen.saturating_add(1);
-        let part = PART.max(1.0 / f64::from(self.seen.saturating_add(MEAN_PRIOR)));
-        self.mean += part * (tokens - self.mean);
-        let weight = tokens / self.mean.max(1.0);
-        let long = if self.is_long(prompt) { 1.0 } else { 0.0 };
-        let part = PART.max(1.0 / f64::from(self.seen.saturating_add(PRIOR)));
-        self.long += (part * weight).min(1.0) * (long - self.long);
-        if (self.long - self.kept).abs() > SLACK * self.kept {
-            self.kept = self.long;
+        let tokens = prompt.own_tokens() as f64;
+        self.samples = self.samples.saturating_add(1);
+        self.mean_tokens += self.sample_weight(PRIOR_MEAN_SAMPLES) * (tokens - self.mean_tokens);
+        // A prompt counts by its work: in proportion to its tokens.
+        let relative_size = tokens / self.mean_tokens.max(1.0);
+        let weight = (self.sample_weight(PRIOR_LONG_SAMPLES) * relative_size).min(1.0);
+        let is_long = if self.is_long(prompt) { 1.0 } else { 0.0 };
+        self.long_fraction += weight * (is_long - self.long_fraction);
+        let deviation = (self.long_fraction - self.reserved_fraction).abs();
+        if deviation > RESERVATION_HYSTERESIS * self.reserved_fraction {
+            self.reserved_fraction = self.long_fraction;
         }
     }
 
-    /// Work that arrives at each of so many backends within a time in ms, from so many proxies like this one, in tokens;
-    /// one request's at least.
-    pub fn inflow(&self, now: u64, time: f64, proxies: usize, backends: usize) -> f64 {
-        let read = if self.seen == 0 { 0.0 } else { self.mean };
-        let rate = self.arrivals.at(now, SMOOTHING) * proxies.max(1) as f64;
-        let requests = rate * time / 1000.0 / backends.max(1) as f64;
-        (OVERHEAD_TOKENS + read) * requests.max(1.0)
+    /// Weight of the newest sample, where a prior counts as `prior_samples`.
+    fn sample_weight(&self, prior_samples: u32) -> f64 {
+        MIN_SAMPLE_WEIGHT.max(1.0 / f64::from(self.samples.saturating_add(prior_samples)))
+    }
+
+    /// Work in tokens that arrives at each of `backends` within `time_ms`, from `proxies` like this one; at least that of
+    /// one request.
+    pub fn inflow_tokens(&self, now: u64, time_ms: f64, proxies: usize, backends: usize) -> f64 {
+        let mean_tokens = if self.samples == 0 { 0.0 } else { self.mean_tokens };
+        let rate_per_s = self.arrivals.at(now, RATE_SMOOTHING_MS) * proxies.max(1) as f64;
+        let requests = rate_per_s * time_ms / 1000.0 / backends.max(1) as f64;
+        (OVERHEAD_TOKENS + mean_tokens) * requests.max(1.0)
     }
 
-    /// Whether a prompt is long.
+    /// Whether a prompt counts as long.
     pub fn is_long(&self, prompt: Prompt) -> bool {
-        prompt.unread(true) as f64 > LONG * self.mean
+        prompt.own_tokens() as f64 > LONG_PROMPT_FACTOR * self.mean_tokens
     }
 
-    /// Backends kept for long prompts, of so many.
-    pub fn reserved(&self, backends: usize) -> usize {
-        if self.seen == 0 || backends < LEAST_BACKENDS {
+    /// How many of `backends` are reserved for long prompts.
+    pub fn reserved_count(&self, backends: usize) -> usize {
+        if self.samples == 0 || backends < MIN_BACKENDS {
             return 0;
         }
-        let wanted = backends as f64 * self.kept * ROOM;
+        let wanted = backends as f64 * self.reserved_fraction * RESERVATION_HEADROOM;
         (wanted.round() as usize).clamp(1, backends / 2)
     }
 
-    /// Marks the backends that are kept for long prompts.
-    pub fn mark(&self, backends: &[u64]) -> Vec<bool> {
-        let reserved = self.reserved(backends.len());
-        if reserved == 0 {
-            return vec![false; backends.len()];
+    /// For each backend, given by its identity, whether it is reserved for long prompts.
+    pub fn reserved_backends(&self, backends: &[u64]) -> Vec<bool> {
+        match self.reserved_count(backends.len()) {
+            0 => vec![false; backends.len()],
+            count => affinity::is_among_highest(RESERVATION_KEY, backends, count),
         }
-        warmth::warm(RESERVED, backends, reserved)
     }
 }
--- a/crates/gaugesaddle-inference/src/rate.rs
+++ b/crates/gaugesaddle-inference/src/rate.rs
@@ -1,22 +1,23 @@
 //! Smoothed rates.
 
-/// A rate of events a second, smoothed exponentially.
+/// A rate of events per second, smoothed exponentially.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rate {
     per_second: f64,
-    updated: u64,
+    /// When `per_second` was computed, in milliseconds.
+    updated_ms: u64,
 }
 
 impl Rate {
-    /// Notes one event at a time in milliseconds; `smoothing` in milliseconds.
-    pub fn note(&mut self, now: u64, smoothing: f64) {
-        self.per_second = self.at(now, smoothing) + 1000.0 / smoothing;
-        self.updated = now;
+    /// Records one event at `now` milliseconds. `smoothing_ms` is the time constant.
+    pub fn record(&mut self, now: u64, smoothing_ms: f64) {
+        self.per_second = self.at(now, smoothing_ms) + 1000.0 / smoothing_ms;
+        self.updated_ms = now;
     }
 
-    /// The rate at a time.
-    pub fn at(&self, now: u64, smoothing: f64) -> f64 {
-        let passed = now.saturating_sub(self.updated) as f64;
-        self.per_second * (-passed / smoothing).exp()
+    /// The rate at `now` milliseconds, in events per second.
+    pub fn at(&self, now: u64, smoothing_ms: f64) -> f64 {
+        let elapsed_ms = now.saturating_sub(self.updated_ms) as f64;
+        self.per_second * (-elapsed_ms / smoothing_ms).exp()
     }
 }
--- a/crates/gaugesaddle-inference/src/settings.rs
+++ b/crates/gaugesaddle-inference/src/settings.rs
@@ -1,110 +1,114 @@
-//! The settings of the choice: each mechanism can be switched off or set alone, for measurements.
+//! Parameters of the choice. Each mechanism can be switched off or set alone, for measurements.
 
-use std::fmt;
 use std::str::FromStr;
+use thiserror::Error;
 
-/// Figures of the choice. Each has a key of the same name, see [`ChooserSettings::set`].
+/// Parameters of the choice. The key by which [`ChooserSettings::set`] knows each one is in parentheses.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChooserSettings {
-    /// Smoothing of arrival rates, in ms.
-    pub rate_smoothing: f64,
-    /// Part that one latency has in the smoothed one.
-    pub latency_part: f64,
-    /// Backends that keep a part of a prompt, at least; 0: no backend is taken to keep any.
-    pub copies: usize,
-    /// Requests a second for one part, over the fleet, that call for another copy.
-    pub rate_for_copy: f64,
-    /// Backends behind those in rank that are tried before all others where the keepers have too much to do.
-    pub next_copies: usize,
-    /// Arrivals of one prompt part at one proxy that may be chance: what few proxies see of a part says little of what
-    /// all of them see together, and would be multiplied by their number.
-    pub chance: f64,
-    /// A token of a shared part that is read again weighs so much, against one that nobody keeps.
-    pub read_again: f64,
-    /// Backends are kept for long prompts.
-    pub long_apart: bool,
-    /// Backends with more work waiting are kinds of their own.
-    pub backlog: bool,
-    /// What other proxies have sent counts, too.
+    /// Time constant of the smoothed arrival rates, in milliseconds (`rate_smoothing`).
+    pub rate_smoothing_ms: f64,
+    /// Weight of one sample in the smoothed latency, from 0 to 1 (`latency_part`).
+    pub latency_weight: f64,
+    /// Least number of backends that cache a prefix; 0 if none is expected to (`copies`).
+    pub min_cached_backends: usize,
+    /// Rate of one prefix over the fleet, in requests per second, for each further backend that caches it
+    /// (`rate_for_copy`).
+    pub rate_per_cached_backend: f64,
+    /// Number of backends next in rank that are preferred to all others where those that cache the prefix are overloaded
+    /// (`next_copies`).
+    pub fallback_backends: usize,
+    /// Arrivals of one prefix at one proxy that count as chance (`chance`). A few observations at one proxy say little
+    /// about the fleet, and would be multiplied by the number of proxies.
+    pub chance_arrivals: f64,
+    /// Weight of a shared token that a backend computes although another one has it cached, against an own token
+    /// (`read_again`).
+    pub recompute_weight: f64,
+    /// Whether backends are reserved for long prompts (`long_apart`).
+    pub isolate_long_prompts: bool,
+    /// Whether backends with a larger backlog are speed classes of their own (`backlog`).
+    pub use_backlog: bool,
+    /// Whether work that other proxies sent counts as backlog (`shared_load`).
     pub shared_load: bool,
-    /// What failed at other proxies counts, too.
+    /// Whether failures that other proxies observed count (`shared_health`).
     pub shared_health: bool,
-    /// Width of a kind in what arrives at one backend while news travels.
-    pub band: f64,
-    /// The part of the backends with the least work that is always taken to be equally fast.
-    pub light_part: f64,
-    /// Time that news of other proxies' work takes, in ms.
-    pub news: f64,
-    /// A backend that failed is avoided for a while.
-    pub avoid: bool,
-    /// Work that waits at a backend counts only where it puts the answer beyond this part of its objective.
-    pub target_part: f64,
+    /// Width of a latency band, as a multiple of what arrives at one backend while a load report travels (`band`).
+    pub band_width: f64,
+    /// Fraction of the backends, those with the least backlog, that always count as equally fast (`light_part`).
+    pub least_loaded_fraction: f64,
+    /// Time until other proxies' work is reported, in milliseconds (`news`).
+    pub report_delay_ms: f64,
+    /// Whether a backend that failed is avoided for a time (`avoid`).
+    pub avoid_failed: bool,
+    /// Fraction of the latency objective up to which the backlog of a backend does not count (`target_part`).
+    pub objective_fraction: f64,
 }
 
 impl Default for ChooserSettings {
     fn default() -> ChooserSettings {
         ChooserSettings {
-            rate_smoothing: 12_000.0,
-            latency_part: 0.1,
-            copies: 1,
-            rate_for_copy: 6.0,
-            next_copies: 1,
-            chance: 2.0,
-            read_again: 20.0,
-            long_apart: false,
-            backlog: true,
+            rate_smoothing_ms: 12_000.0,
+            latency_weight: 0.1,
+            min_cached_backends: 1,
+            rate_per_cached_backend: 6.0,
+            fallback_backends: 1,
+            chance_arrivals: 2.0,
+            recompute_weight: 20.0,
+            isolate_long_prompts: false,
+            use_backlog: true,
             shared_load: true,
             shared_health: true,
-            band: 1.0,
-            light_part: 0.25,
-            news: 150.0,
-            avoid: true,
-            target_part: 0.8,
+            band_width: 1.0,
+            least_loaded_fraction: 0.25,
+            report_delay_ms: 150.0,
+            avoid_failed: true,
+            objective_fraction: 0.8,
         }
     }
 }
 
-/// A setting that is not one.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct UnknownSetting(String);
-
-impl fmt::Display for UnknownSetting {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{}: expected KEY=VALUE, a known key and a value of its kind", self.0)
-    }
+/// A text that sets nothing: without a known key, or with a value of another type.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("{text}: expected KEY=VALUE, a known key and a value of its kind")]
+pub struct InvalidSetting {
+    /// The text.
+    text: String,
 }
 
-impl std::error::Error for UnknownSetting {}
-
 impl ChooserSettings {
-    /// Sets one figure by a text of the form `KEY=VALUE`.
-    pub fn set(&mut self, text: &str) -> Result<(), UnknownSetting> {
-        let unknown = || UnknownSetting(text.to_owned());
-        let (key, value) = text.split_once('=').ok_or_else(unknown)?;
-        let known = match key {
-            "rate_smoothing" => read(value, &mut self.rate_smoothing),
-            "latency_part" => read(value, &mut self.latency_part),
-            "copies" => read(value, &mut self.copies),
-            "rate_for_copy" => read(value, &mut self.rate_for_copy),
-            "next_copies" => read(value, &mut self.next_copies),
-            "chance" => read(value, &mut self.chance),
-            "read_again" => read(value, &mut self.read_again),
-            "long_apart" => read(value, &mut self.long_apart),
-            "backlog" => read(value, &mut self.backlog),
-            "shared_load" => read(value, &mut self.shared_load),
-            "shared_health" => read(value, &mut self.shared_health),
-            "band" => read(value, &mut self.band),
-            "light_part" => read(value, &mut self.light_part),
-            "news" => read(value, &mut self.news),
-            "avoid" => read(value, &mut self.avoid),
-            "target_part" => read(value, &mut self.target_part),
+    /// Sets one parameter by a text of the form `KEY=VALUE`.
+    ///
+    /// # Errors
+    ///
+    /// [`InvalidSetting`]; nothing is changed then.
+    pub fn set(&mut self, text: &str) -> Result<(), InvalidSetting> {
+        let invalid = || InvalidSetting { text: text.to_owned() };
+        let (key, value) = text.split_once('=').ok_or_else(invalid)?;
+        // The keys are part of the operators' interface and stay when a field is renamed.
+        let parsed = match key {
+            "rate_smoothing" => parse_into(value, &mut self.rate_smoothing_ms),
+            "latency_part" => parse_into(value, &mut self.latency_weight),
+            "copies" => parse_into(value, &mut self.min_cached_backends),
+            "rate_for_copy" => parse_into(value, &mut self.rate_per_cached_backend),
+            "next_copies" => parse_into(value, &mut self.fallback_backends),
+            "chance" => parse_into(value, &mut self.chance_arrivals),
+            "read_again" => parse_into(value, &mut self.recompute_weight),
+            "long_apart" => parse_into(value, &mut self.isolate_long_prompts),
+            "backlog" => parse_into(value, &mut self.use_backlog),
+            "shared_load" => parse_into(value, &mut self.shared_load),
+            "shared_health" => parse_into(value, &mut self.shared_health),
+            "band" => parse_into(value, &mut self.band_width),
+            "light_part" => parse_into(value, &mut self.least_loaded_fraction),
+            "news" => parse_into(value, &mut self.report_delay_ms),
+            "avoid" => parse_into(value, &mut self.avoid_failed),
+            "target_part" => parse_into(value, &mut self.objective_fraction),
             _ => None,
         };
-        known.ok_or_else(unknown)
+        parsed.ok_or_else(invalid)
     }
 }
 
-fn read<T: FromStr>(text: &str, into: &mut T) -> Option<()> {
-    *into = text.parse().ok()?;
+fn parse_into<T: FromStr>(text: &str, target: &mut T) -> Option<()> {
+    *target = text.parse().ok()?;
     Some(())
 }
--- /dev/null
+++ b/crates/gaugesaddle-inference/src/speed_class.rs
@@ -0,0 +1,69 @@
+//! Speed classes: groups of backends that are treated as equally fast for one prompt.
+
+use crate::Prompt;
+
+/// What every request takes beside its tokens, expressed in tokens that could be computed in that time.
+pub const OVERHEAD_TOKENS: f64 = 300.0;
+/// Fraction of the shared tokens that a fallback backend is expected to compute: it has them cached if it got the prompt
+/// before.
+const FALLBACK_UNCACHED_FRACTION: f64 = 0.5;
+
+/// Whether a backend is expected to have a prompt's shared prefix in its cache.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum CacheState {
+    /// It has the prefix.
+    Cached,
+    /// It has the prefix if the backends that cache it were overloaded before.
+    PossiblyCached,
+    /// It does not have it.
+    Uncached,
+}
+
+/// A speed class, for one request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct SpeedClass {
+    pub slots: u32,
+    pub cache: CacheState,
+    /// Number of the latency band of its backlog.
+    pub band: u32,
+}
+
+/// The key under which latencies are learned. A backend takes the same time for a token whatever is cached and queued.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct BackendSize {
+    slots: u32,
+}
+
+impl From<&SpeedClass> for BackendSize {
+    fn from(class: &SpeedClass) -> BackendSize {
+        BackendSize { slots: class.slots }
+    }
+}
+
+/// The backends of a class.
+#[derive(Debug, Default)]
+pub struct Members {
+    /// Their indices among the candidates.
+    pub indices: Vec<usize>,
+    /// Mean of their backlogs, in tokens.
+    pub mean_backlog: f64,
+}
+
+impl Members {
+    pub fn add(&mut self, index: usize, backlog: f64) {
+        self.indices.push(index);
+        self.mean_backlog += (backlog - self.mean_backlog) / self.indices.len() as f64;
+    }
+}
+
+/// What a request takes at a backend, in tokens. Shared tokens that are computed again count `recompute_weight` times.
+pub fn work_tokens(prompt: Prompt, cache: CacheState, recompute_weight: f64) -> f64 {
+    let own = prompt.own_tokens() as f64;
+    let shared = prompt.shared_tokens as f64;
+    let uncached_fraction = match cache {
+        CacheState::Cached => 0.0,
+        CacheState::PossiblyCached => FALLBACK_UNCACHED_FRACTION,
+        CacheState::Uncached => 1.0,
+    };
+    OVERHEAD_TOKENS + own + shared * uncached_fraction * recompute_weight
+}
--- a/crates/gaugesaddle/src/edge/admission.rs
+++ b/crates/gaugesaddle/src/edge/admission.rs
@@ -4,7 +4,7 @@
 use super::headers::{self, API_KEY, DEADLINE, PREFIX_HASH, TOKEN_USAGE};
 use super::refusal::Refusal;
 use gaugesaddle_config::{Route, RoutingTable, Tenant};
-use gaugesaddle_inference::{Prompt, PromptParts, TokenUsage};
+use gaugesaddle_inference::{Prompt, PromptBlocks, TokenUsage};
 use gaugesaddle_quota::Admission;
 use hyper::header::HOST;
 use hyper::http::request::Parts;
@@ -41,12 +41,12 @@
     let wanted = headers::text(&head.headers, &DEADLINE).and_then(|text| text.parse::<f64>().ok());
     let route_time = route.timeout_ms as f64;
     let time = wanted.unwrap_or(route_time).clamp(0.0, route_time);
-    let parts = headers::text(&head.headers, &PREFIX_HASH).and_then(PromptParts::parse);
+    let blocks = headers::text(&head.headers, &PREFIX_HASH).and_then(PromptBlocks::parse);
     let rank = tenant.map_or(0, |t| t.priority) * TENANT_STEP + route.priority.min(TENANT_STEP - 1);
     Ok(Admitted {
         route,
         tenant,
-        prompt: parts.as_ref().map(Prompt::from).unwrap_or_default(),
+        prompt: blocks.as_ref().map(Prompt::from).unwrap_or_default(),
         deadline: arrived + Duration::from_secs_f64(time / 1000.0),
         priority: rank.min(MIN_URGENT),
     })
--- a/crates/gaugesaddle/src/edge/backend.rs
+++ b/crates/gaugesaddle/src/edge/backend.rs
@@ -3,7 +3,7 @@
 use crate::counted::Counted;
 use crate::link::Link;
 use bytes::Bytes;
-use gaugesaddle_inference::warmth;
+use gaugesaddle_inference::affinity;
 use http_body_util::Full;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddrV4;
@@ -47,7 +47,7 @@
     pub fn new(id: &str, service: &str, address: SocketAddrV4, slots: u32) -> Backend {
         Backend {
             id: id.to_owned(),
-            identity: warmth::identity(id),
+            identity: affinity::identity(id),
             service: service.to_owned(),
             address,
             slots,
--- a/crates/gaugesaddle/src/edge/dispatch.rs
+++ b/crates/gaugesaddle/src/edge/dispatch.rs
@@ -14,7 +14,7 @@
 use crate::wire::MayBegin;
 use bytes::Bytes;
 use gaugesaddle_config::{Route, RoutingTable, ServiceIndex};
-use gaugesaddle_inference::{Candidate, Choice, Prompt, Surroundings};
+use gaugesaddle_inference::{Candidate, Choice, FleetView, Prompt};
 use http_body_util::Full;
 use hyper::header::HeaderValue;
 use hyper::http::request::Parts;
@@ -73,7 +73,7 @@
         fleet.note_prompt(&service_name, admitted.prompt);
         head.headers.insert(PRIORITY, HeaderValue::from(admitted.priority));
         let now = fleet.now();
-        fleet.with_chooser(admitted.route, &service_name, |c| c.note_arrival(now, admitted.prompt.subject));
+        fleet.with_chooser(admitted.route, &service_name, |c| c.record_arrival(now, admitted.prompt.prefix));
         Ok(Job {
             attempts: Attempts::new(admitted.route),
             route: admitted.route.clone(),
@@ -114,7 +114,7 @@
             }
             let Some((backend, choice)) = self.choose() else { return Err(self.attempts.refusal()) };
             let in_use = backend.use_for();
-            let work = Some(WorkInFlight::begin(&self.fleet, backend.identity, choice.work));
+            let work = Some(WorkInFlight::begin(&self.fleet, backend.identity, choice.work_tokens));
             let sent = Instant::now();
             let request = self.request(&backend, resume);
             let outcome = attempt(&self.fleet, &backend, request, self.deadline, self.key.clone()).await;
@@ -154,13 +154,13 @@
         backends.retain(|b| !self.tried.contains(&b.identity));
         backends.retain(|b| b.sockets() < most || b.outstanding() < b.sockets());
         let settings = &self.fleet.settings;
-        let avoided = |b: &Backend| settings.avoid && b.is_avoided(now);
+        let avoided = |b: &Backend| settings.avoid_failed && b.is_avoided(now);
         let well = |b: &Rc<Backend>| !b.expired.get() && !avoided(b);
         if backends.iter().any(well) {
             backends.retain(well);
         }
         self.leave_failing(now, &mut backends);
-        if settings.long_apart {
+        if settings.isolate_long_prompts {
             self.keep_apart(&mut backends);
         }
         let loads = self.fleet.loads.borrow();
@@ -169,15 +169,19 @@
             false => loads.own_work(load::number(b.identity)),
         };
         let candidate =
-            |b: &Rc<Backend>| Candidate { identity: b.identity, slots: b.slots, backlog: backlog(b) };
+            |b: &Rc<Backend>| Candidate { identity: b.identity, slots: b.slots, backlog_tokens: backlog(b) };
         let candidates: Vec<Candidate> = backends.iter().map(candidate).collect();
         let proxies = self.fleet.proxies();
-        let inflow =
-            self.fleet.sizes(&self.service_name).inflow(now, settings.news, proxies, candidates.len());
-        let around = Surroundings { proxies, inflow, target_ms: self.route.target_ms };
+        let inflow_tokens = self.fleet.sizes(&self.service_name).inflow_tokens(
+            now,
+            settings.report_delay_ms,
+            proxies,
+            candidates.len(),
+        );
+        let view = FleetView { proxies, inflow_tokens, objective_ms: self.route.target_ms };
         let mut random = self.fleet.random.borrow_mut();
         let choice = self.fleet.with_chooser(&self.route, &self.service_name, |chooser| {
-            chooser.choose(now, &candidates, self.prompt, around, &mut *random)
+            chooser.choose(now, &candidates, self.prompt, view, &mut *random)
         })?;
         backends.get(choice.index).map(|b| (b.clone(), choice))
     }
@@ -199,7 +203,7 @@
     fn keep_apart(&self, backends: &mut Vec<Rc<Backend>>) {
         let sizes = self.fleet.sizes(&self.service_name);
         let identities: Vec<u64> = backends.iter().map(|b| b.identity).collect();
-        let marks = sizes.mark(&identities);
+        let marks = sizes.reserved_backends(&identities);
         let long = sizes.is_long(self.prompt);
         if marks.contains(&long) {
             let mut marks = marks.into_iter();
--- a/crates/gaugesaddle/src/edge/fleet.rs
+++ b/crates/gaugesaddle/src/edge/fleet.rs
@@ -221,7 +221,7 @@
     /// Takes a prompt into account for the sizes of a service's prompts.
     pub fn note_prompt(&self, service: &str, prompt: Prompt) {
         let now = self.now();
-        self.sizes.borrow_mut().entry(service.to_owned()).or_default().note(now, prompt);
+        self.sizes.borrow_mut().entry(service.to_owned()).or_default().record(now, prompt);
     }
 
     /// What a service's prompts are like.
--- a/crates/gaugesaddle/src/edge/front.rs
+++ b/crates/gaugesaddle/src/edge/front.rs
@@ -160,7 +160,7 @@
     drop((in_use, work));
     let latency = sent.elapsed().as_secs_f64() * 1000.0;
     if answer.head.status.is_success() {
-        job.fleet.with_chooser(&job.route, &job.service_name, |c| c.note_latency(&choice, latency));
+        job.fleet.with_chooser(&job.route, &job.service_name, |c| c.record_latency(&choice, latency));
         job.fleet.loads.borrow_mut().served(job.fleet.now(), load::number(backend.identity));
     }
     if link.alive().await {
--- a/crates/gaugesaddle/src/edge/load.rs
+++ b/crates/gaugesaddle/src/edge/load.rs
@@ -1,7 +1,7 @@
 //! Reports what this proxy sees of the backends' load, and hears what all proxies see.
 
 use super::fleet::Fleet;
-use gaugesaddle_inference::warmth;
+use gaugesaddle_inference::affinity;
 use gaugesaddle_protocol::{Reply, Request};
 use gaugesaddle_transport::Caller;
 use std::rc::Rc;
@@ -48,7 +48,7 @@
 
 /// Runs for as long as the process lives.
 pub async fn run(fleet: Rc<Fleet>) {
-    let name = warmth::identity(&fleet.proxy);
+    let name = affinity::identity(&fleet.proxy);
     let mut caller: Option<Caller> = None;
     loop {
         if !fleet.loads.borrow_mut().wants_to_report(fleet.now()) {
--- a/crates/gaugesaddle/src/edge/relay.rs
+++ b/crates/gaugesaddle/src/edge/relay.rs
@@ -5,7 +5,7 @@
 use super::refusal::Refusal;
 use bytes::Bytes;
 use gaugesaddle_config::RouteKind;
-use gaugesaddle_inference::events::EventScanner;
+use gaugesaddle_inference::EventScanner;
 use hyper::body::{Body, Frame, SizeHint};
 use std::future::Future;
 use std::pin::Pin;
@@ -188,7 +188,7 @@
         if !std::mem::replace(&mut self.heard, true) {
             let latency = begun.sent.elapsed().as_secs_f64() * 1000.0;
             let choice = &begun.choice;
-            job.fleet.with_chooser(&job.route, &job.service_name, |c| c.note_latency(choice, latency));
+            job.fleet.with_chooser(&job.route, &job.service_name, |c| c.record_latency(choice, latency));
             if begun.answer.head.status.is_success() {
                 let backend = load::number(begun.backend.identity);
                 job.fleet.loads.borrow_mut().served(job.fleet.now(), backend);
