--- a/crates/gaugesaddle-consensus/src/commit.rs
+++ b/crates/gaugesaddle-consensus/src/commit.rs
@@ -18,7 +18,7 @@
         self.advance(now, out);
     }
 
-    /// Commits the state if a quorum has it, answers what waited for that, and takes up the next change.
+    /// Commits the state if a quorum has it, answers the requests that waited for it, and starts the next change.
     pub(crate) fn advance(&mut self, now: u64, out: &mut Vec<Output>) {
         if self.role != Role::Leader {
             return;
@@ -28,7 +28,7 @@
             self.commit(now, out);
         }
         self.release_confirmed(out);
-        // Before the next proposal: a steady flow of proposals must not keep a replica out of the group.
+        // Before the next proposal: a steady flow of proposals must not exclude a replica from the group.
         self.advance_membership(now, out);
         while self.committed == self.state.position && self.replicating_proposal.is_none() {
             let Some(QueuedProposal { request, proposal }) = self.queued_proposals.pop_front() else { break };
@@ -45,11 +45,11 @@
         for request in std::mem::take(&mut self.reads_before_commit) {
             self.answer_once_confirmed(now, UnconfirmedAnswer::Read(request, self.published.clone()));
         }
-        // Followers learn of the commitment at once: the time until a change takes effect is limited.
+        // Followers learn of the commitment at once, since the time until a change takes effect is limited.
         self.broadcast_heartbeat(now, out);
     }
 
-    /// Whether a state is durable on a quorum. The position bears the leader's term, so that states of earlier terms are
+    /// Whether a state is durable on a quorum. The position contains the leader's term, so that states of earlier terms are
     /// committed only together with one of this term (thesis 3.6.2).
     fn is_on_quorum(&self, position: LogPosition) -> bool {
         self.quorum().is_reached(|voter| {
--- a/crates/gaugesaddle-consensus/src/election.rs
+++ b/crates/gaugesaddle-consensus/src/election.rs
@@ -34,13 +34,13 @@
         self.election_deadline = now + self.settings.election_timeout_ms + jitter_ms;
     }
 
-    /// Starts the shorter time-out between attempts while nobody leads: a majority may come up at any moment.
+    /// Starts the shorter time-out between attempts while there is no leader: a majority may become available at any moment.
     fn reset_pre_vote_deadline(&mut self, now: u64) {
         let jitter_ms = self.draw_jitter_ms(self.settings.pre_vote_jitter_ms);
         self.election_deadline = now + self.settings.pre_vote_retry_ms + jitter_ms;
     }
 
-    /// Whether a leader has been in contact within the least election time-out: nobody else should be elected then
+    /// Whether a leader has been in contact within the least election time-out: no other replica should be elected then
     /// (thesis 4.2.3).
     fn follows_live_leader(&self, now: u64) -> bool {
         let is_recent = |contact_ms: u64| now < contact_ms + self.settings.election_timeout_ms;
@@ -262,7 +262,7 @@
         self.quorum().highest_reached(contact_ms)
     }
 
-    /// Ends a leadership before the process ends: a voter that has the newest state is asked to campaign at once.
+    /// Ends a leadership before the process ends: a voter that has the newest state campaigns at once.
     ///
     /// Without such a voter, and on a replica that does not lead, nothing is sent. Pending requests are answered as
     /// indeterminate.
--- a/crates/gaugesaddle-consensus/src/interface.rs
+++ b/crates/gaugesaddle-consensus/src/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into a replica and what comes out of it.
+//! The inputs and outputs of a replica.
 
 use crate::proposal::{Proposal, ProposalResult};
 use gaugesaddle_protocol::{Configuration, HardState, ReplicaId, ReplicaMessage, State};
@@ -82,7 +82,7 @@
 /// Whether a replica has a disk. It decides whether it may vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Storage {
-    /// Writes survive a restart: the replica votes, or asks to become a voter.
+    /// Writes survive a restart: the replica votes, or requests to become a voter.
     Durable,
     /// No disk: the replica never votes and remains a learner.
     Diskless,
--- a/crates/gaugesaddle-consensus/src/lib.rs
+++ b/crates/gaugesaddle-consensus/src/lib.rs
@@ -2,13 +2,13 @@
 //!
 //! The replicated [`State`](gaugesaddle_protocol::State) is one value that each change replaces, so the log is one entry
 //! long, and a state travels as a delta against the one that the receiver has. What Raft requires of a log's last entry is
-//! required of the state's [`LogPosition`](gaugesaddle_protocol::LogPosition): a vote goes only to a candidate whose
+//! required of the state's [`LogPosition`](gaugesaddle_protocol::LogPosition): a vote is granted only to a candidate whose
 //! position is not older, and a new leader writes the state that it found under its own term before anything is committed
 //! (Ongaro, *Consensus: Bridging Theory and Practice*, 2014, section 3.6).
 //!
 //! # Main types
 //!
-//! - [`Replica`] is the state machine. It takes an [`Input`] with the steady time at which it happened and appends the
+//! - [`Replica`] is the state machine. It handles an [`Input`] with the steady time at which it happened and appends the
 //!   [`Output`]s that its host must carry out. [`Role`] draws its transitions.
 //! - [`Proposal`] is a change on its way into the state, [`ProposalResult`] its outcome; [`change`] makes proposals out of
 //!   operators' requests.
--- a/crates/gaugesaddle-consensus/src/proposal.rs
+++ b/crates/gaugesaddle-consensus/src/proposal.rs
@@ -2,7 +2,7 @@
 
 use gaugesaddle_protocol::Digest;
 
-/// The document that a proposal brings.
+/// The document of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposedDocument {
     /// A complete document, independent of the current one.
@@ -26,7 +26,7 @@
     pub base: u64,
     /// The revision that it creates.
     pub revision: u64,
-    /// The document that it brings.
+    /// Its document.
     pub content: ProposedDocument,
     /// Digest of base and request body. It identifies a repeated request.
     pub digest: Digest,
--- a/crates/gaugesaddle-consensus/src/replica.rs
+++ b/crates/gaugesaddle-consensus/src/replica.rs
@@ -115,7 +115,7 @@
             reads_before_commit: Vec::new(),
         };
         replica.reset_election_deadline(now);
-        // The first time-out is shorter. After a loss of all processes nobody leads; where somebody does, the pre-votes
+        // The first time-out is shorter. After a loss of all processes there is no leader; if there is one, the pre-votes
         // are rejected.
         replica.election_deadline -= settings.election_timeout_ms - settings.first_election_timeout_ms;
         replica
--- a/crates/gaugesaddle-consensus/src/replication.rs
+++ b/crates/gaugesaddle-consensus/src/replication.rs
@@ -4,7 +4,7 @@
 use crate::{Output, Replica, Role};
 use gaugesaddle_protocol::{ClockReading, LogPosition, ReplicaId, ReplicaMessage, State, StateUpdate};
 
-/// Heartbeats whose time of sending is remembered: at the default interval of 120 ms, 7.7 s and so many leases.
+/// Number of heartbeats whose time of sending is remembered: 7.7 s at the default interval, 17 times the lease.
 const MAX_HEARTBEATS: usize = 64;
 /// Least time before the same state is sent again to a receiver that has not reported it.
 const RESEND_INTERVAL_MS: u64 = 400;
@@ -23,7 +23,7 @@
 }
 
 impl Replica {
-    /// Replaces the state by a changed one in this leader's term: it is persisted here, and a heartbeat that brings it
+    /// Replaces the state by a changed one in this leader's term: it is persisted here, and a heartbeat that sends it
     /// to the others is due at once. The history retains the old one as a base for deltas.
     pub(crate) fn replace_state(&mut self, now: u64, change: impl FnOnce(&mut State), out: &mut Vec<Output>) {
         self.history.push(&self.state);
--- a/crates/gaugesaddle-consensus/src/settings.rs
+++ b/crates/gaugesaddle-consensus/src/settings.rs
@@ -22,7 +22,7 @@
     pub election_jitter_ms: u64,
     /// Least first election time-out of a replica that has just started. At most `election_timeout_ms`.
     pub first_election_timeout_ms: u64,
-    /// Least interval between two requests for pre-votes while nobody leads. They cost messages only.
+    /// Least interval between two requests for pre-votes while there is no leader. They cost messages only.
     pub pre_vote_retry_ms: u64,
     /// Upper limit of the random part of that interval.
     pub pre_vote_jitter_ms: u64,
--- a/crates/gaugesaddle-consensus/tests/elections.rs
+++ b/crates/gaugesaddle-consensus/tests/elections.rs
@@ -1,4 +1,4 @@
-//! The failure: a bootstrapped group that elects nobody, a change that is accepted twice, or a long time without a
+//! The failure: a bootstrapped group that elects no leader, a change that is accepted twice, or a long time without a
 //! leader although a majority runs.
 
 mod group;
--- a/crates/gaugesaddle-consensus/tests/faults.rs
+++ b/crates/gaugesaddle-consensus/tests/faults.rs
@@ -124,7 +124,7 @@
         let mut group = history(seed, size, tolerance);
         end_faults(&mut group);
         let leader = group.run_to_leader(10_000);
-        assert!(leader.is_some(), "{size} replicas, seed {seed}: nobody leads after the faults");
+        assert!(leader.is_some(), "{size} replicas, seed {seed}: no replica leads after the faults");
         group.run(1500);
         let leader = group.leader().expect("a replica still leads");
         let revision = group.revision(leader);
--- a/crates/gaugesaddle-consensus/tests/freshness.rs
+++ b/crates/gaugesaddle-consensus/tests/freshness.rs
@@ -25,7 +25,7 @@
 
 /// A heartbeat of replica 2, which leads term 4. Returns the clock reading in the follower's response.
 fn heartbeat(
-    one: &mut Replica, now: u64, committed: u64, echoed_reading: Option<ClockReading>,
+    replica: &mut Replica, now: u64, committed: u64, echoed_reading: Option<ClockReading>,
 ) -> Option<ClockReading> {
     let at = LogPosition { term: 4, index: 9 };
     let committed = LogPosition { term: 4, index: committed };
@@ -38,7 +38,7 @@
         echoed_reading,
     };
     let mut out = Vec::new();
-    one.handle(now, Input::Message { from: id(2), message }, &mut out);
+    replica.handle(now, Input::Message { from: id(2), message }, &mut out);
     out.iter().find_map(|o| match o {
         Output::Send(_, ReplicaMessage::AppendResponse { clock_reading, .. }) => Some(*clock_reading),
         _ => None,
@@ -47,45 +47,45 @@
 
 #[test]
 fn a_delayed_heartbeat_does_not_make_a_follower_fresh() {
-    let mut one = follower();
-    let clock_reading = heartbeat(&mut one, NOW, 9, None).expect("a response");
-    assert!(!one.is_fresh(NOW), "the leader has echoed no clock reading");
-    heartbeat(&mut one, NOW + 120, 9, Some(clock_reading));
+    let mut replica = follower();
+    let clock_reading = heartbeat(&mut replica, NOW, 9, None).expect("a response");
+    assert!(!replica.is_fresh(NOW), "the leader has echoed no clock reading");
+    heartbeat(&mut replica, NOW + 120, 9, Some(clock_reading));
     let lease = Settings::default().follower_lease_ms;
-    assert!(one.is_fresh(NOW + lease - 1), "counted from the clock reading");
-    assert!(!one.is_fresh(NOW + lease));
+    assert!(replica.is_fresh(NOW + lease - 1), "counted from the clock reading");
+    assert!(!replica.is_fresh(NOW + lease));
     // Twenty seconds later the delayed heartbeats are read: they echo old clock readings.
     for late in [Some(clock_reading), None, Some(ClockReading { time_ms: NOW + 100, ..clock_reading })] {
-        heartbeat(&mut one, NOW + 20_000, 9, late);
-        assert!(!one.is_fresh(NOW + 20_000), "{late:?}");
+        heartbeat(&mut replica, NOW + 20_000, 9, late);
+        assert!(!replica.is_fresh(NOW + 20_000), "{late:?}");
     }
 }
 
 #[test]
 fn clock_readings_of_another_process_or_the_future_are_ignored() {
-    let mut one = follower();
-    let clock_reading = heartbeat(&mut one, NOW, 9, None).expect("a response");
+    let mut replica = follower();
+    let clock_reading = heartbeat(&mut replica, NOW, 9, None).expect("a response");
     let other = ClockReading { process: clock_reading.process ^ 1, ..clock_reading };
-    heartbeat(&mut one, NOW + 10, 9, Some(other));
-    assert!(!one.is_fresh(NOW + 10), "a process that ran here before");
-    heartbeat(&mut one, NOW + 20, 9, Some(ClockReading { time_ms: NOW + 500, ..clock_reading }));
-    assert!(!one.is_fresh(NOW + 20), "a time that has not come");
+    heartbeat(&mut replica, NOW + 10, 9, Some(other));
+    assert!(!replica.is_fresh(NOW + 10), "a process that ran here before");
+    heartbeat(&mut replica, NOW + 20, 9, Some(ClockReading { time_ms: NOW + 500, ..clock_reading }));
+    assert!(!replica.is_fresh(NOW + 20), "a time that has not come");
 }
 
 #[test]
 fn a_follower_behind_the_committed_state_is_not_fresh() {
-    let mut one = follower();
-    let clock_reading = heartbeat(&mut one, NOW, 9, None).expect("a response");
-    heartbeat(&mut one, NOW + 10, 9, Some(clock_reading));
-    assert!(one.is_fresh(NOW + 10));
+    let mut replica = follower();
+    let clock_reading = heartbeat(&mut replica, NOW, 9, None).expect("a response");
+    heartbeat(&mut replica, NOW + 10, 9, Some(clock_reading));
+    assert!(replica.is_fresh(NOW + 10));
     // The leader reports the tenth state as committed; the message that brought it was lost.
-    heartbeat(&mut one, NOW + 20, 10, Some(clock_reading));
-    assert!(!one.is_fresh(NOW + 20), "it has the ninth only");
+    heartbeat(&mut replica, NOW + 20, 10, Some(clock_reading));
+    assert!(!replica.is_fresh(NOW + 20), "it has the ninth only");
 }
 
 #[test]
 fn a_delta_against_another_state_is_ignored_and_the_full_state_accepted() {
-    let mut one = follower();
+    let mut replica = follower();
     let at = LogPosition { term: 4, index: 12 };
     let update = StateUpdate {
         base: Some(LogPosition { term: 4, index: 11 }),
@@ -107,7 +107,7 @@
     };
     let mut out = Vec::new();
     let message = append(Some(Box::new(update.clone())));
-    one.handle(NOW + 1, Input::Message { from: id(2), message }, &mut out);
+    replica.handle(NOW + 1, Input::Message { from: id(2), message }, &mut out);
     let received = out.iter().find_map(|o| match o {
         Output::Send(_, ReplicaMessage::AppendResponse { received, .. }) => Some(*received),
         _ => None,
@@ -115,8 +115,8 @@
     assert_eq!(received, Some(LogPosition { term: 4, index: 9 }), "the state that it has");
     assert!(out.iter().all(|o| !matches!(o, Output::Persist { .. })), "{out:?}");
     let full = StateUpdate { base: None, document: DocumentUpdate::Full(vec![5]), ..update };
-    one.handle(NOW + 2, Input::Message { from: id(2), message: append(Some(Box::new(full))) }, &mut out);
-    assert_eq!(one.committed().map(|c| (c.revision, c.document.clone())), Some((5, vec![5])));
+    replica.handle(NOW + 2, Input::Message { from: id(2), message: append(Some(Box::new(full))) }, &mut out);
+    assert_eq!(replica.committed().map(|c| (c.revision, c.document.clone())), Some((5, vec![5])));
 }
 
 /// A machine is partitioned for twenty seconds, as leader and as follower.
--- a/crates/gaugesaddle-consensus/tests/group/mod.rs
+++ b/crates/gaugesaddle-consensus/tests/group/mod.rs
@@ -10,7 +10,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a machine's disk holds.
+/// The contents of a machine's disk.
 #[derive(Clone, Default)]
 pub struct Disk {
     pub hard_state: Option<HardState>,
@@ -131,7 +131,7 @@
         self.random.next_u64() % n.max(1)
     }
 
-    /// Starts a machine's process with what its disk holds.
+    /// Starts a machine's process from its disk.
     pub fn start(&mut self, ip: u32, bootstrap: bool) {
         let seed = self.random.next_u64();
         let (now, bootstrap_voters, settings) = (self.now, self.bootstrap_voters.clone(), self.settings);
--- a/crates/gaugesaddle-consensus/tests/ordering.rs
+++ b/crates/gaugesaddle-consensus/tests/ordering.rs
@@ -1,5 +1,5 @@
-//! The failure: a vote, a result or a read leaves a replica before what it guarantees holds. One replica alone, driven
-//! input by input.
+//! The failure: a vote, a result or a read leaves a replica before its guarantee is met. A single replica, driven input
+//! by input.
 
 use gaugesaddle_consensus::{
     Input, Output, Proposal, ProposalResult, Replica, Role, Settings, Storage, WriteId,
@@ -18,7 +18,7 @@
     State { position: LogPosition { term, index }, voters: vec![id(1), id(2), id(3)], ..State::default() }
 }
 
-fn replica(term: u64, state: State) -> Replica {
+fn new_replica(term: u64, state: State) -> Replica {
     let hard_state = HardState { id: id(1), term, voted_for: None };
     Replica::new(Settings::default(), hard_state, state, NOW, 7, Storage::Durable)
 }
@@ -48,7 +48,7 @@
 
 /// Lets replica 2 elect replica 1. Returns the time of the election and the write of the leader's first state.
 fn elect(replica: &mut Replica) -> (u64, WriteId) {
-    // While nobody leads it also broadcasts `Join`, in case it was removed meanwhile.
+    // Without a leader it also broadcasts `Join`, in case it was removed meanwhile.
     let requests_pre_votes = |out: &[Output]| {
         out.iter().any(|o| matches!(o, Output::Send(_, ReplicaMessage::RequestPreVote { .. })))
     };
@@ -77,26 +77,26 @@
 
 #[test]
 fn a_vote_is_sent_once_it_is_durable_and_to_one_candidate_per_term() {
-    let mut one = replica(4, state(4, 9));
+    let mut replica = new_replica(4, state(4, 9));
     let last = LogPosition { term: 4, index: 9 };
     let out = message(
-        &mut one,
+        &mut replica,
         NOW + 1,
         2,
         ReplicaMessage::RequestVote { term: 5, last_position: last, leadership_transfer: false },
     );
     assert!(!granted(&out), "before the write");
     let rival = message(
-        &mut one,
+        &mut replica,
         NOW + 2,
         3,
         ReplicaMessage::RequestVote { term: 5, last_position: last, leadership_transfer: false },
     );
     assert!(!granted(&rival));
-    let out = handle(&mut one, NOW + 3, Input::Persisted(write_id(&out)));
+    let out = handle(&mut replica, NOW + 3, Input::Persisted(write_id(&out)));
     assert!(granted(&out), "after it");
     let rival = message(
-        &mut one,
+        &mut replica,
         NOW + 4,
         3,
         ReplicaMessage::RequestVote { term: 5, last_position: last, leadership_transfer: false },
@@ -108,21 +108,25 @@
 fn a_candidate_with_an_older_state_gets_no_vote() {
     for (last, wanted) in [((4, 8), false), ((3, 20), false), ((4, 9), true), ((5, 1), true)] {
         let last = LogPosition { term: last.0, index: last.1 };
-        let mut one = replica(5, state(4, 9));
+        let mut replica = new_replica(5, state(4, 9));
         let out = message(
-            &mut one,
+            &mut replica,
             NOW + 1,
             2,
             ReplicaMessage::RequestVote { term: 6, last_position: last, leadership_transfer: false },
         );
         let after = match out.iter().any(|o| matches!(o, Output::Persist { .. })) {
-            true => handle(&mut one, NOW + 2, Input::Persisted(write_id(&out))),
+            true => handle(&mut replica, NOW + 2, Input::Persisted(write_id(&out))),
             false => Vec::new(),
         };
         assert_eq!(granted(&out) || granted(&after), wanted, "{last:?}");
-        let mut one = replica(5, state(4, 9));
-        let out =
-            message(&mut one, NOW + 1, 2, ReplicaMessage::RequestPreVote { term: 6, last_position: last });
+        let mut replica = new_replica(5, state(4, 9));
+        let out = message(
+            &mut replica,
+            NOW + 1,
+            2,
+            ReplicaMessage::RequestPreVote { term: 6, last_position: last },
+        );
         let pre = out.iter().any(|o| {
             matches!(o, Output::Send(_, ReplicaMessage::RequestPreVoteResponse { granted: true, .. }))
         });
@@ -132,7 +136,7 @@
 
 #[test]
 fn a_replica_without_a_group_neither_votes_nor_campaigns() {
-    let mut empty = replica(0, State::default());
+    let mut empty = new_replica(0, State::default());
     let last = LogPosition { term: 9, index: 9 };
     let out = message(
         &mut empty,
@@ -148,8 +152,8 @@
 
 #[test]
 fn a_proposal_is_committed_once_it_is_durable_on_a_majority() {
-    let mut one = replica(1, state(1, 1));
-    let (now, first) = elect(&mut one);
+    let mut replica = new_replica(1, state(1, 1));
+    let (now, first) = elect(&mut replica);
     let reply = |term, sequence, matched| ReplicaMessage::AppendResponse {
         term,
         sequence,
@@ -158,31 +162,31 @@
         clock_reading: CLOCK_READING,
     };
     // The state under its own term first.
-    let out = handle(&mut one, now + 1, Input::Persisted(first));
+    let out = handle(&mut replica, now + 1, Input::Persisted(first));
     let (term, sequence, at) = heartbeat(&out).unwrap_or((2, 1, LogPosition { term: 2, index: 2 }));
-    message(&mut one, now + 2, 2, reply(term, sequence, at));
+    message(&mut replica, now + 2, 2, reply(term, sequence, at));
     let proposal = Proposal::new(0, 3, vec![1]);
-    let out = handle(&mut one, now + 3, Input::Propose(8, Box::new(proposal)));
+    let out = handle(&mut replica, now + 3, Input::Propose(8, Box::new(proposal)));
     let is_committed = |out: &[Output]| out.contains(&Output::Proposed(8, ProposalResult::Committed));
     let written = write_id(&out);
     assert!(!is_committed(&out));
     let newest = LogPosition { term, index: at.index + 1 };
-    let out = message(&mut one, now + 4, 2, reply(term, sequence + 1, at));
+    let out = message(&mut replica, now + 4, 2, reply(term, sequence + 1, at));
     assert!(!is_committed(&out), "the follower has an older state");
-    let out = message(&mut one, now + 5, 2, reply(term, sequence + 2, newest));
+    let out = message(&mut replica, now + 5, 2, reply(term, sequence + 2, newest));
     assert!(!is_committed(&out), "one of three disks");
-    let out = handle(&mut one, now + 6, Input::Persisted(written));
+    let out = handle(&mut replica, now + 6, Input::Persisted(written));
     assert!(is_committed(&out), "two of three");
 }
 
 #[test]
 fn a_read_waits_until_a_majority_acknowledges_a_later_heartbeat() {
-    let mut one = replica(1, state(1, 1));
-    let (now, first) = elect(&mut one);
-    let out = handle(&mut one, now + 1, Input::Persisted(first));
+    let mut replica = new_replica(1, state(1, 1));
+    let (now, first) = elect(&mut replica);
+    let out = handle(&mut replica, now + 1, Input::Persisted(first));
     let (term, sequence, at) = heartbeat(&out).unwrap_or((2, 1, LogPosition { term: 2, index: 2 }));
     message(
-        &mut one,
+        &mut replica,
         now + 2,
         2,
         ReplicaMessage::AppendResponse {
@@ -194,7 +198,7 @@
         },
     );
     let answered = |out: &[Output]| out.iter().any(|o| matches!(o, Output::Read(5, Ok(_))));
-    let out = handle(&mut one, now + 3, Input::Read(5));
+    let out = handle(&mut replica, now + 3, Input::Read(5));
     assert!(!answered(&out), "its leadership is not confirmed");
     let (_, requested, _) = heartbeat(&out).expect("a heartbeat is sent at once");
     let old = ReplicaMessage::AppendResponse {
@@ -204,7 +208,7 @@
         received: at,
         clock_reading: CLOCK_READING,
     };
-    assert!(!answered(&message(&mut one, now + 4, 2, old)), "a response to an earlier heartbeat");
+    assert!(!answered(&message(&mut replica, now + 4, 2, old)), "a response to an earlier heartbeat");
     let new = ReplicaMessage::AppendResponse {
         term,
         sequence: requested,
@@ -212,16 +216,16 @@
         received: at,
         clock_reading: CLOCK_READING,
     };
-    assert!(answered(&message(&mut one, now + 5, 2, new)));
+    assert!(answered(&message(&mut replica, now + 5, 2, new)));
 }
 
 /// A deposed leader that does not know of its successor would reject a change that builds on what that one committed.
 #[test]
 fn a_rejection_waits_until_a_majority_acknowledges_a_later_heartbeat() {
     for (base, revision) in [(7, 9), (0, 0)] {
-        let mut one = replica(1, state(1, 1));
-        let (now, first) = elect(&mut one);
-        let out = handle(&mut one, now + 1, Input::Persisted(first));
+        let mut replica = new_replica(1, state(1, 1));
+        let (now, first) = elect(&mut replica);
+        let out = handle(&mut replica, now + 1, Input::Persisted(first));
         let (term, sequence, at) = heartbeat(&out).unwrap_or((2, 1, LogPosition { term: 2, index: 2 }));
         let reply = |sequence| ReplicaMessage::AppendResponse {
             term,
@@ -230,7 +234,7 @@
             received: at,
             clock_reading: CLOCK_READING,
         };
-        message(&mut one, now + 2, 2, reply(sequence));
+        message(&mut replica, now + 2, 2, reply(sequence));
         let rejected = |out: &[Output]| {
             out.iter().any(|o| {
                 let result = match o {
@@ -241,40 +245,40 @@
             })
         };
         let proposal = Proposal::new(base, revision, vec![1]);
-        let out = handle(&mut one, now + 3, Input::Propose(5, Box::new(proposal)));
+        let out = handle(&mut replica, now + 3, Input::Propose(5, Box::new(proposal)));
         assert!(!rejected(&out), "its leadership is not confirmed");
         let (_, requested, _) = heartbeat(&out).expect("a heartbeat is sent at once");
         assert!(
-            !rejected(&message(&mut one, now + 4, 2, reply(requested - 1))),
+            !rejected(&message(&mut replica, now + 4, 2, reply(requested - 1))),
             "a response to an earlier heartbeat"
         );
-        assert!(rejected(&message(&mut one, now + 5, 2, reply(requested))));
+        assert!(rejected(&message(&mut replica, now + 5, 2, reply(requested))));
     }
 }
 
 #[test]
 fn a_resumed_leader_past_its_lease_steps_down_without_answering() {
-    let mut one = replica(1, state(1, 1));
-    let (now, first) = elect(&mut one);
-    handle(&mut one, now + 1, Input::Persisted(first));
-    let out = handle(&mut one, now + 5000, Input::Read(5));
+    let mut replica = new_replica(1, state(1, 1));
+    let (now, first) = elect(&mut replica);
+    handle(&mut replica, now + 1, Input::Persisted(first));
+    let out = handle(&mut replica, now + 5000, Input::Read(5));
     assert!(out.iter().any(|o| matches!(o, Output::Read(5, Err(_)))), "{out:?}");
-    assert_eq!(one.role(), Role::Follower);
-    assert!(!one.has_lease(now + 5000) && !one.is_fresh(now + 5000));
+    assert_eq!(replica.role(), Role::Follower);
+    assert!(!replica.has_lease(now + 5000) && !replica.is_fresh(now + 5000));
 }
 
 #[test]
 fn a_leader_whose_disk_stalls_steps_down() {
-    let mut one = replica(1, state(1, 1));
-    let (now, _) = elect(&mut one);
+    let mut replica = new_replica(1, state(1, 1));
+    let (now, _) = elect(&mut replica);
     let mut at = now;
     while at < now + 1500 {
         at += 100;
-        let out = handle(&mut one, at, Input::Tick);
+        let out = handle(&mut replica, at, Input::Tick);
         if let Some((term, sequence, _)) = heartbeat(&out) {
             let matched = LogPosition::default();
             message(
-                &mut one,
+                &mut replica,
                 at + 1,
                 2,
                 ReplicaMessage::AppendResponse {
@@ -287,5 +291,5 @@
             );
         }
     }
-    assert_eq!(one.role(), Role::Follower, "its own write has been pending for more than a second");
+    assert_eq!(replica.role(), Role::Follower, "its own write has been pending for more than a second");
 }
--- a/crates/gaugesaddle-delta/src/delta.rs
+++ b/crates/gaugesaddle-delta/src/delta.rs
@@ -9,11 +9,11 @@
 /// Limit on the length of a result, in bytes: that of a message between processes.
 pub const MAX_BYTES: usize = 12 << 20;
 
-/// Bytes that a copy instruction takes on the wire, about.
+/// Approximate size of a copy instruction on the wire, in bytes.
 const COPY_WIRE_BYTES: usize = 10;
-/// Bytes that an insert instruction takes on the wire beside what it inserts, about.
+/// Approximate size of an insert instruction on the wire without the inserted bytes, in bytes.
 const INSERT_OVERHEAD_BYTES: usize = 4;
-/// Bytes that a delta takes on the wire beside its instructions, about: two digests and lengths.
+/// Approximate size of a delta on the wire without its instructions, in bytes: two digests and lengths.
 const DELTA_OVERHEAD_BYTES: usize = 64;
 
 /// Instructions that turn one version of a document into another. The order of fields is part of the wire format.
--- a/crates/gaugesaddle-inference/src/lib.rs
+++ b/crates/gaugesaddle-inference/src/lib.rs
@@ -4,7 +4,7 @@
 //! shared prefix in its cache is faster than one that has to compute it again. So the cached and the uncached backends of
 //! a service are different classes for that prompt. Each has an expected latency (learned per token, times the tokens that
 //! it would have to compute), and the formula decides how much traffic spills from cached to uncached backends as the
-//! prompt's own traffic grows. Which backends have a prefix cached takes no message: all proxies rank the backends by the
+//! prompt's own traffic grows. Which backends cache a prefix needs no message: all proxies rank the backends by the
 //! same hash of prefix and backend ([`affinity`]).
 //!
 //! # Main types
--- a/crates/gaugesaddle-inference/src/speed_class.rs
+++ b/crates/gaugesaddle-inference/src/speed_class.rs
@@ -2,7 +2,7 @@
 
 use crate::Prompt;
 
-/// What every request takes beside its tokens, expressed in tokens that could be computed in that time.
+/// Fixed cost of a request, expressed in tokens that could be computed in the same time.
 pub const OVERHEAD_TOKENS: f64 = 300.0;
 /// Fraction of the shared tokens that a fallback backend is expected to compute: it has them cached if it got the prompt
 /// before.
@@ -56,7 +56,7 @@
     }
 }
 
-/// What a request takes at a backend, in tokens. Shared tokens that are computed again count `recompute_weight` times.
+/// Work of a request at a backend, in tokens. Shared tokens that are computed again count `recompute_weight` times.
 pub fn work_tokens(prompt: Prompt, cache: CacheState, recompute_weight: f64) -> f64 {
     let own = prompt.own_tokens() as f64;
     let shared = prompt.shared_tokens as f64;
--- a/crates/gaugesaddle-log/src/lib.rs
+++ b/crates/gaugesaddle-log/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Ring`] appends records to two slots; each record replaces the slot's previous one. A segment begins with a copy of
 //! both slots, so that no older segment is needed and the oldest can be overwritten. A record's checksum covers the
-//! generation of its segment: neither a torn write nor what remains of a segment's earlier use is taken for a record.
+//! generation of its segment: neither a torn write nor what remains of a segment's earlier use is mistaken for a record.
 //!
 //! ```text
 //!  segment 0            segment 1            segment 2
@@ -13,8 +13,8 @@
 //! # Main types
 //!
 //! - [`Ring`] decides what is written where and recovers it. It owns its [`Store`].
-//! - [`Store`] is the disk that it needs; [`FileStore`] is the one in use, and tests bring their own.
-//! - [`LogError`] tells which operation failed.
+//! - [`Store`] is the disk that it needs; [`FileStore`] is the one in production, and tests have their own.
+//! - [`LogError`] names the operation that failed.
 //!
 //! # Example
 //!
--- a/crates/gaugesaddle-protocol/src/consensus.rs
+++ b/crates/gaugesaddle-protocol/src/consensus.rs
@@ -142,7 +142,7 @@
 /// A time on the steady clock of one process. Only that process can interpret it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ClockReading {
-    /// Random number of the process, so that a restarted one does not take its predecessor's reading for its own.
+    /// Random number of the process, so that a restarted one does not mistake its predecessor's reading for its own.
     pub process: u64,
     /// Milliseconds on its clock.
     pub time_ms: u64,
@@ -151,7 +151,7 @@
 /// A message from one replica to another. The names are those of the thesis; terms are as in its figure 3.1.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ReplicaMessage {
-    /// Asks whether the receiver would vote for the sender in this term (thesis 9.6).
+    /// Requests a pre-vote: whether the receiver would vote for the sender in this term (thesis 9.6).
     RequestPreVote {
         /// The term that the candidate would enter.
         term: u64,
@@ -215,7 +215,7 @@
         /// The leader's term.
         term: u64,
     },
-    /// A replica that does not vote asks the leader for states and becomes a learner (thesis 4.2.1).
+    /// A replica that does not vote requests states from the leader and becomes a learner (thesis 4.2.1).
     Join {
         /// Whether it has a disk and may become a voter.
         durable: bool,
--- a/crates/gaugesaddle-protocol/tests/golden_frames.rs
+++ b/crates/gaugesaddle-protocol/tests/golden_frames.rs
@@ -1,6 +1,6 @@
 //! The failure: a renamed or moved field makes the messages of two builds incompatible.
 //!
-//! `data/frames.txt` holds one frame of every message variant, as the build before any rename wrote it.
+//! `data/frames.txt` holds one frame of every message variant, as the build before any rename wrote it. The names in it are of that build.
 
 use gaugesaddle_protocol::frame::{decode, encode, HEADER_BYTES};
 use gaugesaddle_protocol::*;
@@ -167,9 +167,9 @@
     let requests = vec![QuotaRequest { tenant: "t".to_owned(), tokens: 1, unused: 200, usage_rate: 30_000 }];
     frames.check("request quota", Request::Quota { machine: "edge-1".to_owned(), requests });
     frames.check("request load", Request::Load { proxy: 99, loads: loads() });
-    let order = |body| Request::Change(Box::new(ConfigurationChange { base: 11, body }));
-    frames.check("request order whole", order(ChangeBody::Full(b"{\"revision\":12}".to_vec())));
-    frames.check("request order patch", order(ChangeBody::Patch(b"{\"revision\":12}".to_vec())));
+    let change = |body| Request::Change(Box::new(ConfigurationChange { base: 11, body }));
+    frames.check("request order whole", change(ChangeBody::Full(b"{\"revision\":12}".to_vec())));
+    frames.check("request order patch", change(ChangeBody::Patch(b"{\"revision\":12}".to_vec())));
     frames.check("request read", Request::Read);
     frames.check("request status", Request::Status);
 }
