--- a/crates/gaugesaddle-edge/src/admission.rs
+++ b/crates/gaugesaddle-edge/src/admission.rs
@@ -4,7 +4,7 @@
 use crate::rejection::Rejection;
 use crate::state::EdgeState;
 use gaugesaddle_config::{Route, RoutingTable, Tenant};
-use gaugesaddle_inference::{Prompt, PromptParts, TokenUsage};
+use gaugesaddle_inference::{Prompt, PromptBlocks, TokenUsage};
 use gaugesaddle_quota::Admission;
 use hyper::header::HOST;
 use hyper::http::request::Parts;
@@ -44,11 +44,11 @@
     if tenant.is_none() && table.needs_keys() && !route.public {
         return Err(Rejection::InvalidKey);
     }
-    let prompt_parts = headers::text(&head.headers, &PREFIX_HASH).and_then(PromptParts::parse);
+    let prompt_blocks = headers::text(&head.headers, &PREFIX_HASH).and_then(PromptBlocks::parse);
     Ok(AdmittedRequest {
         route,
         tenant,
-        prompt: prompt_parts.as_ref().map(Prompt::from).unwrap_or_default(),
+        prompt: prompt_blocks.as_ref().map(Prompt::from).unwrap_or_default(),
         deadline: arrived + time_limit(route, head),
         priority: priority(route, tenant),
     })
--- a/crates/gaugesaddle-edge/src/dispatch.rs
+++ b/crates/gaugesaddle-edge/src/dispatch.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use gaugesaddle_config::{Route, RoutingTable, ServiceIndex};
 use gaugesaddle_http_connection::{strip_connection_headers, CountedPermit, SendGuard};
-use gaugesaddle_inference::{Candidate, Choice, Prompt, Surroundings};
+use gaugesaddle_inference::{Candidate, Choice, FleetView, Prompt};
 use http_body_util::Full;
 use hyper::header::HeaderValue;
 use hyper::http::request::Parts;
@@ -115,7 +115,7 @@
                 return Err(self.retry.no_backend());
             };
             let in_flight = backend.begin_request();
-            let work = Some(WorkInFlight::begin(&self.state, backend.identity, choice.work));
+            let work = Some(WorkInFlight::begin(&self.state, backend.identity, choice.work_tokens));
             let sent_at = Instant::now();
             let request = self.request_for(&backend, resume_after);
             let result = send_attempt(&self.state, &backend, request, self.deadline, self.key.clone()).await;
@@ -168,7 +168,7 @@
     pub fn record_latency(&self, choice: &Choice, latency_ms: f64) {
         let statistics = &self.state.statistics;
         statistics.with_chooser(&self.route, &self.service_name, |chooser| {
-            chooser.note_latency(choice, latency_ms);
+            chooser.record_latency(choice, latency_ms);
         });
     }
 
@@ -188,18 +188,18 @@
                 let number = load_reporter::backend_number(backend.identity);
                 let backlog =
                     if settings.shared_load { loads.work(now, number) } else { loads.own_work(number) };
-                Candidate { identity: backend.identity, slots: backend.slots, backlog }
+                Candidate { identity: backend.identity, slots: backend.slots, backlog_tokens: backlog }
             };
             backends.iter().map(candidate).collect()
         };
         let proxies = self.state.proxies();
         let sizes = self.state.statistics.prompt_sizes(&self.service_name);
-        let inflow = sizes.inflow(now, settings.news, proxies, candidates.len());
-        let fleet = Surroundings { proxies, inflow, target_ms: self.route.target_ms };
+        let inflow_tokens = sizes.inflow_tokens(now, settings.report_delay_ms, proxies, candidates.len());
+        let view = FleetView { proxies, inflow_tokens, objective_ms: self.route.target_ms };
         let mut random = self.state.random.borrow_mut();
         let statistics = &self.state.statistics;
         let choice = statistics.with_chooser(&self.route, &self.service_name, |chooser| {
-            chooser.choose(now, &candidates, self.prompt, fleet, &mut *random)
+            chooser.choose(now, &candidates, self.prompt, view, &mut *random)
         })?;
         backends.get(choice.index).map(|backend| (backend.clone(), choice))
     }
@@ -213,13 +213,13 @@
         backends.retain(|backend| {
             backend.open_sockets() < max_connections || backend.in_flight() < backend.open_sockets()
         });
-        let is_avoided = |backend: &Backend| settings.avoid && backend.is_avoided(now);
+        let is_avoided = |backend: &Backend| settings.avoid_failed && backend.is_avoided(now);
         let is_healthy = |backend: &Rc<Backend>| !backend.lease_expired.get() && !is_avoided(backend);
         if backends.iter().any(is_healthy) {
             backends.retain(is_healthy);
         }
         self.leave_out_failing(now, &mut backends);
-        if settings.long_apart {
+        if settings.isolate_long_prompts {
             self.separate_long_prompts(&mut backends);
         }
         backends
@@ -244,7 +244,7 @@
     fn separate_long_prompts(&self, backends: &mut Vec<Rc<Backend>>) {
         let sizes = self.state.statistics.prompt_sizes(&self.service_name);
         let identities: Vec<u64> = backends.iter().map(|backend| backend.identity).collect();
-        let reserved = sizes.mark(&identities);
+        let reserved = sizes.reserved_backends(&identities);
         let is_long = sizes.is_long(self.prompt);
         if reserved.contains(&is_long) {
             let mut reserved = reserved.into_iter();
@@ -289,7 +289,7 @@
     statistics.record_request(now, service);
     statistics.record_prompt(now, service, admitted.prompt);
     statistics.with_chooser(admitted.route, service, |chooser| {
-        chooser.note_arrival(now, admitted.prompt.subject);
+        chooser.record_arrival(now, admitted.prompt.prefix);
     });
 }
 
--- a/crates/gaugesaddle-edge/src/load_reporter.rs
+++ b/crates/gaugesaddle-edge/src/load_reporter.rs
@@ -1,7 +1,7 @@
 //! Reports what this proxy sees of the backends' load, and receives what all proxies see.
 
 use crate::state::EdgeState;
-use gaugesaddle_inference::warmth;
+use gaugesaddle_inference::affinity;
 use gaugesaddle_protocol::{Reply, Request};
 use gaugesaddle_transport::Caller;
 use std::rc::Rc;
@@ -51,7 +51,7 @@
 
 /// Runs for as long as the process lives.
 pub async fn run(state: Rc<EdgeState>) {
-    let proxy = warmth::identity(&state.proxy_id);
+    let proxy = affinity::identity(&state.proxy_id);
     let mut caller: Option<Caller> = None;
     loop {
         if !state.load_view.borrow_mut().wants_to_report(state.now()) {
--- a/crates/gaugesaddle-edge/src/relay.rs
+++ b/crates/gaugesaddle-edge/src/relay.rs
@@ -14,7 +14,7 @@
 use crate::response_body::BrokenResponse;
 use bytes::Bytes;
 use gaugesaddle_config::RouteKind;
-use gaugesaddle_inference::events::EventScanner;
+use gaugesaddle_inference::EventScanner;
 use hyper::body::Body;
 use std::future::Future;
 use std::pin::Pin;
--- a/crates/gaugesaddle-edge/src/service_statistics.rs
+++ b/crates/gaugesaddle-edge/src/service_statistics.rs
@@ -45,7 +45,7 @@
 
     /// Adds a prompt to the sizes of a service's prompts.
     pub fn record_prompt(&self, now: u64, service: &str, prompt: Prompt) {
-        self.prompt_sizes.borrow_mut().entry(service.to_owned()).or_default().note(now, prompt);
+        self.prompt_sizes.borrow_mut().entry(service.to_owned()).or_default().record(now, prompt);
     }
 
     /// The sizes of a service's prompts.
