--- a/crates/gaugesaddle-testbed/src/process.rs
+++ b/crates/gaugesaddle-testbed/src/process.rs
@@ -71,12 +71,7 @@
 
     /// Sends a signal by its name, `TERM` or `STOP`.
     pub fn signal(&self, name: &str) -> io::Result<()> {
-        let status =
-            Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status()?;
-        match status.success() {
-            true => Ok(()),
-            false => Err(io::Error::other(format!("kill -{name} failed"))),
-        }
+        send_signal(self.id(), name)
     }
 
     /// Replaces its configuration and tells it so.
@@ -105,6 +100,15 @@
     }
 }
 
+/// Sends a signal by its name to a process. It starts a program, which may block for long on a busy machine.
+pub fn send_signal(process: u32, name: &str) -> io::Result<()> {
+    let status = Command::new("kill").args([&format!("-{name}"), &process.to_string()]).status()?;
+    match status.success() {
+        true => Ok(()),
+        false => Err(io::Error::other(format!("kill -{name} failed"))),
+    }
+}
+
 impl Drop for Process {
     fn drop(&mut self) {
         self.kill();
--- a/crates/gaugesaddle-testbed/src/world.rs
+++ b/crates/gaugesaddle-testbed/src/world.rs
@@ -9,7 +9,7 @@
 use crate::lease::Lease;
 use crate::node::{Down, Facts, Fleet, Memory, Node, Start};
 use crate::plan::{plan, Ask, Plan, Step};
-use crate::process::{Process, Program};
+use crate::process::{send_signal, Process, Program};
 use crate::record::{Boot, Event, Journal, Record, Standing};
 use crate::regions::Joined;
 use crate::relay::Relay;
@@ -570,29 +570,13 @@
                     }
                 }
             }
-            Step::ProxyKill(proxy) => self.kill_proxy(proxy),
+            Step::ProxyKill(proxy) => self.kill_proxy(proxy).await,
             Step::ProxyStart(proxy) => {
                 if let Err(e) = self.start_proxy(proxy).await {
                     self.journal.put(Event::Strange { text: format!("proxy {proxy} did not start: {e}") });
                 }
             }
-            Step::ProxyStop(proxy, stop) => {
-                if let Some(Actor::Process(process)) = &self.proxies.borrow()[proxy] {
-                    let event = match stop {
-                        true => Event::ProxyStopped { proxy },
-                        false => Event::ProxyContinued { proxy },
-                    };
-                    // The record of a stop lies before it, that of its end behind it.
-                    if stop {
-                        self.journal.put(event);
-                        let _ = process.signal("STOP");
-                    } else {
-                        let _ = process.signal("CONT");
-                        self.journal.put(event);
-                    }
-                    self.states.borrow_mut()[proxy] = if stop { "stopped" } else { "up" };
-                }
-            }
+            Step::ProxyStop(proxy, stop) => self.stop_proxy(proxy, stop).await,
             Step::ProxyLeave(proxy) => {
                 tokio::task::spawn_local(async move { self.end_proxy(proxy).await });
             }
@@ -633,12 +617,37 @@
         }
     }
 
-    fn kill_proxy(&self, proxy: usize) {
-        match self.proxies.borrow_mut()[proxy].take() {
+    /// Stops a proxy, or lets it go on.
+    async fn stop_proxy(&self, proxy: usize, stop: bool) {
+        let id = match &self.proxies.borrow()[proxy] {
+            Some(Actor::Process(process)) => process.id(),
+            _ => return,
+        };
+        // Off the thread that drives the clients.
+        let signal = |name| tokio::task::spawn_blocking(move || send_signal(id, name));
+        // The record of a stop lies before it, that of its end behind it.
+        if stop {
+            self.journal.put(Event::ProxyStopped { proxy });
+            let _ = signal("STOP").await;
+        } else {
+            let _ = signal("CONT").await;
+            self.journal.put(Event::ProxyContinued { proxy });
+        }
+        self.states.borrow_mut()[proxy] = if stop { "stopped" } else { "up" };
+    }
+
+    async fn kill_proxy(&self, proxy: usize) {
+        let actor = self.proxies.borrow_mut()[proxy].take();
+        match actor {
             Some(Actor::Process(mut process)) => {
                 self.journal.put(Event::ProxyKilled { proxy });
-                process.kill();
-                self.logs.borrow_mut()[proxy].extend(process.log());
+                // Off the thread that drives the clients: its end is waited for.
+                let killing = tokio::task::spawn_blocking(move || {
+                    process.kill();
+                    process.log()
+                });
+                let log = killing.await.unwrap_or_default();
+                self.logs.borrow_mut()[proxy].extend(log);
             }
             Some(Actor::Faulty(faulty)) => {
                 self.journal.put(Event::ProxyKilled { proxy });
@@ -690,7 +699,7 @@
         let mut ending = tokio::task::JoinSet::new();
         for proxy in up {
             if self.states.borrow()[proxy] == "stopped" {
-                self.kill_proxy(proxy);
+                self.kill_proxy(proxy).await;
             } else {
                 let world = self.clone();
                 ending.spawn_local(async move { world.end_proxy(proxy).await });
