--- a/crates/gaugesaddle-control/src/bootstrap.rs
+++ b/crates/gaugesaddle-control/src/bootstrap.rs
@@ -1,69 +1,88 @@
-//! Who founds the group at the very first start: decided alike at every process, from facts that do not change.
+//! Cluster bootstrap: which machines are the initial voters, decided alike at every process from facts that do not
+//! change.
 //!
-//! All processes are told the same seeds, and say to each other whether they have a disk. The seeds with a disk found
-//! the group. Where none has one, the lowest seed names a founder once, and nobody else ever does.
+//! All processes are configured with the same seeds and report to one another whether they have a disk. The seeds with
+//! a disk are the initial voters. Where no seed has one, the lowest seed nominates one machine, the *bootstrap node*,
+//! once; nobody else ever does.
+//!
+//! ```text
+//!  all seeds reported, some with a disk ----------------------------> initial voters: these seeds
+//!  all seeds reported, none with a disk --lowest seed nominates-----> initial voter: the bootstrap node
+//!  a seed has not reported -----------------------------------------> undecided
+//! ```
 
 use std::collections::BTreeMap;
 
-/// What is known of the seeds.
+/// What a process knows of the seeds.
+///
+/// The table of disks has an entry for each control machine that has reported; only such machines report.
 #[derive(Clone, Debug)]
 pub struct Bootstrap {
-    own: u32,
+    own_ip: u32,
+    /// Sorted addresses of the seeds.
     seeds: Vec<u32>,
-    /// Whether each machine known has a disk.
-    disks: BTreeMap<u32, bool>,
-    named: Option<u32>,
+    /// Whether a machine has a disk, by its address.
+    has_disk: BTreeMap<u32, bool>,
+    bootstrap_node: Option<u32>,
     /// This is the first start of the fleet.
-    first_start: bool,
+    is_first_start: bool,
 }
 
 impl Bootstrap {
-    /// At the machine `own`, with the seeds of its boot file.
-    pub fn new(own: u32, has_disk: bool, mut seeds: Vec<u32>, first_start: bool) -> Bootstrap {
+    /// The state of the machine `own_ip` with the seeds of its boot file.
+    pub fn new(own_ip: u32, has_disk: bool, mut seeds: Vec<u32>, is_first_start: bool) -> Bootstrap {
         seeds.sort_unstable();
         seeds.dedup();
-        Bootstrap { own, seeds, disks: [(own, has_disk)].into(), named: None, first_start }
+        let has_disk = BTreeMap::from([(own_ip, has_disk)]);
+        Bootstrap { own_ip, seeds, has_disk, bootstrap_node: None, is_first_start }
     }
 
-    /// Takes what another process says of itself; true where that names a founder for the first time.
-    pub fn heard(&mut self, ip: u32, has_disk: bool, named: Option<u32>) -> bool {
-        self.disks.insert(ip, has_disk);
-        if self.named.is_none() && named.is_some() {
-            self.named = named;
+    /// Records a report of another process; true where the bootstrap node becomes known by it, so that it is to be
+    /// broadcast.
+    pub fn record_report(&mut self, ip: u32, has_disk: bool, bootstrap_node: Option<u32>) -> bool {
+        self.has_disk.insert(ip, has_disk);
+        if self.bootstrap_node.is_none() && bootstrap_node.is_some() {
+            self.bootstrap_node = bootstrap_node;
             return true;
         }
-        self.name_founder()
+        self.nominate_bootstrap_node()
     }
 
-    /// The founder that was named, for the other processes.
-    pub fn named(&self) -> Option<u32> {
-        self.named
+    /// The machine that was nominated to bootstrap the cluster alone, once known.
+    pub fn bootstrap_node(&self) -> Option<u32> {
+        self.bootstrap_node
     }
 
-    /// The machines that found the group, once that is certain.
-    pub fn founders(&self) -> Option<Vec<u32>> {
-        if !self.first_start {
+    /// Addresses of the initial voters, once they are certain; `None` after the first start.
+    pub fn initial_voters(&self) -> Option<Vec<u32>> {
+        if !self.is_first_start {
             return None;
         }
-        let disks: Option<Vec<bool>> = self.seeds.iter().map(|seed| self.disks.get(seed).copied()).collect();
-        let founders: Vec<u32> =
-            self.seeds.iter().zip(disks?).filter(|(_, disk)| *disk).map(|(seed, _)| *seed).collect();
-        if !founders.is_empty() {
-            return Some(founders);
+        let mut seeds_with_disk = Vec::new();
+        for seed in &self.seeds {
+            if *self.has_disk.get(seed)? {
+                seeds_with_disk.push(*seed);
+            }
+        }
+        if !seeds_with_disk.is_empty() {
+            return Some(seeds_with_disk);
         }
-        self.named.map(|ip| vec![ip])
+        self.bootstrap_node.map(|ip| vec![ip])
     }
 
-    /// The lowest seed names the first machine with a disk that it hears of. A seed that has started again does not: it
-    /// could name another one.
-    fn name_founder(&mut self) -> bool {
-        let names = self.first_start && self.seeds.first() == Some(&self.own) && self.named.is_none();
-        let known = self.seeds.iter().all(|seed| self.disks.contains_key(seed));
-        let none = !self.seeds.iter().any(|seed| self.disks.get(seed) == Some(&true));
-        if !(names && known && none) {
+    /// At the lowest seed, nominates the lowest known machine with a disk. A seed that has restarted does not: it could
+    /// nominate another one than before.
+    fn nominate_bootstrap_node(&mut self) -> bool {
+        let is_lowest_seed = self.seeds.first() == Some(&self.own_ip);
+        if !self.is_first_start || !is_lowest_seed || self.bootstrap_node.is_some() {
+            return false;
+        }
+        // Every seed must have reported that it has no disk.
+        if self.seeds.iter().any(|seed| self.has_disk.get(seed) != Some(&false)) {
             return false;
         }
-        self.named = self.disks.iter().find(|(_, disk)| **disk).map(|(ip, _)| *ip);
-        self.named.is_some()
+        let lowest_with_disk = self.has_disk.iter().find(|(_, has_disk)| **has_disk);
+        self.bootstrap_node = lowest_with_disk.map(|(ip, _)| *ip);
+        self.bootstrap_node.is_some()
     }
 }
--- /dev/null
+++ b/crates/gaugesaddle-control/src/catalog_updates.rs
@@ -0,0 +1,104 @@
+//! Updates of the catalog: recorded here, replicated to the peers, announced to the proxies that wait for changes.
+
+use crate::core::{Core, CoreHandle};
+use gaugesaddle_protocol::{CatalogDelta, PeerMessage, Pull, Registration};
+use spdlog::info;
+
+impl CoreHandle {
+    /// Handles a peer's message about the catalog and answers it.
+    pub fn handle_catalog_message(&self, ip: u32, message: PeerMessage) {
+        let changed = self.with(|core| {
+            let now = core.clock.now();
+            let (changed, answers) = core.catalog_replica.take(now, ip, message);
+            for answer in answers {
+                core.peers.send(ip, answer);
+            }
+            changed
+        });
+        if changed {
+            self.notify_change();
+        }
+    }
+
+    /// Records a registration of a backend or proxy.
+    pub fn record(&self, registration: Registration) {
+        self.replicate(|core, now| core.catalog_replica.record(now, registration).into_iter().collect());
+    }
+
+    /// Records a proxy's pull: its lease is renewed, and what it confirms to know is acknowledged to the peers.
+    pub fn record_pull(&self, pull: &Pull) {
+        self.with(|core| {
+            let now = core.clock.now();
+            for (ip, message) in core.catalog_replica.record_pull(now, pull) {
+                core.peers.send(ip, message);
+            }
+        });
+        self.record(pull.proxy.clone());
+    }
+
+    /// Records departed registrations that a proxy reports.
+    pub fn record_departed(&self, departed: Vec<Registration>) {
+        self.replicate(|core, now| core.catalog_replica.record_departed(now, departed));
+    }
+
+    /// Expires leases that were not renewed.
+    pub fn expire_leases(&self) {
+        self.replicate(|core, now| {
+            let expired = core.catalog_replica.expire(now);
+            for entry in expired.iter().flat_map(|delta| &delta.entries) {
+                info!("lease of {} expired", entry.registration.id);
+            }
+            expired
+        });
+    }
+
+    /// Applies an update of the catalog and pushes the deltas that it makes to all peers.
+    fn replicate(&self, update: impl FnOnce(&mut Core, u64) -> Vec<CatalogDelta>) {
+        let changed = self.with(|core| {
+            let now = core.clock.now();
+            let deltas = update(core, now);
+            for delta in &deltas {
+                core.peers.broadcast(&PeerMessage::Push(delta.clone()));
+            }
+            !deltas.is_empty()
+        });
+        if changed {
+            self.notify_change();
+        }
+    }
+}
+
+impl Core {
+    /// Addresses of the machines that serve control, this one included.
+    pub fn members(&self, now: u64) -> Vec<u32> {
+        let mut members = self.catalog_replica.peers().alive(now);
+        members.push(u32::from(self.boot.ip));
+        members
+    }
+
+    /// Adds machines that serve control as peers.
+    pub fn add_peers(&mut self, members: impl Iterator<Item = u32>) {
+        let own = u32::from(self.boot.ip);
+        for member in members.filter(|ip| *ip != own) {
+            self.peers.add(member);
+        }
+    }
+
+    /// The message that opens a connection to a peer.
+    pub fn hello(&self) -> PeerMessage {
+        let now = self.clock.now();
+        PeerMessage::Hello {
+            ip: u32::from(self.boot.ip),
+            has_disk: self.has_disk,
+            bootstrap_node: self.bootstrap.bootstrap_node(),
+            origin: self.catalog_replica.origin(),
+            members: self.members(now),
+        }
+    }
+
+    /// The digest of the catalog with which a peer finds out what either side lacks.
+    pub fn compare(&self, with_ranges: bool) -> PeerMessage {
+        let now = self.clock.now();
+        self.catalog_replica.compare(with_ranges, self.members(now))
+    }
+}
--- a/crates/gaugesaddle-control/src/cli.rs
+++ b/crates/gaugesaddle-control/src/cli.rs
@@ -1,24 +1,25 @@
 //! The command line.
 
-use crate::operator::{self, Change, Target};
+use crate::operator_client::{self, Change, Endpoints};
 use crate::serve;
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use gaugesaddle_config::operator::OperatorConfig;
 use std::net::SocketAddrV4;
+use std::ops::ControlFlow;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// A call is given up after so long unless `--for` says otherwise, in seconds.
-const PATIENCE: &str = "10";
-/// Between two looks of `watch` unless `--every` says otherwise, in seconds.
-const PERIOD: &str = "1";
+/// Default of `--for`, in seconds.
+const DEFAULT_TIMEOUT_S: &str = "10";
+/// Default of `--every`, in seconds.
+const DEFAULT_INTERVAL_S: &str = "1";
 
-fn file() -> Arg {
+fn file_argument() -> Arg {
     Arg::new("FILE").required(true).value_parser(clap::value_parser!(PathBuf)).help("The document, in JSON")
 }
 
-fn at() -> Arg {
+fn address_option() -> Arg {
     Arg::new("at")
         .long("at")
         .value_name("ADDRESS")
@@ -29,24 +30,24 @@
         .help("A control address; several are called in turn")
 }
 
-fn base() -> Arg {
+fn base_option() -> Arg {
     Arg::new("base")
         .long("base")
         .value_name("REVISION")
         .value_parser(clap::value_parser!(u64))
-        .help("The revision that it builds on; by default the current one")
+        .help("The revision that the change is based on; by default the current one")
 }
 
-fn patience() -> Arg {
+fn timeout_option() -> Arg {
     Arg::new("for")
         .long("for")
         .value_name("SECONDS")
-        .default_value(PATIENCE)
+        .default_value(DEFAULT_TIMEOUT_S)
         .value_parser(clap::value_parser!(f64))
-        .help("Time until a call without a clear answer is given up")
+        .help("Time after which a call without a conclusive response is not retried")
 }
 
-fn json() -> Arg {
+fn json_option() -> Arg {
     Arg::new("json").long("json").action(ArgAction::SetTrue).help("As JSON, for scripts")
 }
 
@@ -56,59 +57,68 @@
         .about("The control plane of a router fleet: configuration, registrations and their distribution")
         .subcommand_required(true)
         .arg_required_else_help(true)
-        .subcommand(Command::new("serve").about("Serve as the boot file says that GAUGESADDLE_BOOT names"))
+        .subcommand(Command::new("serve").about("Serve, with the boot file that GAUGESADDLE_BOOT names"))
         .subcommand(
             Command::new("check")
-                .about("Check a configuration: exit 0 if a fleet would take it, 1 with every finding if not")
-                .arg(file()),
+                .about(
+                    "Check a configuration: exit 0 if a fleet would accept it, 1 with every finding if not",
+                )
+                .arg(file_argument()),
         )
         .subcommand(
             Command::new("put")
-                .about("Bring a configuration to a running fleet")
-                .arg(file())
-                .arg(at())
-                .arg(patience())
-                .arg(base()),
+                .about("Put a configuration in force in a running fleet")
+                .arg(file_argument())
+                .arg(address_option())
+                .arg(timeout_option())
+                .arg(base_option()),
         )
         .subcommand(
             Command::new("patch")
                 .about("Add, replace and remove named items of the configuration of a running fleet")
-                .arg(file())
-                .arg(at())
-                .arg(patience())
-                .arg(base())
+                .arg(file_argument())
+                .arg(address_option())
+                .arg(timeout_option())
+                .arg(base_option())
                 .arg(
                     Arg::new("dry-run")
                         .long("dry-run")
                         .action(ArgAction::SetTrue)
-                        .help("Print the whole configuration that it makes; nothing is brought"),
+                        .help("Print the resulting configuration without putting it in force"),
                 ),
         )
-        .subcommand(Command::new("get").about("Print the configuration in force").arg(at()).arg(patience()))
+        .subcommand(
+            Command::new("get")
+                .about("Print the configuration in force")
+                .arg(address_option())
+                .arg(timeout_option()),
+        )
         .subcommand(
             Command::new("watch")
                 .about("Print a line for each new configuration")
-                .arg(at())
-                .arg(patience())
-                .arg(json())
+                .arg(address_option())
+                .arg(timeout_option())
+                .arg(json_option())
                 .arg(
                     Arg::new("every")
                         .long("every")
                         .value_name("SECONDS")
-                        .default_value(PERIOD)
+                        .default_value(DEFAULT_INTERVAL_S)
                         .value_parser(clap::value_parser!(f64))
-                        .help("Between two looks"),
+                        .help("Interval between reads"),
                 ),
         )
         .subcommand(
             Command::new("status")
-                .about("How control processes stand: role, term, voters, revision, backends, proxies")
-                .arg(at().help("An address for processes: the machine, and the first of its free ports"))
-                .arg(json()),
+                .about("Status of control processes: role, term, voters, revision, backends, proxies")
+                .arg(address_option().help(
+                    "An address for processes: the machine, and the first port of the range for processes",
+                ))
+                .arg(json_option()),
         )
 }
 
-/// Runs the program.
+/// Runs the program; exit code 0 on success, 1 on any error, 2 (by clap) on a malformed command line.
 pub fn main() -> ExitCode {
     gaugesaddle_transport::log::start();
     match run(&command().get_matches()) {
@@ -136,29 +146,29 @@
     arguments.get_many("at").into_iter().flatten().copied().collect()
 }
 
-/// A span given in seconds; what cannot be one is none at all.
-fn seconds(arguments: &ArgMatches, name: &str) -> Duration {
+/// A duration given in seconds; 0 where the value is no duration.
+fn duration(arguments: &ArgMatches, name: &str) -> Duration {
     let seconds = arguments.get_one::<f64>(name).copied().unwrap_or_default();
     Duration::try_from_secs_f64(seconds).unwrap_or_default()
 }
 
-fn target(arguments: &ArgMatches) -> Target {
-    Target { addresses: addresses(arguments), patience: seconds(arguments, "for") }
+fn endpoints(arguments: &ArgMatches) -> Endpoints {
+    Endpoints { addresses: addresses(arguments), timeout: duration(arguments, "for") }
 }
 
-fn read(arguments: &ArgMatches) -> eyre::Result<(PathBuf, Vec<u8>)> {
+fn read_file(arguments: &ArgMatches) -> eyre::Result<(PathBuf, Vec<u8>)> {
     let path = arguments.get_one::<PathBuf>("FILE").cloned().unwrap_or_default();
     let document = std::fs::read(&path).map_err(|e| eyre::eyre!("{}: {e}", path.display()))?;
     Ok((path, document))
 }
 
 fn read_text(arguments: &ArgMatches) -> eyre::Result<String> {
-    let (_, document) = read(arguments)?;
+    let (_, document) = read_file(arguments)?;
     Ok(String::from_utf8(document)?)
 }
 
 fn check(arguments: &ArgMatches) -> eyre::Result<()> {
-    let (path, document) = read(arguments)?;
+    let (path, document) = read_file(arguments)?;
     let config = OperatorConfig::parse(&document)
         .map_err(|findings| eyre::eyre!("{}:\n{}", path.display(), findings.to_multiline()))?;
     println!("{}: good, revision {}", path.display(), config.revision);
@@ -167,27 +177,29 @@
 
 fn put(arguments: &ArgMatches) -> eyre::Result<()> {
     let text = read_text(arguments)?;
-    order(arguments, Change::Full(&text))
+    submit(arguments, Change::Full(&text))
 }
 
 fn patch(arguments: &ArgMatches) -> eyre::Result<()> {
     let text = read_text(arguments)?;
     if arguments.get_flag("dry-run") {
-        let made = operator::preview(&target(arguments), &text, arguments.get_one("base").copied())?;
-        println!("{made}");
+        let document =
+            operator_client::preview(&endpoints(arguments), &text, arguments.get_one("base").copied())?;
+        println!("{document}");
         return Ok(());
     }
-    order(arguments, Change::Patch(&text))
+    submit(arguments, Change::Patch(&text))
 }
 
-fn order(arguments: &ArgMatches, change: Change) -> eyre::Result<()> {
-    let revision = operator::order(&target(arguments), change, arguments.get_one("base").copied())?;
+fn submit(arguments: &ArgMatches, change: Change) -> eyre::Result<()> {
+    let revision =
+        operator_client::submit(&endpoints(arguments), change, arguments.get_one("base").copied())?;
     println!("revision {revision} is acknowledged");
     Ok(())
 }
 
 fn get(arguments: &ArgMatches) -> eyre::Result<()> {
-    match operator::get(&target(arguments))? {
+    match operator_client::get(&endpoints(arguments))? {
         Some(text) => println!("{text}"),
         None => eyre::bail!("no configuration yet"),
     }
@@ -196,24 +208,24 @@
 
 fn watch(arguments: &ArgMatches) -> eyre::Result<()> {
     let as_json = arguments.get_flag("json");
-    operator::watch(&target(arguments), seconds(arguments, "every"), |revision, text| {
+    operator_client::watch(&endpoints(arguments), duration(arguments, "every"), |revision, text| {
         if as_json {
             println!("{text}");
         } else {
             println!("revision {revision}, {} bytes", text.len());
         }
-        true
+        ControlFlow::Continue(())
     })
 }
 
 fn status(arguments: &ArgMatches) -> eyre::Result<()> {
-    let mut failed = None;
+    let mut last_error = None;
     for address in addresses(arguments) {
-        match operator::status(address) {
-            Ok(report) if arguments.get_flag("json") => println!("{}", operator::report_json(&report)),
-            Ok(report) => println!("{address}\n{}\n", operator::report_text(&report)),
-            Err(e) => failed = Some(e),
+        match operator_client::status(address) {
+            Ok(report) if arguments.get_flag("json") => println!("{}", operator_client::report_json(&report)),
+            Ok(report) => println!("{address}\n{}\n", operator_client::report_text(&report)),
+            Err(e) => last_error = Some(e),
         }
     }
-    failed.map_or(Ok(()), Err)
+    last_error.map_or(Ok(()), Err)
 }
--- a/crates/gaugesaddle-control/src/lib.rs
+++ b/crates/gaugesaddle-control/src/lib.rs
@@ -1,24 +1,65 @@
-//! The control plane: takes the operator's configuration and the registrations of backends and proxies, keeps the
-//! one on a majority of disks and the others as soft state under leases, and hands both to every proxy.
+//! The control plane: commits operators' configurations on a majority of disks, records the registrations of backends
+//! and proxies as soft state under leases, allocates tenants' tokens, and distributes all of it to every proxy.
 //!
 //! ```text
-//!  operator, backends --HTTP--> api --+              +--> disk (a thread: ring of files)
-//!  proxies ------------frames-> requests --> core ---+
-//!  control processes ---frames-> peers ---+          +--> peers (frames)
+//!  operators, backends --HTTP--> http_api ----------+                        +--> disk (a thread: ring of files)
+//!  proxies ------------frames--> request_server ----+--> core: the state ----+
+//!  control processes --frames--> peer_connections --+    machines            +--> peer_queues (frames)
+//!                                maintenance (1 s) -+
 //! ```
-//! [`core`] is the host of the state machines of `gaugesaddle-consensus`, `gaugesaddle-catalog` and
-//! `gaugesaddle-quota`; nothing else touches them. One thread runs everything but the writes to the disk.
+//!
+//! Decisions are made in the crates without I/O; this crate is their host. One thread runs everything but the writes to
+//! the disk, and one value, `Core`, owns all state:
+//!
+//! | state | owner | extended by |
+//! | --- | --- | --- |
+//! | consensus: [`Replica`](gaugesaddle_consensus::Replica) | `core` | `replica_driver` |
+//! | cluster bootstrap: [`bootstrap::Bootstrap`] | `core` | `bootstrap_driver` |
+//! | catalog: [`CatalogReplica`](gaugesaddle_catalog::CatalogReplica) | `core` | `catalog_updates`, `registrations` |
+//! | tokens: [`TokenAllocator`](gaugesaddle_quota::TokenAllocator) | `core` | `quota` |
+//! | loads: [`LoadAggregator`](gaugesaddle_load_report::LoadAggregator) | `core` | `load_reports` |
+//!
+//! `change_handler` is the server's side of a configuration change, [`operator_client`] the command line's.
+//!
+//! ```rust
+//! use gaugesaddle_control::bootstrap::Bootstrap;
+//!
+//! // At machine 1, which has a disk; the seeds are the machines 1 and 2, and the fleet starts for the first time.
+//! let mut bootstrap = Bootstrap::new(1, true, vec![1, 2], true);
+//! assert_eq!(bootstrap.initial_voters(), None);
+//! bootstrap.record_report(2, true, None);
+//! assert_eq!(bootstrap.initial_voters(), Some(vec![1, 2]));
+//! ```
+//!
+//! # Guarantees
+//!
+//! - A change that is acknowledged (status 200) is durable on a majority of the voters' disks.
+//! - An acknowledged drain or deregistration is known to a majority of the control processes at least.
+//! - Malformed input ends its connection or is answered with an error; it does not stop the process.
+//! - A disk that fails stops the replica, not the process; it is opened again every 300 ms.
+//!
+//! # Limits
+//!
+//! 64 peers with 256 queued messages each; a configuration or patch of 8 MiB; a heartbeat of 4 KiB; 32 writes to the
+//! disk per sync. Connections are limited by the process's file descriptors only.
 
-mod api;
 pub mod bootstrap;
-mod changes;
+mod bootstrap_driver;
+mod catalog_updates;
+mod change_handler;
 pub mod cli;
 mod core;
 mod disk;
-mod loads;
-pub mod operator;
-mod peers;
+mod http_api;
+mod load_reports;
+mod maintenance;
+pub mod operator_client;
+mod peer_connections;
+mod peer_queues;
+mod quota;
+mod random;
 mod registrations;
-mod requests;
+mod replica_driver;
+mod request_server;
 mod serve;
-mod upkeep;
+mod status;
--- a/crates/gaugesaddle-control/src/main.rs
+++ b/crates/gaugesaddle-control/src/main.rs
@@ -1,4 +1,4 @@
-//! The control plane and its commands; all of it is the library's.
+//! The program `gaugesaddle-control`; see the library.
 
 fn main() -> std::process::ExitCode {
     gaugesaddle_control::cli::main()
--- /dev/null
+++ b/crates/gaugesaddle-control/src/peer_connections.rs
@@ -0,0 +1,113 @@
+//! Connections to and from the other control processes.
+//!
+//! Each process opens one connection to every other and only sends on it; messages in the other direction arrive on
+//! the connection that the peer opened.
+
+use crate::core::CoreHandle;
+use crate::peer_queues::UnconnectedPeer;
+use gaugesaddle_consensus::Input;
+use gaugesaddle_protocol::frame::FrameError;
+use gaugesaddle_protocol::{Opening, PeerMessage};
+use gaugesaddle_transport::{connect, Link, LinkError};
+use spdlog::debug;
+use std::net::SocketAddrV4;
+use std::time::Duration;
+use tokio::sync::mpsc;
+
+/// Time-out for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time-out for sending one message; a large state over a slow link takes a while.
+const SEND_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Interval between attempts to connect to a peer.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
+
+/// Starts a connection task for each peer that has none.
+pub fn connect_new_peers(core: &CoreHandle) {
+    for UnconnectedPeer { ip, messages } in core.with(|c| c.peers.take_unconnected()) {
+        tokio::task::spawn_local(send_queued(core.clone(), ip, messages));
+    }
+}
+
+/// Sends the messages queued for a peer, and connects again after each error, until the process ends.
+async fn send_queued(core: CoreHandle, ip: u32, mut messages: mpsc::Receiver<PeerMessage>) {
+    let address = core.with(|c| c.boot.control_process(ip));
+    loop {
+        if let Err(e) = connect_and_send(&core, address, &mut messages).await {
+            debug!("peer {address}: {e}");
+        }
+        tokio::time::sleep(RETRY_INTERVAL).await;
+        // Queued messages are older than what the state machines would send now.
+        while messages.try_recv().is_ok() {}
+    }
+}
+
+async fn connect_and_send(
+    core: &CoreHandle, address: SocketAddrV4, messages: &mut mpsc::Receiver<PeerMessage>,
+) -> Result<(), LinkError> {
+    let mut link = Link::new(connect(address, CONNECT_TIMEOUT).await?);
+    link.send(&Opening::Peer, SEND_TIMEOUT).await?;
+    let (hello, compare) = core.with(|c| (c.hello(), c.compare(true)));
+    link.send(&hello, SEND_TIMEOUT).await?;
+    link.send(&compare, SEND_TIMEOUT).await?;
+    while let Some(message) = messages.recv().await {
+        link.send(&message, SEND_TIMEOUT).await?;
+    }
+    Ok(())
+}
+
+/// Receives messages on a connection that a peer opened, until it ends.
+///
+/// # Errors
+///
+/// The link failed, or the peer sent something malformed.
+pub async fn receive(core: CoreHandle, mut link: Link) -> Result<(), LinkError> {
+    let PeerMessage::Hello { ip, has_disk, bootstrap_node, origin, members } = link.receive().await? else {
+        return Err(LinkError::Frame(FrameError::Malformed));
+    };
+    core.with(|c| {
+        c.add_peers(members.into_iter().chain([ip]));
+        c.catalog_replica.register_peer(ip, origin);
+        // Deltas that the peer pushed while it could not connect are lost; after this digest it pushes what is missing.
+        let compare = c.compare(false);
+        c.peers.send(ip, compare);
+    });
+    core.record_bootstrap_report(ip, has_disk, bootstrap_node);
+    connect_new_peers(&core);
+    loop {
+        let message = link.receive().await?;
+        let is_current = core.with(|c| {
+            let now = c.clock.now();
+            c.catalog_replica.record_contact(now, ip, origin)
+        });
+        if !is_current {
+            // Another process runs there by now: late messages of the former one would be attributed to it.
+            return Ok(());
+        }
+        handle_message(&core, ip, message);
+    }
+}
+
+fn handle_message(core: &CoreHandle, ip: u32, message: PeerMessage) {
+    match message {
+        PeerMessage::Hello { has_disk, bootstrap_node, .. } => {
+            core.record_bootstrap_report(ip, has_disk, bootstrap_node)
+        }
+        PeerMessage::Replica { from, to, message } => {
+            let own_id = core.with(|c| c.replica.as_ref().map(|replica| replica.id()));
+            if to.is_none() || to == own_id {
+                core.step(Input::Message { from, message });
+            }
+        }
+        PeerMessage::Load(loads) => core.with(|c| {
+            let now = c.clock.now();
+            c.loads.take(now, ip, loads);
+        }),
+        message => {
+            if let PeerMessage::Compare { members, .. } = &message {
+                core.with(|c| c.add_peers(members.iter().copied()));
+                connect_new_peers(core);
+            }
+            core.handle_catalog_message(ip, message);
+        }
+    }
+}
--- /dev/null
+++ b/crates/gaugesaddle-control/src/peer_queues.rs
@@ -0,0 +1,60 @@
+//! Outgoing message queues, one for each other control process.
+
+use gaugesaddle_protocol::PeerMessage;
+use std::collections::BTreeMap;
+use tokio::sync::mpsc;
+
+/// Capacity of a queue, in messages.
+const QUEUE_CAPACITY: usize = 256;
+/// Maximum number of peers: the machines set aside for control, and those that they replaced.
+const MAX_PEERS: usize = 64;
+
+/// A peer for which no connection task has been started yet.
+#[derive(Debug)]
+pub struct UnconnectedPeer {
+    /// Address of its machine.
+    pub ip: u32,
+    /// Receiving end of its queue.
+    pub messages: mpsc::Receiver<PeerMessage>,
+}
+
+/// Queues of messages to the other control processes, by the address of their machine.
+///
+/// A full queue drops the message: every message is repeated or superseded by its sender.
+#[derive(Default)]
+pub struct PeerQueues {
+    queues: BTreeMap<u32, mpsc::Sender<PeerMessage>>,
+    unconnected: Vec<UnconnectedPeer>,
+}
+
+impl PeerQueues {
+    /// Adds a peer, unless it is known or there are [`MAX_PEERS`] already.
+    pub fn add(&mut self, ip: u32) {
+        if self.queues.contains_key(&ip) || self.queues.len() >= MAX_PEERS {
+            return;
+        }
+        let (queue, messages) = mpsc::channel(QUEUE_CAPACITY);
+        self.queues.insert(ip, queue);
+        self.unconnected.push(UnconnectedPeer { ip, messages });
+    }
+
+    /// Removes and returns the peers that need a connection task.
+    pub fn take_unconnected(&mut self) -> Vec<UnconnectedPeer> {
+        std::mem::take(&mut self.unconnected)
+    }
+
+    /// Queues a message to one peer.
+    pub fn send(&mut self, ip: u32, message: PeerMessage) {
+        if let Some(queue) = self.queues.get(&ip) {
+            // A full queue means that the peer hangs; its sender repeats whatever it still needs.
+            let _ = queue.try_send(message);
+        }
+    }
+
+    /// Queues a message to every peer.
+    pub fn broadcast(&self, message: &PeerMessage) {
+        for queue in self.queues.values() {
+            let _ = queue.try_send(message.clone());
+        }
+    }
+}
--- a/crates/gaugesaddle-control/src/registrations.rs
+++ b/crates/gaugesaddle-control/src/registrations.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of backends and their end.
+//! Registrations of backends: heartbeats and deregistrations, acknowledged once they are replicated.
 
 use crate::core::CoreHandle;
 use gaugesaddle_catalog::Acknowledgement;
@@ -7,14 +7,14 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// A heartbeat is at most so long.
-pub const MAX_BYTES: usize = 4096;
-/// Between two looks at the acknowledgements.
-const LOOK: Duration = Duration::from_millis(3);
+/// Maximum size of a heartbeat, in bytes.
+pub const MAX_HEARTBEAT_BYTES: usize = 4096;
+/// Interval between checks of the replication status.
+const POLL_INTERVAL: Duration = Duration::from_millis(3);
 
-/// What a heartbeat says, as far as it is used.
+/// Body of a heartbeat; unknown members are ignored.
 #[derive(Debug, Deserialize)]
-pub struct Heartbeat {
+struct Heartbeat {
     service: String,
     address: String,
     #[serde(default)]
@@ -27,51 +27,59 @@
     sequence: u64,
 }
 
-/// What becomes of a call.
+/// Outcome of a heartbeat or deregistration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Registered {
-    /// The news will live.
+pub enum RegistrationOutcome {
+    /// Replicated far enough that it will not be lost.
     Acknowledged,
-    /// It may not: another process should be called.
-    NotSpread,
-    /// It is no such call.
+    /// It may be lost: the backend should call another process.
+    NotReplicated,
+    /// The call is malformed, or deregisters an unknown backend.
     Malformed,
 }
 
-/// Takes a heartbeat.
-pub async fn heartbeat(core: &CoreHandle, id: &str, body: &[u8]) -> Registered {
-    let Ok(beat) = serde_json::from_slice::<Heartbeat>(body) else { return Registered::Malformed };
-    if id.is_empty() || beat.address.parse::<SocketAddrV4>().is_err() {
-        return Registered::Malformed;
+/// Handles a heartbeat of the backend `id`.
+pub async fn handle_heartbeat(core: &CoreHandle, id: &str, body: &[u8]) -> RegistrationOutcome {
+    let Ok(heartbeat) = serde_json::from_slice::<Heartbeat>(body) else {
+        return RegistrationOutcome::Malformed;
+    };
+    if id.is_empty() || heartbeat.address.parse::<SocketAddrV4>().is_err() {
+        return RegistrationOutcome::Malformed;
     }
-    let lifecycle = if beat.state == "draining" { Lifecycle::Draining } else { Lifecycle::Ready };
-    let subject = Subject::Backend { service: beat.service, address: beat.address, slots: beat.slots };
-    let registration =
-        Registration { id: id.to_owned(), zone: beat.zone, subject, sequence: beat.sequence, lifecycle };
+    let lifecycle = if heartbeat.state == "draining" { Lifecycle::Draining } else { Lifecycle::Ready };
+    let subject =
+        Subject::Backend { service: heartbeat.service, address: heartbeat.address, slots: heartbeat.slots };
+    let registration = Registration {
+        id: id.to_owned(),
+        zone: heartbeat.zone,
+        subject,
+        sequence: heartbeat.sequence,
+        lifecycle,
+    };
     register(core, registration).await
 }
 
-/// Takes the end of a backend.
-pub async fn deregister(core: &CoreHandle, id: &str) -> Registered {
+/// Handles the deregistration of the backend `id`.
+pub async fn handle_deregister(core: &CoreHandle, id: &str) -> RegistrationOutcome {
     match core.with(|c| c.catalog_replica.departed(id)) {
         Some(registration) if !id.is_empty() => register(core, registration).await,
-        _ => Registered::Malformed,
+        _ => RegistrationOutcome::Malformed,
     }
 }
 
-async fn register(core: &CoreHandle, registration: Registration) -> Registered {
-    let waiting = core.with(|c| Acknowledgement::new(c.clock.now(), &registration));
+async fn register(core: &CoreHandle, registration: Registration) -> RegistrationOutcome {
+    let acknowledgement = core.with(|c| Acknowledgement::new(c.clock.now(), &registration));
     core.record(registration);
     loop {
         let decided = core.with(|c| {
             let now = c.clock.now();
-            let voters = c.replica.as_ref().map_or(0, |r| r.voters().len());
-            waiting.decide(now, &c.catalog_replica, c.is_fresh(), voters)
+            let voters = c.replica.as_ref().map_or(0, |replica| replica.voters().len());
+            acknowledgement.decide(now, &c.catalog_replica, c.is_fresh(), voters)
         });
         match decided {
-            Some(true) => return Registered::Acknowledged,
-            Some(false) => return Registered::NotSpread,
-            None => tokio::time::sleep(LOOK).await,
+            Some(true) => return RegistrationOutcome::Acknowledged,
+            Some(false) => return RegistrationOutcome::NotReplicated,
+            None => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
--- /dev/null
+++ b/crates/gaugesaddle-control/src/replica_driver.rs
@@ -0,0 +1,222 @@
+//! Drives the consensus replica: inputs from peers, tasks, timer and disk; outputs to peers, tasks and disk.
+
+use crate::core::{Core, CoreHandle, PendingRequest};
+use crate::disk::{DiskEvent, DiskWrite};
+use gaugesaddle_consensus::{Input, NotLeader, Output, Proposal, ProposalResult, Replica};
+use gaugesaddle_protocol::{Configuration, HardState, PeerMessage, ReplicaId, State};
+use spdlog::{info, warn};
+use tokio::sync::oneshot;
+
+impl CoreHandle {
+    /// Starts a process without a disk: a learner, which receives every state and never votes.
+    pub fn start_as_learner(&self) {
+        self.with(|core| {
+            let hard_state = HardState { id: core.id, term: 0, voted_for: None };
+            core.create_replica(hard_state, State::default());
+        });
+    }
+
+    /// Handles an event of the disk thread.
+    pub fn handle_disk_event(&self, event: DiskEvent) {
+        match event {
+            DiskEvent::Opened { hard_state, state } => self.handle_disk_opened(hard_state, state),
+            DiskEvent::Persisted(write_id) => self.step(Input::Persisted(write_id)),
+            DiskEvent::Failed(error) => {
+                warn!("disk failed, replica stops: {error}");
+                let pending = self.with(|core| {
+                    core.replica = None;
+                    std::mem::take(&mut core.pending)
+                });
+                pending.into_values().for_each(fail_request);
+                self.notify_change();
+            }
+        }
+    }
+
+    fn handle_disk_opened(&self, hard_state: Option<HardState>, state: Option<Box<State>>) {
+        self.with(|core| {
+            let is_first_start = core.boot.bootstrap && hard_state.is_none();
+            core.id = match &hard_state {
+                Some(hard_state) => hard_state.id,
+                // The initial voters know one another by incarnation 0.
+                None if is_first_start => ReplicaId { incarnation: 0, ..core.id },
+                None => core.id,
+            };
+            let id = core.id;
+            let hard_state = hard_state.unwrap_or(HardState { id, term: 0, voted_for: None });
+            let state = state.map(|state| *state).unwrap_or_default();
+            let voters = state.voters.len();
+            info!("replica {id} term {} at {:?} voters {voters}", hard_state.term, state.position);
+            core.create_replica(hard_state, state);
+            core.bootstrap_if_due();
+        });
+        self.deadline_changed.notify_one();
+    }
+
+    /// Gives the replica an input and executes its outputs.
+    pub fn step(&self, input: Input) {
+        self.drive(|replica, now, outputs| replica.handle(now, input, outputs));
+    }
+
+    /// Transfers leadership, if this process leads, before it ends (thesis 3.10).
+    pub fn transfer_leadership(&self) {
+        self.drive(Replica::transfer_leadership);
+    }
+
+    fn drive(&self, act: impl FnOnce(&mut Replica, u64, &mut Vec<Output>)) {
+        let mut outputs = Vec::new();
+        self.with(|core| {
+            let now = core.clock.now();
+            let Some(replica) = &mut core.replica else { return };
+            let before = (replica.role(), replica.term());
+            act(replica, now, &mut outputs);
+            let (role, term) = (replica.role(), replica.term());
+            if before != (role, term) {
+                info!("replica {} is {role:?} in term {term}", replica.id());
+            }
+        });
+        self.execute(outputs);
+        self.deadline_changed.notify_one();
+    }
+
+    fn execute(&self, outputs: Vec<Output>) {
+        for output in outputs {
+            match output {
+                Output::Send(to, message) => self.with(|core| {
+                    let from = core.id;
+                    core.peers.send(to.ip, PeerMessage::Replica { from, to: Some(to), message });
+                }),
+                Output::Broadcast(message) => self.with(|core| {
+                    let from = core.id;
+                    core.peers.broadcast(&PeerMessage::Replica { from, to: None, message });
+                }),
+                Output::Persist { write_id, hard_state, state } => {
+                    self.persist(DiskWrite { write_id, hard_state, state })
+                }
+                Output::Committed => self.handle_committed(),
+                Output::Proposed(number, result) => self.answer_proposal(number, result),
+                Output::Read(number, result) => self.answer_read(number, result),
+            }
+        }
+    }
+
+    fn answer_proposal(&self, number: u64, result: ProposalResult) {
+        if let Some(PendingRequest::Proposal(reply)) = self.with(|core| core.pending.remove(&number)) {
+            // Fails only if the task has been cancelled.
+            let _ = reply.send(result);
+        }
+    }
+
+    fn answer_read(&self, number: u64, result: Result<Option<Configuration>, NotLeader>) {
+        if let Some(PendingRequest::Read(reply)) = self.with(|core| core.pending.remove(&number)) {
+            let _ = reply.send(result);
+        }
+    }
+
+    fn persist(&self, write: DiskWrite) {
+        let write_id = write.write_id;
+        let is_learner = self.with(|core| match &core.disk {
+            Some(disk) => {
+                // The thread lives as long as the process; without it no write is ever reported durable.
+                let _ = disk.send(write);
+                false
+            }
+            None => true,
+        });
+        // A learner's state need not be durable: nobody counts on its vote.
+        if is_learner {
+            self.step(Input::Persisted(write_id));
+        }
+    }
+
+    fn handle_committed(&self) {
+        self.with(|core| {
+            let Some(newest) = core.replica.as_ref().and_then(Replica::committed) else { return };
+            if !core.distributor.take(newest) {
+                return;
+            }
+            // Only the leader allocates tokens, and a new leader creates its own allocator.
+            if core.is_leading() {
+                core.configure_allocator();
+            }
+        });
+        self.notify_change();
+    }
+
+    /// Runs the replica's timer until the process ends.
+    pub async fn run_timer(self) {
+        loop {
+            let deadline = self.with(|core| {
+                let replica = core.replica.as_ref()?;
+                Some(core.clock.instant(replica.deadline()))
+            });
+            match deadline {
+                Some(at) => {
+                    tokio::select! {
+                        () = tokio::time::sleep_until(at) => self.step(Input::Tick),
+                        () = self.deadline_changed.notified() => {}
+                    }
+                }
+                None => self.deadline_changed.notified().await,
+            }
+        }
+    }
+
+    /// Proposes a configuration; `Indeterminate` where this process does not lead.
+    pub async fn propose(&self, proposal: Proposal) -> ProposalResult {
+        let (reply, result) = oneshot::channel();
+        let number = self.add_pending(PendingRequest::Proposal(reply));
+        self.step(Input::Propose(number, Box::new(proposal)));
+        result.await.unwrap_or(ProposalResult::Indeterminate)
+    }
+
+    /// A linearizable read of the configuration (thesis 6.4); `None` before the first one.
+    ///
+    /// # Errors
+    ///
+    /// This process does not lead, or ceased to before the read was confirmed.
+    pub async fn read(&self) -> Result<Option<Configuration>, NotLeader> {
+        let (reply, result) = oneshot::channel();
+        let number = self.add_pending(PendingRequest::Read(reply));
+        self.step(Input::Read(number));
+        result.await.unwrap_or(Err(NotLeader))
+    }
+
+    /// Registers a request; without a replica it is dropped, which ends the caller's wait.
+    fn add_pending(&self, request: PendingRequest) -> u64 {
+        self.with(|core| {
+            let number = core.next_request;
+            core.next_request += 1;
+            if core.replica.is_some() {
+                core.pending.insert(number, request);
+            }
+            number
+        })
+    }
+}
+
+fn fail_request(request: PendingRequest) {
+    match request {
+        PendingRequest::Proposal(reply) => drop(reply.send(ProposalResult::Indeterminate)),
+        PendingRequest::Read(reply) => drop(reply.send(Err(NotLeader))),
+    }
+}
+
+impl Core {
+    /// Whether the replica has confirmed a majority within its lease.
+    pub fn is_fresh(&self) -> bool {
+        let now = self.clock.now();
+        self.replica.as_ref().is_some_and(|replica| replica.is_fresh(now))
+    }
+
+    /// Address of the leader's machine, as far as the replica knows it.
+    pub fn leader(&self) -> Option<u32> {
+        let leader = self.replica.as_ref()?.leader()?;
+        Some(leader.ip)
+    }
+
+    /// Whether this process believes that it leads.
+    pub fn is_leading(&self) -> bool {
+        self.leader() == Some(u32::from(self.boot.ip))
+    }
+}
--- a/crates/gaugesaddle-control/src/requests.rs
+++ b/crates/gaugesaddle-control/src/request_server.rs
@@ -1,7 +1,8 @@
-//! Requests of proxies and of other control processes, over frames.
+//! Serves requests of proxies and of other control processes, over frames.
 
 use crate::core::CoreHandle;
-use crate::{changes, loads, peers};
+use crate::{change_handler, load_reports, peer_connections};
+use gaugesaddle_consensus::NotLeader;
 use gaugesaddle_protocol::{Opening, Pull, PullReply, Reply, Request};
 use gaugesaddle_transport::{accept, Link, LinkError};
 use spdlog::debug;
@@ -9,33 +10,33 @@
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 
-/// An answer is held back for news at most so long.
-const MAX_WAIT: u64 = 2000;
-/// Time to send an answer; a large configuration over a slow link takes a while.
-const SEND: Duration = Duration::from_millis(4000);
-/// A connection without a request for so long is closed.
-const IDLE: Duration = Duration::from_secs(30);
+/// Maximum time for which a pull waits for changes (long polling), in ms.
+const MAX_PULL_WAIT_MS: u64 = 2000;
+/// Time-out for sending an answer; a large configuration over a slow link takes a while.
+const SEND_TIMEOUT: Duration = Duration::from_millis(4000);
+/// Idle time-out of a connection.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Accepts connections for as long as the process lives.
+/// Accepts connections until the process ends.
 pub async fn serve(core: CoreHandle, listener: TcpListener) {
     loop {
         let (stream, from) = accept(&listener).await;
         let core = core.clone();
         tokio::task::spawn_local(async move {
-            if let Err(e) = connection(core, Link::new(stream)).await {
+            if let Err(e) = serve_connection(core, Link::new(stream)).await {
                 debug!("connection of {from} ends: {e}");
             }
         });
     }
 }
 
-async fn connection(core: CoreHandle, mut link: Link) -> Result<(), LinkError> {
-    match link.receive_within(IDLE).await? {
-        Opening::Peer => peers::listen(core, link).await,
+async fn serve_connection(core: CoreHandle, mut link: Link) -> Result<(), LinkError> {
+    match link.receive_within(IDLE_TIMEOUT).await? {
+        Opening::Peer => peer_connections::receive(core, link).await,
         Opening::Requests => loop {
-            let request = link.receive_within(IDLE).await?;
+            let request = link.receive_within(IDLE_TIMEOUT).await?;
             let reply = answer(&core, request).await;
-            link.send(&reply, SEND).await?;
+            link.send(&reply, SEND_TIMEOUT).await?;
         },
     }
 }
@@ -50,28 +51,31 @@
             let now = c.clock.now();
             Reply::Quota { grants: c.allocator.allocate(now, &machine, &requests) }
         }),
-        Request::Load { proxy, loads } => Reply::Load { loads: loads::report(core, proxy, loads) },
-        Request::Change(order) => Reply::Change(changes::decide(core, *order).await),
+        Request::Load { proxy, loads } => Reply::Load { loads: load_reports::record(core, proxy, loads) },
+        Request::Change(change) => Reply::Change(change_handler::decide(core, *change).await),
         Request::Read => match core.read().await {
             Ok(configuration) => Reply::Read(configuration),
-            Err(_) => Reply::Unavailable,
+            Err(NotLeader) => Reply::Unavailable,
         },
-        Request::Status => Reply::Status(Box::new(core.with(|c| c.report()))),
+        Request::Status => Reply::Status(Box::new(core.with(|c| c.status_report()))),
     }
 }
 
-/// Renews the proxy's lease and answers when there is news for it, or when it wants an answer anyway.
+/// Renews the proxy's lease and answers once there are changes for it, or at the deadline of its pull.
 async fn answer_pull(core: &CoreHandle, mut pull: Pull) -> PullReply {
     core.record_pull(&pull);
     core.record_departed(std::mem::take(&mut pull.departed));
-    let until = Instant::now() + Duration::from_millis(u64::from(pull.wait_ms).min(MAX_WAIT));
+    let wait_ms = u64::from(pull.wait_ms).min(MAX_PULL_WAIT_MS);
+    let deadline = Instant::now() + Duration::from_millis(wait_ms);
     let mut changes = core.subscribe();
     loop {
         changes.borrow_and_update();
-        if core.with(|c| c.distributor.has_changes(&c.catalog_replica, &pull)) || Instant::now() >= until {
+        let has_changes = core.with(|c| c.distributor.has_changes(&c.catalog_replica, &pull));
+        if has_changes || Instant::now() >= deadline {
             break;
         }
-        let _ = tokio::time::timeout_at(until, changes.changed()).await;
+        // Both outcomes are told apart by the condition above.
+        let _ = tokio::time::timeout_at(deadline, changes.changed()).await;
     }
     core.with(|c| {
         let now = c.clock.now();
--- a/crates/gaugesaddle-control/src/serve.rs
+++ b/crates/gaugesaddle-control/src/serve.rs
@@ -1,8 +1,8 @@
-//! The start and the end of the process.
+//! Start and shutdown of the control process.
 
 use crate::core::CoreHandle;
-use crate::peers::Peers;
-use crate::{api, disk, loads, peers, requests, upkeep};
+use crate::peer_queues::PeerQueues;
+use crate::{disk, http_api, load_reports, maintenance, peer_connections, request_server};
 use eyre::{eyre, Result, WrapErr};
 use gaugesaddle_config::BootSettings;
 use gaugesaddle_transport::listen;
@@ -12,10 +12,14 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
-/// Calls under way have so long to be answered after SIGTERM.
-const FAREWELL: Duration = Duration::from_millis(400);
+/// Time after SIGTERM for the leadership transfer and for calls in flight.
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(400);
 
 /// Serves until SIGTERM.
+///
+/// # Errors
+///
+/// The boot file is invalid, or an address cannot be listened on.
 pub fn run() -> Result<()> {
     let boot = BootSettings::read()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -26,35 +30,41 @@
     let control = boot.control.ok_or_else(|| eyre!("bind.control: expected an address"))?;
     let (events, mut disk_events) = mpsc::unbounded_channel();
     let disk = match boot.data_dir.clone().filter(|_| boot.limits.disk_mb > 0) {
-        Some(folder) => Some(disk::start(folder, boot.limits.disk_mb, events)?),
+        Some(directory) => Some(disk::start(directory, boot.limits.disk_mb, events)?),
         None => None,
     };
-    let mut peers = Peers::default();
-    for seed in boot.seeds.iter().filter(|s| *s.ip() != boot.ip) {
-        peers.know(u32::from(*seed.ip()));
+    let mut peers = PeerQueues::default();
+    for seed in boot.seeds.iter().filter(|seed| *seed.ip() != boot.ip) {
+        peers.add(u32::from(*seed.ip()));
     }
-    let internal = boot.control_process(u32::from(boot.ip));
-    info!("control at {control}, processes at {internal}, disk {}", disk.is_some());
+    let peer_address = boot.control_process(u32::from(boot.ip));
+    let has_disk = disk.is_some();
+    info!(
+        "listens at {control} for backends and operators, at {peer_address} for processes; disk: {has_disk}"
+    );
     let core = CoreHandle::new(boot, disk, peers);
-    let requests = listen(internal).wrap_err_with(|| format!("listening at {internal}"))?;
-    let calls = listen(control).wrap_err_with(|| format!("listening at {control}"))?;
-    peers::open_wanted(&core);
-    tokio::task::spawn_local(requests::serve(core.clone(), requests));
-    tokio::task::spawn_local(api::serve(core.clone(), calls));
+    if !has_disk {
+        core.start_as_learner();
+    }
+    let request_listener = listen(peer_address).wrap_err_with(|| format!("listening at {peer_address}"))?;
+    let http_listener = listen(control).wrap_err_with(|| format!("listening at {control}"))?;
+    peer_connections::connect_new_peers(&core);
+    tokio::task::spawn_local(request_server::serve(core.clone(), request_listener));
+    tokio::task::spawn_local(http_api::serve(core.clone(), http_listener));
     tokio::task::spawn_local(core.clone().run_timer());
-    tokio::task::spawn_local(upkeep::run(core.clone()));
-    tokio::task::spawn_local(loads::run(core.clone()));
+    tokio::task::spawn_local(maintenance::run(core.clone()));
+    tokio::task::spawn_local(load_reports::run(core.clone()));
     let mut terminate = signal(SignalKind::terminate())?;
-    let mut hang_up = signal(SignalKind::hangup())?;
+    let mut hangup = signal(SignalKind::hangup())?;
     loop {
         tokio::select! {
-            Some(event) = disk_events.recv() => core.disk_event(event),
-            _ = hang_up.recv() => info!("SIGHUP: the boot file is read at the next start"),
+            Some(event) = disk_events.recv() => core.handle_disk_event(event),
+            _ = hangup.recv() => info!("SIGHUP ignored: the boot file is read at the next start"),
             _ = terminate.recv() => break,
         }
     }
-    info!("SIGTERM: leaving");
+    info!("SIGTERM: shutting down");
     core.transfer_leadership();
-    tokio::time::sleep(FAREWELL).await;
+    tokio::time::sleep(SHUTDOWN_GRACE).await;
     Ok(())
 }
--- a/crates/gaugesaddle-control/tests/bootstrap.rs
+++ b/crates/gaugesaddle-control/tests/bootstrap.rs
@@ -1,60 +1,60 @@
-//! The failure: two groups are founded at the first start, or none where some seeds have no disk.
+//! The failure: two clusters are bootstrapped at the first start, or none where some seeds have no disk.
 
 use gaugesaddle_control::bootstrap::Bootstrap;
 
-/// Every process hears every other, in the order given; what each takes for the founders.
-fn founders(disks: &[(u32, bool)], seeds: &[u32], order: &[usize]) -> Vec<Option<Vec<u32>>> {
+/// Each process receives a report of every other, in the given order; the initial voters that each determines.
+fn initial_voters(disks: &[(u32, bool)], seeds: &[u32], order: &[usize]) -> Vec<Option<Vec<u32>>> {
     let mut all: Vec<Bootstrap> =
         disks.iter().map(|(ip, disk)| Bootstrap::new(*ip, *disk, seeds.to_vec(), true)).collect();
     for _ in 0..2 {
-        for at in order {
-            let (ip, disk) = disks[*at];
-            let named = all[*at].named();
-            for (other, bootstrap) in all.iter_mut().enumerate() {
-                if other != *at {
-                    bootstrap.heard(ip, disk, named);
+        for sender in order {
+            let (ip, disk) = disks[*sender];
+            let bootstrap_node = all[*sender].bootstrap_node();
+            for (receiver, bootstrap) in all.iter_mut().enumerate() {
+                if receiver != *sender {
+                    bootstrap.record_report(ip, disk, bootstrap_node);
                 }
             }
         }
     }
-    all.iter().map(Bootstrap::founders).collect()
+    all.iter().map(Bootstrap::initial_voters).collect()
 }
 
 #[test]
-fn the_seeds_with_disks_found_and_all_processes_agree() {
+fn all_processes_agree_on_the_seeds_with_disks() {
     let disks = [(1, true), (2, false), (3, true), (4, true), (5, false)];
     for order in [[0, 1, 2, 3, 4], [4, 3, 2, 1, 0], [2, 0, 4, 1, 3]] {
-        for found in founders(&disks, &[3, 1, 2], &order) {
-            assert_eq!(found, Some(vec![1, 3]));
+        for voters in initial_voters(&disks, &[3, 1, 2], &order) {
+            assert_eq!(voters, Some(vec![1, 3]));
         }
     }
 }
 
 #[test]
-fn where_no_seed_has_a_disk_one_founder_is_named() {
+fn without_a_seed_with_a_disk_one_bootstrap_node_is_nominated() {
     let disks = [(1, false), (2, false), (3, false), (7, true), (9, true)];
     for order in [[0, 1, 2, 3, 4], [4, 3, 2, 1, 0], [3, 0, 4, 2, 1]] {
-        let found = founders(&disks, &[1, 2, 3], &order);
-        assert_eq!(found.len(), 5);
-        assert!(found.windows(2).all(|pair| pair[0] == pair[1]), "{found:?}");
-        assert!(matches!(found[0].as_deref(), Some([7] | [9])), "{found:?}");
+        let voters = initial_voters(&disks, &[1, 2, 3], &order);
+        assert_eq!(voters.len(), 5);
+        assert!(voters.windows(2).all(|pair| pair[0] == pair[1]), "{voters:?}");
+        assert!(matches!(voters[0].as_deref(), Some([7] | [9])), "{voters:?}");
     }
 }
 
 #[test]
-fn nobody_founds_before_all_seeds_are_known_or_after_the_first_start() {
+fn no_bootstrap_before_all_seeds_reported_or_after_the_first_start() {
     let mut early = Bootstrap::new(1, true, vec![1, 2, 3], true);
-    early.heard(2, true, None);
-    assert_eq!(early.founders(), None);
-    early.heard(3, true, None);
-    assert_eq!(early.founders(), Some(vec![1, 2, 3]));
+    early.record_report(2, true, None);
+    assert_eq!(early.initial_voters(), None);
+    early.record_report(3, true, None);
+    assert_eq!(early.initial_voters(), Some(vec![1, 2, 3]));
     let mut later = Bootstrap::new(1, true, vec![1, 2, 3], false);
-    later.heard(2, true, None);
-    later.heard(3, true, None);
-    assert_eq!(later.founders(), None);
+    later.record_report(2, true, None);
+    later.record_report(3, true, None);
+    assert_eq!(later.initial_voters(), None);
     let mut restarted = Bootstrap::new(1, false, vec![1, 2, 3], false);
     for ip in 2..6 {
-        restarted.heard(ip, ip > 3, None);
+        restarted.record_report(ip, ip > 3, None);
     }
-    assert_eq!(restarted.named(), None, "a seed that has started again names nobody");
+    assert_eq!(restarted.bootstrap_node(), None, "a seed that has restarted nominates nobody");
 }
--- a/crates/gaugesaddle-control/tests/command_line.rs
+++ b/crates/gaugesaddle-control/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The failure: an operator's command says that something was done which was not, or does not say what is wrong.
+//! The failure: an operator's command reports success without it, or fails without the reason.
 
 use gaugesaddle_testbed::fleet::{document, Fleet};
 use gaugesaddle_testbed::scripted::until;
@@ -25,9 +25,9 @@
 }
 
 #[test]
-fn a_configuration_is_checked_put_and_read_back() {
+fn check_put_and_get_agree_on_a_configuration() {
     let fleet = Fleet::start(3, 0).expect("it starts");
-    // The first address is nobody's: the next one is called.
+    // Nothing listens at the first address: the next one is called.
     let at = format!("127.0.0.1:9,{},{}", fleet.control(0), fleet.control(2));
     let good = file(&fleet, "good.json", &document(4));
     assert!(run(&["check", &good]).status.success());
@@ -36,14 +36,14 @@
     let got = run(&["get", "--at", &at]);
     assert_eq!(text(&got.stdout).trim_end(), document(4).to_string());
     let newer = file(&fleet, "newer.json", &document(5));
-    let late = run(&["put", &newer, "--at", &at, "--base", "3"]);
-    assert!(!late.status.success());
-    assert!(text(&late.stderr).contains("another version is in place"), "{}", text(&late.stderr));
+    let stale = run(&["put", &newer, "--at", &at, "--base", "3"]);
+    assert!(!stale.status.success());
+    assert!(text(&stale.stderr).contains("another version is in place"), "{}", text(&stale.stderr));
     assert!(run(&["put", &newer, "--at", &at]).status.success(), "on the current one by default");
 }
 
 #[test]
-fn every_finding_is_printed_and_nothing_is_put() {
+fn invalid_configuration_prints_all_findings_and_is_not_put() {
     let fleet = Fleet::start(1, 0).expect("it starts");
     let mut document = document(4);
     document["routes"][0]["timeoutMs"] = 0.into();
@@ -51,47 +51,47 @@
     let bad = file(&fleet, "bad.json", &document);
     let at = fleet.control(0).to_string();
     for output in [run(&["check", &bad]), run(&["put", &bad, "--at", &at, "--base", "0", "--for", "20"])] {
-        let said = text(&output.stderr);
+        let message = text(&output.stderr);
         assert!(!output.status.success());
         assert!(
-            said.contains("routes[0] (plain).timeoutMs") && said.contains("routes[2] (stream)"),
-            "{said}"
+            message.contains("routes[0] (plain).timeoutMs") && message.contains("routes[2] (stream)"),
+            "{message}"
         );
     }
     assert!(text(&run(&["get", "--at", &at]).stderr).contains("no configuration yet"));
 }
 
 #[test]
-fn a_patch_is_shown_before_it_is_brought() {
+fn dry_run_prints_what_a_patch_then_commits() {
     let fleet = Fleet::start(3, 0).expect("it starts");
     let at = format!("{},{}", fleet.control(0), fleet.control(1));
     let good = file(&fleet, "good.json", &document(4));
     assert!(run(&["put", &good, "--at", &at, "--for", "20"]).status.success());
-    let mut whole = document(6);
-    whole["routes"].as_array_mut().expect("routes").remove(3);
-    whole["tenants"].as_array_mut().expect("tenants").push(json!({"name": "new", "apiKeys": ["k-new"]}));
+    let mut full = document(6);
+    full["routes"].as_array_mut().expect("routes").remove(3);
+    full["tenants"].as_array_mut().expect("tenants").push(json!({"name": "new", "apiKeys": ["k-new"]}));
     let patch = json!({"revision": 6, "upsert": {"tenants": [{"name": "new", "apiKeys": ["k-new"]}]},
         "remove": {"routes": ["single"]}});
     let patch = file(&fleet, "patch.json", &patch);
-    let shown = run(&["patch", &patch, "--at", &at, "--dry-run"]);
+    let dry_run = run(&["patch", &patch, "--at", &at, "--dry-run"]);
     let parse = |output: &Output| serde_json::from_slice::<Value>(&output.stdout).unwrap_or_default();
-    assert_eq!(parse(&shown), whole, "{}", text(&shown.stderr));
-    assert_eq!(parse(&run(&["get", "--at", &at])), document(4), "nothing was brought");
-    let late = run(&["patch", &patch, "--at", &at, "--dry-run", "--base", "3"]);
-    assert!(text(&late.stderr).contains("another version is in place"), "{}", text(&late.stderr));
-    let brought = run(&["patch", &patch, "--at", &at]);
-    assert_eq!(text(&brought.stdout), "revision 6 is acknowledged\n", "{}", text(&brought.stderr));
-    assert_eq!(parse(&run(&["get", "--at", &at])), whole);
+    assert_eq!(parse(&dry_run), full, "{}", text(&dry_run.stderr));
+    assert_eq!(parse(&run(&["get", "--at", &at])), document(4), "nothing was put");
+    let stale = run(&["patch", &patch, "--at", &at, "--dry-run", "--base", "3"]);
+    assert!(text(&stale.stderr).contains("another version is in place"), "{}", text(&stale.stderr));
+    let submitted = run(&["patch", &patch, "--at", &at]);
+    assert_eq!(text(&submitted.stdout), "revision 6 is acknowledged\n", "{}", text(&submitted.stderr));
+    assert_eq!(parse(&run(&["get", "--at", &at])), full);
     let bad = file(&fleet, "bad.json", &json!({"revision": 7, "remove": {"routes": ["nobody"]}}));
     for arguments in [vec!["patch", &bad, "--at", &at, "--dry-run"], vec!["patch", &bad, "--at", &at]] {
         let output = run(&arguments);
-        let said = text(&output.stderr);
-        assert!(!output.status.success() && said.contains("remove.routes[0] (nobody)"), "{said}");
+        let message = text(&output.stderr);
+        assert!(!output.status.success() && message.contains("remove.routes[0] (nobody)"), "{message}");
     }
 }
 
 #[test]
-fn status_names_the_leader_and_its_voters() {
+fn status_reports_one_leader_and_all_voters() {
     let fleet = Fleet::start(3, 0).expect("it starts");
     let status = |at: usize| -> Value {
         let output = run(&["status", "--json", "--at", &fleet.internal(at).to_string()]);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_bad_boot_file_ends_the_start_with_every_finding() {
+fn invalid_boot_file_prints_all_findings() {
     let folder = std::env::temp_dir().join(format!("gaugesaddle-boot-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let boot = folder.join("boot.conf");
@@ -119,10 +119,10 @@
         .env("GAUGESADDLE_BOOT", &boot)
         .output()
         .expect("the program runs");
-    std::fs::remove_dir_all(&folder).expect("it goes");
-    let said = text(&output.stderr);
+    std::fs::remove_dir_all(&folder).expect("it is removed");
+    let message = text(&output.stderr);
     assert!(!output.status.success());
     for part in ["line 2, ip", "zone: expected a name", "line 3, ephemeralPorts"] {
-        assert!(said.contains(part), "{part:?} is not in {said}");
+        assert!(message.contains(part), "{part:?} is not in {message}");
     }
 }
--- a/crates/gaugesaddle-control/tests/core.rs
+++ b/crates/gaugesaddle-control/tests/configuration_changes.rs
@@ -1,27 +1,31 @@
-//! The failure: real control processes lose a configuration that they acknowledged, take two on the same base, or are
-//! not found again after kills and lost disks.
+//! The failure: real control processes lose a configuration that they acknowledged, commit two on the same base, or do
+//! not recover from kills and lost disks.
 
 use gaugesaddle_testbed::fleet::{document, Fleet};
 use gaugesaddle_testbed::scripted::until;
 use serde_json::{json, Value};
 
-/// Brings a configuration to a process until it is acknowledged.
-fn put_until_taken(fleet: &Fleet, at: usize, base: u64, text: &str) {
-    until("the configuration is taken", || fleet.put(at, base, text).0 == 200);
+/// Puts a configuration at a process until it is acknowledged.
+fn put_until_acknowledged(fleet: &Fleet, at: usize, base: u64, text: &str) {
+    until("the configuration is acknowledged", || fleet.put(at, base, text).0 == 200);
 }
 
 #[test]
-fn any_process_takes_a_configuration_and_answers_the_same_order_alike() {
+fn any_process_accepts_changes_and_a_repeated_change_is_idempotent() {
     let fleet = Fleet::start(3, 0).expect("it starts");
     let first = document(5).to_string();
-    put_until_taken(&fleet, 0, 0, &first);
+    put_until_acknowledged(&fleet, 0, 0, &first);
     for at in 0..3 {
-        assert_eq!(fleet.put(at, 0, &first).0, 200, "the same order again, at process {at}");
+        assert_eq!(fleet.put(at, 0, &first).0, 200, "the same change again, at process {at}");
         assert_eq!(fleet.get(at), (200, first.clone()));
     }
     let rival = document(6).to_string();
-    assert_eq!(fleet.put(1, 0, &rival).0, 412, "another order on the same base");
-    assert_eq!(fleet.put(2, 5, &document(5).to_string().replace("8000", "7000")).0, 400, "it does not rise");
+    assert_eq!(fleet.put(1, 0, &rival).0, 412, "another change on the same base");
+    assert_eq!(
+        fleet.put(2, 5, &document(5).to_string().replace("8000", "7000")).0,
+        400,
+        "the revision does not increase"
+    );
     let (status, text) = fleet.put(0, 5, &document(9).to_string().replace("8000", "0"));
     assert_eq!(status, 400);
     assert_eq!(text.lines().count(), 4, "each route's time is named: {text}");
@@ -30,26 +34,26 @@
 }
 
 #[test]
-fn a_killed_leader_is_replaced_and_what_was_acknowledged_is_kept() {
+fn acknowledged_changes_survive_killed_leaders() {
     let mut fleet = Fleet::start(3, 0).expect("it starts");
     let first = document(1).to_string();
-    put_until_taken(&fleet, 0, 0, &first);
-    // Whoever leads is among the three: each is killed in turn.
+    put_until_acknowledged(&fleet, 0, 0, &first);
+    // The leader is one of the three: each is killed in turn.
     for (revision, at) in (1..).zip(0..3) {
         fleet.kill(at);
         let other = (at + 1) % 3;
         let next = document(revision + 1).to_string();
-        put_until_taken(&fleet, other, revision, &next);
+        put_until_acknowledged(&fleet, other, revision, &next);
         fleet.run(at).expect("it starts again");
         until("the restarted process answers", || fleet.get(at) == (200, next.clone()));
     }
 }
 
 #[test]
-fn a_configuration_survives_the_kill_of_all_processes() {
+fn configuration_survives_kill_of_all_processes() {
     let mut fleet = Fleet::start(3, 0).expect("it starts");
     let first = document(3).to_string();
-    put_until_taken(&fleet, 1, 0, &first);
+    put_until_acknowledged(&fleet, 1, 0, &first);
     (0..3).for_each(|at| fleet.kill(at));
     for at in 0..3 {
         fleet.run(at).expect("it starts again");
@@ -58,41 +62,41 @@
 }
 
 #[test]
-fn a_machine_whose_disk_was_lost_is_taken_in_as_another_replica() {
+fn machine_with_a_lost_disk_rejoins_as_a_new_voter() {
     let mut fleet = Fleet::start(3, 0).expect("it starts");
     let first = document(3).to_string();
-    put_until_taken(&fleet, 0, 0, &first);
+    put_until_acknowledged(&fleet, 0, 0, &first);
     fleet.kill(0);
-    fleet.wipe(0).expect("the disk goes");
+    fleet.wipe(0).expect("the disk is wiped");
     fleet.run(0).expect("it starts again");
     until("the empty disk is filled", || fleet.get(0) == (200, first.clone()));
-    // It votes again: of the two others, either may go.
+    // It votes again: either of the two others may fail.
     let second = document(4).to_string();
     until("the wiped machine makes a majority with one of the others", || {
         fleet.kill(1);
-        let taken = fleet.put(0, 3, &second).0 == 200;
-        if !taken {
+        let committed = fleet.put(0, 3, &second).0 == 200;
+        if !committed {
             fleet.run(1).expect("it starts again");
-            until("the group is whole", || fleet.get(1).0 == 200);
+            until("all voters are back", || fleet.get(1).0 == 200);
         }
-        taken
+        committed
     });
     assert_eq!(fleet.get(2), (200, second));
 }
 
 #[test]
-fn one_of_three_alone_takes_nothing() {
+fn minority_accepts_no_changes_and_no_drains() {
     let mut fleet = Fleet::start(3, 0).expect("it starts");
-    put_until_taken(&fleet, 0, 0, &document(3).to_string());
+    put_until_acknowledged(&fleet, 0, 0, &document(3).to_string());
     fleet.kill(1);
     fleet.kill(2);
-    until("it notices that it is alone", || fleet.get(0).0 == 503);
+    until("it detects that it is partitioned", || fleet.get(0).0 == 503);
     assert_eq!(fleet.put(0, 3, &document(4).to_string()).0, 503);
     let address = "127.0.0.1:9".parse().expect("an address");
-    assert_eq!(fleet.heartbeat(0, "i-1", "s", address, "draining"), 503, "news that could be lost");
+    assert_eq!(fleet.heartbeat(0, "i-1", "s", address, "draining"), 503, "a drain that could be lost");
 }
 
-/// A patch that brings one route to another service's time, and takes another route away.
+/// A patch that changes the time-out of one route and removes another.
 fn patch(revision: u64, timeout_ms: u64) -> String {
     let mut route = document(1)["routes"][0].clone();
     route["timeoutMs"] = timeout_ms.into();
@@ -100,10 +104,10 @@
 }
 
 fn patched(revision: u64, timeout_ms: u64) -> Value {
-    let mut whole = document(revision);
-    whole["routes"][0]["timeoutMs"] = timeout_ms.into();
-    whole["routes"].as_array_mut().expect("routes").retain(|route| route["name"] != "single");
-    whole
+    let mut full = document(revision);
+    full["routes"][0]["timeoutMs"] = timeout_ms.into();
+    full["routes"].as_array_mut().expect("routes").retain(|route| route["name"] != "single");
+    full
 }
 
 fn read_back(fleet: &Fleet, at: usize) -> Value {
@@ -111,33 +115,33 @@
 }
 
 #[test]
-fn a_patch_is_an_order_like_a_whole_configuration() {
+fn patches_are_idempotent_and_conflict_like_full_configurations() {
     let fleet = Fleet::start(3, 0).expect("it starts");
     let first = document(5).to_string();
-    put_until_taken(&fleet, 0, 0, &first);
+    put_until_acknowledged(&fleet, 0, 0, &first);
     let change = patch(8, 7000);
     assert_eq!(fleet.patch(1, 5, &change).0, 200);
     for at in 0..3 {
-        assert_eq!(fleet.patch(at, 5, &change).0, 200, "the same order again, at process {at}");
+        assert_eq!(fleet.patch(at, 5, &change).0, 200, "the same change again, at process {at}");
         assert_eq!(read_back(&fleet, at), patched(8, 7000));
     }
     assert_eq!(fleet.patch(2, 5, &patch(9, 6000)).0, 412, "another patch on the same base");
-    assert_eq!(fleet.patch(0, 5, &patch(8, 6000)).0, 412, "under the same number");
-    // The whole that it made is another order.
+    assert_eq!(fleet.patch(0, 5, &patch(8, 6000)).0, 412, "under the same revision");
+    // The full document that results from the patch is another change.
     assert_eq!(fleet.put(0, 5, &patched(8, 7000).to_string()).0, 412);
     let next = document(11).to_string();
     assert_eq!(fleet.put(0, 8, &next).0, 200);
-    assert_eq!(fleet.patch(1, 5, &change).0, 200, "behind a whole one");
+    assert_eq!(fleet.patch(1, 5, &change).0, 200, "after a full configuration");
     assert_eq!(fleet.get(2), (200, next));
 }
 
 #[test]
-fn a_bad_patch_is_refused_with_its_place_and_changes_nothing() {
+fn invalid_patch_is_rejected_with_its_path_and_changes_nothing() {
     let fleet = Fleet::start(3, 0).expect("it starts");
     let first = document(5).to_string();
-    put_until_taken(&fleet, 0, 0, &first);
-    let mut strange = document(1)["routes"][0].clone();
-    strange["service"] = "nowhere".into();
+    put_until_acknowledged(&fleet, 0, 0, &first);
+    let mut invalid = document(1)["routes"][0].clone();
+    invalid["service"] = "nowhere".into();
     let cases = [
         ("{".to_owned(), "line 1, column 1"),
         (json!({"revision": 8, "upsert": {"walls": [{"name": "w"}]}}).to_string(), "upsert.walls"),
@@ -148,69 +152,70 @@
         ),
         (json!({"revision": 8, "remove": {"routes": ["nobody"]}}).to_string(), "remove.routes[0] (nobody)"),
         (json!({"revision": 8, "remove": {"services": ["s"]}}).to_string(), "routes[0] (plain)"),
-        (json!({"revision": 8, "upsert": {"routes": [strange]}}).to_string(), "routes[0] (plain)"),
+        (json!({"revision": 8, "upsert": {"routes": [invalid]}}).to_string(), "routes[0] (plain)"),
         (patch(8, 0), "routes[0] (plain).timeoutMs"),
         (patch(4, 7000), "revision: expected more than 5"),
     ];
-    for (text, place) in cases {
+    for (text, path) in cases {
         for at in 0..3 {
-            let (status, said) = fleet.patch(at, 5, &text);
-            assert_eq!(status, 400, "{text}: {said}");
-            assert!(said.contains(place), "{text}: {said}");
+            let (status, body) = fleet.patch(at, 5, &text);
+            assert_eq!(status, 400, "{text}: {body}");
+            assert!(body.contains(path), "{text}: {body}");
         }
     }
     assert_eq!(fleet.get(1), (200, first));
 }
 
 #[test]
-fn a_patch_of_four_megabytes_is_taken_whole() {
+fn patch_of_four_megabytes_is_applied_completely() {
     let fleet = Fleet::start(3, 0).expect("it starts");
-    put_until_taken(&fleet, 0, 0, &document(5).to_string());
+    put_until_acknowledged(&fleet, 0, 0, &document(5).to_string());
     let mut route = document(1)["routes"][1].clone();
     route["note"] = "x".repeat(4 << 20).into();
     let text = json!({"revision": 6, "upsert": {"routes": [route.clone()]}}).to_string();
-    until("it is taken", || fleet.patch(1, 5, &text).0 == 200);
+    until("it is acknowledged", || fleet.patch(1, 5, &text).0 == 200);
     assert_eq!(read_back(&fleet, 2)["routes"][1], route);
 }
 
-/// One is taken and the other refused, whatever process they come to; the same one at two processes is one order.
+/// One is committed and the other rejected, whichever processes receive them; the same patch at two processes is one
+/// change.
 #[test]
-fn patches_that_race_at_two_processes_while_the_leader_dies_are_never_merged() {
+fn concurrent_patches_during_a_leader_crash_are_never_merged() {
     let mut fleet = Fleet::start(3, 0).expect("it starts");
-    put_until_taken(&fleet, 0, 0, &document(1).to_string());
-    for (base, (round, dies)) in (1..).zip((0..6).zip([0, 1, 2].into_iter().cycle())) {
-        let (one, other) = ((dies + 1) % 3, (dies + 2) % 3);
+    put_until_acknowledged(&fleet, 0, 0, &document(1).to_string());
+    for (base, (iteration, crashed)) in (1..).zip((0..6).zip([0, 1, 2].into_iter().cycle())) {
+        let (one, other) = ((crashed + 1) % 3, (crashed + 2) % 3);
         let (left, right) =
-            (patch_of(base + 1, "plain", 5000 + round), patch_of(base + 1, "once", 6000 + round));
-        // On every second round both operators send the same order.
-        let right = if round % 2 == 0 { left.clone() } else { right };
+            (patch_of(base + 1, "plain", 5000 + iteration), patch_of(base + 1, "once", 6000 + iteration));
+        // In every second iteration both operators send the same change.
+        let right = if iteration % 2 == 0 { left.clone() } else { right };
         let (first, second) = std::thread::scope(|scope| {
             let fleet = &fleet;
             let (left, right) = (&left, &right);
-            let send = |at: usize, text| move || clear(|| fleet.patch(at, base, text).0);
+            let send = |at: usize, text| move || conclusive(|| fleet.patch(at, base, text).0);
             let (a, b) = (scope.spawn(send(one, left)), scope.spawn(send(other, right)));
-            fleet.stop_abruptly(dies);
+            fleet.stop_abruptly(crashed);
             (a.join().expect("answered"), b.join().expect("answered"))
         });
         let mut answers = [first, second];
         answers.sort_unstable();
         let expected = if left == right { [200, 200] } else { [200, 412] };
-        assert_eq!(answers, expected, "round {round}");
-        let whole = read_back(&fleet, one);
+        assert_eq!(answers, expected, "round {iteration}");
+        let committed = read_back(&fleet, one);
         let time = |name: &str| {
-            let routes = whole["routes"].as_array().cloned().unwrap_or_default();
+            let routes = committed["routes"].as_array().cloned().unwrap_or_default();
             routes.iter().find(|r| r["name"] == name).and_then(|r| r["timeoutMs"].as_u64()).unwrap_or(0)
         };
-        let changed = [time("plain") == 5000 + round, time("once") == 6000 + round];
-        let taken = if first == 200 { [true, false] } else { [false, true] };
-        assert_eq!(changed, taken, "round {round}: {whole}");
-        fleet.kill(dies);
-        fleet.run(dies).expect("it starts again");
-        until("it is back", || fleet.get(dies).0 == 200);
+        let changed = [time("plain") == 5000 + iteration, time("once") == 6000 + iteration];
+        let expected = if first == 200 { [true, false] } else { [false, true] };
+        assert_eq!(changed, expected, "round {iteration}: {committed}");
+        fleet.kill(crashed);
+        fleet.run(crashed).expect("it starts again");
+        until("it is back", || fleet.get(crashed).0 == 200);
     }
 }
 
-/// Changes one route's time, and takes no other one away.
+/// A patch that changes the time-out of one route.
 fn patch_of(revision: u64, name: &str, timeout_ms: u64) -> String {
     let routes = document(1)["routes"].as_array().cloned().unwrap_or_default();
     let mut route = routes.into_iter().find(|route| route["name"] == name).expect("a known route");
@@ -218,11 +223,11 @@
     json!({"revision": revision, "upsert": {"routes": [route]}}).to_string()
 }
 
-/// Asks until the answer is clear.
-fn clear(mut ask: impl FnMut() -> u16) -> u16 {
+/// Calls until the status is conclusive.
+fn conclusive(mut call: impl FnMut() -> u16) -> u16 {
     let mut status = 0;
-    until("the answer is clear", || {
-        status = ask();
+    until("the status is conclusive", || {
+        status = call();
         [200, 400, 412].contains(&status)
     });
     status
--- a/crates/gaugesaddle-control/tests/golden_commands.rs
+++ b/crates/gaugesaddle-control/tests/golden_commands.rs
@@ -1,6 +1,6 @@
 //! The failure: a renamed field or option changes what operators' scripts call and read.
 
-use gaugesaddle_control::operator::{report_json, report_text};
+use gaugesaddle_control::operator_client::{report_json, report_text};
 use gaugesaddle_protocol::StatusReport;
 use std::collections::BTreeSet;
 use std::process::{Command, Output};
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn options_and_value_names_of_every_command_are_the_recorded_ones() {
+fn options_and_value_names_equal_golden_file() {
     let mut lines = Vec::new();
     for command in ["", "serve", "check", "put", "patch", "get", "watch", "status"] {
         let arguments: Vec<&str> = [command, "--help"].into_iter().filter(|a| !a.is_empty()).collect();
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn exit_codes_are_the_recorded_ones() {
+fn exit_codes_equal_golden_values() {
     let folder = std::env::temp_dir().join(format!("gaugesaddle-codes-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let (good, bad) = (folder.join("good.json"), folder.join("bad.json"));
@@ -55,12 +55,12 @@
         (&["put", good.to_str().unwrap()], 2),
     ];
     let codes = cases.map(|(arguments, _)| run(arguments).status.code());
-    std::fs::remove_dir_all(&folder).expect("it goes");
+    std::fs::remove_dir_all(&folder).expect("it is removed");
     assert_eq!(codes, cases.map(|(_, code)| Some(code)));
 }
 
 #[test]
-fn a_status_report_is_printed_as_recorded() {
+fn status_report_equals_golden_files() {
     let report = StatusReport {
         replica: "10.1.0.1#0".to_owned(),
         role: "leader".to_owned(),
--- a/crates/gaugesaddle-control/tests/traffic.rs
+++ b/crates/gaugesaddle-control/tests/traffic.rs
@@ -1,11 +1,11 @@
-//! The failure: a request reaches a backend that it must not reach, runs twice, is refused though it ran, or a stream
-//! loses an event, with real proxies and control processes.
+//! The failure: with real proxies and control processes, a request reaches a backend that it must not reach, is executed
+//! twice, is rejected as not executed though it was, or a stream loses an event.
 
 use gaugesaddle_testbed::fleet::{call, document, Chunked, Fleet};
 use gaugesaddle_testbed::scripted::{until, Backend, Message, Reply};
 use std::net::SocketAddr;
 
-/// One control process and so many proxies.
+/// Index of the control process in the fleet, and of the first proxy.
 const CONTROL: usize = 0;
 const EDGE: usize = 1;
 
@@ -39,12 +39,12 @@
 /// A fleet with a configuration and these backends, its proxy ready.
 fn fleet_with(edges: u8, backends: &[(&str, SocketAddr)]) -> Fleet {
     let fleet = Fleet::start(1, edges).expect("it starts");
-    serve_by(fleet, backends)
+    configure(fleet, backends)
 }
 
-/// Brings the configuration and these backends, and waits until all proxies are ready.
-fn serve_by(fleet: Fleet, backends: &[(&str, SocketAddr)]) -> Fleet {
-    until("the configuration is taken", || fleet.put(CONTROL, 0, &document(1).to_string()).0 == 200);
+/// Puts the configuration, registers these backends, and waits until all proxies are ready.
+fn configure(fleet: Fleet, backends: &[(&str, SocketAddr)]) -> Fleet {
+    until("the configuration is acknowledged", || fleet.put(CONTROL, 0, &document(1).to_string()).0 == 200);
     for (id, address) in backends {
         until("the backend is registered", || fleet.heartbeat(CONTROL, id, "s", *address, "ready") == 200);
     }
@@ -55,19 +55,19 @@
 }
 
 #[test]
-fn before_any_configuration_requests_are_refused_and_told_when_to_come_back() {
+fn without_a_configuration_requests_are_rejected_with_retry_after() {
     let fleet = Fleet::start(1, 1).expect("it starts");
-    let mut refused = Message::default();
+    let mut rejected = Message::default();
     until("the proxy answers", || {
-        call(fleet.front(EDGE), &request("plain", FREE)).map(|m| refused = m).is_ok()
+        call(fleet.front(EDGE), &request("plain", FREE)).map(|m| rejected = m).is_ok()
     });
-    assert_eq!(refused.status(), 503);
-    assert!(refused.header("retry-after").is_some());
+    assert_eq!(rejected.status(), 503);
+    assert!(rejected.header("retry-after").is_some());
     assert!(!fleet.is_ready(EDGE));
 }
 
 #[test]
-fn a_request_goes_on_with_what_the_system_adds_and_without_its_key() {
+fn forwarded_request_has_added_headers_and_no_api_key() {
     let backend = Backend::start(|_| answer("the answer"));
     let fleet = fleet_with(1, &[("i-1", backend.address)]);
     let got = call(fleet.front(EDGE), &request("plain", "Api-Key: k-free\r\nTenant: forged\r\n"))
@@ -80,8 +80,8 @@
     assert_eq!(seen.header("expected-instance"), Some("i-1"));
     assert_eq!(seen.header("tenant"), Some("free"));
     assert_eq!(seen.header("api-key"), None);
-    let left: u64 = seen.header("deadline-ms").and_then(|v| v.parse().ok()).expect("a time");
-    assert!((4000..=6000).contains(&left), "{left} ms left of 6,000");
+    let remaining_ms: u64 = seen.header("deadline-ms").and_then(|v| v.parse().ok()).expect("a time");
+    assert!((4000..=6000).contains(&remaining_ms), "{remaining_ms} ms remain of 6,000");
     let status = |text: &str| call(fleet.front(EDGE), text).map(|m| m.status()).unwrap_or(0);
     assert_eq!(status(&request("nowhere", FREE)), 404);
     assert_eq!(status(&request("plain", "")), 401);
@@ -90,27 +90,27 @@
 }
 
 #[test]
-fn a_key_that_is_taken_away_is_refused_on_an_open_connection_too() {
+fn revoked_key_is_rejected() {
     let backend = Backend::start(|_| answer("x"));
     let fleet = fleet_with(1, &[("i-1", backend.address)]);
     let status = || call(fleet.front(EDGE), &request("plain", FREE)).map(|m| m.status()).unwrap_or(0);
     assert_eq!(status(), 200);
     let without = document(2).to_string().replace("k-free", "k-other");
     assert_eq!(fleet.put(CONTROL, 1, &without).0, 200);
-    until("the key is refused", || status() == 401);
+    until("the key is rejected", || status() == 401);
 }
 
 #[test]
-fn no_request_reaches_a_backend_that_drains() {
+fn no_request_reaches_a_draining_backend() {
     let (old, new) = (Backend::start(|_| answer("old")), Backend::start(|_| answer("new")));
     let fleet = fleet_with(2, &[("i-old", old.address), ("i-new", new.address)]);
-    // A process that has just started acknowledges no end: proxies that will follow it may not have called yet.
-    until("the end is acknowledged", || {
+    // A process that has just started acknowledges no drain: proxies that will follow it may not have called yet.
+    until("the drain is acknowledged", || {
         fleet.heartbeat(CONTROL, "i-old", "s", old.address, "draining") == 200
     });
-    // Acknowledged is told: every proxy stops within the bound, here at the latest when each has sent one elsewhere.
+    // Every proxy stops within the bound after the acknowledgement, here at the latest once 20 requests went elsewhere.
     for at in 0..2 {
-        until("the proxy has heard", || {
+        until("the proxy knows of the drain", || {
             let before = old.requests().len();
             (0..20).all(|_| {
                 call(fleet.front(EDGE + at), &request("plain", FREE)).is_ok_and(|m| m.status() == 200)
@@ -121,7 +121,7 @@
     for _ in 0..50 {
         assert_eq!(call(fleet.front(EDGE), &request("once", FREE)).map(|m| m.status()).ok(), Some(200));
     }
-    // A late word that it is ready changes nothing.
+    // A late heartbeat that reports it ready changes nothing.
     fleet.heartbeat(CONTROL, "i-old", "s", old.address, "ready");
     for _ in 0..50 {
         assert_eq!(call(fleet.front(EDGE), &request("once", FREE)).map(|m| m.status()).ok(), Some(200));
@@ -130,11 +130,11 @@
 }
 
 #[test]
-fn a_refusal_that_has_not_run_goes_to_another_backend_or_back_with_a_promise() {
+fn not_executed_response_is_retried_or_returned_with_retry_after() {
     let shed = || Reply::Say("HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n".to_owned());
     let (full, free) = (Backend::start(move |_| shed()), Backend::start(|_| answer("served")));
     let fleet = fleet_with(1, &[("i-full", full.address), ("i-free", free.address)]);
-    until("the full backend was tried", || {
+    until("the full backend was attempted", || {
         let got = call(fleet.front(EDGE), &request("once", FREE)).expect("answered");
         assert_eq!(got.status(), 200);
         !full.requests().is_empty()
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_request_that_may_have_run_is_neither_sent_again_nor_refused_with_a_promise() {
+fn possibly_executed_request_is_neither_retried_nor_returned_with_retry_after() {
     let broken = Backend::start(|_| Reply::SayAndClose("HTTP/1.1 2".to_owned()));
     let other = Backend::start(|_| Reply::SayAndClose(String::new()));
     let fleet = fleet_with(1, &[("i-1", broken.address), ("i-2", other.address)]);
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn an_answer_to_another_request_reaches_nobody() {
+fn response_to_another_request_is_not_delivered() {
     let confused = Backend::start(|_| {
         Reply::Say("HTTP/1.1 200 OK\r\nRequest-Id: q0\r\nContent-Length: 5\r\n\r\nwrong".to_owned())
     });
@@ -166,10 +166,10 @@
     assert_eq!(got.status(), 502);
 }
 
-/// A late answer of another request, in the place where that of this one is due, may be a failure, a promise that it has
-/// not run, or the word of another backend: none of them says anything of this request, which may be running.
+/// A late response to another request may be a failure, report that it was not executed, or come from another backend:
+/// none of these is true of this request, which may be running.
 #[test]
-fn a_failure_of_another_request_is_no_answer_and_no_promise() {
+fn failure_response_to_another_request_is_not_delivered_or_retried() {
     for foreign in ["500 Failed", "503 Full\r\nNot-Executed: 1", "421 Misdirected"] {
         let confused = Backend::start(move |_| {
             let head = format!("HTTP/1.1 {foreign}\r\nRequest-Id: q0\r\nResponse-Signature: other\r\n");
@@ -182,14 +182,14 @@
             assert_eq!((got.status(), got.header("response-signature")), (502, None), "{foreign}");
         }
         let sent = confused.requests().len() + other.requests().len();
-        assert_eq!(sent, 6, "{foreign}: a call that may have run was sent again");
-        assert!(!confused.requests().is_empty(), "{foreign}: nothing was tried");
+        assert_eq!(sent, 6, "{foreign}: a request that may have been executed was retried");
+        assert!(!confused.requests().is_empty(), "{foreign}: nothing was attempted");
     }
 }
 
 #[test]
-fn a_stream_that_breaks_inside_an_event_goes_on_elsewhere_behind_the_last_whole_one() {
-    // Whichever is asked first breaks off; the other goes on from where it is told to.
+fn stream_broken_inside_an_event_resumes_after_the_last_complete_event() {
+    // The first attempt breaks off; the second resumes after the event that it is given.
     let play = |message: &Message, signature: &str| match message.header("last-event-id") {
         Some(id) => {
             let from: u32 = id.parse().expect("an id");
@@ -205,55 +205,55 @@
     let two = Backend::start(move |m| play(m, "two"));
     let fleet = fleet_with(1, &[("i-1", one.address), ("i-2", two.address)]);
     let mut stream = Chunked::open(fleet.front(EDGE), &request("stream", FREE)).expect("it begins");
-    let asked_first = |b: &Backend| b.requests().iter().any(|m| m.header("last-event-id").is_none());
-    let first = if asked_first(&one) { "one" } else { "two" };
+    let was_first = |b: &Backend| b.requests().iter().any(|m| m.header("last-event-id").is_none());
+    let first = if was_first(&one) { "one" } else { "two" };
     assert_eq!(stream.head.header("response-signature"), Some(first));
     assert_eq!(stream.rest().expect("it ends properly"), events(0, 6));
     assert_eq!(one.requests().len() + two.requests().len(), 2);
 }
 
 #[test]
-fn a_stream_that_may_not_go_on_elsewhere_never_looks_complete() {
+fn broken_stream_that_is_not_resumable_never_ends_properly() {
     let backend =
         Backend::start(|_| Reply::SayAndClose(format!("{STREAM_HEAD}s\r\n\r\n{}", chunk(&events(0, 2)))));
     let fleet = fleet_with(1, &[("i-1", backend.address)]);
-    // The break may come before the head has gone out; in no case is there a proper end.
+    // The stream may break before its head is forwarded; in no case does it end properly.
     let ended = Chunked::open(fleet.front(EDGE), &request("single", FREE)).and_then(|mut s| s.rest());
-    assert!(ended.is_err(), "a broken stream ended as if it were whole: {ended:?}");
+    assert!(ended.is_err(), "a broken stream ended as if it were complete: {ended:?}");
     assert_eq!(backend.requests().len(), 1);
 }
 
 #[test]
-fn a_stranger_at_a_backends_address_says_so_and_another_backend_serves() {
+fn misdirected_response_is_retried_at_another_backend() {
     let moved = "HTTP/1.1 421 Misdirected\r\nInstance-Id: i-x\r\nContent-Length: 0\r\n\r\n";
     let (stranger, good) =
         (Backend::start(|_| Reply::Say(moved.to_owned())), Backend::start(|_| answer("x")));
     let fleet = fleet_with(1, &[("i-gone", stranger.address), ("i-good", good.address)]);
-    until("the stranger was asked", || {
+    until("the stranger was attempted", || {
         let got = call(fleet.front(EDGE), &request("once", FREE)).expect("answered");
-        assert_eq!(got.status(), 200, "it has not run, and may be sent to another backend");
+        assert_eq!(got.status(), 200, "it was not executed, and may be retried");
         !stranger.requests().is_empty()
     });
 }
 
 #[test]
-fn a_tenant_over_its_quota_is_refused_and_the_others_are_not() {
+fn only_the_tenant_over_its_quota_is_rejected() {
     let backend = Backend::start(|_| answer("x"));
     let fleet = fleet_with(2, &[("i-1", backend.address)]);
-    let ask = |at: usize, key: &str| {
+    let request_status = |at: usize, key: &str| {
         let headers = format!("Api-Key: {key}\r\nToken-Usage: 40,10\r\n");
         call(fleet.front(EDGE + at % 2), &request("plain", &headers)).map(|m| m.status()).unwrap_or(0)
     };
-    until("the quota is lent", || ask(0, "k-tight") == 200);
-    let statuses: Vec<u16> = (0..60).map(|at| ask(at, "k-tight")).collect();
+    until("the quota is leased", || request_status(0, "k-tight") == 200);
+    let statuses: Vec<u16> = (0..60).map(|at| request_status(at, "k-tight")).collect();
     let served = statuses.iter().filter(|s| **s == 200).count();
     assert!(statuses.iter().all(|s| [200, 429].contains(s)), "{statuses:?}");
-    assert!(served < 60, "nothing was refused of 3,000 tokens at 100 a second and 300 at once");
-    assert!((0..20).all(|at| ask(at, "k-free") == 200), "another tenant is refused");
+    assert!(served < 60, "nothing was rejected of 3,000 tokens at 100 a second and 300 at once");
+    assert!((0..20).all(|at| request_status(at, "k-free") == 200), "another tenant is rejected");
 }
 
 #[test]
-fn proxies_serve_on_without_a_control_plane_by_their_last_configuration() {
+fn proxies_serve_with_their_last_configuration_without_a_control_plane() {
     let backend = Backend::start(|_| answer("x"));
     let mut fleet = fleet_with(1, &[("i-1", backend.address)]);
     fleet.kill(CONTROL);
@@ -264,11 +264,11 @@
 }
 
 #[test]
-fn sigterm_lets_a_stream_end_and_calls_the_proxy_unready() {
+fn sigterm_makes_the_proxy_unready_and_completes_streams() {
     let (release, released) = std::sync::mpsc::channel::<()>();
     let released = std::sync::Mutex::new(released);
     let backend = Backend::start(move |_| {
-        // The answer is whole only after the proxy was told to end.
+        // The response is complete only after the proxy has received SIGTERM.
         let _ = released.lock().map(|r| r.recv());
         Reply::Say(format!("{STREAM_HEAD}s\r\n\r\n{}0\r\n\r\n", chunk(&events(0, 4))))
     });
@@ -276,61 +276,61 @@
     let to = fleet.front(EDGE);
     let client =
         std::thread::spawn(move || Chunked::open(to, &request("single", FREE)).and_then(|mut s| s.rest()));
-    until("the backend is asked", || !backend.requests().is_empty());
+    until("the backend has the request", || !backend.requests().is_empty());
     fleet.terminate(EDGE).expect("a signal");
-    until("it is not ready any more", || !fleet.is_ready(EDGE));
+    until("it is not ready", || !fleet.is_ready(EDGE));
     release.send(()).expect("the backend waits");
-    assert_eq!(client.join().expect("it ends").expect("the stream is whole"), events(0, 4));
+    assert_eq!(client.join().expect("it ends").expect("the stream is complete"), events(0, 4));
     until("the process ends", || !fleet.runs(EDGE));
 }
 
-/// Time for which a key may be used after it was taken away in the closed fleets below, in ms.
+/// Time for which a key may be used after its revocation in the fail-closed fleets below, in ms.
 const REVOKE_MS: u64 = 2500;
 
 fn closed_fleet(backend: &Backend) -> Fleet {
     let fleet = Fleet::start_closed(1, 1, REVOKE_MS).expect("it starts");
-    serve_by(fleet, &[("i-1", backend.address)])
+    configure(fleet, &[("i-1", backend.address)])
 }
 
 #[test]
-fn without_news_no_key_is_used_for_longer_than_the_bound_and_nobody_is_denied() {
+fn partitioned_proxy_uses_no_key_beyond_the_bound_and_denies_none() {
     let backend = Backend::start(|_| answer("x"));
     let mut fleet = closed_fleet(&backend);
-    let ask = |fleet: &Fleet| call(fleet.front(EDGE), &request("plain", FREE)).expect("answered");
-    // With a control plane keys are used on and on.
+    let send_request = |fleet: &Fleet| call(fleet.front(EDGE), &request("plain", FREE)).expect("answered");
+    // With a control plane keys stay valid beyond the bound.
     let begun = std::time::Instant::now();
     until("the bound has passed twice", || {
-        assert_eq!(ask(&fleet).status(), 200);
+        assert_eq!(send_request(&fleet).status(), 200);
         begun.elapsed().as_millis() as u64 > 2 * REVOKE_MS
     });
     fleet.kill(CONTROL);
-    let cut_off = std::time::Instant::now();
-    assert_eq!(ask(&fleet).status(), 200, "a proof is good for a while");
-    until("clients are sent elsewhere", || !fleet.is_ready(EDGE));
-    let mut refused = Message::default();
-    until("keys are refused", || {
-        refused = ask(&fleet);
-        assert!([200, 503].contains(&refused.status()), "{}", refused.status());
-        refused.status() == 503
+    let partitioned_at = std::time::Instant::now();
+    assert_eq!(send_request(&fleet).status(), 200, "a proof is valid for a while");
+    until("the proxy is unready", || !fleet.is_ready(EDGE));
+    let mut rejected = Message::default();
+    until("keys are rejected", || {
+        rejected = send_request(&fleet);
+        assert!([200, 503].contains(&rejected.status()), "{}", rejected.status());
+        rejected.status() == 503
     });
-    assert!(cut_off.elapsed().as_millis() as u64 <= REVOKE_MS, "after {:?}", cut_off.elapsed());
-    assert!(refused.header("retry-after").is_some());
-    assert_eq!(refused.header("connection"), Some("close"));
+    assert!(partitioned_at.elapsed().as_millis() as u64 <= REVOKE_MS, "after {:?}", partitioned_at.elapsed());
+    assert!(rejected.header("retry-after").is_some());
+    assert_eq!(rejected.header("connection"), Some("close"));
     let before = backend.requests().len();
     assert_eq!(
         call(fleet.front(EDGE), &request("plain", "Api-Key: k-nobody\r\n")).map(|m| m.status()).ok(),
         Some(401)
     );
-    assert_eq!(ask(&fleet).status(), 503);
+    assert_eq!(send_request(&fleet).status(), 503);
     assert_eq!(backend.requests().len(), before);
     // The control plane comes back.
     fleet.run(CONTROL).expect("it starts again");
     until("the backend is known", || fleet.heartbeat(CONTROL, "i-1", "s", backend.address, "ready") == 200);
-    until("keys are used again", || ask(&fleet).status() == 200);
+    until("keys are used again", || send_request(&fleet).status() == 200);
 }
 
 #[test]
-fn a_frozen_proxy_runs_nothing_on_a_key_that_was_taken_away_meanwhile() {
+fn thawed_proxy_executes_nothing_with_a_key_revoked_meanwhile() {
     let backend = Backend::start(|_| answer("x"));
     let fleet = closed_fleet(&backend);
     assert_eq!(call(fleet.front(EDGE), &request("plain", FREE)).map(|m| m.status()).ok(), Some(200));
@@ -340,21 +340,21 @@
     assert_eq!(fleet.put(CONTROL, 1, &without).0, 200);
     let acknowledged = std::time::Instant::now();
     until("the bound has passed", || acknowledged.elapsed().as_millis() as u64 > REVOKE_MS);
-    // Requests that wait in its sockets when it wakes.
+    // Requests that are queued in its sockets when it thaws.
     let clients: Vec<_> = (0..8)
         .map(|_| {
             let to = fleet.front(EDGE);
             std::thread::spawn(move || call(to, &request("plain", FREE)).map(|m| m.status()))
         })
         .collect();
-    let asked = std::time::Instant::now();
-    until("they are sent", || asked.elapsed().as_millis() > 200);
+    let sent_at = std::time::Instant::now();
+    until("they are sent", || sent_at.elapsed().as_millis() > 200);
     fleet.wake(EDGE).expect("a signal");
     for client in clients {
         let status = client.join().expect("it ends").expect("answered");
         assert!([401, 503].contains(&status), "{status}");
     }
-    assert_eq!(backend.requests().len(), before, "a request ran on a key that was taken away");
+    assert_eq!(backend.requests().len(), before, "a request was executed with a revoked key");
     until("the new key is used", || {
         call(fleet.front(EDGE), &request("plain", "Api-Key: k-other\r\n")).is_ok_and(|m| m.status() == 200)
     });
