--- a/crates/gaugesaddle-control/src/disk.rs
+++ b/crates/gaugesaddle-control/src/disk.rs
@@ -114,7 +114,7 @@
     }
 }
 
-/// Writes until an error, or until the process no longer sends writes or takes events.
+/// Writes until an error, or until the process no longer sends writes or receives events.
 fn write_until_error(
     mut ring: Ring<FileStore>, queue: &mpsc::Receiver<DiskWrite>, events: &UnboundedSender<DiskEvent>,
 ) -> Result<(), LogError> {
--- a/crates/gaugesaddle-control/src/http_api.rs
+++ b/crates/gaugesaddle-control/src/http_api.rs
@@ -109,7 +109,7 @@
     }
 }
 
-/// Handles a change by an operator; `to_change` tells a full document from a patch.
+/// Handles a change by an operator; `to_change` makes the body a full document or a patch.
 async fn change_configuration(
     core: &CoreHandle, request: Request<Incoming>, to_change: fn(Vec<u8>) -> ChangeBody,
 ) -> HttpResponse {
--- a/crates/gaugesaddle-control/src/peer_connections.rs
+++ b/crates/gaugesaddle-control/src/peer_connections.rs
@@ -16,7 +16,7 @@
 
 /// Time-out for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time-out for sending one message; a large state over a slow link takes a while.
+/// Time-out for sending one message; sized for a large state over a slow link.
 const SEND_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Interval between attempts to connect to a peer.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
--- a/crates/gaugesaddle-control/src/request_server.rs
+++ b/crates/gaugesaddle-control/src/request_server.rs
@@ -12,7 +12,7 @@
 
 /// Maximum time for which a pull waits for changes (long polling), in ms.
 const MAX_PULL_WAIT_MS: u64 = 2000;
-/// Time-out for sending an answer; a large configuration over a slow link takes a while.
+/// Time-out for sending an answer; sized for a large configuration over a slow link.
 const SEND_TIMEOUT: Duration = Duration::from_millis(4000);
 /// Idle time-out of a connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
@@ -74,7 +74,7 @@
         if has_changes || Instant::now() >= deadline {
             break;
         }
-        // Both outcomes are told apart by the condition above.
+        // A change and the deadline both lead to the condition above.
         let _ = tokio::time::timeout_at(deadline, changes.changed()).await;
     }
     core.with(|c| {
