--- a/crates/gaugesaddle-catalog/src/catalog.rs
+++ b/crates/gaugesaddle-catalog/src/catalog.rs
@@ -1,59 +1,69 @@
-//! The merged registrations.
+//! The merged registrations, with the version vector of the changes that brought them.
 
 use crate::digest::{self, RANGES};
 use gaugesaddle_protocol::{CatalogDelta, Entry, Lifecycle, Origin, Registration, VersionVector};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Registrations that are kept: the fleet designed for, with room for a release that replaces all of it.
+/// Maximum number of registrations: twice the largest supported fleet, so that a release may replace all of it at once.
 pub const MAX_ENTRIES: usize = 40_000;
-/// How long what has left stays known, in milliseconds.
+/// How long a registration that is not ready any more stays known, in milliseconds.
 pub const DEPARTED_RETENTION_MS: u64 = 120_000;
 
-/// An entry and when it was changed here last.
+/// An entry, and when this process last changed it.
 #[derive(Clone, Debug)]
-struct Held {
+struct StoredEntry {
     entry: Entry,
-    changed: u64,
+    changed_at_ms: u64,
 }
 
-/// What became of a delta that was taken.
+/// The effect of merging a delta.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Merged {
-    /// Some registration is another than before.
+    /// At least one registration has changed.
     pub changed: bool,
-    /// Changes before those in the delta are not known here: they were lost on their way and must be asked for.
+    /// Changes that precede those of the delta are not known here: they were lost and must be requested.
     pub gap: bool,
 }
 
+/// Whether a sender has received the registrations of the entire fleet.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Coverage {
+    /// It has: a ready registration that it lacks belongs to no live process.
+    Complete,
+    /// It may not have: nothing follows from what it lacks.
+    Partial,
+}
+
 /// Registrations by their identity.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
-    entries: BTreeMap<String, Held>,
+    entries: BTreeMap<String, StoredEntry>,
     vector: VersionVector,
 }
 
 impl Catalog {
-    /// All registrations, those that have left included.
+    /// All registrations, including those that have expired, drain or have departed.
     pub fn iter(&self) -> impl Iterator<Item = &Registration> {
-        self.entries.values().map(|held| &held.entry.registration)
+        self.entries.values().map(|stored| &stored.entry.registration)
     }
 
     /// All entries.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
-        self.entries.values().map(|held| &held.entry)
+        self.entries.values().map(|stored| &stored.entry)
     }
 
-    /// One entry.
+    /// The entry of an identity.
     pub fn get(&self, id: &str) -> Option<&Entry> {
-        self.entries.get(id).map(|held| &held.entry)
+        self.entries.get(id).map(|stored| &stored.entry)
     }
 
-    /// Which changes of which origin are known.
+    /// Up to which number the changes of each origin are known.
     pub fn vector(&self) -> &VersionVector {
         &self.vector
     }
 
-    /// A change accepted here under the next number of `origin`; `None` where it brings nothing new.
+    /// Records a change that originates at this process, under the next number of `origin`; `None` where the known
+    /// registration has precedence or the catalog is full. `now` in milliseconds.
     pub fn accept(&mut self, now: u64, origin: Origin, registration: Registration) -> Option<Entry> {
         let change = self.vector.of(origin) + 1;
         let entry = Entry { origin, change, registration };
@@ -64,8 +74,10 @@
         Some(entry)
     }
 
-    /// Takes what another process knows. The vector advances only where nothing is missing in between: what it says is
-    /// known is passed on as known, and a drain that is acknowledged must be.
+    /// Merges the changes that another process sent.
+    ///
+    /// The vector advances only where no change is missing in between: everything that it covers is reported to other
+    /// processes as known, and a backend's drain is acknowledged on that report.
     pub fn merge(&mut self, now: u64, delta: CatalogDelta) -> Merged {
         let mut merged = Merged { changed: self.expire_unlisted(now, &delta), gap: false };
         for entry in delta.entries {
@@ -81,88 +93,103 @@
         merged
     }
 
-    /// Ends what lives here and is not listed in a range that is told whole: its lease was granted by processes that are
-    /// no more, and nobody would ever end it. If it lives, its next heartbeat brings it back.
+    /// Expires the ready registrations that a range listed completely does not contain. Their leases were granted by
+    /// processes that no longer exist, so nobody else would ever expire them. A process that is still alive registers
+    /// anew with its next heartbeat.
     fn expire_unlisted(&mut self, now: u64, delta: &CatalogDelta) -> bool {
         if delta.complete_ranges.is_empty() {
             return false;
         }
         let listed: BTreeSet<&str> = delta.entries.iter().map(|e| e.registration.id.as_str()).collect();
         let mut changed = false;
-        for (id, held) in &mut self.entries {
-            let registration = &mut held.entry.registration;
-            let told = delta.complete_ranges.contains(&(digest::range_of(id) as u8));
-            if told && registration.lifecycle == Lifecycle::Ready && !listed.contains(id.as_str()) {
+        for (id, stored) in &mut self.entries {
+            let registration = &mut stored.entry.registration;
+            let is_range_complete = delta.complete_ranges.contains(&(digest::range_of(id) as u8));
+            let is_listed = listed.contains(id.as_str());
+            if is_range_complete && !is_listed && registration.lifecycle == Lifecycle::Ready {
                 registration.lifecycle = Lifecycle::Expired;
-                held.changed = now;
+                stored.changed_at_ms = now;
                 changed = true;
             }
         }
         changed
     }
 
-    /// What a process with that vector lacks.
+    /// The changes that a process with the vector `known` lacks.
     pub fn delta(&self, known: &VersionVector) -> CatalogDelta {
-        let lacks = |entry: &&Entry| entry.change > known.of(entry.origin);
-        let entries = self.entries().filter(lacks).cloned().collect();
-        CatalogDelta { entries, since: known.clone(), vector: self.vector.clone(), ..CatalogDelta::default() }
+        let is_unknown = |entry: &&Entry| entry.change > known.of(entry.origin);
+        CatalogDelta {
+            entries: self.entries().filter(is_unknown).cloned().collect(),
+            since: known.clone(),
+            vector: self.vector.clone(),
+            ..CatalogDelta::default()
+        }
     }
 
-    /// Whether a process with that vector lacks anything.
+    /// Whether a process with the vector `known` lacks any change.
     pub fn has_changes_for(&self, known: &VersionVector) -> bool {
         self.vector.0.iter().any(|(origin, change)| *change > known.of(*origin))
     }
 
-    /// The digests of its ranges.
+    /// The digest of each range.
     pub fn digests(&self) -> Vec<u64> {
         digest::of(self.iter())
     }
 
-    /// All entries of the ranges whose digests differ from those told by a process with that vector. `whole`: this
-    /// process has heard the whole fleet, so that what it does not list lives no more.
-    pub fn repair(&self, told: &[u64], known: &VersionVector, whole: bool) -> CatalogDelta {
+    /// All entries of the ranges whose digests differ from `digests`, for the process that sent these and the vector
+    /// `known`. `coverage`: whether this process has received the registrations of the entire fleet.
+    pub fn repair(&self, digests: &[u64], known: &VersionVector, coverage: Coverage) -> CatalogDelta {
         let own = self.digests();
-        let differs = |range: usize| told.get(range) != own.get(range);
+        let differs = |range: usize| digests.get(range) != own.get(range);
+        let complete_ranges = match coverage {
+            Coverage::Complete => {
+                (0..RANGES).filter(|range| differs(*range)).map(|range| range as u8).collect()
+            }
+            Coverage::Partial => Vec::new(),
+        };
         let entries = self.entries().filter(|e| differs(digest::range_of(&e.registration.id)));
-        let ranges = (0..RANGES).filter(|range| whole && differs(*range));
         CatalogDelta {
             entries: entries.cloned().collect(),
             since: known.clone(),
             vector: self.vector.clone(),
-            complete_ranges: ranges.map(|range| range as u8).collect(),
+            complete_ranges,
         }
     }
 
-    /// Whether the digests told differ from the own ones; a wrong number of them says nothing.
-    pub fn differs_from(&self, told: &[u64]) -> bool {
-        told.len() == RANGES && told != self.digests()
+    /// Whether the digests of another process differ from this catalog's. A list of any other length than [`RANGES`]
+    /// does not count: a process that sends no digests does not compare.
+    pub fn differs_from(&self, digests: &[u64]) -> bool {
+        digests.len() == RANGES && digests != self.digests()
     }
 
-    /// Forgets what left long ago.
+    /// Drops the registrations that have not been ready for [`DEPARTED_RETENTION_MS`].
     pub fn purge(&mut self, now: u64) {
-        self.entries.retain(|_, held| {
-            held.entry.registration.lifecycle == Lifecycle::Ready
-                || now < held.changed + DEPARTED_RETENTION_MS
+        self.entries.retain(|_, stored| {
+            let is_ready = stored.entry.registration.lifecycle == Lifecycle::Ready;
+            is_ready || now < stored.changed_at_ms + DEPARTED_RETENTION_MS
         });
     }
 
+    /// Stores an entry unless the known one has precedence or the table is full; whether it was stored.
     fn put(&mut self, now: u64, entry: Entry) -> bool {
-        if let Some(held) = self.entries.get_mut(&entry.registration.id) {
-            if !supersedes(&entry.registration, &held.entry.registration) {
+        if let Some(stored) = self.entries.get_mut(&entry.registration.id) {
+            if !supersedes(&entry.registration, &stored.entry.registration) {
                 return false;
             }
-            *held = Held { entry, changed: now };
+            *stored = StoredEntry { entry, changed_at_ms: now };
             return true;
         }
         if self.entries.len() >= MAX_ENTRIES {
             return false;
         }
-        self.entries.insert(entry.registration.id.clone(), Held { entry, changed: now });
+        let id = entry.registration.id.clone();
+        self.entries.insert(id, StoredEntry { entry, changed_at_ms: now });
         true
     }
 }
 
-/// Whether a registration takes the place of another of the same identity.
+/// Whether a registration replaces another of the same identity: a process that leaves never comes back, else the later
+/// call counts.
 fn supersedes(new: &Registration, old: &Registration) -> bool {
     if new.lifecycle.is_leaving() != old.lifecycle.is_leaving() {
         return new.lifecycle.is_leaving();
--- a/crates/gaugesaddle-catalog/src/catalog_replica.rs
+++ b/crates/gaugesaddle-catalog/src/catalog_replica.rs
@@ -1,77 +1,86 @@
-//! A control process's part in the catalog: takes heartbeats, passes changes on, and says when a change is held by
-//! enough processes to be acknowledged.
+//! A control process's copy of the catalog: records registrations, replicates changes to its peers and proxies, and
+//! determines how far a change has been replicated.
 //!
 //! ```text
-//!  call --> note --(news)--> push to all peers --> each tells its proxies, and acknowledges what it and they have
-//!                   |                                        |
-//!                   +--> own proxies ------------------------+
-//!                                                            v
-//!  2xx <-- held: every lively peer and every proxy that called a moment ago has it, a majority of peers at least
+//!  call --> record --(changed)--> push to all peers --> each passes it to its proxies, and acknowledges to the origin
+//!                        |                                 what it and all its proxies have
+//!                        +--> own proxies ------------------------+
+//!                                                                 v
+//!  2xx <-- Full: every responsive peer and proxy has it, a majority of the control processes at least
 //! ```
 //!
 //! A process that has just started knows no proxies and acknowledges nothing yet. Nothing of this is on a disk. An
-//! acknowledged end outlives the loss of all control processes at once because the proxies have it by then, and tell it
-//! to the processes that come after.
+//! acknowledged departure outlives the loss of all control processes at once because the proxies have it by then, and
+//! send it to the control processes that start afterwards.
 
 use crate::peers::{PeerTable, PEER_RESPONSIVE_MS};
 use crate::proxies::ProxyTable;
-use crate::{Catalog, Leases};
+use crate::{Catalog, Coverage, Leases};
 use gaugesaddle_protocol::{
     CatalogDelta, Lifecycle, Origin, PeerMessage, Pull, Registration, Subject, VersionVector,
 };
 use std::collections::BTreeMap;
 
-/// A proxy's lease in milliseconds; it renews it twice a second and more.
-const PROXY_LEASE: u64 = 4000;
-/// What was accepted by a process that died has so long to be accepted by another, in milliseconds.
-const ORPHAN: u64 = 6000;
+/// Shortest lease, in milliseconds: a proxy's, which it renews at least twice a second.
+const PROXY_LEASE_MS: u64 = 4000;
+/// How long a registration may stay orphaned before it expires, in milliseconds: its next heartbeat goes to another
+/// control process well within that.
+const ORPHAN_TIMEOUT_MS: u64 = 6000;
 
-/// Whether a change may be acknowledged.
+/// How far a change has been replicated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicationStatus {
-    /// Every lively process and proxy has it, and a majority of processes at least.
+    /// Every responsive control process and proxy has it, and a majority of control processes at least.
     Full,
-    /// A majority has it; some process or proxy that spoke a moment ago has not said so.
+    /// A majority has it; some responsive process or proxy has not confirmed it.
     Majority,
     /// It could be lost.
     Minority,
 }
 
-/// The catalog of one control process, its leases and its view of the others.
+/// The effect of a peer's message.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct PeerOutcome {
+    /// At least one registration has changed here.
+    pub changed: bool,
+    /// Messages to send back to the peer.
+    pub responses: Vec<PeerMessage>,
+}
+
+/// The catalog of one control process, the leases that it granted and the progress of its peers and proxies.
 #[derive(Clone, Debug)]
 pub struct CatalogReplica {
     origin: Origin,
-    /// When it began, in milliseconds.
-    started: u64,
-    /// A backend's lease in milliseconds.
-    backend_lease: u64,
+    started_ms: u64,
+    backend_lease_ms: u64,
     catalog: Catalog,
     leases: Leases,
     peers: PeerTable,
     proxies: ProxyTable,
-    /// What was acknowledged to the origin of each change.
+    /// Up to which change each origin was sent an acknowledgement.
     acknowledged: VersionVector,
-    /// Registrations whose control process died, and since when that is known.
-    orphans: BTreeMap<String, u64>,
+    /// Since when each orphaned registration is known to be one, in milliseconds.
+    orphaned_since_ms: BTreeMap<String, u64>,
 }
 
 impl CatalogReplica {
-    /// An empty one. `origin` is what this process counts its changes under; no other process has the same.
-    pub fn new(now: u64, origin: Origin, backend_lease: u64) -> CatalogReplica {
+    /// An empty replica that starts at `now` (milliseconds). Its changes are numbered under `origin`, which must differ
+    /// from that of every other process, past ones included. `backend_lease_ms` is raised to a proxy's lease.
+    pub fn new(now: u64, origin: Origin, backend_lease_ms: u64) -> CatalogReplica {
         CatalogReplica {
             origin,
-            started: now,
-            backend_lease: backend_lease.max(PROXY_LEASE),
+            started_ms: now,
+            backend_lease_ms: backend_lease_ms.max(PROXY_LEASE_MS),
             catalog: Catalog::default(),
             leases: Leases::default(),
             peers: PeerTable::default(),
             proxies: ProxyTable::default(),
             acknowledged: VersionVector::default(),
-            orphans: BTreeMap::new(),
+            orphaned_since_ms: BTreeMap::new(),
         }
     }
 
-    /// What this process counts its changes under.
+    /// The origin that this process numbers its changes under.
     pub fn origin(&self) -> Origin {
         self.origin
     }
@@ -86,75 +95,85 @@
         &self.peers
     }
 
-    /// A peer has introduced itself on a connection.
+    /// Registers the process that opened a connection from a peer's machine.
     pub fn register_peer(&mut self, ip: u32, origin: Origin) {
         self.peers.register_peer(ip, origin);
     }
 
-    /// A peer has spoken; false where another process has taken its place, so that what it says is void.
+    /// Records a message of a peer; false where another process has been registered on that machine since, so that the
+    /// message must be dropped.
     pub fn record_contact(&mut self, now: u64, ip: u32, origin: Origin) -> bool {
         self.peers.record_contact(now, ip, origin)
     }
 
-    /// Takes a call of a backend or proxy; what to push to all peers where it brings news.
+    /// Records the call of a backend or proxy and renews its lease. Returns the delta to push to all peers where the
+    /// registration has changed.
     pub fn record(&mut self, now: u64, registration: Registration) -> Option<CatalogDelta> {
         self.leases.renew(now, &registration.id, registration.sequence);
-        let known = self.catalog.get(&registration.id);
-        let news =
-            known.is_none_or(|e| e.origin != self.origin || !says_the_same(&e.registration, &registration));
-        if news {
-            self.accept(now, registration)
-        } else {
-            None
+        if let Some(known) = self.catalog.get(&registration.id) {
+            if known.origin == self.origin && is_same_state(&known.registration, &registration) {
+                return None;
+            }
         }
+        self.accept(now, registration)
     }
 
-    /// Takes what a proxy says that it knows; what to acknowledge to which peer now that it does.
+    /// Records which changes a proxy has. Returns the acknowledgements that follow, each with the address of the peer
+    /// that it goes to.
     pub fn record_pull(&mut self, now: u64, pull: &Pull) -> Vec<(u32, PeerMessage)> {
         if pull.proxy.lifecycle.is_leaving() {
-            self.proxies.left(&pull.proxy.id);
+            self.proxies.remove(&pull.proxy.id);
         } else {
-            self.proxies.called(now, &pull.proxy.id, &pull.vector);
+            self.proxies.record_pull(now, &pull.proxy.id, &pull.vector);
         }
-        let owed = |(origin, change): &&(Origin, u64)| *change > self.acknowledged.of(*origin);
-        let origins: Vec<Origin> =
-            self.catalog.vector().0.iter().filter(owed).map(|(origin, _)| *origin).collect();
-        origins.into_iter().filter_map(|origin| self.acknowledgement(now, origin)).collect()
+        let mut unacknowledged = Vec::new();
+        for (origin, change) in &self.catalog.vector().0 {
+            if *change > self.acknowledged.of(*origin) {
+                unacknowledged.push(*origin);
+            }
+        }
+        unacknowledged.into_iter().filter_map(|origin| self.acknowledge(now, origin)).collect()
     }
 
-    /// What to tell the origin of changes, where more of them are known here and at all proxies than it was told.
-    fn acknowledgement(&mut self, now: u64, origin: Origin) -> Option<(u32, PeerMessage)> {
-        let change = self.held(now, origin);
-        let ip = self.peers.machine_of(origin).filter(|_| change > self.acknowledged.of(origin))?;
+    /// The acknowledgement to the origin of changes, where more of them are known here and at all proxies than were
+    /// acknowledged before.
+    fn acknowledge(&mut self, now: u64, origin: Origin) -> Option<(u32, PeerMessage)> {
+        let change = self.known_with_proxies(now, origin);
+        if change <= self.acknowledged.of(origin) {
+            return None;
+        }
+        let ip = self.peers.machine_of(origin)?;
         self.acknowledged.advance(origin, change);
         Some((ip, PeerMessage::Acknowledge { origin, change }))
     }
 
-    /// Up to which change of an origin this process and the proxies that follow it know them all.
-    fn held(&self, now: u64, origin: Origin) -> u64 {
-        if self.is_young(now) {
+    /// Up to which change of an origin this process and all proxies that follow it have them all.
+    fn known_with_proxies(&self, now: u64, origin: Origin) -> u64 {
+        if self.is_starting(now) {
             return 0;
         }
-        self.catalog.vector().of(origin).min(self.proxies.all_know(now, origin))
+        let known_here = self.catalog.vector().of(origin);
+        known_here.min(self.proxies.known_by_all(now, origin))
     }
 
-    /// Whether proxies that will follow this process may not have called yet.
-    fn is_young(&self, now: u64) -> bool {
-        now < self.started + PEER_RESPONSIVE_MS
+    /// Whether this process started so recently that proxies that follow it may not have pulled yet.
+    fn is_starting(&self, now: u64) -> bool {
+        now < self.started_ms + PEER_RESPONSIVE_MS
     }
 
-    /// Takes what a proxy knows to have left; what to push to all peers.
-    pub fn record_departed(&mut self, now: u64, left: Vec<Registration>) -> Vec<CatalogDelta> {
-        let news = |r: &Registration| {
-            let known = self.catalog.get(&r.id);
-            r.lifecycle.is_leaving() && known.is_none_or(|e| !e.registration.lifecycle.is_leaving())
+    /// Records the departures that a proxy knows of. Returns the deltas to push to all peers.
+    pub fn record_departed(&mut self, now: u64, departed: Vec<Registration>) -> Vec<CatalogDelta> {
+        let is_change = |registration: &Registration| {
+            let known = self.catalog.get(&registration.id);
+            let is_known = known.is_some_and(|entry| entry.registration.lifecycle.is_leaving());
+            registration.lifecycle.is_leaving() && !is_known
         };
-        let left: Vec<Registration> = left.into_iter().filter(news).collect();
-        left.into_iter().filter_map(|registration| self.accept(now, registration)).collect()
+        let changes: Vec<Registration> = departed.into_iter().filter(is_change).collect();
+        changes.into_iter().filter_map(|registration| self.accept(now, registration)).collect()
     }
 
-    /// The registration of a backend that says it has left; where it is not known here, one that holds its identity, for
-    /// others may know it.
+    /// The registration that records the departure of a backend; `None` for a proxy. Where the identity is not known
+    /// here, all but the identity is empty: other processes may know it.
     pub fn departed(&self, id: &str) -> Option<Registration> {
         let mut registration = match self.catalog.get(id) {
             Some(entry) => entry.registration.clone(),
@@ -174,7 +193,8 @@
         Some(registration)
     }
 
-    /// Takes a change that happened here; what to push to all peers, `None` where it brings nothing new.
+    /// Accepts a change that originates here. Returns the delta to push to all peers, `None` where the known
+    /// registration has precedence.
     pub fn accept(&mut self, now: u64, registration: Registration) -> Option<CatalogDelta> {
         let entry = self.catalog.accept(now, self.origin, registration)?;
         let mut delta = CatalogDelta::default();
@@ -184,129 +204,146 @@
         Some(delta)
     }
 
-    /// How far the present registration of an identity has spread in a group of so many voters.
-    pub fn spread(&self, now: u64, id: &str, voters: usize) -> ReplicationStatus {
+    /// How far the current registration of an identity has been replicated in a group of `voters` replicas.
+    pub fn replication_status(&self, now: u64, id: &str, voters: usize) -> ReplicationStatus {
         let Some(entry) = self.catalog.get(id) else { return ReplicationStatus::Minority };
         let (origin, change) = (entry.origin, entry.change);
-        // This process and the holders must be more than half.
-        if self.is_young(now) || self.peers.holders(origin, change) < voters / 2 {
+        // This process and the peers that have the change must be more than half of the voters.
+        let has_majority = self.peers.acknowledged_count(origin, change) >= voters / 2;
+        if self.is_starting(now) || !has_majority {
             return ReplicationStatus::Minority;
         }
-        if self.peers.all_responsive_have(now, origin, change) && self.held(now, origin) >= change {
+        let peers_have = self.peers.all_responsive_have(now, origin, change);
+        let proxies_have = self.known_with_proxies(now, origin) >= change;
+        if peers_have && proxies_have {
             ReplicationStatus::Full
         } else {
             ReplicationStatus::Majority
         }
     }
 
-    /// Takes what a peer says of the catalog: whether anything changed here, and what to answer. Other messages are
-    /// left alone.
-    pub fn take(&mut self, now: u64, ip: u32, message: PeerMessage) -> (bool, Vec<PeerMessage>) {
+    /// Applies a peer's message about the catalog. Messages about anything else have no effect.
+    pub fn apply(&mut self, now: u64, ip: u32, message: PeerMessage) -> PeerOutcome {
         match message {
-            PeerMessage::Push(delta) => self.take_push(now, ip, delta),
+            PeerMessage::Push(delta) => self.apply_push(now, ip, delta),
             PeerMessage::Acknowledge { origin, change } => {
-                self.peers.knows(ip, origin, change);
-                (false, Vec::new())
+                self.peers.record_acknowledged(ip, origin, change);
+                PeerOutcome::default()
             }
-            PeerMessage::Compare { vector, digests, .. } => {
-                let push = self.changes_for(now, &vector, &digests).map(PeerMessage::Push);
-                // An acknowledgement may have been lost.
-                let origin = self.peers.origin_of(ip);
-                let held =
-                    origin.map(|origin| (origin, self.held(now, origin))).filter(|(_, change)| *change > 0);
-                let again = held.map(|(origin, change)| PeerMessage::Acknowledge { origin, change });
-                (false, push.into_iter().chain(again).collect())
-            }
-            _ => (false, Vec::new()),
+            PeerMessage::Compare { vector, digests, .. } => self.apply_compare(now, ip, &vector, &digests),
+            _ => PeerOutcome::default(),
         }
     }
 
-    fn take_push(&mut self, now: u64, ip: u32, delta: CatalogDelta) -> (bool, Vec<PeerMessage>) {
+    fn apply_push(&mut self, now: u64, ip: u32, delta: CatalogDelta) -> PeerOutcome {
         let merged = self.catalog.merge(now, delta);
-        // Where proxies follow this process they are told first.
-        let origin = self.peers.origin_of(ip);
-        let acknowledgement = origin.and_then(|origin| self.acknowledgement(now, origin));
-        let mut answers: Vec<PeerMessage> = acknowledgement.map(|(_, message)| message).into_iter().collect();
+        let mut responses = Vec::new();
+        // Without proxies the changes can be acknowledged at once, else only after these have pulled them.
+        if let Some(origin) = self.peers.origin_of(ip) {
+            responses.extend(self.acknowledge(now, origin).map(|(_, message)| message));
+        }
         if merged.gap {
-            answers.push(self.compare(false, Vec::new()));
+            responses.push(self.compare(false, Vec::new()));
+        }
+        PeerOutcome { changed: merged.changed, responses }
+    }
+
+    fn apply_compare(&self, now: u64, ip: u32, vector: &VersionVector, digests: &[u64]) -> PeerOutcome {
+        let mut responses = Vec::new();
+        responses.extend(self.changes_for(now, vector, digests).map(PeerMessage::Push));
+        // The acknowledgement is repeated with each comparison, since an earlier one may have been lost.
+        if let Some(origin) = self.peers.origin_of(ip) {
+            let change = self.known_with_proxies(now, origin);
+            if change > 0 {
+                responses.push(PeerMessage::Acknowledge { origin, change });
+            }
         }
-        (merged.changed, answers)
+        PeerOutcome { changed: false, responses }
     }
 
-    /// What this process knows, for a peer to push what is lacking here, and the machines that it knows to serve control.
-    pub fn compare(&self, with_ranges: bool, members: Vec<u32>) -> PeerMessage {
-        let digests = if with_ranges { self.catalog.digests() } else { Vec::new() };
+    /// The message that has a peer push the changes that this process lacks. `with_digests` adds the range digests, which
+    /// find what the vector does not show; `members` are the machines known to serve control.
+    pub fn compare(&self, with_digests: bool, members: Vec<u32>) -> PeerMessage {
+        let digests = if with_digests { self.catalog.digests() } else { Vec::new() };
         PeerMessage::Compare { vector: self.catalog.vector().clone(), digests, members }
     }
 
-    /// Whether a process with that vector and those digests lacks anything.
+    /// Whether a process with this vector and these digests lacks anything.
     pub fn has_changes_for(&self, vector: &VersionVector, digests: &[u64]) -> bool {
         self.catalog.has_changes_for(vector) || self.catalog.differs_from(digests)
     }
 
-    /// What such a process lacks: the changes, else the ranges that differ.
+    /// What a process with this vector and these digests lacks: the changes by vector, else the ranges that differ.
     pub fn changes_for(&self, now: u64, vector: &VersionVector, digests: &[u64]) -> Option<CatalogDelta> {
         if self.catalog.has_changes_for(vector) {
             Some(self.catalog.delta(vector))
         } else if self.catalog.differs_from(digests) {
-            Some(self.catalog.repair(digests, vector, self.has_heard_all(now)))
+            Some(self.catalog.repair(digests, vector, self.coverage(now)))
         } else {
             None
         }
     }
 
-    /// Whether every backend and proxy that lives must have called here or at a peer since this process began.
-    fn has_heard_all(&self, now: u64) -> bool {
-        now >= self.started + self.backend_lease && !self.peers.alive(now).is_empty()
+    /// Complete once a backend's lease has passed since the start with a live peer: by then every live backend and proxy
+    /// has called here or at a peer.
+    fn coverage(&self, now: u64) -> Coverage {
+        let has_lease_passed = now >= self.started_ms + self.backend_lease_ms;
+        if has_lease_passed && !self.peers.alive(now).is_empty() {
+            Coverage::Complete
+        } else {
+            Coverage::Partial
+        }
     }
 
-    /// Forgets what left long ago, and ends what has fallen silent; what to push to all peers.
+    /// Drops old departures, and expires registrations whose lease has run out or that stay orphaned. Returns the deltas
+    /// to push to all peers. To be called several times a second.
     pub fn expire(&mut self, now: u64) -> Vec<CatalogDelta> {
         self.catalog.purge(now);
-        let mut ended = self.lapsed(now);
-        ended.extend(self.orphaned(now));
-        ended.into_iter().filter_map(|registration| self.accept(now, registration)).collect()
+        let mut expired = self.expire_leases(now);
+        expired.extend(self.expire_orphaned(now));
+        expired.into_iter().filter_map(|registration| self.accept(now, registration)).collect()
     }
 
     /// Registrations accepted here whose lease has run out.
-    fn lapsed(&mut self, now: u64) -> Vec<Registration> {
-        let mut ended = Vec::new();
-        for (id, heard) in self.leases.expire(now, self.backend_lease) {
-            let Some(entry) = self.catalog.get(&id) else { continue };
+    fn expire_leases(&mut self, now: u64) -> Vec<Registration> {
+        let mut expired = Vec::new();
+        for lease in self.leases.expire(now, self.backend_lease_ms) {
+            let Some(entry) = self.catalog.get(&lease.id) else { continue };
             if entry.origin == self.origin && entry.registration.lifecycle == Lifecycle::Ready {
                 let mut registration = entry.registration.clone();
-                registration.sequence = registration.sequence.max(heard.sequence);
+                registration.sequence = registration.sequence.max(lease.last_heartbeat.sequence);
                 registration.lifecycle = Lifecycle::Expired;
-                ended.push(registration);
+                expired.push(registration);
             }
         }
-        ended
+        expired
     }
 
-    /// Registrations accepted by a process that died, which nobody else has accepted in time.
-    fn orphaned(&mut self, now: u64) -> Vec<Registration> {
-        let living = self.peers.living_origins(now);
-        let lost = |origin: Origin| origin != self.origin && !living.contains(&origin);
-        let orphans: Vec<Registration> = self
+    /// Registrations whose control process is dead, and which no other process has accepted within
+    /// [`ORPHAN_TIMEOUT_MS`].
+    fn expire_orphaned(&mut self, now: u64) -> Vec<Registration> {
+        let alive = self.peers.alive_origins(now);
+        let is_dead = |origin: Origin| origin != self.origin && !alive.contains(&origin);
+        let orphaned: Vec<Registration> = self
             .catalog
             .entries()
-            .filter(|e| lost(e.origin) && e.registration.lifecycle == Lifecycle::Ready)
+            .filter(|e| is_dead(e.origin) && e.registration.lifecycle == Lifecycle::Ready)
             .map(|e| e.registration.clone())
             .collect();
-        self.orphans.retain(|id, _| orphans.iter().any(|o| o.id == *id));
-        let mut ended = Vec::new();
-        for mut registration in orphans {
-            let since = *self.orphans.entry(registration.id.clone()).or_insert(now);
-            if now >= since + ORPHAN {
+        self.orphaned_since_ms.retain(|id, _| orphaned.iter().any(|o| o.id == *id));
+        let mut expired = Vec::new();
+        for mut registration in orphaned {
+            let since_ms = *self.orphaned_since_ms.entry(registration.id.clone()).or_insert(now);
+            if now >= since_ms + ORPHAN_TIMEOUT_MS {
                 registration.lifecycle = Lifecycle::Expired;
-                ended.push(registration);
+                expired.push(registration);
             }
         }
-        ended
+        expired
     }
 }
 
-/// Equal but for the sequence, which rises with each call.
-fn says_the_same(a: &Registration, b: &Registration) -> bool {
+/// Whether two registrations are equal but for the sequence, which rises with each call.
+fn is_same_state(a: &Registration, b: &Registration) -> bool {
     a.lifecycle == b.lifecycle && a.subject == b.subject && a.zone == b.zone
 }
--- a/crates/gaugesaddle-catalog/src/digest.rs
+++ b/crates/gaugesaddle-catalog/src/digest.rs
@@ -1,30 +1,38 @@
-//! Range digests: two catalogs compare a few numbers, and pass on only the ranges that differ.
+//! Range digests: two catalogs compare one number per range and exchange only the ranges that differ.
 
 use gaugesaddle_balancer::mix;
 use gaugesaddle_protocol::{Lifecycle, Registration};
 
-/// Ranges that identities are divided into.
+/// Number of ranges that identities are divided into by their hash.
 pub const RANGES: usize = 16;
 
-/// The range of an identity.
+/// Start value of the hash: the offset basis of FNV-1a (64 bits).
+const HASH_SEED: u64 = 0xcbf2_9ce4_8422_2325;
+
+/// The range of an identity, below [`RANGES`].
 pub fn range_of(id: &str) -> usize {
-    (hash(id) % RANGES as u64) as usize
+    range_of_hash(hash(id))
 }
 
-/// The digest of each range, over what is ready: by its identity only, for its sequence rises without news.
+/// The digest of each range, over the ready registrations. It covers their identities only, since the sequence rises
+/// with every heartbeat although nothing else changes.
 pub fn of<'a>(registrations: impl Iterator<Item = &'a Registration>) -> Vec<u64> {
     let mut digests = vec![0; RANGES];
     for registration in registrations {
         if registration.lifecycle != Lifecycle::Ready {
-            // Forgotten at different times by different processes.
+            // Each process drops these at its own time, so they must not count.
             continue;
         }
-        let id = hash(&registration.id);
-        digests[(id % RANGES as u64) as usize] ^= mix(id.wrapping_add(1));
+        let id_hash = hash(&registration.id);
+        digests[range_of_hash(id_hash)] ^= mix(id_hash.wrapping_add(1));
     }
     digests
 }
 
+fn range_of_hash(hash: u64) -> usize {
+    (hash % RANGES as u64) as usize
+}
+
 fn hash(id: &str) -> u64 {
-    id.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| mix(hash ^ u64::from(byte)))
+    id.bytes().fold(HASH_SEED, |hash, byte| mix(hash ^ u64::from(byte)))
 }
--- a/crates/gaugesaddle-catalog/src/leases.rs
+++ b/crates/gaugesaddle-catalog/src/leases.rs
@@ -2,51 +2,55 @@
 
 use std::collections::BTreeMap;
 
-/// The last call of a registered process.
+/// The newest heartbeat of a registered process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LastHeartbeat {
-    /// When, in milliseconds.
-    pub at: u64,
+    /// When it arrived, in milliseconds of the steady clock.
+    pub at_ms: u64,
     /// Its sequence number.
     pub sequence: u64,
 }
 
-/// The last call of each registered process.
+/// A lease that has run out.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ExpiredLease {
+    /// Identity of the registered process.
+    pub id: String,
+    /// Its newest heartbeat.
+    pub last_heartbeat: LastHeartbeat,
+}
+
+/// The newest heartbeat of each registered process. A process leaves the table when its lease expires.
 #[derive(Clone, Debug, Default)]
 pub struct Leases {
-    heard: BTreeMap<String, LastHeartbeat>,
+    last_heartbeats: BTreeMap<String, LastHeartbeat>,
 }
 
 impl Leases {
-    /// Notes a call; false where a later one is known.
+    /// Records a heartbeat at `now` (milliseconds); false where one with a higher sequence is known.
     pub fn renew(&mut self, now: u64, id: &str, sequence: u64) -> bool {
-        if let Some(heard) = self.heard.get_mut(id) {
-            if sequence < heard.sequence {
+        let heartbeat = LastHeartbeat { at_ms: now, sequence };
+        if let Some(last) = self.last_heartbeats.get_mut(id) {
+            if sequence < last.sequence {
                 return false;
             }
-            *heard = LastHeartbeat { at: now, sequence };
+            *last = heartbeat;
             return true;
         }
-        self.heard.insert(id.to_owned(), LastHeartbeat { at: now, sequence });
+        self.last_heartbeats.insert(id.to_owned(), heartbeat);
         true
     }
 
-    /// Ends a lease.
-    pub fn release(&mut self, id: &str) {
-        self.heard.remove(id);
-    }
-
-    /// Whether a process is known here.
-    pub fn holds(&self, id: &str) -> bool {
-        self.heard.contains_key(id)
-    }
-
-    /// Ends the leases that were not renewed within `lease` milliseconds.
-    pub fn expire(&mut self, now: u64, lease: u64) -> Vec<(String, LastHeartbeat)> {
-        let ended = |heard: &LastHeartbeat| now >= heard.at + lease;
-        let expired: Vec<(String, LastHeartbeat)> =
-            self.heard.iter().filter(|(_, h)| ended(h)).map(|(id, h)| (id.clone(), *h)).collect();
-        self.heard.retain(|_, heard| !ended(heard));
+    /// Removes and returns the leases that were not renewed within `lease_ms` milliseconds.
+    pub fn expire(&mut self, now: u64, lease_ms: u64) -> Vec<ExpiredLease> {
+        let mut expired = Vec::new();
+        self.last_heartbeats.retain(|id, last| {
+            let is_live = now < last.at_ms + lease_ms;
+            if !is_live {
+                expired.push(ExpiredLease { id: id.clone(), last_heartbeat: *last });
+            }
+            is_live
+        });
         expired
     }
 }
--- a/crates/gaugesaddle-catalog/src/lib.rs
+++ b/crates/gaugesaddle-catalog/src/lib.rs
@@ -1,15 +1,47 @@
 //! The catalog of backends and proxies: soft state under leases, never on a disk, decided without I/O.
 //!
-//! - [`Catalog`]: registrations with the change that brought each, merged from any source in any order. A proxy and a
-//!   control process hold the same type.
-//! - [`Leases`]: which registrations this control process has accepted, and which of them have run out.
-//! - [`CatalogReplica`]: a control process's catalog, its leases and what its peers have.
-//! - [`Acknowledgement`]: when a backend's call may be acknowledged.
-//! - [`digest`]: range digests, for repair where two catalogs differ though neither lacks a change of the other.
-//!
-//! Merging is commutative, idempotent and never takes an announced end back; a vector never covers a change that was not
-//! taken. The catalog is bounded by
-//! [`MAX_ENTRIES`]; what has left stays known for [`DEPARTED_RETENTION_MS`] so that a late message cannot bring it back.
+//! It decides which registrations are in force, which have expired, what another process lacks of them, and when a
+//! backend's call may be acknowledged.
+//!
+//! - [`Catalog`]: registrations with the change that brought each, merged from any source in any order. Proxies and
+//!   control processes use the same type. [`digest`] holds its range digests, which find differences that the version
+//!   vectors do not show.
+//! - [`CatalogReplica`]: a control process's copy. It owns a [`Catalog`], the [`Leases`] that this process has granted,
+//!   the [`peers::PeerTable`] of the other control processes and the table of its proxies.
+//! - [`Acknowledgement`]: one backend's call that waits for its answer; the host owns it and calls
+//!   [`Acknowledgement::decide`] until it is decided.
+//!
+//! ```
+//! use gaugesaddle_catalog::Catalog;
+//! use gaugesaddle_protocol::{Lifecycle, Origin, Registration, Subject};
+//!
+//! let (mut source, mut sink) = (Catalog::default(), Catalog::default());
+//! let registration = Registration {
+//!     id: "proxy-1".to_owned(),
+//!     zone: "a".to_owned(),
+//!     subject: Subject::Proxy,
+//!     sequence: 1,
+//!     lifecycle: Lifecycle::Ready,
+//! };
+//! let now_ms = 1_000;
+//! source.accept(now_ms, Origin(1), registration);
+//! let delta = source.delta(sink.vector());
+//! assert!(sink.merge(now_ms, delta).changed);
+//! assert!(!source.has_changes_for(sink.vector()));
+//! ```
+//!
+//! # Guarantees
+//!
+//! Merging is commutative and idempotent, and a registration that drains or has departed never becomes ready again. A
+//! version vector never covers a change that was not received. An acknowledged drain or departure is known to a majority
+//! of control processes and to every proxy that pulled from them within [`peers::PEER_RESPONSIVE_MS`], or is answered
+//! at its deadline by a majority alone.
+//!
+//! # Bounds
+//!
+//! The catalog has at most [`MAX_ENTRIES`] registrations. One that is not ready stays known for
+//! [`DEPARTED_RETENTION_MS`], so that a delayed message cannot bring it back, and is dropped after that. Leases are
+//! dropped when they expire, proxies when they stop pulling. All times are milliseconds of one machine's steady clock.
 
 mod acknowledgement;
 mod catalog;
@@ -19,7 +51,7 @@
 pub mod peers;
 mod proxies;
 
-pub use acknowledgement::Acknowledgement;
-pub use catalog::{Catalog, Merged, DEPARTED_RETENTION_MS, MAX_ENTRIES};
-pub use catalog_replica::{CatalogReplica, ReplicationStatus};
-pub use leases::{LastHeartbeat, Leases};
+pub use acknowledgement::{Acknowledgement, AcknowledgementDecision};
+pub use catalog::{Catalog, Coverage, Merged, DEPARTED_RETENTION_MS, MAX_ENTRIES};
+pub use catalog_replica::{CatalogReplica, PeerOutcome, ReplicationStatus};
+pub use leases::{ExpiredLease, LastHeartbeat, Leases};
--- a/crates/gaugesaddle-catalog/src/proxies.rs
+++ b/crates/gaugesaddle-catalog/src/proxies.rs
@@ -1,42 +1,43 @@
-//! What the proxies that follow this control process know.
+//! The proxies that follow this control process, and which changes each has.
 
 use crate::peers::PEER_RESPONSIVE_MS;
 use gaugesaddle_protocol::{Origin, VersionVector};
 use std::collections::BTreeMap;
 
-/// Proxies that are kept in mind; more do not follow one process of the fleet designed for.
+/// Maximum number of proxies: fewer follow one process in the largest supported fleet.
 const MAX_PROXIES: usize = 4096;
 
-/// The last call of a proxy.
+/// The last pull of a proxy.
 #[derive(Clone, Debug)]
-struct Call {
-    at: u64,
+struct LastPull {
+    at_ms: u64,
     vector: VersionVector,
 }
 
-/// The proxies that called lately, by their identity.
+/// The proxies that pulled within [`PEER_RESPONSIVE_MS`], by their identity. Older ones leave it with the next pull of
+/// any proxy.
 #[derive(Clone, Debug, Default)]
 pub struct ProxyTable {
-    calls: BTreeMap<String, Call>,
+    pulls: BTreeMap<String, LastPull>,
 }
 
 impl ProxyTable {
-    /// A proxy has called, and knows this much.
-    pub fn called(&mut self, now: u64, id: &str, vector: &VersionVector) {
-        self.calls.retain(|_, call| now < call.at + PEER_RESPONSIVE_MS);
-        if self.calls.len() < MAX_PROXIES || self.calls.contains_key(id) {
-            self.calls.insert(id.to_owned(), Call { at: now, vector: vector.clone() });
+    /// Records a pull at `now` (milliseconds) of a proxy that has the changes of `vector`.
+    pub fn record_pull(&mut self, now: u64, id: &str, vector: &VersionVector) {
+        self.pulls.retain(|_, pull| now < pull.at_ms + PEER_RESPONSIVE_MS);
+        if self.pulls.len() < MAX_PROXIES || self.pulls.contains_key(id) {
+            self.pulls.insert(id.to_owned(), LastPull { at_ms: now, vector: vector.clone() });
         }
     }
 
-    /// A proxy leaves.
-    pub fn left(&mut self, id: &str) {
-        self.calls.remove(id);
+    /// Removes a proxy that leaves.
+    pub fn remove(&mut self, id: &str) {
+        self.pulls.remove(id);
     }
 
-    /// Up to which change of an origin every proxy that called a moment ago knows them all; no bound where none did.
-    pub fn all_know(&self, now: u64, origin: Origin) -> u64 {
-        let lively = self.calls.values().filter(|call| now < call.at + PEER_RESPONSIVE_MS);
-        lively.map(|call| call.vector.of(origin)).min().unwrap_or(u64::MAX)
+    /// Up to which change of an origin every responsive proxy has them all; `u64::MAX` without responsive proxies.
+    pub fn known_by_all(&self, now: u64, origin: Origin) -> u64 {
+        let responsive = self.pulls.values().filter(|pull| now < pull.at_ms + PEER_RESPONSIVE_MS);
+        responsive.map(|pull| pull.vector.of(origin)).min().unwrap_or(u64::MAX)
     }
 }
--- a/crates/gaugesaddle-catalog/tests/catalog.rs
+++ b/crates/gaugesaddle-catalog/tests/catalog.rs
@@ -1,7 +1,7 @@
-//! The failure: a backend that has announced its end gets requests again, processes that heard the same disagree, or a
-//! live registration is dropped.
+//! Failures guarded against: a backend that drains or has departed gets requests again, processes that received the same
+//! changes disagree, or a live registration is dropped.
 
-use gaugesaddle_catalog::{Catalog, Leases, DEPARTED_RETENTION_MS};
+use gaugesaddle_catalog::{Catalog, Coverage, Leases, DEPARTED_RETENTION_MS};
 use gaugesaddle_protocol::{CatalogDelta, Lifecycle, Origin, Registration, Subject, VersionVector};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -22,7 +22,7 @@
     ]
 }
 
-/// Changes at three control processes: where, about whom, sequence, what.
+/// Changes at three control processes: index of the process, number of the backend, sequence, lifecycle.
 fn changes() -> impl Strategy<Value = Vec<(u64, u8, u64, Lifecycle)>> {
     proptest::collection::vec((0u64..3, 0u8..6, 0u64..20, lifecycle()), 0..60)
 }
@@ -31,15 +31,15 @@
     catalog.iter().map(|r| (r.id.clone(), r.sequence, r.lifecycle)).collect()
 }
 
-/// Cases are the same in each run.
+/// A fixed seed makes the cases the same in each run.
 const SEED: RngSeed = RngSeed::Fixed(20_261_202);
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, rng_seed: SEED, ..ProptestConfig::default() })]
 
-    /// Whoever has heard all agrees, whatever the order, and however often each was told.
+    /// Processes that received the same changes agree, in whatever order and however often each change arrived.
     #[test]
-    fn processes_that_heard_the_same_agree(changes in changes(), order in any::<u64>()) {
+    fn merge_is_commutative_and_idempotent(changes in changes(), order in any::<u64>()) {
         let mut processes = [Catalog::default(), Catalog::default(), Catalog::default()];
         let mut deltas = Vec::new();
         for (at, id, sequence, lifecycle) in changes {
@@ -64,9 +64,9 @@
         prop_assert_eq!(content(&forward), content(&mixed));
     }
 
-    /// Asking by vector brings exactly what is lacking, from any process to any other.
+    /// A delta for a vector has exactly the changes that the receiver lacks.
     #[test]
-    fn a_delta_by_vector_brings_everything(changes in changes(), split in 0usize..60) {
+    fn delta_by_vector_has_all_missing_changes(changes in changes(), split in 0usize..60) {
         let (mut source, mut sink) = (Catalog::default(), Catalog::default());
         for (number, (at, id, sequence, lifecycle)) in changes.into_iter().enumerate() {
             if number == split {
@@ -82,23 +82,23 @@
     }
 
     #[test]
-    fn an_announced_end_is_never_taken_back(changes in changes()) {
+    fn leaving_backend_never_becomes_ready_again(changes in changes()) {
         let mut catalog = Catalog::default();
-        let mut left = std::collections::BTreeSet::new();
+        let mut leaving = std::collections::BTreeSet::new();
         for (at, id, sequence, lifecycle) in changes {
             catalog.accept(NOW, Origin(at), registration(id, sequence, lifecycle));
             if lifecycle.is_leaving() {
-                left.insert(format!("i-{id}"));
+                leaving.insert(format!("i-{id}"));
             }
-            for id in &left {
+            for id in &leaving {
                 prop_assert!(catalog.get(id).is_some_and(|e| e.registration.lifecycle.is_leaving()));
             }
         }
     }
 
-    /// Two catalogs that differ though their vectors say nothing of it agree after an exchange of ranges.
+    /// Two catalogs whose vectors do not show that they differ agree after an exchange of ranges.
     #[test]
-    fn repair_by_ranges_makes_both_agree(a in changes(), b in changes()) {
+    fn repair_by_ranges_makes_catalogs_equal(a in changes(), b in changes()) {
         let (mut one, mut two) = (Catalog::default(), Catalog::default());
         for (at, id, sequence, lifecycle) in a {
             one.accept(NOW, Origin(at), registration(id, sequence, lifecycle));
@@ -106,8 +106,8 @@
         for (at, id, sequence, lifecycle) in b {
             two.accept(NOW, Origin(at), registration(id, sequence, lifecycle));
         }
-        let to_two = one.repair(&two.digests(), two.vector(), false);
-        let to_one = two.repair(&one.digests(), one.vector(), false);
+        let to_two = one.repair(&two.digests(), two.vector(), Coverage::Partial);
+        let to_one = two.repair(&one.digests(), one.vector(), Coverage::Partial);
         two.merge(NOW, to_two);
         one.merge(NOW, to_one);
         prop_assert_eq!(one.digests(), two.digests());
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_repair_brings_only_the_ranges_that_differ() {
+fn repair_sends_only_ranges_that_differ() {
     let (mut one, mut two) = (Catalog::default(), Catalog::default());
     for id in 0..200 {
         one.accept(NOW, Origin(1), registration(id, 1, Lifecycle::Ready));
@@ -124,12 +124,12 @@
     assert!(!one.differs_from(&two.digests()));
     one.accept(NOW, Origin(1), registration(201, 1, Lifecycle::Ready));
     assert!(one.differs_from(&two.digests()));
-    let brought = one.repair(&two.digests(), two.vector(), false).entries.len();
-    assert!((1..60).contains(&brought), "{brought} of 201 entries for one that differs");
+    let sent = one.repair(&two.digests(), two.vector(), Coverage::Partial).entries.len();
+    assert!((1..60).contains(&sent), "{sent} of 201 entries for one that differs");
 }
 
 #[test]
-fn what_left_is_forgotten_only_long_after() {
+fn departed_registration_is_purged_after_retention() {
     let mut catalog = Catalog::default();
     catalog.accept(NOW, Origin(1), registration(1, 1, Lifecycle::Ready));
     catalog.accept(NOW, Origin(1), registration(2, 1, Lifecycle::Departed));
@@ -140,19 +140,19 @@
 }
 
 #[test]
-fn a_lease_runs_out_once_and_late_calls_do_not_renew_it() {
+fn lease_expires_once_and_reordered_heartbeat_does_not_renew_it() {
     let mut leases = Leases::default();
     assert!(leases.renew(100, "a", 5));
-    assert!(!leases.renew(200, "a", 4), "a call that was overtaken");
+    assert!(!leases.renew(200, "a", 4), "a heartbeat that was overtaken");
     assert!(leases.expire(199, 100).is_empty());
     let expired = leases.expire(200, 100);
     assert_eq!(expired.len(), 1);
-    assert_eq!((expired[0].0.as_str(), expired[0].1.sequence), ("a", 5));
+    assert_eq!((expired[0].id.as_str(), expired[0].last_heartbeat.sequence), ("a", 5));
     assert!(leases.expire(900, 100).is_empty());
 }
 
 #[test]
-fn a_vector_knows_each_origin_apart() {
+fn version_vector_tracks_each_origin_separately() {
     let mut vector = VersionVector::default();
     vector.advance(Origin(1), 4);
     vector.advance(Origin(2), 9);
--- a/crates/gaugesaddle-control/src/core.rs
+++ b/crates/gaugesaddle-control/src/core.rs
@@ -336,11 +336,11 @@
     pub fn take_of_catalog(&self, ip: u32, message: PeerMessage) {
         let changed = self.with(|core| {
             let now = core.clock.now();
-            let (changed, answers) = core.catalog_replica.take(now, ip, message);
-            for answer in answers {
+            let outcome = core.catalog_replica.apply(now, ip, message);
+            for answer in outcome.responses {
                 core.peers.send(ip, answer);
             }
-            changed
+            outcome.changed
         });
         if changed {
             self.announce();
--- a/crates/gaugesaddle-control/src/registrations.rs
+++ b/crates/gaugesaddle-control/src/registrations.rs
@@ -1,7 +1,7 @@
 //! Heartbeats of backends and their end.
 
 use crate::core::CoreHandle;
-use gaugesaddle_catalog::Acknowledgement;
+use gaugesaddle_catalog::{Acknowledgement, AcknowledgementDecision};
 use gaugesaddle_protocol::{Lifecycle, Registration, Subject};
 use serde::Deserialize;
 use std::net::SocketAddrV4;
@@ -69,9 +69,9 @@
             waiting.decide(now, &c.catalog_replica, c.is_fresh(), voters)
         });
         match decided {
-            Some(true) => return Registered::Acknowledged,
-            Some(false) => return Registered::NotSpread,
-            None => tokio::time::sleep(LOOK).await,
+            AcknowledgementDecision::Acknowledge => return Registered::Acknowledged,
+            AcknowledgementDecision::Reject => return Registered::NotSpread,
+            AcknowledgementDecision::Wait => tokio::time::sleep(LOOK).await,
         }
     }
 }
--- a/crates/gaugesaddle-simulation/src/control.rs
+++ b/crates/gaugesaddle-simulation/src/control.rs
@@ -3,7 +3,7 @@
 use crate::disk::Disk;
 use crate::network::Node;
 use crate::Millis;
-use gaugesaddle_catalog::{Acknowledgement, CatalogReplica};
+use gaugesaddle_catalog::{Acknowledgement, AcknowledgementDecision, CatalogReplica};
 use gaugesaddle_consensus::{
     disk_format, Input, NotLeader, Output, ProposalResult, Replica, Role, Settings, WriteId,
 };
@@ -363,8 +363,9 @@
         let voters = self.replica.as_ref().map_or(0, |r| r.voters().len());
         for held in std::mem::take(&mut self.calls) {
             match held.acknowledgement.decide(clock, &self.catalog_replica, fresh, voters) {
-                Some(acknowledged) => self.answer(held.waiter, Answer::Registered(acknowledged)),
-                None => self.calls.push(held),
+                AcknowledgementDecision::Acknowledge => self.answer(held.waiter, Answer::Registered(true)),
+                AcknowledgementDecision::Reject => self.answer(held.waiter, Answer::Registered(false)),
+                AcknowledgementDecision::Wait => self.calls.push(held),
             }
         }
         let news = std::mem::take(&mut self.news);
@@ -456,9 +457,9 @@
         if let PeerMessage::Compare { members, .. } = &message {
             self.known.extend(members.iter().copied().filter(|known| *known != self.ip));
         }
-        let (changed, answers) = self.catalog_replica.take(clock, ip, message);
-        self.news |= changed;
-        for answer in answers {
+        let outcome = self.catalog_replica.apply(clock, ip, message);
+        self.news |= outcome.changed;
+        for answer in outcome.responses {
             self.say(ip, answer);
         }
     }
--- a/crates/gaugesaddle-simulation/src/lib.rs
+++ b/crates/gaugesaddle-simulation/src/lib.rs
@@ -1,7 +1,7 @@
 //! The control plane's state machines in virtual time.
 //!
 //! What runs here is what ships: [`Replica`](gaugesaddle_consensus::Replica), the ring of `gaugesaddle-log`,
-//! [`CatalogReplica`](gaugesaddle_catalog::Registrar), [`Acknowledgement`](gaugesaddle_catalog::Acknowledgement),
+//! [`CatalogReplica`](gaugesaddle_catalog::CatalogReplica), [`Acknowledgement`](gaugesaddle_catalog::Acknowledgement),
 //! [`Distributor`](gaugesaddle_distribution::Distributor) and [`Follower`](gaugesaddle_distribution::Follower). Only
 //! what surrounds them is made up:
 //!
