--- a/crates/gaugesaddle-control/src/core.rs
+++ b/crates/gaugesaddle-control/src/core.rs
@@ -275,7 +275,7 @@
     fn committed(&self) {
         self.with(|core| {
             let Some(newest) = core.replica.as_ref().and_then(Replica::committed) else { return };
-            if !core.distributor.take(newest) {
+            if !core.distributor.apply(newest) {
                 return;
             }
             // Elsewhere nothing is dealt, and whoever leads next begins anew.
--- a/crates/gaugesaddle-distribution/src/distributor.rs
+++ b/crates/gaugesaddle-distribution/src/distributor.rs
@@ -1,21 +1,21 @@
-//! A control process's side: the configuration in force, and what each proxy lacks of it.
+//! The control process's side: the configuration in force, and what each proxy lacks of it.
 
 use gaugesaddle_catalog::CatalogReplica;
 use gaugesaddle_protocol::{Configuration, ConfigurationUpdate, Digest, DocumentUpdate, Pull, PullReply};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 
-/// Earlier versions that are kept for proxies that have not taken a newer one yet.
+/// Maximum number of versions, the newest included, from which a proxy can be brought up to date by a delta.
 pub const MAX_VERSIONS: usize = 16;
-/// Bytes of those versions together.
+/// Maximum size of those versions in total, in bytes; the newest one is retained whatever its size.
 pub const MAX_VERSION_BYTES: usize = 4 << 20;
-/// Updates that are kept for the next proxies with the same version.
-const MAX_UPDATES: usize = 4;
+/// Maximum number of computed updates that are reused for proxies with the same version.
+const MAX_CACHED_UPDATES: usize = 4;
 
-/// How a control process stands, as a proxy is told.
+/// The state of a control process, as it is reported to proxies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaStatus {
-    /// Whether it was in touch with a majority of replicas a moment ago.
+    /// Whether it was in touch with a majority of replicas within its lease.
     pub fresh: bool,
     /// Address of the leader's machine.
     pub leader: Option<u32>,
@@ -30,14 +30,22 @@
     document: Vec<u8>,
 }
 
+/// An update to the newest version.
+#[derive(Clone, Debug)]
+struct CachedUpdate {
+    /// Digest of the version that it applies to.
+    base: Digest,
+    update: DocumentUpdate,
+}
+
 /// The configuration in force and the versions before it.
 #[derive(Clone, Debug, Default)]
 pub struct Distributor {
     current: Option<Configuration>,
-    /// The newest last.
+    /// In order of age, the newest last.
     versions: VecDeque<Version>,
-    /// What brings a version to the newest one; many proxies have the same.
-    updates: RefCell<VecDeque<(Digest, DocumentUpdate)>>,
+    /// In order of computation. Many proxies have the same version, and a delta is expensive to compute.
+    cached_updates: RefCell<VecDeque<CachedUpdate>>,
 }
 
 impl Distributor {
@@ -46,37 +54,38 @@
         self.current.as_ref()
     }
 
-    /// Takes a configuration that a majority has on its disks; false where it is not newer.
-    pub fn take(&mut self, configuration: &Configuration) -> bool {
+    /// Applies a committed configuration; false where it is not newer than the one in force.
+    pub fn apply(&mut self, configuration: &Configuration) -> bool {
         if self.current.as_ref().is_some_and(|c| c.position >= configuration.position) {
             return false;
         }
         let digest = Digest::of(&configuration.document);
         if self.versions.back().is_none_or(|v| v.digest != digest) {
             self.versions.push_back(Version { digest, document: configuration.document.clone() });
-            self.updates.borrow_mut().clear();
-            self.forget_oldest();
+            self.cached_updates.borrow_mut().clear();
+            self.drop_oldest_versions();
         }
         self.current = Some(configuration.clone());
         true
     }
 
-    fn forget_oldest(&mut self) {
-        let bytes = |versions: &VecDeque<Version>| versions.iter().map(|v| v.document.len()).sum::<usize>();
-        // The newest stays, however long it is.
-        while self.versions.len() > 1
-            && (self.versions.len() > MAX_VERSIONS || bytes(&self.versions) > MAX_VERSION_BYTES)
-        {
+    fn drop_oldest_versions(&mut self) {
+        // The newest version stays, whatever its size: proxies without one need it.
+        while self.versions.len() > 1 {
+            let bytes: usize = self.versions.iter().map(|v| v.document.len()).sum();
+            if self.versions.len() <= MAX_VERSIONS && bytes <= MAX_VERSION_BYTES {
+                break;
+            }
             self.versions.pop_front();
         }
     }
 
-    /// Whether a proxy lacks something.
+    /// Whether the proxy that sent a pull lacks a configuration or changes of the catalog.
     pub fn has_changes(&self, catalog_replica: &CatalogReplica, pull: &Pull) -> bool {
         self.is_newer(pull) || catalog_replica.has_changes_for(&pull.vector, &pull.digests)
     }
 
-    /// The answer to a proxy's call.
+    /// The answer to a proxy's pull at `now` (milliseconds).
     pub fn answer(
         &self, now: u64, catalog_replica: &CatalogReplica, pull: &Pull, replica_status: ReplicaStatus,
     ) -> PullReply {
@@ -94,25 +103,30 @@
     }
 
     fn update_for(&self, pull: &Pull) -> Option<ConfigurationUpdate> {
-        let current = self.current.as_ref().filter(|_| self.is_newer(pull))?;
+        let current = self.current.as_ref()?;
+        if !self.is_newer(pull) {
+            return None;
+        }
         let document = match pull.document {
-            Some(base) => self.document_for(base, &current.document),
+            Some(base) => self.document_update(base, &current.document),
             None => DocumentUpdate::Full(current.document.clone()),
         };
         Some(ConfigurationUpdate { position: current.position, revision: current.revision, document })
     }
 
-    fn document_for(&self, base: Digest, newest: &[u8]) -> DocumentUpdate {
-        let mut updates = self.updates.borrow_mut();
-        if let Some((_, update)) = updates.iter().find(|(digest, _)| *digest == base) {
-            return update.clone();
+    /// The update from the version with the digest `base` to the newest one; the full document where that version is not
+    /// retained.
+    fn document_update(&self, base: Digest, newest: &[u8]) -> DocumentUpdate {
+        let mut cached_updates = self.cached_updates.borrow_mut();
+        if let Some(cached) = cached_updates.iter().find(|cached| cached.base == base) {
+            return cached.update.clone();
         }
         let version = self.versions.iter().find(|v| v.digest == base);
         let update = DocumentUpdate::between(version.map(|v| v.document.as_slice()), newest);
         if version.is_some() {
-            updates.push_back((base, update.clone()));
-            let surplus = updates.len().saturating_sub(MAX_UPDATES);
-            updates.drain(..surplus);
+            cached_updates.push_back(CachedUpdate { base, update: update.clone() });
+            let surplus = cached_updates.len().saturating_sub(MAX_CACHED_UPDATES);
+            cached_updates.drain(..surplus);
         }
         update
     }
--- a/crates/gaugesaddle-distribution/src/follower.rs
+++ b/crates/gaugesaddle-distribution/src/follower.rs
@@ -1,36 +1,38 @@
-//! A proxy's side: what it has taken, and whom it asks.
+//! The proxy's side: the configuration and catalog that it has, and which control process it calls.
 
 use crate::Members;
 use gaugesaddle_catalog::Catalog;
 use gaugesaddle_protocol::{
-    Configuration, Digest, Lifecycle, LogPosition, Pull, PullReply, Registration, Subject,
+    Configuration, ConfigurationUpdate, Digest, Lifecycle, LogPosition, Pull, PullReply, Registration,
+    Subject,
 };
 
-/// Digests of the catalog's ranges go with a call so often, in milliseconds.
-const COMPARE: u64 = 3000;
-/// Without a process in touch with a majority for so long, other seeds are looked for, in milliseconds.
-const LOST: u64 = 2000;
+/// How often a pull carries the digests of the catalog's ranges, in milliseconds.
+const DIGEST_INTERVAL_MS: u64 = 3000;
+/// How long no control process in touch with a majority must have answered before seeds are resolved again, and the
+/// shortest time between two such discoveries, in milliseconds.
+const DISCOVERY_INTERVAL_MS: u64 = 2000;
 
-/// A process that calls itself current has all that was committed so long before it says so, in milliseconds: the lease of
-/// a follower of the replicas' leader (`gaugesaddle-consensus`, `Settings::follower_lease`).
+/// How far a fresh answer may lag behind what was committed, in milliseconds: the lease of a follower of the replicas'
+/// leader (`gaugesaddle-consensus`, `Settings::follower_lease_ms`).
 pub const FOLLOWER_LEASE_MS: u64 = 600;
 
-/// What has left is told at the first call to a process, up to so many: as many as leave in the time for which they are
-/// known, where all backends of a large fleet are replaced within the hour.
-const MAX_LEFT: usize = 512;
+/// Maximum number of departed backends reported in the first call to a process: as many as depart within the retention
+/// of departed registrations where all backends of a large fleet are replaced within an hour.
+const MAX_DEPARTED: usize = 512;
 
-/// What an answer brought.
+/// The effect of an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Applied {
-    /// A newer configuration, or the same one at a later place in the history.
+    /// The configuration is newer, or the same one at a later position in the log.
     pub configuration: bool,
-    /// Some registration is another than before.
+    /// At least one registration has changed.
     pub registrations: bool,
-    /// The process is in touch with a majority: it is asked again.
-    pub stays: bool,
+    /// The process is in touch with a majority: the next call goes to it again.
+    pub fresh: bool,
 }
 
-/// What a proxy has taken from the control plane.
+/// What a proxy knows of the control plane.
 #[derive(Clone, Debug)]
 pub struct Follower {
     /// This proxy's registration; its sequence rises with each call.
@@ -38,152 +40,167 @@
     members: Members,
     catalog: Catalog,
     configuration: Option<Configuration>,
-    /// Digest of its document; `None`: the next one must come whole.
-    document: Option<Digest>,
+    /// Digest of its document; `None` requests the full document.
+    document_digest: Option<Digest>,
     leader: Option<u32>,
-    /// When a process in touch with a majority answered last.
-    fresh_at: Option<u64>,
-    /// The newest time, by this machine's steady clock, at which the configuration taken last is known to have been the
-    /// newest one acknowledged.
-    proven_at: Option<u64>,
-    compared: u64,
-    /// When seeds were looked for last.
-    sought: u64,
+    /// When a process in touch with a majority last answered, in milliseconds.
+    last_fresh_ms: Option<u64>,
+    /// The latest time, in milliseconds of this machine's steady clock, at which the configuration is known to have been
+    /// the newest one acknowledged.
+    proven_ms: Option<u64>,
+    /// When digests were last sent, in milliseconds.
+    last_digest_ms: u64,
+    /// When seeds were last resolved, in milliseconds.
+    last_discovery_ms: u64,
 }
 
 impl Follower {
-    /// A proxy on the machine `own` that knows nothing but these addresses.
-    pub fn new(now: u64, own: u32, proxy: Registration, seeds: impl Iterator<Item = u32>) -> Follower {
+    /// A proxy on the machine `own_ip` that starts at `now` (milliseconds) and knows nothing but the seeds' addresses.
+    pub fn new(now: u64, own_ip: u32, proxy: Registration, seeds: impl Iterator<Item = u32>) -> Follower {
         Follower {
             proxy,
-            members: Members::new(own, now, seeds),
+            members: Members::new(own_ip, now, seeds),
             catalog: Catalog::default(),
             configuration: None,
-            document: None,
+            document_digest: None,
             leader: None,
-            fresh_at: None,
-            proven_at: None,
-            compared: now,
-            sought: now,
+            last_fresh_ms: None,
+            proven_ms: None,
+            last_digest_ms: now,
+            last_discovery_ms: now,
         }
     }
 
-    /// Backends and proxies as far as they are known.
+    /// The backends and proxies known.
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
-    /// The configuration taken last.
+    /// The configuration applied last.
     pub fn configuration(&self) -> Option<&Configuration> {
         self.configuration.as_ref()
     }
 
-    /// Place of that configuration in the history.
+    /// Position of that configuration in the log.
     pub fn position(&self) -> Option<LogPosition> {
         self.configuration.as_ref().map(|c| c.position)
     }
 
-    /// Whether the configuration taken last was the newest one acknowledged less than so many milliseconds ago.
+    /// Whether the configuration was the newest one acknowledged less than `bound_ms` milliseconds ago.
     ///
-    /// The proof is a call's own time, less what the process that answered it may lag behind: an answer that waited, or a
-    /// process that slept at either end, only makes it look older than it is.
-    pub fn is_proven_within(&self, now: u64, bound: u64) -> bool {
-        self.proven_at.is_some_and(|at| now < at + bound)
+    /// The proof dates from the time of the call, less [`FOLLOWER_LEASE_MS`] by which the process that answered may lag
+    /// behind. A delayed answer, or a process suspended at either end, only makes the proof look older than it is.
+    pub fn is_proven_within(&self, now: u64, bound_ms: u64) -> bool {
+        self.proven_ms.is_some_and(|at| now < at + bound_ms)
     }
 
-    /// Address of the leader's machine, as far as it is known.
+    /// Address of the leader's machine, where it is known.
     pub fn leader(&self) -> Option<u32> {
         self.leader
     }
 
-    /// The process to ask.
+    /// The control process to call next.
     pub fn choose(&self, now: u64) -> Option<u32> {
         self.members.choose(now)
     }
 
-    /// A process failed, or was not in touch with a majority.
-    pub fn failed(&mut self, now: u64, ip: u32) {
-        self.members.failed(now, ip);
+    /// Records that a call failed, or that the process was not in touch with a majority.
+    pub fn record_failure(&mut self, now: u64, ip: u32) {
+        self.members.record_failure(now, ip);
     }
 
-    /// Whether seeds should be looked for, since no process in touch answers; at most once in a while.
+    /// Whether seeds should be resolved again, since no process in touch with a majority answers. A positive answer
+    /// counts as done: it is given once per interval.
     pub fn needs_discovery(&mut self, now: u64) -> bool {
-        let lost = self.fresh_at.is_none_or(|at| now >= at + LOST);
-        let seeks = lost && now >= self.sought + LOST;
-        if seeks {
-            self.sought = now;
+        let is_lost = self.last_fresh_ms.is_none_or(|at| now >= at + DISCOVERY_INTERVAL_MS);
+        let is_due = now >= self.last_discovery_ms + DISCOVERY_INTERVAL_MS;
+        if !is_lost || !is_due {
+            return false;
         }
-        seeks
+        self.last_discovery_ms = now;
+        true
     }
 
-    /// Takes the seeds that were found.
+    /// Adds the addresses that seeds were resolved to.
     pub fn add_seeds(&mut self, now: u64, seeds: impl Iterator<Item = u32>) {
-        self.members.name(now, seeds);
+        self.members.add(now, seeds);
     }
 
-    /// The next call: the proxy's lease is renewed, and what it lacks is asked for. The first one to a process is answered
-    /// without a wait.
+    /// The next call: it renews the proxy's lease and requests what it lacks. The process waits up to `wait_ms`
+    /// milliseconds for changes; the first call to a process has 0, and reports the departed backends.
     pub fn pull(&mut self, now: u64, lifecycle: Lifecycle, wait_ms: u32) -> Pull {
         self.proxy.sequence = self.proxy.sequence.saturating_add(1);
         self.proxy.lifecycle = lifecycle;
-        let compares = now >= self.compared + COMPARE;
-        if compares {
-            self.compared = now;
-        }
+        let is_first = wait_ms == 0;
         Pull {
             proxy: self.proxy.clone(),
             vector: self.catalog.vector().clone(),
             position: self.position(),
-            document: self.document,
-            digests: if compares { self.catalog.digests() } else { Vec::new() },
-            departed: if wait_ms == 0 { self.left() } else { Vec::new() },
+            document: self.document_digest,
+            digests: self.due_digests(now),
+            departed: if is_first { self.departed_backends() } else { Vec::new() },
             wait_ms,
         }
     }
 
-    /// What is known to have left.
-    fn left(&self) -> Vec<Registration> {
-        let left = self.catalog.iter().filter(|r| r.lifecycle.is_leaving() && r.subject != Subject::Proxy);
-        left.take(MAX_LEFT).cloned().collect()
+    /// The catalog's digests once per interval, else none.
+    fn due_digests(&mut self, now: u64) -> Vec<u64> {
+        if now < self.last_digest_ms + DIGEST_INTERVAL_MS {
+            return Vec::new();
+        }
+        self.last_digest_ms = now;
+        self.catalog.digests()
+    }
+
+    /// Backends known to drain or to have departed.
+    fn departed_backends(&self) -> Vec<Registration> {
+        let is_departed = |r: &&Registration| r.lifecycle.is_leaving() && r.subject != Subject::Proxy;
+        self.catalog.iter().filter(is_departed).take(MAX_DEPARTED).cloned().collect()
     }
 
-    /// Takes the answer to a call that was made at `asked` and is good for so long.
+    /// Applies the answer to a call made at `called_ms` that is valid for `valid_ms` milliseconds from then.
     ///
-    /// One that is read later waited in the socket of a process that slept: what it calls current was so long ago.
-    pub fn take(&mut self, now: u64, asked: u64, good_for: u64, reply: PullReply) -> Applied {
-        if now > asked + good_for {
+    /// An answer read later is dropped: it may have waited in the socket of a suspended process, so that what it reports
+    /// as current is that old.
+    pub fn apply(&mut self, now: u64, called_ms: u64, valid_ms: u64, reply: PullReply) -> Applied {
+        if now > called_ms + valid_ms {
             return Applied::default();
         }
-        self.members.name(now, reply.members.iter().copied());
+        self.members.add(now, reply.members.iter().copied());
         self.catalog.purge(now);
-        // After a gap the vector stays, and the next call asks for all that is missing.
-        let mut taken =
-            Applied { registrations: self.catalog.merge(now, reply.delta).changed, ..Applied::default() };
+        // After a gap the vector does not advance, so the next call requests the missing changes.
+        let merged = self.catalog.merge(now, reply.delta);
+        let mut applied = Applied { registrations: merged.changed, ..Applied::default() };
         self.leader = reply.leader;
-        // A process that has lost its group may hold a version behind the one in force elsewhere.
+        // A process without a majority may have a version older than the one in force elsewhere.
         if !reply.fresh {
-            return taken;
+            return applied;
         }
-        taken.stays = true;
-        self.fresh_at = Some(now);
+        applied.fresh = true;
+        self.last_fresh_ms = Some(now);
         if let Some(update) = reply.configuration.filter(|update| Some(update.position) > self.position()) {
-            let base = self.configuration.as_ref().map(|c| c.document.as_slice());
-            match update.document.apply(base) {
-                Ok(document) => {
-                    self.document = Some(Digest::of(&document));
-                    let (position, revision) = (update.position, update.revision);
-                    self.configuration = Some(Configuration { position, revision, document });
-                    taken.configuration = true;
-                }
-                Err(_) => {
-                    self.document = None;
-                    return taken;
-                }
+            if !self.apply_configuration(update) {
+                return applied;
             }
+            applied.configuration = true;
         }
         if self.configuration.is_some() {
-            self.proven_at = self.proven_at.max(Some(asked.saturating_sub(FOLLOWER_LEASE_MS)));
+            let proven_ms = called_ms.saturating_sub(FOLLOWER_LEASE_MS);
+            self.proven_ms = self.proven_ms.max(Some(proven_ms));
         }
-        taken
+        applied
+    }
+
+    /// Applies a newer configuration; false where its delta does not fit, after which the full document is requested.
+    fn apply_configuration(&mut self, update: ConfigurationUpdate) -> bool {
+        let base = self.configuration.as_ref().map(|c| c.document.as_slice());
+        let Ok(document) = update.document.apply(base) else {
+            self.document_digest = None;
+            return false;
+        };
+        self.document_digest = Some(Digest::of(&document));
+        let ConfigurationUpdate { position, revision, .. } = update;
+        self.configuration = Some(Configuration { position, revision, document });
+        true
     }
 }
--- a/crates/gaugesaddle-distribution/src/lib.rs
+++ b/crates/gaugesaddle-distribution/src/lib.rs
@@ -1,15 +1,52 @@
-//! How configuration and catalog get from control processes to proxies, decided without I/O.
-//!
-//! - [`Distributor`]: at a control process, the configuration in force and the versions before it; answers a proxy's call
-//!   when there is news for it.
-//! - [`Follower`]: at a proxy, what it has taken, which control process it asks next, and what it makes of an answer.
-//! - [`Members`]: the control processes that a proxy knows.
-//!
-//! Promise: a proxy never goes back behind a configuration that it has had in force, and takes one only from a process
-//! that was in touch with a majority a stated time before the answer was taken, however long the answer or the proxy
-//! itself stood still. It knows how long ago at most its configuration was the newest one acknowledged
-//! ([`Follower::is_proven_within`]). Tables are bounded by the number of control processes, and by [`MAX_VERSIONS`] versions of
-//! [`MAX_VERSION_BYTES`] together.
+//! Distribution of configuration and catalog from control processes to proxies, decided without I/O.
+//!
+//! It decides what a control process answers to a proxy's pull, which control process a proxy calls, and which answers
+//! the proxy applies.
+//!
+//! - [`Distributor`]: at a control process. It owns the configuration in force and the versions before it; the catalog
+//!   belongs to a [`CatalogReplica`](gaugesaddle_catalog::CatalogReplica) that is passed in.
+//! - [`Follower`]: at a proxy. It owns the configuration applied last, a [`Catalog`](gaugesaddle_catalog::Catalog) and
+//!   the [`Members`].
+//! - [`Members`]: the control processes that a proxy knows, and the order in which it calls them.
+//!
+//! ```
+//! use gaugesaddle_catalog::CatalogReplica;
+//! use gaugesaddle_distribution::{Distributor, Follower, ReplicaStatus};
+//! use gaugesaddle_protocol::{Configuration, Lifecycle, LogPosition, Origin, Registration, Subject};
+//!
+//! let now_ms = 10_000;
+//! let mut distributor = Distributor::default();
+//! let position = LogPosition { term: 1, index: 1 };
+//! distributor.apply(&Configuration { position, revision: 7, document: b"{}".to_vec() });
+//! let catalog_replica = CatalogReplica::new(now_ms, Origin(1), 4200);
+//!
+//! let proxy = Registration {
+//!     id: "proxy-1".to_owned(),
+//!     zone: "a".to_owned(),
+//!     subject: Subject::Proxy,
+//!     sequence: 0,
+//!     lifecycle: Lifecycle::Ready,
+//! };
+//! let mut follower = Follower::new(now_ms, 9, proxy, [1].into_iter());
+//! let pull = follower.pull(now_ms, Lifecycle::Ready, 0);
+//! let status = ReplicaStatus { fresh: true, leader: Some(1), members: vec![1] };
+//! let reply = distributor.answer(now_ms, &catalog_replica, &pull, status);
+//! assert!(follower.apply(now_ms + 5, now_ms, 5_000, reply).configuration);
+//! assert_eq!(follower.configuration().map(|c| c.revision), Some(7));
+//! ```
+//!
+//! # Guarantees
+//!
+//! A proxy never returns to a configuration older than one that it has applied. It applies one only from a process in
+//! touch with a majority, and only within the validity of the answer, however long the answer was delayed or the proxy
+//! itself was suspended. It knows an upper bound of the time since its configuration was the newest one acknowledged
+//! ([`Follower::is_proven_within`]).
+//!
+//! # Bounds
+//!
+//! A distributor retains at most [`MAX_VERSIONS`] versions of [`MAX_VERSION_BYTES`] in total, and the newest one always. The
+//! members are the control processes reported within [`MEMBER_RETENTION_MS`]. All times are milliseconds of one
+//! machine's steady clock.
 
 mod distributor;
 mod follower;
--- a/crates/gaugesaddle-distribution/src/members.rs
+++ b/crates/gaugesaddle-distribution/src/members.rs
@@ -1,50 +1,62 @@
-//! The control processes that a proxy knows, and which of them it asks.
+//! The control processes that a proxy knows, and which of them it calls next.
 
 use gaugesaddle_balancer::mix;
 use std::collections::BTreeMap;
 
-/// A process that failed, or was not in touch with a majority, is asked again only after the others, and so much later,
-/// in ms.
+/// How long a process that failed, or was not in touch with a majority, is called only where every other one has failed
+/// too, in milliseconds.
 pub const FAILED_MEMBER_BACKOFF_MS: u64 = 3000;
-/// A process that nobody named for so long is forgotten, in ms.
+/// How long a process stays known after it was last reported as a member, in milliseconds.
 pub const MEMBER_RETENTION_MS: u64 = 60_000;
 
-/// Control processes, by the address of their machine.
+/// Control processes, by the IPv4 address of their machine.
 #[derive(Clone, Debug)]
 pub struct Members {
-    own: u32,
-    /// When each was named last.
-    named: BTreeMap<u32, u64>,
-    /// When each failed last.
-    failed: BTreeMap<u32, u64>,
+    own_ip: u32,
+    /// When each was last reported as a member, in milliseconds.
+    reported_ms: BTreeMap<u32, u64>,
+    /// When the last call of each failed, in milliseconds. Only known members are in it.
+    failed_ms: BTreeMap<u32, u64>,
 }
 
 impl Members {
-    /// The first ones known, at the machine `own`.
-    pub fn new(own: u32, now: u64, first: impl Iterator<Item = u32>) -> Members {
-        Members { own, named: first.map(|ip| (ip, now)).collect(), failed: BTreeMap::new() }
+    /// The initial members, known at `now` (milliseconds) to the proxy on the machine `own_ip`.
+    pub fn new(own_ip: u32, now: u64, initial: impl Iterator<Item = u32>) -> Members {
+        Members { own_ip, reported_ms: initial.map(|ip| (ip, now)).collect(), failed_ms: BTreeMap::new() }
     }
 
-    /// Some process named these.
-    pub fn name(&mut self, now: u64, members: impl Iterator<Item = u32>) {
-        self.named.extend(members.map(|ip| (ip, now)));
-        self.named.retain(|_, at| now < *at + MEMBER_RETENTION_MS);
-        let named = &self.named;
-        self.failed.retain(|ip, _| named.contains_key(ip));
+    /// Adds members reported at `now` (milliseconds), and drops those that were not reported for
+    /// [`MEMBER_RETENTION_MS`].
+    pub fn add(&mut self, now: u64, members: impl Iterator<Item = u32>) {
+        self.reported_ms.extend(members.map(|ip| (ip, now)));
+        self.reported_ms.retain(|_, at| now < *at + MEMBER_RETENTION_MS);
+        let reported_ms = &self.reported_ms;
+        self.failed_ms.retain(|ip, _| reported_ms.contains_key(ip));
     }
 
-    /// A process failed, or was not in touch with a majority.
-    pub fn failed(&mut self, now: u64, ip: u32) {
-        self.failed.insert(ip, now);
+    /// Records that a process failed, or was not in touch with a majority.
+    pub fn record_failure(&mut self, now: u64, ip: u32) {
+        self.failed_ms.insert(ip, now);
     }
 
-    /// The one to ask: not one that failed lately, if there is another; the one on this machine first, the others in an
-    /// order of this machine's own.
+    /// The process to call next: one without a recent failure, else the one whose failure is oldest; among those the one
+    /// on this machine, else the first in an order that differs by machine, to spread proxies over the processes.
     pub fn choose(&self, now: u64) -> Option<u32> {
-        let failed = |ip: &u32| {
-            self.failed.get(ip).copied().filter(|at| now < *at + FAILED_MEMBER_BACKOFF_MS).unwrap_or(0)
-        };
-        let order = |ip: &u32| mix(u64::from(*ip) ^ (u64::from(self.own) << 32));
-        self.named.keys().copied().min_by_key(|ip| (failed(ip), *ip != self.own, order(ip)))
+        self.reported_ms.keys().copied().min_by_key(|ip| {
+            let is_remote = *ip != self.own_ip;
+            (self.recent_failure_ms(now, *ip), is_remote, self.machine_order(*ip))
+        })
+    }
+
+    /// When the last call of a process failed; 0 where that is longer ago than the backoff.
+    fn recent_failure_ms(&self, now: u64, ip: u32) -> u64 {
+        match self.failed_ms.get(&ip) {
+            Some(at) if now < *at + FAILED_MEMBER_BACKOFF_MS => *at,
+            _ => 0,
+        }
+    }
+
+    fn machine_order(&self, ip: u32) -> u64 {
+        mix(u64::from(ip) ^ (u64::from(self.own_ip) << 32))
     }
 }
--- a/crates/gaugesaddle-distribution/tests/members.rs
+++ b/crates/gaugesaddle-distribution/tests/members.rs
@@ -1,4 +1,5 @@
-//! The failure: a proxy goes back to the control process that it has just left, while others are in touch.
+//! Failure guarded against: a proxy returns to the control process that has just failed, while others are in touch with a
+//! majority.
 
 use gaugesaddle_distribution::{Members, FAILED_MEMBER_BACKOFF_MS, MEMBER_RETENTION_MS};
 
@@ -9,31 +10,31 @@
 }
 
 #[test]
-fn a_process_that_failed_is_asked_again_only_after_all_others() {
+fn failed_process_is_called_again_only_after_all_others() {
     let mut members = members(2);
-    let mut asked = Vec::new();
+    let mut called = Vec::new();
     for step in 0..4 {
         let now = NOW + step * 100;
         let ip = members.choose(now).expect("some are known");
-        asked.push(ip);
-        members.failed(now, ip);
+        called.push(ip);
+        members.record_failure(now, ip);
     }
-    assert_eq!(asked[0], 2, "the one on its own machine first");
-    asked.sort_unstable();
-    assert_eq!(asked, [1, 2, 3, 4], "each once");
-    assert_eq!(members.choose(NOW + 400), Some(2), "then the one that failed longest ago");
+    assert_eq!(called[0], 2, "the process on its own machine first");
+    called.sort_unstable();
+    assert_eq!(called, [1, 2, 3, 4], "each process once");
+    assert_eq!(members.choose(NOW + 400), Some(2), "then the one with the oldest failure");
 }
 
 #[test]
-fn its_own_is_asked_again_after_a_while() {
+fn own_process_is_called_again_after_backoff() {
     let mut members = members(3);
-    members.failed(NOW, 3);
+    members.record_failure(NOW, 3);
     assert_ne!(members.choose(NOW + FAILED_MEMBER_BACKOFF_MS - 1), Some(3));
     assert_eq!(members.choose(NOW + FAILED_MEMBER_BACKOFF_MS), Some(3));
 }
 
 #[test]
-fn machines_spread_over_the_processes_of_others() {
+fn first_choice_differs_by_machine() {
     let mut first = std::collections::BTreeSet::new();
     for own in 100..140 {
         first.insert(members(own).choose(NOW));
@@ -42,8 +43,8 @@
 }
 
 #[test]
-fn what_nobody_names_is_forgotten_and_news_is_taken() {
+fn unreported_member_is_dropped_and_reported_one_added() {
     let mut members = members(9);
-    members.name(NOW + MEMBER_RETENTION_MS, [7].into_iter());
+    members.add(NOW + MEMBER_RETENTION_MS, [7].into_iter());
     assert_eq!(members.choose(NOW + MEMBER_RETENTION_MS), Some(7));
 }
--- a/crates/gaugesaddle-simulation/src/control.rs
+++ b/crates/gaugesaddle-simulation/src/control.rs
@@ -610,7 +610,7 @@
 
     fn committed(&mut self) {
         let Some(newest) = self.replica.as_ref().and_then(Replica::committed).cloned() else { return };
-        if self.distributor.take(&newest) {
+        if self.distributor.apply(&newest) {
             self.effects.committed.push(newest);
             self.news = true;
         }
--- a/crates/gaugesaddle-simulation/src/proxy.rs
+++ b/crates/gaugesaddle-simulation/src/proxy.rs
@@ -87,7 +87,7 @@
 
     fn leave(&mut self, now: Millis) {
         if let Some(asked) = self.asked.take() {
-            self.follower.failed(now, asked.ip);
+            self.follower.record_failure(now, asked.ip);
         }
         self.wait = 0;
         self.next_at = now + PAUSE;
@@ -108,7 +108,7 @@
     fn take(&mut self, now: Millis, asked: Asked, reply: PullReply) -> bool {
         self.taken_of = asked.at;
         let good_for = asked.until - asked.at + TRANSFER;
-        self.follower.take(now, asked.at, good_for, reply).stays
+        self.follower.apply(now, asked.at, good_for, reply).fresh
     }
 
     /// When the call was made whose answer was taken last.
--- a/crates/gaugesaddle/src/edge/fleet.rs
+++ b/crates/gaugesaddle/src/edge/fleet.rs
@@ -121,14 +121,14 @@
     /// Takes the answer of a control process to a call made at `asked` and good for so long, in ms; whether that process
     /// should be asked again.
     pub fn take(&self, asked: u64, good_for: u64, reply: PullReply) -> bool {
-        let taken: Applied = self.follower.borrow_mut().take(self.now(), asked, good_for, reply);
+        let taken: Applied = self.follower.borrow_mut().apply(self.now(), asked, good_for, reply);
         if taken.registrations {
             self.rebuild();
         }
         if taken.configuration {
             self.configure();
         }
-        taken.stays
+        taken.fresh
     }
 
     /// Puts the configuration taken last in force.
--- a/crates/gaugesaddle/src/edge/follow.rs
+++ b/crates/gaugesaddle/src/edge/follow.rs
@@ -31,7 +31,7 @@
             if let Err(e) = follow(&fleet, ip).await {
                 debug!("control {}: {e}", Ipv4Addr::from(ip));
             }
-            fleet.follower.borrow_mut().failed(fleet.now(), ip);
+            fleet.follower.borrow_mut().record_failure(fleet.now(), ip);
         }
         tokio::time::sleep(PAUSE).await;
     }
