--- a/crates/gaugesaddle-quota/src/allocator.rs
+++ b/crates/gaugesaddle-quota/src/allocator.rs
@@ -1,43 +1,44 @@
-//! The leader's side: a token bucket a tenant.
+//! The leader's side: one token bucket for each tenant.
 
-use crate::{faded, CONTACT_TIMEOUT_MS, FALLBACK_MS, LEASE_MS, SMOOTHING_MS};
+use crate::{decayed, CONTACT_TIMEOUT_MS, FALLBACK_MS, LEASE_MS, SMOOTHING_MS};
 use gaugesaddle_protocol::{QuotaGrant, QuotaRequest};
 use std::collections::BTreeMap;
 
-/// A bucket holds at least what the rate brings in so many seconds, however small the burst.
-const MIN_BUCKET: f64 = 0.1;
+/// Minimum capacity of a bucket, in seconds of its rate: a smaller one would lose tokens between two requests.
+const MIN_BUCKET_S: f64 = 0.1;
 
 /// A tenant's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
-    /// Tokens a second.
+    /// Tokens per second.
     pub rate: f64,
-    /// Tokens that may be used at once above that.
+    /// Tokens that may be used at once in addition.
     pub burst: f64,
 }
 
-/// What is known of the proxy on a machine. A restarted one takes the place of the one before it, which uses nothing any
-/// more.
+/// The state of the proxy on a machine, as of its last request. A restarted proxy replaces the one before it, which uses
+/// nothing any more.
 #[derive(Clone, Copy, Debug)]
-struct Borrower {
-    /// When it asked last.
-    asked: u64,
-    /// Its pace, in tokens a second.
+struct ProxyState {
+    /// When its last request arrived, in milliseconds.
+    requested_ms: u64,
+    /// Its usage rate in tokens per second.
     usage_rate: f64,
-    /// Tokens that it may still use: those that it had not used when it asked, and what it was lent then.
+    /// Tokens that it may still use: those unused at its last request, and those leased in response.
     unused: f64,
 }
 
-impl Borrower {
-    /// What it may have used at its fading pace between two times, if it has fallen silent.
-    fn used_alone(&self, from: u64, to: u64) -> f64 {
-        let from = from.max(self.asked + CONTACT_TIMEOUT_MS);
-        if to <= from {
+impl ProxyState {
+    /// The tokens that it may have used at its decaying rate between two times, while it had lost its leader.
+    fn used_without_leader(&self, from_ms: u64, to_ms: u64) -> f64 {
+        let from_ms = from_ms.max(self.requested_ms + CONTACT_TIMEOUT_MS);
+        if to_ms <= from_ms {
             return 0.0;
         }
-        let (before, after) =
-            (faded(self.usage_rate, from - self.asked), faded(self.usage_rate, to - self.asked));
-        (before - after) * SMOOTHING_MS / 1000.0
+        // The integral of the decaying rate.
+        let rate_before = decayed(self.usage_rate, from_ms - self.requested_ms);
+        let rate_after = decayed(self.usage_rate, to_ms - self.requested_ms);
+        (rate_before - rate_after) * SMOOTHING_MS / 1000.0
     }
 }
 
@@ -45,46 +46,47 @@
 struct Bucket {
     limit: Limit,
     tokens: f64,
-    filled: u64,
-    borrowers: BTreeMap<String, Borrower>,
+    /// When it was last refilled, in milliseconds.
+    refilled_ms: u64,
+    /// By machine.
+    proxies: BTreeMap<String, ProxyState>,
 }
 
-/// Lends tokens. A new leader begins with empty buckets: what the last one lent may still be used.
+/// Leases tokens to proxies. A new leader starts with empty buckets, since tokens leased by the last one may still be
+/// used.
 #[derive(Clone, Debug, Default)]
 pub struct TokenAllocator {
     buckets: BTreeMap<String, Bucket>,
 }
 
 impl TokenAllocator {
-    /// Takes the limits of a configuration; tenants without one are not listed.
+    /// Applies the limits of a configuration by tenant, at `now` (milliseconds); tenants without a limit are not listed.
     pub fn configure(&mut self, now: u64, limits: &[(String, Limit)]) {
         self.buckets.retain(|tenant, _| limits.iter().any(|(t, _)| t == tenant));
         for (tenant, limit) in limits {
             match self.buckets.get_mut(tenant) {
-                Some(bucket) => {
-                    bucket.fill(now);
-                    bucket.limit = *limit;
-                    bucket.tokens = bucket.tokens.min(limit.burst);
-                }
+                Some(bucket) => bucket.set_limit(now, *limit),
                 None => {
-                    let borrowers = BTreeMap::new();
-                    let bucket = Bucket { limit: *limit, tokens: 0.0, filled: now, borrowers };
-                    self.buckets.insert(tenant.clone(), bucket);
+                    self.buckets.insert(tenant.clone(), Bucket::empty(now, *limit));
                 }
             }
         }
     }
 
-    /// Lends the proxy on a machine what it wants, as far as there is.
+    /// Leases tokens to the proxy on a machine, as many as it requests and the buckets have. The response has one grant
+    /// for each request of a tenant with a limit.
     pub fn allocate(&mut self, now: u64, machine: &str, requests: &[QuotaRequest]) -> Vec<QuotaGrant> {
         let mut grants = Vec::with_capacity(requests.len());
         for request in requests {
             let Some(bucket) = self.buckets.get_mut(&request.tenant) else { continue };
-            let borrower =
-                Borrower { asked: now, usage_rate: request.usage_rate as f64, unused: request.unused as f64 };
-            bucket.borrowers.insert(machine.to_owned(), borrower);
-            bucket.fill(now);
-            let tokens = bucket.take(machine, request.tokens as f64);
+            let proxy = ProxyState {
+                requested_ms: now,
+                usage_rate: request.usage_rate as f64,
+                unused: request.unused as f64,
+            };
+            bucket.proxies.insert(machine.to_owned(), proxy);
+            bucket.refill(now);
+            let tokens = bucket.lease(machine, request.tokens as f64);
             grants.push(QuotaGrant { tenant: request.tenant.clone(), tokens: tokens as u64 });
         }
         grants
@@ -92,25 +94,38 @@
 }
 
 impl Bucket {
-    /// Takes what the rate has brought. What proxies hold and may still use counts as if it were in the bucket: else it
-    /// would come on top of a full bucket, when all is used at once.
-    fn fill(&mut self, now: u64) {
-        let since = std::mem::replace(&mut self.filled, now);
-        self.borrowers.retain(|_, b| now < b.asked + FALLBACK_MS + CONTACT_TIMEOUT_MS);
-        let kept_back: f64 = self.borrowers.values().map(|b| b.used_alone(since, now)).sum();
-        let brought = self.limit.rate * now.saturating_sub(since) as f64 / 1000.0;
-        let unused: f64 =
-            self.borrowers.values().filter(|b| now < b.asked + LEASE_MS).map(|b| b.unused).sum();
-        let room = (self.limit.burst.max(self.limit.rate * MIN_BUCKET) - unused).max(0.0);
-        self.tokens = (self.tokens + (brought - kept_back).max(0.0)).min(room);
+    fn empty(now: u64, limit: Limit) -> Bucket {
+        Bucket { limit, tokens: 0.0, refilled_ms: now, proxies: BTreeMap::new() }
+    }
+
+    fn set_limit(&mut self, now: u64, limit: Limit) {
+        self.refill(now);
+        self.limit = limit;
+        self.tokens = self.tokens.min(limit.burst);
+    }
+
+    /// Adds the tokens of the time since the last refill, less those reserved for proxies that have lost their leader.
+    ///
+    /// Leased tokens that proxies may still use count against the capacity: else they would be used on top of a full
+    /// bucket when demand rises at all proxies at once.
+    fn refill(&mut self, now: u64) {
+        let since_ms = std::mem::replace(&mut self.refilled_ms, now);
+        self.proxies.retain(|_, p| now < p.requested_ms + FALLBACK_MS + CONTACT_TIMEOUT_MS);
+        let reserved: f64 = self.proxies.values().map(|p| p.used_without_leader(since_ms, now)).sum();
+        let added = self.limit.rate * now.saturating_sub(since_ms) as f64 / 1000.0;
+        let live_leases = self.proxies.values().filter(|p| now < p.requested_ms + LEASE_MS);
+        let unused: f64 = live_leases.map(|p| p.unused).sum();
+        let capacity = self.limit.burst.max(self.limit.rate * MIN_BUCKET_S);
+        let available_capacity = (capacity - unused).max(0.0);
+        self.tokens = (self.tokens + (added - reserved).max(0.0)).min(available_capacity);
     }
 
-    /// Lends a proxy that has just asked what it wants, as far as there is.
-    fn take(&mut self, machine: &str, wanted: f64) -> f64 {
-        let tokens = wanted.min(self.tokens.max(0.0)).floor();
+    /// Leases whole tokens to a proxy, at most as many as it requests and the bucket has.
+    fn lease(&mut self, machine: &str, requested: f64) -> f64 {
+        let tokens = requested.min(self.tokens.max(0.0)).floor();
         self.tokens -= tokens;
-        if let Some(borrower) = self.borrowers.get_mut(machine) {
-            borrower.unused += tokens;
+        if let Some(proxy) = self.proxies.get_mut(machine) {
+            proxy.unused += tokens;
         }
         tokens
     }
--- a/crates/gaugesaddle-quota/src/allowance.rs
+++ b/crates/gaugesaddle-quota/src/allowance.rs
@@ -1,50 +1,76 @@
-//! A proxy's side: tokens lent, and what to ask for.
+//! The proxy's side: the tokens leased to it, and what to request.
 
-use crate::{faded, CONTACT_TIMEOUT_MS, FALLBACK_MS, LEASE_MS, SMOOTHING_MS};
+use crate::{decayed, CONTACT_TIMEOUT_MS, FALLBACK_MS, LEASE_MS, SMOOTHING_MS};
 use gaugesaddle_protocol::{QuotaGrant, QuotaRequest};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Tokens are asked for ahead for so long, in seconds of the present pace.
-const AHEAD: f64 = 0.5;
+/// How far ahead tokens are requested, in seconds of the current usage rate.
+const PREFETCH_S: f64 = 0.5;
+/// Maximum time for which the reserve is refilled at once, in milliseconds.
+const MAX_REFILL_MS: u64 = 1000;
 
-/// Whether a request may go on.
+/// Whether a request is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// Its tokens are taken.
     Granted,
-    /// There are not enough; the leader may lend more.
+    /// There are not enough tokens; the leader may lease more.
     Insufficient,
 }
 
+/// Tokens leased together.
+#[derive(Clone, Copy, Debug)]
+struct Lease {
+    expires_ms: u64,
+    tokens: f64,
+}
+
+/// A usage rate that was sent to the leader.
+#[derive(Clone, Copy, Debug, Default)]
+struct SentRate {
+    at_ms: u64,
+    /// Tokens per second.
+    usage_rate: f64,
+}
+
 #[derive(Clone, Debug, Default)]
 struct TenantAllowance {
-    /// Tokens lent and until when they may be used.
-    leased: VecDeque<(u64, f64)>,
-    /// Tokens a second used lately, and when that was reckoned.
+    /// In the order in which they expire.
+    leases: VecDeque<Lease>,
+    /// Smoothed usage in tokens per second, as of `usage_rate_ms`.
     usage_rate: f64,
-    reckoned: u64,
-    /// When the leader was asked last, and the pace that it was told.
-    requested: (u64, f64),
-    /// The same, for the last time that it answered: what it keeps back for this proxy.
-    acknowledged: (u64, f64),
-    /// Tokens that waiting requests lack.
+    usage_rate_ms: u64,
+    /// The last request to the leader.
+    requested: SentRate,
+    /// The last request that the leader answered: it reserves tokens for this proxy at that rate.
+    acknowledged: SentRate,
+    /// Tokens that queued requests lack.
     deficit: f64,
-    /// Tokens that may be used without a leader, and when they were reckoned.
+    /// Tokens that may be used without a leader, as of `reserve_ms`. Below zero after a request larger than the reserve.
     reserve: f64,
-    filled: u64,
+    reserve_ms: u64,
 }
 
 /// The tokens of all tenants at one proxy.
+///
+/// ```text
+///            no answer for CONTACT_TIMEOUT_MS            for FALLBACK_MS more
+///  led ----------------------------------> fallback ----------------------> isolated
+///  leased tokens only                      and the reserve, refilled at     and the reserve, refilled at
+///   ^                                      the decaying acknowledged rate   the floor only
+///   +------------ answer --------------------+----------------------------------+
+/// ```
 #[derive(Clone, Debug, Default)]
 pub struct TokenAllowance {
     tenants: BTreeMap<String, TenantAllowance>,
-    answered: u64,
-    /// Tokens a second and tenant that a proxy may use at any time, out of the slack of the rule.
+    /// When the last request that the leader answered was sent, in milliseconds.
+    answered_ms: u64,
+    /// Tokens per second and tenant that a proxy may use without a leader at any time, out of the slack of the limit.
     floor: f64,
 }
 
 impl TokenAllowance {
-    /// Forgets tenants that have no limit any more, and sets the floor, in tokens a second.
+    /// Sets the tenants with a limit, and the floor in tokens per second; other tenants are dropped.
     pub fn configure(&mut self, tenants: &[String], floor: f64) {
         self.floor = floor;
         self.tenants.retain(|t, _| tenants.contains(t));
@@ -53,116 +79,134 @@
         }
     }
 
-    /// Takes the tokens of a request.
+    /// Takes the `cost` in tokens of a request at `now` (milliseconds). A tenant without a limit is always granted.
     pub fn take(&mut self, now: u64, tenant: &str, cost: u64) -> Admission {
-        let led = now < self.answered + CONTACT_TIMEOUT_MS;
-        let alone_since = self.answered + CONTACT_TIMEOUT_MS;
-        let alone_until = alone_since + FALLBACK_MS;
+        let leader_lost_ms = self.answered_ms + CONTACT_TIMEOUT_MS;
         let floor = self.floor;
         let Some(tenant) = self.tenants.get_mut(tenant) else { return Admission::Granted };
-        tenant.expire(now);
+        tenant.drop_expired(now);
         let cost = cost as f64;
-        if tenant.take(cost) {
-            tenant.record(now, cost);
+        if tenant.take_leased(cost) {
+            tenant.record_usage(now, cost);
             return Admission::Granted;
         }
-        if !led {
-            let usage_rate = if now < alone_until { tenant.pace_alone(now).max(floor) } else { floor };
-            if tenant.take_reserve(now, alone_since, usage_rate, cost) {
-                return Admission::Granted;
-            }
+        if now < leader_lost_ms {
+            return Admission::Insufficient;
+        }
+        let is_fallback = now < leader_lost_ms + FALLBACK_MS;
+        let refill_rate = if is_fallback { tenant.fallback_rate(now).max(floor) } else { floor };
+        if tenant.take_reserve(now, leader_lost_ms, refill_rate, cost) {
+            Admission::Granted
+        } else {
+            Admission::Insufficient
         }
-        Admission::Insufficient
     }
 
-    /// A request waits for that many tokens, or does no more.
-    pub fn adjust_deficit(&mut self, tenant: &str, cost: u64, waits: bool) {
+    /// Records that a request is queued until there are `cost` tokens for it.
+    pub fn add_deficit(&mut self, tenant: &str, cost: u64) {
         if let Some(tenant) = self.tenants.get_mut(tenant) {
-            let sign = if waits { 1.0 } else { -1.0 };
-            tenant.deficit = (tenant.deficit + sign * cost as f64).max(0.0);
+            tenant.deficit = (tenant.deficit + cost as f64).max(0.0);
         }
     }
 
-    /// What to ask the leader for.
+    /// Records that a request recorded by [`TokenAllowance::add_deficit`] is no longer queued.
+    pub fn remove_deficit(&mut self, tenant: &str, cost: u64) {
+        if let Some(tenant) = self.tenants.get_mut(tenant) {
+            tenant.deficit = (tenant.deficit - cost as f64).max(0.0);
+        }
+    }
+
+    /// The requests to send to the leader at `now` (milliseconds): one for each tenant that needs tokens or is in use.
     pub fn requests(&mut self, now: u64) -> Vec<QuotaRequest> {
         let mut requests = Vec::new();
         for (name, tenant) in &mut self.tenants {
-            tenant.expire(now);
-            tenant.decay(now);
-            let unused: f64 = tenant.leased.iter().map(|(_, n)| n).sum();
-            let wanted = tenant.deficit + tenant.usage_rate * AHEAD - unused;
-            if wanted >= 1.0 || tenant.usage_rate >= 1.0 {
-                tenant.requested = (now, tenant.usage_rate);
-                let (tokens, usage_rate) = (wanted.max(0.0) as u64, tenant.usage_rate.ceil() as u64);
-                requests.push(QuotaRequest {
-                    tenant: name.clone(),
-                    tokens,
-                    unused: unused.ceil() as u64,
-                    usage_rate,
-                });
+            tenant.drop_expired(now);
+            tenant.decay_usage_rate(now);
+            let unused = tenant.unused();
+            let needed = tenant.deficit + tenant.usage_rate * PREFETCH_S - unused;
+            if needed < 1.0 && tenant.usage_rate < 1.0 {
+                continue;
             }
+            tenant.requested = SentRate { at_ms: now, usage_rate: tenant.usage_rate };
+            requests.push(QuotaRequest {
+                tenant: name.clone(),
+                tokens: needed.max(0.0) as u64,
+                unused: unused.ceil() as u64,
+                usage_rate: tenant.usage_rate.ceil() as u64,
+            });
         }
         requests
     }
 
-    /// Whether requests wait.
+    /// Whether requests are queued for tokens.
     pub fn has_deficit(&self) -> bool {
-        self.tenants.values().any(|p| p.deficit > 0.0)
+        self.tenants.values().any(|tenant| tenant.deficit > 0.0)
     }
 
-    /// The leader's answer to wants that were sent at `asked`.
-    pub fn granted(&mut self, asked: u64, grants: &[QuotaGrant]) {
-        self.answered = self.answered.max(asked);
+    /// Records the leader's answer to the requests sent at `requested_ms`. The leases count from that time, so they end
+    /// here no later than at the leader.
+    pub fn record_grants(&mut self, requested_ms: u64, grants: &[QuotaGrant]) {
+        self.answered_ms = self.answered_ms.max(requested_ms);
         for grant in grants {
             let Some(tenant) = self.tenants.get_mut(&grant.tenant) else { continue };
-            if tenant.requested.0 == asked {
+            if tenant.requested.at_ms == requested_ms {
                 tenant.acknowledged = tenant.requested;
             }
             if grant.tokens > 0 {
-                tenant.leased.push_back((asked + LEASE_MS, grant.tokens as f64));
+                let lease = Lease { expires_ms: requested_ms + LEASE_MS, tokens: grant.tokens as f64 };
+                tenant.leases.push_back(lease);
             }
         }
     }
 }
 
 impl TenantAllowance {
-    /// The pace without a leader: the one that it was told, fading as it does there, whatever was used since.
-    fn pace_alone(&self, now: u64) -> f64 {
-        faded(self.acknowledged.1, now.saturating_sub(self.acknowledged.0))
+    /// The rate without a leader, in tokens per second: the acknowledged one, decayed as the leader decays it, whatever
+    /// was used since.
+    fn fallback_rate(&self, now: u64) -> f64 {
+        decayed(self.acknowledged.usage_rate, now.saturating_sub(self.acknowledged.at_ms))
     }
 
-    fn expire(&mut self, now: u64) {
-        while self.leased.front().is_some_and(|(until, _)| *until <= now) {
-            self.leased.pop_front();
+    fn drop_expired(&mut self, now: u64) {
+        while self.leases.front().is_some_and(|lease| lease.expires_ms <= now) {
+            self.leases.pop_front();
         }
     }
 
-    fn take(&mut self, cost: f64) -> bool {
-        if self.leased.iter().map(|(_, n)| n).sum::<f64>() < cost {
+    /// Leased tokens that are not used yet.
+    fn unused(&self) -> f64 {
+        self.leases.iter().map(|lease| lease.tokens).sum()
+    }
+
+    /// Takes leased tokens, those that expire first; false where there are too few.
+    fn take_leased(&mut self, cost: f64) -> bool {
+        if self.unused() < cost {
             return false;
         }
-        let mut left = cost;
-        while let Some((_, tokens)) = self.leased.front_mut() {
-            if *tokens > left {
-                *tokens -= left;
+        let mut remaining = cost;
+        while let Some(lease) = self.leases.front_mut() {
+            if lease.tokens > remaining {
+                lease.tokens -= remaining;
                 break;
             }
-            left -= *tokens;
-            self.leased.pop_front();
+            remaining -= lease.tokens;
+            self.leases.pop_front();
         }
         true
     }
 
-    /// Uses what the pace has brought since the leader fell silent; a request may go into debt by its own cost.
-    fn take_reserve(&mut self, now: u64, alone_since: u64, usage_rate: f64, cost: f64) -> bool {
-        if self.filled < alone_since {
-            // What an earlier silence has left was kept back then.
-            self.filled = alone_since;
+    /// Takes tokens of the reserve, which is refilled at `refill_rate` (tokens per second) since the leader was lost. One
+    /// request may cost more than the reserve, which is then negative.
+    fn take_reserve(&mut self, now: u64, leader_lost_ms: u64, refill_rate: f64, cost: f64) -> bool {
+        if self.reserve_ms < leader_lost_ms {
+            // The leader reserved tokens for an earlier loss of contact only at that time: what is left does not count.
+            self.reserve_ms = leader_lost_ms;
             self.reserve = self.reserve.min(0.0);
         }
-        let passed = now.saturating_sub(self.filled).min(1000) as f64 / 1000.0;
-        self.filled = now;
-        self.reserve = (self.reserve + usage_rate * passed).min(usage_rate);
+        let elapsed_ms = now.saturating_sub(self.reserve_ms).min(MAX_REFILL_MS);
+        self.reserve_ms = now;
+        let refill = refill_rate * (elapsed_ms as f64 / 1000.0);
+        self.reserve = (self.reserve + refill).min(refill_rate);
         if self.reserve <= 0.0 {
             return false;
         }
@@ -170,13 +214,13 @@
         true
     }
 
-    fn record(&mut self, now: u64, cost: f64) {
-        self.decay(now);
+    fn record_usage(&mut self, now: u64, cost: f64) {
+        self.decay_usage_rate(now);
         self.usage_rate += cost / (SMOOTHING_MS / 1000.0);
     }
 
-    fn decay(&mut self, now: u64) {
-        self.usage_rate = faded(self.usage_rate, now.saturating_sub(self.reckoned));
-        self.reckoned = now;
+    fn decay_usage_rate(&mut self, now: u64) {
+        self.usage_rate = decayed(self.usage_rate, now.saturating_sub(self.usage_rate_ms));
+        self.usage_rate_ms = now;
     }
 }
--- a/crates/gaugesaddle-quota/src/lib.rs
+++ b/crates/gaugesaddle-quota/src/lib.rs
@@ -1,11 +1,46 @@
-//! What all proxies together may do: tenants' tokens and repeats, decided without I/O.
+//! Limits that all proxies obey together: tenants' tokens and retries, decided without I/O.
 //!
-//! - [`TokenAllocator`]: at the leader, a bucket a tenant; lends tokens to proxies under leases.
-//! - [`TokenAllowance`]: at a proxy, what it was lent, and what it may use when no leader answers.
-//! - [`RetryBudget`]: at a proxy, its part of the repeats; the parts add up without a word between proxies.
+//! It decides how many tokens of a tenant the leader leases to which proxy, whether a proxy may admit a request, and
+//! whether it may retry one.
 //!
-//! Promise under partition: a proxy out of touch goes on at the pace it had, fading, for [`FALLBACK_MS`] at most, and the
-//! leader keeps just that back. Tables hold a row a tenant and a row a proxy.
+//! - [`TokenAllocator`]: at the leader of the control processes. It owns one token bucket for each tenant with a
+//!   [`Limit`], and leases tokens to proxies.
+//! - [`TokenAllowance`]: at a proxy. It owns the tokens leased to it, and limits what it may use while no leader answers.
+//! - [`RetryBudget`]: at a proxy, for each service. It owns the proxy's fraction of the retries; the fractions add up to
+//!   the limit without communication between proxies.
+//!
+//! ```text
+//!  TokenAllowance --requests: tokens wanted, unused tokens, usage rate--> TokenAllocator
+//!                 <--grants: tokens, valid for LEASE_MS------------------
+//! ```
+//!
+//! ```
+//! use gaugesaddle_quota::{Admission, Limit, TokenAllocator, TokenAllowance};
+//!
+//! let mut allocator = TokenAllocator::default();
+//! allocator.configure(0, &[("tenant".to_owned(), Limit { rate: 1000.0, burst: 500.0 })]);
+//! let mut allowance = TokenAllowance::default();
+//! allowance.configure(&["tenant".to_owned()], 0.0);
+//!
+//! let now_ms = 5_000;
+//! assert_eq!(allowance.take(now_ms, "tenant", 100), Admission::Insufficient);
+//! allowance.add_deficit("tenant", 100);
+//! let grants = allocator.allocate(now_ms, "proxy-1", &allowance.requests(now_ms));
+//! allowance.record_grants(now_ms, &grants);
+//! allowance.remove_deficit("tenant", 100);
+//! assert_eq!(allowance.take(now_ms, "tenant", 100), Admission::Granted);
+//! ```
+//!
+//! # Guarantees
+//!
+//! Together, proxies use at most a tenant's rate and burst, plus one request's cost for each proxy that runs without a
+//! leader. Under partition a proxy continues at the usage rate that the leader last acknowledged, which decays, for
+//! [`FALLBACK_MS`] at most; the leader reserves exactly that. After that it has only the configured floor.
+//!
+//! # Bounds
+//!
+//! Tables have one row for each tenant with a limit and one for each proxy that requested tokens recently. All times are
+//! milliseconds of one machine's steady clock, rates are tokens per second.
 
 mod allocator;
 mod allowance;
@@ -15,17 +50,17 @@
 pub use allowance::{Admission, TokenAllowance};
 pub use retry::{RetryBudget, RetrySettings};
 
-/// How long lent tokens may be used, in milliseconds.
+/// How long leased tokens may be used, in milliseconds.
 pub const LEASE_MS: u64 = 1500;
-/// How long a proxy without a leader goes on at its pace, which fades meanwhile, in milliseconds.
+/// How long a proxy without a leader continues at its decaying usage rate, in milliseconds.
 pub const FALLBACK_MS: u64 = 6000;
-/// A leader that has not answered for so long is taken for lost by a proxy, and a proxy that has not asked for so long
-/// for one that goes on alone by the leader, in milliseconds.
+/// When proxy and leader take each other for lost, in milliseconds: the proxy a leader that has not answered for this
+/// long, the leader a proxy that has not sent a request for this long.
 const CONTACT_TIMEOUT_MS: u64 = 700;
-/// Paces are smoothed over, and fade in, so many milliseconds.
+/// Time constant over which usage rates are smoothed and decay, in milliseconds.
 const SMOOTHING_MS: f64 = 2000.0;
 
-/// What is left of a pace after so many milliseconds without use.
-fn faded(usage_rate: f64, passed: u64) -> f64 {
-    usage_rate * (-(passed as f64) / SMOOTHING_MS).exp()
+/// A usage rate (tokens per second) after `elapsed_ms` milliseconds without usage: exponential decay.
+fn decayed(usage_rate: f64, elapsed_ms: u64) -> f64 {
+    usage_rate * (-(elapsed_ms as f64) / SMOOTHING_MS).exp()
 }
--- a/crates/gaugesaddle-quota/src/retry.rs
+++ b/crates/gaugesaddle-quota/src/retry.rs
@@ -1,69 +1,84 @@
-//! Repeats: how many requests may be sent to a second backend.
+//! The retry budget: how many requests may be sent to a second backend.
 
 use std::collections::VecDeque;
 
-/// The bounds that all proxies keep together.
+/// The limits on retries over all proxies.
 #[derive(Clone, Copy, Debug)]
 pub struct RetrySettings {
-    /// Repeats for each request.
+    /// Retries per request.
     pub ratio: f64,
     /// Length of the window in milliseconds.
-    pub window: u64,
-    /// Repeats in a window above that, over all proxies.
+    pub window_ms: u64,
+    /// Retries per window in addition, over all proxies.
     pub slack: f64,
 }
 
-/// Part of the ratio that is used: proxies see their requests in other windows than the rule does.
-const RATIO_PART: f64 = 0.75;
-/// Part of the slack that is dealt out; the rest is for proxies that are not known yet.
-const SLACK_PART: f64 = 0.6;
-/// Counts a window is divided into.
+/// Fraction of the ratio that is used, since a proxy's window does not align with the one that the limit is checked in.
+const RATIO_FRACTION: f64 = 0.75;
+/// Fraction of the slack that is allocated to known proxies; the rest is for proxies that are not known yet.
+const SLACK_FRACTION: f64 = 0.6;
+/// Number of slots that requests of a window are counted in.
 const SLOTS: u64 = 10;
 
-/// One service's repeats at one proxy.
+/// Requests counted in one slot of a window.
+#[derive(Clone, Copy, Debug)]
+struct SlotCount {
+    /// Number of the slot since time zero.
+    slot: u64,
+    requests: u64,
+}
+
+/// The retries of one service at one proxy.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     settings: RetrySettings,
-    requests: VecDeque<(u64, u64)>,
-    repeats: VecDeque<u64>,
+    /// The oldest slot first; at most the slots of a window and one more.
+    requests: VecDeque<SlotCount>,
+    /// When each retry of the window was taken, in milliseconds; the oldest first.
+    retries_ms: VecDeque<u64>,
 }
 
 impl RetryBudget {
     /// An unused budget.
     pub fn new(settings: RetrySettings) -> RetryBudget {
-        RetryBudget { settings, requests: VecDeque::new(), repeats: VecDeque::new() }
+        RetryBudget { settings, requests: VecDeque::new(), retries_ms: VecDeque::new() }
     }
 
-    /// A client's request for the service.
+    /// Records a client's request to the service at `now` (milliseconds).
     pub fn record_request(&mut self, now: u64) {
-        let slot = now / (self.settings.window / SLOTS).max(1);
+        let slot = now / self.slot_ms();
         match self.requests.back_mut() {
-            Some((last, count)) if *last == slot => *count += 1,
-            _ => self.requests.push_back((slot, 1)),
+            Some(last) if last.slot == slot => last.requests += 1,
+            _ => self.requests.push_back(SlotCount { slot, requests: 1 }),
         }
-        self.forget(now);
+        self.drop_old(now);
     }
 
-    /// Takes one repeat, if there is one left among so many proxies.
+    /// Takes one retry where the budget permits, with `proxies` live proxies.
     pub fn take(&mut self, now: u64, proxies: usize) -> bool {
-        self.forget(now);
-        let requests: u64 = self.requests.iter().map(|(_, n)| n).sum();
-        let slack = (self.settings.slack * SLACK_PART / proxies.max(1) as f64).floor();
-        let most = requests as f64 * self.settings.ratio * RATIO_PART + slack;
-        if (self.repeats.len() + 1) as f64 > most {
+        self.drop_old(now);
+        let requests: u64 = self.requests.iter().map(|slot| slot.requests).sum();
+        let slack = (self.settings.slack * SLACK_FRACTION / proxies.max(1) as f64).floor();
+        let limit = requests as f64 * self.settings.ratio * RATIO_FRACTION + slack;
+        if (self.retries_ms.len() + 1) as f64 > limit {
             return false;
         }
-        self.repeats.push_back(now);
+        self.retries_ms.push_back(now);
         true
     }
 
-    fn forget(&mut self, now: u64) {
-        let slot = (self.settings.window / SLOTS).max(1);
-        while self.requests.front().is_some_and(|(s, _)| (s + 1) * slot + self.settings.window <= now) {
+    fn slot_ms(&self) -> u64 {
+        (self.settings.window_ms / SLOTS).max(1)
+    }
+
+    /// Drops slots and retries older than the window.
+    fn drop_old(&mut self, now: u64) {
+        let (slot_ms, window_ms) = (self.slot_ms(), self.settings.window_ms);
+        while self.requests.front().is_some_and(|oldest| (oldest.slot + 1) * slot_ms + window_ms <= now) {
             self.requests.pop_front();
         }
-        while self.repeats.front().is_some_and(|at| at + self.settings.window <= now) {
-            self.repeats.pop_front();
+        while self.retries_ms.front().is_some_and(|at| at + window_ms <= now) {
+            self.retries_ms.pop_front();
         }
     }
 }
--- a/crates/gaugesaddle-quota/tests/quota.rs
+++ b/crates/gaugesaddle-quota/tests/quota.rs
@@ -1,5 +1,5 @@
-//! The failure: all proxies together use more than a tenant's quota or the budget of repeats, or one in need is refused
-//! though there is enough.
+//! Failures guarded against: all proxies together use more than a tenant's quota or the retry budget, or a proxy is refused
+//! tokens although there are enough.
 
 use gaugesaddle_protocol::QuotaRequest;
 use gaugesaddle_quota::{
@@ -10,14 +10,14 @@
 
 const RATE: f64 = 1000.0;
 const BURST: f64 = 500.0;
-/// Tokens of the largest request.
+/// Cost of the largest request, in tokens.
 const MAX_COST: u64 = 119;
 
 fn limits() -> Vec<(String, Limit)> {
     vec![("t".to_owned(), Limit { rate: RATE, burst: BURST })]
 }
 
-/// A proxy with its purse and what it has used, by time.
+/// A proxy with its allowance and the tokens that it has used, by time.
 struct Proxy {
     name: String,
     allowance: TokenAllowance,
@@ -40,19 +40,19 @@
         granted
     }
 
-    fn ask(&mut self, now: u64, allocator: &mut TokenAllocator) {
+    fn request(&mut self, now: u64, allocator: &mut TokenAllocator) {
         if !self.in_touch {
             return;
         }
         let requests = self.allowance.requests(now);
         if !requests.is_empty() {
             let grants = allocator.allocate(now, &self.name, &requests);
-            self.allowance.granted(now, &grants);
+            self.allowance.record_grants(now, &grants);
         }
     }
 }
 
-fn most_in_window(used: &[(u64, u64)], window: u64) -> u64 {
+fn max_in_window(used: &[(u64, u64)], window: u64) -> u64 {
     let mut used = used.to_vec();
     used.sort_unstable();
     let sum = |from: usize| {
@@ -63,35 +63,35 @@
 }
 
 #[test]
-fn one_proxy_gets_the_whole_quota_when_the_others_want_nothing() {
+fn one_proxy_gets_full_quota_while_others_are_idle() {
     let mut allocator = TokenAllocator::default();
     allocator.configure(0, &limits());
     let mut proxies: Vec<Proxy> = (0..5).map(|n| Proxy::new(n, 0.0)).collect();
     let mut refused = 0;
     for now in (2000..12_000).step_by(20) {
         if !proxies[0].use_tokens(now, 18) {
-            proxies[0].allowance.adjust_deficit("t", 18, true);
-            proxies[0].ask(now, &mut allocator);
-            proxies[0].allowance.adjust_deficit("t", 18, false);
+            proxies[0].allowance.add_deficit("t", 18);
+            proxies[0].request(now, &mut allocator);
+            proxies[0].allowance.remove_deficit("t", 18);
             refused += u32::from(!proxies[0].use_tokens(now, 18));
         }
         for proxy in &mut proxies {
-            proxy.ask(now, &mut allocator);
+            proxy.request(now, &mut allocator);
         }
     }
     // 900 tokens a second of 1,000.
     assert!(refused <= 5, "{refused} of 500 refused below the quota");
 }
 
-/// Cases are the same in each run.
+/// A fixed seed makes the cases the same in each run.
 const SEED: RngSeed = RngSeed::Fixed(20_261_202);
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: SEED, ..ProptestConfig::default() })]
 
-    /// Proxies in any number, greedy, losing and finding the leader at any time, and the leader changing.
+    /// Proxies use all that they can, and lose and find the leader at any time.
     #[test]
-    fn all_proxies_together_stay_within_the_quota(
+    fn total_usage_stays_within_quota(
         events in proptest::collection::vec((0usize..6, 0u8..40, 1..=MAX_COST), 200..600),
     ) {
         let mut allocator = TokenAllocator::default();
@@ -106,32 +106,32 @@
                 1 => proxy.in_touch = true,
                 _ => {
                     if !proxy.use_tokens(now, cost) {
-                        proxy.allowance.adjust_deficit("t", cost, true);
-                        proxy.ask(now, &mut allocator);
-                        proxy.allowance.adjust_deficit("t", cost, false);
+                        proxy.allowance.add_deficit("t", cost);
+                        proxy.request(now, &mut allocator);
+                        proxy.allowance.remove_deficit("t", cost);
                         proxy.use_tokens(now, cost);
                     }
                 }
             }
             for proxy in &mut proxies {
-                proxy.ask(now, &mut allocator);
+                proxy.request(now, &mut allocator);
             }
         }
         let used: Vec<(u64, u64)> = proxies.iter().flat_map(|p| p.used.clone()).collect();
         let window = 8000;
-        let most = most_in_window(&used, window);
-        // What was lent and not used counts as part of the burst; each proxy alone may go into debt by one request.
+        let max = max_in_window(&used, window);
+        // Unused leased tokens count as part of the burst; each proxy without a leader may go into debt by one request.
         let debts = (proxies.len() as u64 * MAX_COST) as f64;
         let bound = RATE * window as f64 / 1000.0 + BURST + debts;
-        prop_assert!(most as f64 <= bound, "{} used in a window, bound {}", most, bound);
+        prop_assert!(max as f64 <= bound, "{} used in a window, bound {}", max, bound);
     }
 
     #[test]
-    fn a_dealer_never_lends_more_than_its_bucket(asks in proptest::collection::vec((0u64..50, 0u64..2000), 1..200)) {
+    fn leased_tokens_never_exceed_rate(requests in proptest::collection::vec((0u64..50, 0u64..2000), 1..200)) {
         let mut allocator = TokenAllocator::default();
         allocator.configure(0, &limits());
         let (mut now, mut leased) = (0, 0);
-        for (wait, tokens) in asks {
+        for (wait, tokens) in requests {
             now += wait;
             let request = QuotaRequest { tenant: "t".to_owned(), tokens, unused: 0, usage_rate: 0 };
             leased += allocator.allocate(now, "p", &[request]).iter().map(|g| g.tokens).sum::<u64>();
@@ -140,41 +140,41 @@
     }
 
     #[test]
-    fn repeats_of_all_proxies_stay_within_the_budget(
+    fn retries_of_all_proxies_stay_within_budget(
         arrivals in proptest::collection::vec((0usize..7, any::<bool>(), 0u64..40), 100..800),
     ) {
-        let settings = RetrySettings { ratio: 0.2, window: 10_000, slack: 20.0 };
+        let settings = RetrySettings { ratio: 0.2, window_ms: 10_000, slack: 20.0 };
         let mut budgets: Vec<RetryBudget> = (0..7).map(|_| RetryBudget::new(settings)).collect();
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
         let mut now = 100_000;
-        for (at, repeat, wait) in arrivals {
+        for (at, is_retried, wait) in arrivals {
             now += wait;
             budgets[at].record_request(now);
             requests.push((now, 1));
-            if repeat && budgets[at].take(now, 7) {
-                repeats.push((now, 1));
+            if is_retried && budgets[at].take(now, 7) {
+                retries.push((now, 1));
             }
         }
-        // In each window: repeats against the requests of that window and the one before it.
-        for (begin, _) in &repeats {
+        // In each window: retries against the requests of that window and the one before it.
+        for (begin, _) in &retries {
             let within = |from: u64, to: u64, list: &[(u64, u64)]| {
                 list.iter().filter(|(at, _)| (from..to).contains(at)).count() as f64
             };
             let begin = *begin;
-            let used = within(begin, begin + 10_000, &repeats);
-            let asked = within(begin.saturating_sub(10_000), begin + 10_000, &requests);
-            prop_assert!(used <= 0.2 * asked + 20.0, "{} repeats, {} requests", used, asked);
+            let used = within(begin, begin + 10_000, &retries);
+            let requested = within(begin.saturating_sub(10_000), begin + 10_000, &requests);
+            prop_assert!(used <= 0.2 * requested + 20.0, "{} retries, {} requests", used, requested);
         }
     }
 }
 
 #[test]
-fn a_proxy_without_a_leader_goes_on_at_its_pace_for_a_while_only() {
+fn proxy_without_leader_continues_at_its_rate_until_fallback_ends() {
     let mut allocator = TokenAllocator::default();
     allocator.configure(0, &limits());
     let mut proxy = Proxy::new(0, 0.0);
     for now in (5000..15_000).step_by(50) {
-        proxy.ask(now, &mut allocator);
+        proxy.request(now, &mut allocator);
         proxy.use_tokens(now, 25);
     }
     let used = |proxy: &Proxy, from: u64, to: u64| -> u64 {
@@ -193,14 +193,14 @@
     assert_eq!(
         used(&proxy, 15_000 + FALLBACK_MS + 3000, 35_000),
         0,
-        "the leader lends its part to others by now"
+        "the leader leases its tokens to others by then"
     );
 }
 
-/// The incident inc-f518: most proxies were killed at once while one tenant was busy; the leader kept back the paces of
-/// the dead ones, as much as the whole quota, and the tenant was refused for seconds.
+/// Incident inc-f518: most proxies were killed at once while one tenant was busy. The leader reserved tokens at the rates
+/// of the dead ones, as much as the entire quota, and the tenant was refused for seconds.
 #[test]
-fn proxies_that_are_killed_and_come_back_leave_the_quota_to_use() {
+fn restarted_proxies_do_not_keep_reservations() {
     let mut allocator = TokenAllocator::default();
     allocator.configure(0, &limits());
     let serve = |proxies: &mut Vec<Proxy>, allocator: &mut TokenAllocator, from: u64, to: u64| -> u64 {
@@ -208,9 +208,9 @@
         for now in (from..to).step_by(10) {
             for proxy in proxies.iter_mut() {
                 if !proxy.use_tokens(now, 10) {
-                    proxy.allowance.adjust_deficit("t", 10, true);
-                    proxy.ask(now, allocator);
-                    proxy.allowance.adjust_deficit("t", 10, false);
+                    proxy.allowance.add_deficit("t", 10);
+                    proxy.request(now, allocator);
+                    proxy.allowance.remove_deficit("t", 10);
                 }
                 used += u64::from(proxy.use_tokens(now, 10)) * 10;
             }
@@ -219,25 +219,25 @@
     };
     let mut proxies: Vec<Proxy> = (0..8).map(|n| Proxy::new(n, 0.0)).collect();
     serve(&mut proxies, &mut allocator, 1000, 9000);
-    // Six of eight are killed and start again a second later, knowing nothing.
-    let mut left: Vec<Proxy> = proxies.drain(..2).collect();
-    serve(&mut left, &mut allocator, 9000, 10_000);
-    left.extend((2..8).map(|n| Proxy::new(n, 0.0)));
-    let after = serve(&mut left, &mut allocator, 10_000, 12_000);
+    // Six of eight are killed and start again a second later, without any state.
+    let mut survivors: Vec<Proxy> = proxies.drain(..2).collect();
+    serve(&mut survivors, &mut allocator, 9000, 10_000);
+    survivors.extend((2..8).map(|n| Proxy::new(n, 0.0)));
+    let after = serve(&mut survivors, &mut allocator, 10_000, 12_000);
     assert!(after >= 1700, "{after} tokens in two seconds of 1,000 each");
 }
 
-/// A killed proxy that stays away is not kept a part for long either.
+/// The reservation for a killed proxy that does not come back decays, too.
 #[test]
-fn what_is_kept_back_for_silent_proxies_fades() {
+fn reservation_for_lost_proxy_decays() {
     let mut allocator = TokenAllocator::default();
     allocator.configure(0, &limits());
     let request =
         |tokens, usage_rate| [QuotaRequest { tenant: "t".to_owned(), tokens, unused: 0, usage_rate }];
-    allocator.allocate(5000, "gone", &request(500, 1000));
-    allocator.allocate(5000 + LEASE_MS, "here", &request(2000, 0));
+    allocator.allocate(5000, "lost", &request(500, 1000));
+    allocator.allocate(5000 + LEASE_MS, "live", &request(2000, 0));
     let leased = |allocator: &mut TokenAllocator, at| -> u64 {
-        allocator.allocate(at, "here", &request(2000, 0)).iter().map(|g| g.tokens).sum()
+        allocator.allocate(at, "live", &request(2000, 0)).iter().map(|g| g.tokens).sum()
     };
     let soon = leased(&mut allocator, 5000 + LEASE_MS + 1000);
     let later = leased(&mut allocator, 5000 + LEASE_MS + 4000);
@@ -247,10 +247,10 @@
     );
 }
 
-/// A hunt on `nilavu-air-grown`: a tenant's traffic jumped while many proxies held tokens that they had been lent ahead,
-/// and all used these on top of a full bucket.
+/// Found by a search on `nilavu-air-grown`: a tenant's traffic jumped while many proxies had unused leased tokens, and all
+/// used these on top of a full bucket.
 #[test]
-fn what_proxies_hold_does_not_come_on_top_of_a_full_bucket() {
+fn unused_leased_tokens_count_against_bucket_capacity() {
     let mut allocator = TokenAllocator::default();
     allocator.configure(0, &limits());
     let mut proxies: Vec<Proxy> = (0..40).map(|n| Proxy::new(n, 0.0)).collect();
@@ -258,37 +258,37 @@
         for now in (from..to).step_by(10) {
             for (number, proxy) in proxies.iter_mut().enumerate() {
                 if (now / 10 + number as u64) % every == 0 && !proxy.use_tokens(now, 10) {
-                    proxy.allowance.adjust_deficit("t", 10, true);
-                    proxy.ask(now, allocator);
-                    proxy.allowance.adjust_deficit("t", 10, false);
+                    proxy.allowance.add_deficit("t", 10);
+                    proxy.request(now, allocator);
+                    proxy.allowance.remove_deficit("t", 10);
                     proxy.use_tokens(now, 10);
                 }
                 if (now / 10 + number as u64) % 30 == 0 {
-                    proxy.ask(now, allocator);
+                    proxy.request(now, allocator);
                 }
             }
         }
     };
-    // Most of the quota is used, then four times as much is asked for.
+    // Most of the quota is used, then demand rises to four times the quota.
     serve(&mut proxies, &mut allocator, 10_000, 20_000, 50);
     serve(&mut proxies, &mut allocator, 20_000, 30_000, 10);
     let used: Vec<(u64, u64)> = proxies.iter().flat_map(|p| p.used.clone()).collect();
-    let most = most_in_window(&used, 8000) as f64;
+    let max = max_in_window(&used, 8000) as f64;
     let bound = RATE * 8.0 + BURST;
-    assert!(most <= bound, "{most} used in eight seconds, {bound} may be");
-    assert!(most >= RATE * 8.0 * 0.97, "{most} used though {bound} may be");
+    assert!(max <= bound, "{max} used in eight seconds, limit {bound}");
+    assert!(max >= RATE * 8.0 * 0.97, "{max} used, limit {bound}");
 }
 
 #[test]
-fn what_is_lent_runs_out() {
+fn leased_tokens_expire() {
     let mut allocator = TokenAllocator::default();
     allocator.configure(0, &limits());
     let mut proxy = Proxy::new(0, 0.0);
-    proxy.allowance.adjust_deficit("t", 100, true);
-    proxy.ask(5000, &mut allocator);
-    proxy.allowance.adjust_deficit("t", 100, false);
+    proxy.allowance.add_deficit("t", 100);
+    proxy.request(5000, &mut allocator);
+    proxy.allowance.remove_deficit("t", 100);
     let mut late = proxy.allowance.clone();
     assert_eq!(proxy.allowance.take(5000 + LEASE_MS - 1, "t", 100), Admission::Granted);
-    // No leader for as long, and no pace: nothing is left.
+    // The leader is lost by then and there was no usage, so there is no reserve either.
     assert_eq!(late.take(5000 + LEASE_MS, "t", 100), Admission::Insufficient);
 }
--- a/crates/gaugesaddle/src/edge/admission.rs
+++ b/crates/gaugesaddle/src/edge/admission.rs
@@ -59,7 +59,7 @@
     if take(fleet, &tenant.name, cost) {
         return Ok(());
     }
-    fleet.allowance.borrow_mut().adjust_deficit(&tenant.name, cost, true);
+    fleet.allowance.borrow_mut().add_deficit(&tenant.name, cost);
     let waiting = Lacking { fleet, tenant: &tenant.name, cost };
     let wait = admitted.route.target_ms * TOKEN_WAIT_PART / 1000.0;
     let until = Instant::now() + Duration::from_secs_f64(wait);
@@ -90,7 +90,7 @@
 
 impl Drop for Lacking<'_> {
     fn drop(&mut self) {
-        self.fleet.allowance.borrow_mut().adjust_deficit(self.tenant, self.cost, false);
+        self.fleet.allowance.borrow_mut().remove_deficit(self.tenant, self.cost);
     }
 }
 
--- a/crates/gaugesaddle/src/edge/fleet.rs
+++ b/crates/gaugesaddle/src/edge/fleet.rs
@@ -245,7 +245,7 @@
         let bounds = self.bounds();
         let settings = RetrySettings {
             ratio: bounds.retry_budget_ratio,
-            window: (bounds.budget_window_s * 1000.0) as u64,
+            window_ms: (bounds.budget_window_s * 1000.0) as u64,
             slack: bounds.budget_slack,
         };
         let mut budgets = self.budgets.borrow_mut();
--- a/crates/gaugesaddle/src/edge/lending.rs
+++ b/crates/gaugesaddle/src/edge/lending.rs
@@ -43,7 +43,7 @@
     };
     match caller.call(request, ANSWER).await.ok()? {
         Reply::Quota { grants } => {
-            fleet.allowance.borrow_mut().granted(asked, &grants);
+            fleet.allowance.borrow_mut().record_grants(asked, &grants);
             Some(caller)
         }
         _ => None,
