--- a/crates/gaugesaddle-control/src/loads.rs
+++ b/crates/gaugesaddle-control/src/loads.rs
@@ -14,7 +14,7 @@
         reported.notified().await;
         tokio::time::sleep(GATHER).await;
         core.with(|c| {
-            let sums = c.loads.own(c.clock.now());
+            let sums = c.loads.local_sums(c.clock.now());
             c.peers.broadcast(&PeerMessage::Load(sums));
         });
     }
@@ -24,8 +24,8 @@
 pub fn report(core: &CoreHandle, proxy: u64, loads: Vec<BackendLoad>) -> Vec<BackendLoad> {
     core.with(|c| {
         let now = c.clock.now();
-        c.loads.report(now, proxy, loads);
+        c.loads.record_report(now, proxy, loads);
         c.reported.notify_one();
-        c.loads.all(now)
+        c.loads.total_sums(now)
     })
 }
--- a/crates/gaugesaddle-control/src/peers.rs
+++ b/crates/gaugesaddle-control/src/peers.rs
@@ -134,7 +134,7 @@
         }
         PeerMessage::Load(loads) => core.with(|c| {
             let now = c.clock.now();
-            c.loads.take(now, ip, loads);
+            c.loads.record_sums(now, ip, loads);
         }),
         message => {
             if let PeerMessage::Compare { members, .. } = &message {
--- a/crates/gaugesaddle-load-report/src/aggregator.rs
+++ b/crates/gaugesaddle-load-report/src/aggregator.rs
@@ -1,60 +1,74 @@
-//! A control process's side.
+//! The control process's side: reports of proxies and their sums.
 
-use crate::{FRESH, MAX_BACKENDS, MAX_PROCESSES, MAX_PROXIES};
+use crate::heaviest::heaviest;
+use crate::{MAX_BACKENDS, MAX_PROCESSES, MAX_PROXIES, REPORT_TTL_MS};
 use gaugesaddle_protocol::BackendLoad;
 use std::collections::BTreeMap;
 
-/// A report or a sum, and when it came.
+/// A report or sum, and when it was received.
 #[derive(Clone, Debug)]
-struct Dated {
-    at: u64,
+struct Received {
+    at_ms: u64,
     loads: Vec<BackendLoad>,
 }
 
+impl Received {
+    fn is_live(&self, now: u64) -> bool {
+        now < self.at_ms + REPORT_TTL_MS
+    }
+}
+
 /// The newest report of each proxy that calls this process, and the newest sums of the other processes.
 #[derive(Clone, Debug, Default)]
 pub struct LoadAggregator {
-    proxies: BTreeMap<u64, Dated>,
-    processes: BTreeMap<u32, Dated>,
+    /// By the proxy's number.
+    proxies: BTreeMap<u64, Received>,
+    /// By the IPv4 address of the process's machine.
+    processes: BTreeMap<u32, Received>,
 }
 
 impl LoadAggregator {
-    /// A proxy reports; its report before this one is void.
-    pub fn report(&mut self, now: u64, proxy: u64, loads: Vec<BackendLoad>) {
-        put(&mut self.proxies, MAX_PROXIES, now, proxy, loads);
+    /// Records the report of a proxy at `now` (milliseconds); it replaces the proxy's last one. Dropped where the table is
+    /// full of live reports.
+    pub fn record_report(&mut self, now: u64, proxy: u64, loads: Vec<BackendLoad>) {
+        insert_bounded(&mut self.proxies, MAX_PROXIES, now, proxy, loads);
     }
 
-    /// Another control process tells the sums of its own proxies.
-    pub fn take(&mut self, now: u64, process: u32, loads: Vec<BackendLoad>) {
-        put(&mut self.processes, MAX_PROCESSES, now, process, loads);
+    /// Records the sums that another control process sent of its own proxies; they replace its last ones.
+    pub fn record_sums(&mut self, now: u64, process: u32, loads: Vec<BackendLoad>) {
+        insert_bounded(&mut self.processes, MAX_PROCESSES, now, process, loads);
     }
 
-    /// The sums of the proxies that call this process, for the others.
-    pub fn own(&self, now: u64) -> Vec<BackendLoad> {
-        heaviest(sums(now, self.proxies.values()))
+    /// The sums over the proxies that call this process, for the other control processes.
+    pub fn local_sums(&self, now: u64) -> Vec<BackendLoad> {
+        sums(now, self.proxies.values())
     }
 
-    /// The sums of all proxies, for one that calls this process.
-    pub fn all(&self, now: u64) -> Vec<BackendLoad> {
-        heaviest(sums(now, self.proxies.values().chain(self.processes.values())))
+    /// The sums over all proxies, for a proxy that calls this process.
+    pub fn total_sums(&self, now: u64) -> Vec<BackendLoad> {
+        sums(now, self.proxies.values().chain(self.processes.values()))
     }
 }
 
-fn put<K: Ord>(table: &mut BTreeMap<K, Dated>, most: usize, now: u64, key: K, mut loads: Vec<BackendLoad>) {
-    if table.len() >= most && !table.contains_key(&key) {
-        table.retain(|_, dated| now < dated.at + FRESH);
-        if table.len() >= most {
+/// Inserts loads received at `now`. A full table first drops what is no longer live.
+fn insert_bounded<K: Ord>(
+    table: &mut BTreeMap<K, Received>, max: usize, now: u64, key: K, mut loads: Vec<BackendLoad>,
+) {
+    if table.len() >= max && !table.contains_key(&key) {
+        table.retain(|_, received| received.is_live(now));
+        if table.len() >= max {
             return;
         }
     }
     loads.truncate(MAX_BACKENDS);
-    table.insert(key, Dated { at: now, loads });
+    table.insert(key, Received { at_ms: now, loads });
 }
 
-fn sums<'a>(now: u64, reports: impl Iterator<Item = &'a Dated>) -> BTreeMap<u32, BackendLoad> {
+/// The sum for each backend over what is live.
+fn sums<'a>(now: u64, received: impl Iterator<Item = &'a Received>) -> Vec<BackendLoad> {
     let mut sums: BTreeMap<u32, BackendLoad> = BTreeMap::new();
-    for dated in reports.filter(|dated| now < dated.at + FRESH) {
-        for load in &dated.loads {
+    for received in received.filter(|received| received.is_live(now)) {
+        for load in &received.loads {
             let sum = sums.entry(load.backend).or_default();
             sum.backend = load.backend;
             sum.work = sum.work.saturating_add(load.work);
@@ -62,15 +76,5 @@
             sum.served = sum.served.saturating_add(load.served);
         }
     }
-    sums
-}
-
-/// Those with the most work and failures, where there are too many to tell.
-fn heaviest(sums: BTreeMap<u32, BackendLoad>) -> Vec<BackendLoad> {
-    let mut loads: Vec<BackendLoad> = sums.into_values().collect();
-    if loads.len() > MAX_BACKENDS {
-        loads.sort_unstable_by_key(|load| std::cmp::Reverse((load.work, load.failed)));
-        loads.truncate(MAX_BACKENDS);
-    }
-    loads
+    heaviest(sums.into_values().collect())
 }
--- a/crates/gaugesaddle-load-report/src/decaying.rs
+++ b/crates/gaugesaddle-load-report/src/decaying.rs
@@ -1,23 +1,26 @@
-//! Counts that fade.
+//! Counts that decay exponentially.
 
-/// A count whose events lose their weight over time.
+/// Time constant of the decay, in milliseconds: long enough to see a few events a second at one backend, short enough that
+/// a backend that has recovered is soon used again.
+const DECAY_MS: f64 = 1500.0;
+
+/// A count of events whose weight decays exponentially.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Decaying {
+pub struct DecayingCount {
     count: f64,
-    updated: u64,
+    updated_ms: u64,
 }
 
-/// An event's weight falls to 1/e in so long, in ms: long enough to see a few events a second at one backend, short enough
-/// that a backend that has recovered is used again soon.
-const FADING: f64 = 1500.0;
-
-impl Decaying {
+impl DecayingCount {
+    /// Counts an event at `now` (milliseconds).
     pub fn add(&mut self, now: u64) {
         self.count = self.at(now) + 1.0;
-        self.updated = now;
+        self.updated_ms = now;
     }
 
+    /// The decayed count at `now` (milliseconds).
     pub fn at(&self, now: u64) -> f64 {
-        self.count * (-(now.saturating_sub(self.updated) as f64) / FADING).exp()
+        let elapsed_ms = now.saturating_sub(self.updated_ms) as f64;
+        self.count * (-elapsed_ms / DECAY_MS).exp()
     }
 }
--- a/crates/gaugesaddle-load-report/src/lib.rs
+++ b/crates/gaugesaddle-load-report/src/lib.rs
@@ -1,31 +1,59 @@
-//! What all proxies together see of the backends' load and failures, without I/O.
+//! Load reporting: what all proxies together see of the backends' load and failures, without I/O.
 //!
-//! One proxy of many sees a small part of what a backend works on, and a backend tells its load only with its answers. So
-//! each proxy reports what it has sent and what became of it, and gets the sums of all proxies:
+//! One proxy of many sees a small fraction of a backend's work, and a backend reports its load only in its answers. So
+//! each proxy reports the work that it has sent and its outcome, and receives the sums over all proxies:
 //!
 //! ```text
-//!  proxy (LoadView) --report--> control process (LoadBoard) --sums of its proxies--> other control processes
-//!                   <--sums of all---
+//!  proxy (LoadView) --report--> control process (LoadAggregator) --sums of its proxies--> other control processes
+//!                   <--sums of all proxies--
 //! ```
-//! - [`LoadView`]: at a proxy, its own part and what it has heard of the others'.
-//! - [`LoadAggregator`]: at a control process, the newest report of each proxy that calls it and the newest sums of the others.
 //!
-//! Reports are whole, never differences: one that is lost is made good by the next, and a repeated one counts once. All of
-//! it is a guess with an age: a report that is not renewed for [`FRESH`] is void, and a proxy that hears nothing goes by
-//! what it sees itself. Tables are bounded by [`MAX_BACKENDS`], [`MAX_PROXIES`] and [`MAX_PROCESSES`].
+//! It decides which backends are reported, which reports count, and whether a backend is failing.
+//!
+//! - [`LoadView`]: at a proxy. It owns the proxy's own observations and the last sums of the others; [`Health`] is what it
+//!   says of one backend.
+//! - [`LoadAggregator`]: at a control process. It owns the newest report of each proxy that calls it, and the newest sums
+//!   of the other control processes.
+//!
+//! ```
+//! use gaugesaddle_load_report::{LoadAggregator, LoadView};
+//!
+//! let (mut first, mut second) = (LoadView::default(), LoadView::default());
+//! let mut aggregator = LoadAggregator::default();
+//! let (now_ms, backend) = (1_000, 7);
+//! first.begin(now_ms, backend, 300.0);
+//! second.begin(now_ms, backend, 200.0);
+//! aggregator.record_report(now_ms, 1, first.report(now_ms));
+//! aggregator.record_report(now_ms, 2, second.report(now_ms));
+//! first.record_sums(now_ms, aggregator.total_sums(now_ms));
+//! assert_eq!(first.work(now_ms, backend), 500.0);
+//! ```
+//!
+//! # Guarantees
+//!
+//! Reports are complete, never differences: a lost one is replaced by the next, and a repeated one counts once. A proxy
+//! never counts its own work twice. All of it is an estimate with an age: a report that is not renewed within
+//! [`REPORT_TTL_MS`] no longer counts, and a proxy without sums relies on its own observations.
+//!
+//! # Bounds
+//!
+//! Reports and sums have at most [`MAX_BACKENDS`] backends, an aggregator has at most [`MAX_PROXIES`] reports and
+//! [`MAX_PROCESSES`] sums. A proxy's own observations have one row for each backend with requests in flight or recent
+//! outcomes. All times are milliseconds of one machine's steady clock, work is in tokens.
 
 mod aggregator;
 mod decaying;
+mod heaviest;
 mod view;
 
 pub use aggregator::LoadAggregator;
 pub use view::{Health, LoadView};
 
-/// Reports and sums that are not renewed for so long are void, in ms.
-pub const FRESH: u64 = 1000;
-/// Backends in one report or sum; those with the most work are told.
+/// How long a report or sum counts unless it is renewed, in milliseconds: several report intervals.
+pub const REPORT_TTL_MS: u64 = 1000;
+/// Maximum number of backends in one report or sum; those with the most work are included.
 pub const MAX_BACKENDS: usize = 256;
-/// Proxies whose reports a control process keeps.
+/// Maximum number of proxies whose reports a control process retains.
 pub const MAX_PROXIES: usize = 1024;
-/// Control processes whose sums are kept.
+/// Maximum number of control processes whose sums are retained.
 pub const MAX_PROCESSES: usize = 64;
--- a/crates/gaugesaddle-load-report/src/view.rs
+++ b/crates/gaugesaddle-load-report/src/view.rs
@@ -1,160 +1,182 @@
-//! A proxy's side.
+//! The proxy's side: its own observations and the sums over the other proxies.
 
-use crate::decaying::Decaying;
-use crate::{FRESH, MAX_BACKENDS};
+use crate::decaying::DecayingCount;
+use crate::heaviest::heaviest;
+use crate::{MAX_BACKENDS, REPORT_TTL_MS};
 use gaugesaddle_protocol::BackendLoad;
 use std::collections::HashMap;
 
-/// Parts that a request counts for in a report.
-const PARTS: f64 = 16.0;
-/// A request without an answer for so long counts as a failure while it waits, in ms: a backend that hangs is noticed
-/// before its clients give up, and one that is merely loaded answers others meanwhile.
-const STALLED: u64 = 1000;
-/// Fewer failures say nothing of a backend: a client or a link may be at fault.
-const FAILURES: f64 = 2.5;
-/// A backend fails where so large a part of its requests does.
-const FAILING_PART: f64 = 0.3;
-/// Less than this is nothing.
-const NOTHING: f64 = 1.0 / PARTS;
-
-/// What this proxy sees of one backend.
+/// Units that one request counts for in a report: reports are integers, decayed counts are not.
+const UNITS_PER_REQUEST: f64 = 16.0;
+/// A request without an answer for this long counts as a failure until it is answered, in milliseconds: a backend that
+/// hangs is detected before its clients time out, while one that is merely loaded goes on answering others.
+const STALL_TIMEOUT_MS: u64 = 1000;
+/// Minimum number of failures of a failing backend: fewer may be the fault of a client or a link.
+const MIN_FAILURES: f64 = 2.5;
+/// Fraction of a backend's requests above which it is failing.
+const FAILING_FRACTION: f64 = 0.3;
+/// Decayed counts below this are not reported.
+const NEGLIGIBLE_COUNT: f64 = 1.0 / UNITS_PER_REQUEST;
+
+/// A request without an answer.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct InFlight {
+    sent_ms: u64,
+    /// In tokens.
+    work: f64,
+}
+
+/// What this proxy observes of one backend.
 #[derive(Clone, Debug, Default)]
-struct Own {
-    /// When each request that is not answered yet was sent, and its work; the oldest first.
-    waiting: Vec<(u64, f64)>,
-    failed: Decaying,
-    served: Decaying,
+struct Observed {
+    /// The oldest first.
+    in_flight: Vec<InFlight>,
+    failed: DecayingCount,
+    served: DecayingCount,
 }
 
-impl Own {
+impl Observed {
+    /// Work in flight, in tokens.
     fn work(&self) -> f64 {
-        self.waiting.iter().map(|(_, work)| work).sum()
+        self.in_flight.iter().map(|request| request.work).sum()
     }
 
-    /// Requests that failed, and those that wait for so long that they are as good as failed.
+    /// Requests that failed, and those in flight for so long that they count as failed.
     fn failures(&self, now: u64) -> f64 {
-        let stalled = self.waiting.iter().take_while(|(sent, _)| now >= sent + STALLED).count();
+        let is_stalled = |request: &&InFlight| now >= request.sent_ms + STALL_TIMEOUT_MS;
+        let stalled = self.in_flight.iter().take_while(is_stalled).count();
         self.failed.at(now) + stalled as f64
     }
 
     fn load(&self, now: u64, backend: u32) -> BackendLoad {
-        let parts = |count: f64| (count * PARTS) as u32;
-        let (failed, served) = (parts(self.failures(now)), parts(self.served.at(now)));
-        BackendLoad { backend, work: self.work() as u32, failed, served }
+        let units = |count: f64| (count * UNITS_PER_REQUEST) as u32;
+        BackendLoad {
+            backend,
+            work: self.work() as u32,
+            failed: units(self.failures(now)),
+            served: units(self.served.at(now)),
+        }
     }
 
     fn is_idle(&self, now: u64) -> bool {
-        self.waiting.is_empty() && self.failed.at(now) < NOTHING && self.served.at(now) < NOTHING
+        let has_outcomes = self.failed.at(now) >= NEGLIGIBLE_COUNT || self.served.at(now) >= NEGLIGIBLE_COUNT;
+        self.in_flight.is_empty() && !has_outcomes
     }
 }
 
-/// How a backend fared lately, over all proxies that are heard of.
+/// The recent outcomes of a backend's requests, over all proxies with a live report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Health {
-    /// Requests that failed.
+    /// Requests that failed, decayed.
     pub failed: f64,
-    /// Requests that were answered.
+    /// Requests that were answered, decayed.
     pub served: f64,
 }
 
 impl Health {
-    /// Whether so many requests fail there that others are to be asked.
+    /// Whether so many requests fail that other backends should be preferred.
     pub fn is_failing(&self) -> bool {
-        self.failed >= FAILURES && self.failed > FAILING_PART * (self.failed + self.served)
+        let total = self.failed + self.served;
+        self.failed >= MIN_FAILURES && self.failed > FAILING_FRACTION * total
     }
 }
 
 /// What a proxy knows of the backends' load.
 #[derive(Clone, Debug, Default)]
 pub struct LoadView {
-    own: HashMap<u32, Own>,
-    /// What it reported last: the sums that come back hold that.
+    observed: HashMap<u32, Observed>,
+    /// The last report. Sums that answer it include it.
     reported: HashMap<u32, BackendLoad>,
+    /// The sums over the other proxies.
     others: HashMap<u32, BackendLoad>,
-    heard: Option<u64>,
-    /// Whether the last report said anything.
-    said: bool,
+    /// When the report was sent that was answered by `others`, in milliseconds.
+    others_ms: Option<u64>,
+    /// Whether the last report had any backend.
+    has_reported: bool,
 }
 
 impl LoadView {
-    /// Work is sent to a backend, in tokens.
+    /// Records that `work` tokens are sent to a backend at `now` (milliseconds).
     pub fn begin(&mut self, now: u64, backend: u32, work: f64) {
-        self.own.entry(backend).or_default().waiting.push((now, work));
+        let request = InFlight { sent_ms: now, work };
+        self.observed.entry(backend).or_default().in_flight.push(request);
     }
 
-    /// Work that was sent at a time has begun to be answered, or never will be.
-    pub fn end(&mut self, backend: u32, sent: u64, work: f64) {
-        let Some(own) = self.own.get_mut(&backend) else { return };
-        if let Some(place) = own.waiting.iter().position(|waiting| *waiting == (sent, work)) {
-            own.waiting.remove(place);
+    /// Records that the answer to work sent at `sent_ms` has begun, or never will.
+    pub fn end(&mut self, backend: u32, sent_ms: u64, work: f64) {
+        let Some(observed) = self.observed.get_mut(&backend) else { return };
+        let ended = InFlight { sent_ms, work };
+        if let Some(index) = observed.in_flight.iter().position(|request| *request == ended) {
+            observed.in_flight.remove(index);
         }
     }
 
-    /// A request was answered by a backend.
+    /// Records that a backend answered a request.
     pub fn served(&mut self, now: u64, backend: u32) {
-        self.own.entry(backend).or_default().served.add(now);
+        self.observed.entry(backend).or_default().served.add(now);
     }
 
-    /// A request failed at a backend, which may not have been the backend's fault.
+    /// Records that a request failed at a backend, which need not be the backend's fault.
     pub fn failed(&mut self, now: u64, backend: u32) {
-        self.own.entry(backend).or_default().failed.add(now);
+        self.observed.entry(backend).or_default().failed.add(now);
     }
 
-    /// Whether there is anything to report, or a last report that says nothing any more.
+    /// Whether a report is due: there is load to report, or the last report had some that has since ended.
     pub fn wants_to_report(&mut self, now: u64) -> bool {
-        self.own.retain(|_, own| !own.is_idle(now));
-        self.said || !self.own.is_empty()
+        self.observed.retain(|_, observed| !observed.is_idle(now));
+        self.has_reported || !self.observed.is_empty()
     }
 
-    /// The present report.
+    /// The report to send at `now` (milliseconds).
     pub fn report(&mut self, now: u64) -> Vec<BackendLoad> {
-        let mut loads: Vec<BackendLoad> =
-            self.own.iter().map(|(backend, own)| own.load(now, *backend)).collect();
-        if loads.len() > MAX_BACKENDS {
-            loads.sort_unstable_by_key(|load| std::cmp::Reverse((load.work, load.failed)));
-            loads.truncate(MAX_BACKENDS);
-        }
-        self.said = !loads.is_empty();
+        let observed = self.observed.iter();
+        let loads = heaviest(observed.map(|(backend, observed)| observed.load(now, *backend)).collect());
+        self.has_reported = !loads.is_empty();
         self.reported = loads.iter().map(|load| (load.backend, *load)).collect();
         loads
     }
 
-    /// Takes the sums that came in answer to the last report, made at a time.
-    pub fn heard(&mut self, reported_at: u64, sums: Vec<BackendLoad>) {
-        let without_own = |mut sum: BackendLoad| {
+    /// Records the sums over all proxies that answer the last report, sent at `reported_ms`.
+    pub fn record_sums(&mut self, reported_ms: u64, sums: Vec<BackendLoad>) {
+        self.others.clear();
+        for mut sum in sums.into_iter().take(MAX_BACKENDS) {
             let own = self.reported.get(&sum.backend).copied().unwrap_or_default();
             sum.work = sum.work.saturating_sub(own.work);
             sum.failed = sum.failed.saturating_sub(own.failed);
             sum.served = sum.served.saturating_sub(own.served);
-            (sum.backend, sum)
-        };
-        self.others = sums.into_iter().take(MAX_BACKENDS).map(without_own).collect();
-        self.heard = Some(reported_at);
+            self.others.insert(sum.backend, sum);
+        }
+        self.others_ms = Some(reported_ms);
     }
 
-    fn other(&self, now: u64, backend: u32) -> BackendLoad {
-        let fresh = self.heard.is_some_and(|at| now < at + FRESH);
-        self.others.get(&backend).filter(|_| fresh).copied().unwrap_or_default()
+    /// The load that the other proxies report of a backend; none where their sums are too old.
+    fn others_load(&self, now: u64, backend: u32) -> BackendLoad {
+        let is_live = self.others_ms.is_some_and(|at| now < at + REPORT_TTL_MS);
+        if !is_live {
+            return BackendLoad::default();
+        }
+        self.others.get(&backend).copied().unwrap_or_default()
     }
 
-    /// Work that waits at a backend, in tokens, as far as this proxy sees it itself.
+    /// Work of this proxy in flight at a backend, in tokens.
     pub fn own_work(&self, backend: u32) -> f64 {
-        self.own.get(&backend).map_or(0.0, Own::work)
+        self.observed.get(&backend).map_or(0.0, Observed::work)
     }
 
-    /// Work that waits at a backend, in tokens, as far as it is known.
+    /// Work of all proxies in flight at a backend, in tokens, as far as it is known.
     pub fn work(&self, now: u64, backend: u32) -> f64 {
-        self.own_work(backend) + f64::from(self.other(now, backend).work)
+        self.own_work(backend) + f64::from(self.others_load(now, backend).work)
     }
 
-    /// How a backend fared lately.
+    /// The recent outcomes of a backend's requests.
     pub fn health(&self, now: u64, backend: u32) -> Health {
-        let (failed, served) =
-            self.own.get(&backend).map_or((0.0, 0.0), |own| (own.failures(now), own.served.at(now)));
-        let other = self.other(now, backend);
-        Health {
-            failed: failed + f64::from(other.failed) / PARTS,
-            served: served + f64::from(other.served) / PARTS,
+        let mut health = Health::default();
+        if let Some(observed) = self.observed.get(&backend) {
+            health = Health { failed: observed.failures(now), served: observed.served.at(now) };
         }
+        let others = self.others_load(now, backend);
+        health.failed += f64::from(others.failed) / UNITS_PER_REQUEST;
+        health.served += f64::from(others.served) / UNITS_PER_REQUEST;
+        health
     }
 }
--- a/crates/gaugesaddle/src/edge/load.rs
+++ b/crates/gaugesaddle/src/edge/load.rs
@@ -71,7 +71,7 @@
     let loads = fleet.loads.borrow_mut().report(reported_at);
     match caller.call(&Request::Load { proxy, loads }, ANSWER).await.ok()? {
         Reply::Load { loads } => {
-            fleet.loads.borrow_mut().heard(reported_at, loads);
+            fleet.loads.borrow_mut().record_sums(reported_at, loads);
             Some(caller)
         }
         _ => None,
