--- a/crates/gaugesaddle-transport/src/caller.rs
+++ b/crates/gaugesaddle-transport/src/caller.rs
@@ -1,4 +1,4 @@
-//! Calls to a control process: one request, one answer, over a connection that is kept.
+//! Calls to a control process: one request and one reply at a time, over a connection that is reused.
 
 use crate::{connect, Link, LinkError};
 use gaugesaddle_protocol::{Opening, Reply, Request};
@@ -8,26 +8,33 @@
 /// A connection to one control process.
 #[derive(Debug)]
 pub struct Caller {
-    to: SocketAddrV4,
+    address: SocketAddrV4,
     link: Link,
 }
 
 impl Caller {
-    /// Opens a connection within a time.
-    pub async fn open(to: SocketAddrV4, within: Duration) -> Result<Caller, LinkError> {
-        let mut link = Link::new(connect(to, within).await?);
-        link.send(&Opening::Requests, within).await?;
-        Ok(Caller { to, link })
+    /// Opens a connection and announces requests on it.
+    ///
+    /// # Errors
+    /// Where connecting or the announcement fails or takes longer than `timeout` each.
+    pub async fn open(address: SocketAddrV4, timeout: Duration) -> Result<Caller, LinkError> {
+        let mut link = Link::new(connect(address, timeout).await?);
+        link.send(&Opening::Requests, timeout).await?;
+        Ok(Caller { address, link })
     }
 
-    /// The process it speaks to.
-    pub fn to(&self) -> SocketAddrV4 {
-        self.to
+    /// Address of the control process.
+    pub fn address(&self) -> SocketAddrV4 {
+        self.address
     }
 
-    /// One request and its answer. After an error the connection is of no use.
-    pub async fn call(&mut self, request: &Request, within: Duration) -> Result<Reply, LinkError> {
-        self.link.send(request, within).await?;
-        self.link.receive_within(within).await
+    /// Sends one request and receives its reply.
+    ///
+    /// # Errors
+    /// Where sending takes longer than `timeout`, the reply does not begin within `timeout`, or the connection fails. A
+    /// late reply would answer the next request, so the caller must be dropped after an error.
+    pub async fn call(&mut self, request: &Request, timeout: Duration) -> Result<Reply, LinkError> {
+        self.link.send(request, timeout).await?;
+        self.link.receive_within(timeout).await
     }
 }
--- a/crates/gaugesaddle-transport/src/clock.rs
+++ b/crates/gaugesaddle-transport/src/clock.rs
@@ -1,12 +1,12 @@
-//! The steady clock of a process, in milliseconds since its start.
+//! The steady clock of a process.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Counts from the start of the process, so that a time just before it is still above zero.
-const BEGIN: u64 = 1_000_000;
+/// Time at the start of the process, in milliseconds: well above zero, so that subtracting a duration does not reach it.
+const START_MS: u64 = 1_000_000;
 
-/// A steady clock.
+/// A steady clock in milliseconds. Its times mean nothing to other processes.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -19,13 +19,13 @@
 }
 
 impl Clock {
-    /// Milliseconds on the steady clock.
+    /// The current time in milliseconds.
     pub fn now(&self) -> u64 {
-        BEGIN + self.start.elapsed().as_millis() as u64
+        START_MS + self.start.elapsed().as_millis() as u64
     }
 
-    /// The instant of a time told by [`Clock::now`].
-    pub fn instant(&self, at: u64) -> Instant {
-        self.start + Duration::from_millis(at.saturating_sub(BEGIN))
+    /// The instant of a time of [`Clock::now`]; the start for earlier times.
+    pub fn instant(&self, time_ms: u64) -> Instant {
+        self.start + Duration::from_millis(time_ms.saturating_sub(START_MS))
     }
 }
--- a/crates/gaugesaddle-transport/src/lib.rs
+++ b/crates/gaugesaddle-transport/src/lib.rs
@@ -1,14 +1,51 @@
-//! Connections between the processes of the fleet.
+//! Connections between the processes of the fleet: frames over TCP with time-outs.
 //!
-//! [`Link`] reads and writes frames with time-outs, [`Caller`] sends requests and waits for the answer of each,
-//! [`clock`] is the steady clock that all decisions are told, [`log`] sets the log up. A peer that hangs is noticed
-//! by the time-outs here, never by a time of day.
+//! It decides when a connection counts as failed; what follows from that is decided by its users.
+//!
+//! - [`Link`]: owns a TCP connection and exchanges messages of `gaugesaddle-protocol` on it.
+//! - [`Caller`]: owns a [`Link`] to a control process, for one request and reply at a time.
+//! - [`LinkError`]: why a connection can no longer be used, with the [`Operation`] that failed.
+//! - [`Clock`]: the steady clock whose milliseconds all decisions are based on.
+//! - [`log`]: the log's level.
+//!
+//! ```
+//! use gaugesaddle_protocol::Opening;
+//! use gaugesaddle_transport::{accept, connect, listen, Link, LinkError};
+//! use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
+//! use std::time::Duration;
+//!
+//! # fn main() -> Result<(), Box<dyn std::error::Error>> {
+//! # tokio::runtime::Builder::new_current_thread().enable_all().build()?.block_on(async {
+//! let timeout = Duration::from_secs(1);
+//! let listener = listen(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0))?;
+//! let SocketAddr::V4(address) = listener.local_addr()? else { unreachable!("bound to IPv4") };
+//! let mut client = Link::new(connect(address, timeout).await?);
+//! let mut server = Link::new(accept(&listener).await.0);
+//! client.send(&Opening::Requests, timeout).await?;
+//! let opening: Opening = server.receive_within(timeout).await?;
+//! assert!(matches!(opening, Opening::Requests));
+//! # Ok(())
+//! # })
+//! # }
+//! ```
+//!
+//! # Guarantees
+//!
+//! A peer that hangs or loses its power is detected by a time-out, without relying on the time of day. Bytes from the
+//! network never cause a panic.
+//!
+//! # Bounds
+//!
+//! A message has at most [`MAX_BYTES`](gaugesaddle_protocol::frame::MAX_BYTES); a longer one is refused by its header,
+//! before memory is allocated for it.
 
 mod caller;
 pub mod clock;
+mod error;
 mod link;
 pub mod log;
 
 pub use caller::Caller;
 pub use clock::Clock;
-pub use link::{accept, connect, listen, Link, LinkError};
+pub use error::{LinkError, Operation};
+pub use link::{accept, connect, listen, Link};
--- a/crates/gaugesaddle-transport/src/link.rs
+++ b/crates/gaugesaddle-transport/src/link.rs
@@ -1,133 +1,146 @@
-//! A connection that carries frames.
+//! A TCP connection that carries frames.
 
-use gaugesaddle_protocol::frame::{self, FrameError, HEADER_BYTES};
+use crate::{LinkError, Operation};
+use gaugesaddle_protocol::frame::{self, HEADER_BYTES};
 use musli::alloc::Global;
 use musli::mode::Binary;
 use musli::{Decode, Encode};
 use socket2::{Domain, SockRef, Socket, Type};
+use std::future::Future;
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
-use thiserror::Error;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Bytes that stay unacknowledged for so long end a connection.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(900);
-/// A message that has begun goes on coming: a sender that says nothing for so long inside one hangs or is gone.
-const STALL: Duration = Duration::from_millis(450);
-/// Pause after a failure to accept: descriptors may come back.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Connections that may wait to be accepted.
+/// How long sent bytes may stay unacknowledged before the kernel closes the connection (`TCP_USER_TIMEOUT`, RFC 5482).
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(900);
+/// Longest gap between the bytes of a message that has begun: after that its sender hangs or is dead.
+const STALL_TIMEOUT: Duration = Duration::from_millis(450);
+/// Wait after a failure to accept, so that file descriptors may be freed meanwhile.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 512;
 
-/// Why a connection is of no use any more.
-#[derive(Debug, Error)]
-pub enum LinkError {
-    /// The socket failed.
-    #[error("{0}")]
-    Socket(#[from] io::Error),
-    /// What came is no message.
-    #[error("{0}")]
-    Frame(#[from] FrameError),
-    /// Nothing came, or nothing could be sent, in time.
-    #[error("timed out")]
-    TimedOut,
-}
-
-/// Opens a connection within a time.
-pub async fn connect(to: SocketAddrV4, within: Duration) -> Result<TcpStream, LinkError> {
-    let connecting = TcpStream::connect(to);
-    let stream = tokio::time::timeout(within, connecting).await.map_err(|_| LinkError::TimedOut)??;
-    prepare(&stream);
+/// Opens a connection.
+///
+/// # Errors
+/// Where it is refused or not established within `timeout`.
+pub async fn connect(address: SocketAddrV4, timeout: Duration) -> Result<TcpStream, LinkError> {
+    let stream = with_timeout(timeout, Operation::Connect, TcpStream::connect(address)).await?;
+    set_options(&stream);
     Ok(stream)
 }
 
-/// Listens on an address.
-pub fn listen(at: SocketAddrV4) -> io::Result<TcpListener> {
+/// Listens on an address, also where connections of an earlier process still use it.
+///
+/// # Errors
+/// Of the system, where the address cannot be bound.
+pub fn listen(address: SocketAddrV4) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
-    socket.bind(&SocketAddr::V4(at).into())?;
+    socket.bind(&SocketAddr::V4(address).into())?;
     socket.listen(BACKLOG)?;
     TcpListener::from_std(socket.into())
 }
 
-/// The next connection; a failure to accept one is waited out.
+/// Accepts the next connection; retries after a failure.
 pub async fn accept(listener: &TcpListener) -> (TcpStream, SocketAddr) {
     loop {
         match listener.accept().await {
             Ok(accepted) => return accepted,
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_BACKOFF).await,
         }
     }
 }
 
-fn prepare(stream: &TcpStream) {
-    // Neither is needed for correctness: a message without them is only slower, and a hang noticed later.
+/// The result of a socket operation, or an error that names the operation.
+async fn with_timeout<T>(
+    timeout: Duration, operation: Operation, io: impl Future<Output = io::Result<T>>,
+) -> Result<T, LinkError> {
+    match tokio::time::timeout(timeout, io).await {
+        Ok(result) => result.map_err(LinkError::socket(operation)),
+        Err(_) => Err(LinkError::TimedOut(operation)),
+    }
+}
+
+fn set_options(stream: &TcpStream) {
+    // Failures are ignored: without these options messages are slower and a hanging peer is detected later.
     let _ = stream.set_nodelay(true);
-    let _ = SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED));
+    let _ = SockRef::from(stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
 }
 
 /// A connection that carries frames.
+///
+/// ```text
+///           header, within the caller's time-out or without       bytes, each within STALL_TIMEOUT of the last
+///  idle ------------------------------------------------> body ------------------------------------> message
+/// ```
 #[derive(Debug)]
 pub struct Link {
     stream: TcpStream,
 }
 
 impl Link {
-    /// Over a connection that was opened or accepted.
+    /// A link over a connection that was opened or accepted.
     pub fn new(stream: TcpStream) -> Link {
-        prepare(&stream);
+        set_options(&stream);
         Link { stream }
     }
 
-    /// Sends one message within a time.
-    pub async fn send<T: Encode<Binary>>(&mut self, message: &T, within: Duration) -> Result<(), LinkError> {
+    /// Sends one message.
+    ///
+    /// # Errors
+    /// Where it cannot be encoded, or not be written within `timeout`. The link must not be used afterwards.
+    pub async fn send<T: Encode<Binary>>(&mut self, message: &T, timeout: Duration) -> Result<(), LinkError> {
         let frame = frame::encode(message)?;
-        let writing = self.stream.write_all(&frame);
-        tokio::time::timeout(within, writing).await.map_err(|_| LinkError::TimedOut)??;
-        Ok(())
+        with_timeout(timeout, Operation::Send, self.stream.write_all(&frame)).await
     }
 
-    /// Waits for one message, without a limit.
+    /// Receives one message, however long it takes to begin.
+    ///
+    /// # Errors
+    /// Where the connection ends or stalls inside the message, or the message is malformed. The link must not be used
+    /// afterwards.
     pub async fn receive<T>(&mut self) -> Result<T, LinkError>
     where
         T: for<'de> Decode<'de, Binary, Global>,
     {
-        let header = self.header().await?;
-        self.body(header).await
+        let mut header = [0; HEADER_BYTES];
+        let reading = self.stream.read_exact(&mut header);
+        reading.await.map_err(LinkError::socket(Operation::Receive))?;
+        self.receive_body(header).await
     }
 
-    /// Waits for one message to begin within a time. What has begun may take as long as it keeps coming: a large message
-    /// over a slow link.
-    pub async fn receive_within<T>(&mut self, within: Duration) -> Result<T, LinkError>
+    /// Receives one message whose header arrives within `timeout`. The rest may take as long as bytes keep arriving: a
+    /// large message over a slow connection.
+    ///
+    /// # Errors
+    /// As [`Link::receive`], and where the header does not arrive in time.
+    pub async fn receive_within<T>(&mut self, timeout: Duration) -> Result<T, LinkError>
     where
         T: for<'de> Decode<'de, Binary, Global>,
     {
-        let header = tokio::time::timeout(within, self.header()).await.map_err(|_| LinkError::TimedOut)??;
-        self.body(header).await
-    }
-
-    async fn header(&mut self) -> Result<[u8; HEADER_BYTES], LinkError> {
         let mut header = [0; HEADER_BYTES];
-        self.stream.read_exact(&mut header).await?;
-        Ok(header)
+        with_timeout(timeout, Operation::Receive, self.stream.read_exact(&mut header)).await?;
+        self.receive_body(header).await
     }
 
-    async fn body<T>(&mut self, header: [u8; HEADER_BYTES]) -> Result<T, LinkError>
+    async fn receive_body<T>(&mut self, header: [u8; HEADER_BYTES]) -> Result<T, LinkError>
     where
         T: for<'de> Decode<'de, Binary, Global>,
     {
         let mut body = vec![0; frame::body_length(header)?];
-        let mut rest = body.as_mut_slice();
-        while !rest.is_empty() {
-            let reading = self.stream.read(rest);
-            let read = tokio::time::timeout(STALL, reading).await.map_err(|_| LinkError::TimedOut)??;
+        let mut unread = body.as_mut_slice();
+        while !unread.is_empty() {
+            let reading = self.stream.read(unread);
+            let read = with_timeout(STALL_TIMEOUT, Operation::Receive, reading).await?;
             if read == 0 {
-                return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
+                let closed = io::Error::from(io::ErrorKind::UnexpectedEof);
+                return Err(LinkError::socket(Operation::Receive)(closed));
             }
-            rest = &mut rest[read..];
+            unread = &mut unread[read..];
         }
         Ok(frame::decode(&body)?)
     }
--- a/crates/gaugesaddle-transport/src/log.rs
+++ b/crates/gaugesaddle-transport/src/log.rs
@@ -1,11 +1,11 @@
-//! The log: one line an event on standard error, its level set by `GAUGESADDLE_LOG`.
+//! The log: one line for each event on standard error, with the level of the environment variable `GAUGESADDLE_LOG`.
 
 use spdlog::{Level, LevelFilter};
 
-/// Environment variable with the least level that is written.
+/// Environment variable with the least severe level that is written: `debug`, `info`, `warn` or `error`.
 pub const LEVEL_VARIABLE: &str = "GAUGESADDLE_LOG";
 
-/// Sets the level of the default logger: `info` where the variable says nothing that is known.
+/// Sets the level of the default logger: `info` where the variable is not set or has another value.
 pub fn start() {
     let level = match std::env::var(LEVEL_VARIABLE).as_deref() {
         Ok("debug") => Level::Debug,
--- a/crates/gaugesaddle/src/edge/follow.rs
+++ b/crates/gaugesaddle/src/edge/follow.rs
@@ -29,7 +29,7 @@
         let chosen = fleet.follower.borrow().choose(fleet.now());
         if let Some(ip) = chosen {
             if let Err(e) = follow(&fleet, ip).await {
-                debug!("control {}: {e}", Ipv4Addr::from(ip));
+                debug!("control {}: {:#}", Ipv4Addr::from(ip), eyre::Report::new(e));
             }
             fleet.follower.borrow_mut().record_failure(fleet.now(), ip);
         }
--- a/crates/gaugesaddle/src/edge/lending.rs
+++ b/crates/gaugesaddle/src/edge/lending.rs
@@ -37,7 +37,7 @@
 /// One call; the connection, if it can be used again.
 async fn call(fleet: &Fleet, caller: Option<Caller>, request: &Request, asked: u64) -> Option<Caller> {
     let address = fleet.boot.control_process(fleet.follower.borrow().leader()?);
-    let mut caller = match caller.filter(|c| c.to() == address) {
+    let mut caller = match caller.filter(|c| c.address() == address) {
         Some(caller) => caller,
         None => Caller::open(address, CONNECT).await.ok()?,
     };
--- a/crates/gaugesaddle/src/edge/load.rs
+++ b/crates/gaugesaddle/src/edge/load.rs
@@ -63,7 +63,7 @@
 async fn call(fleet: &Fleet, caller: Option<Caller>, proxy: u64) -> Option<Caller> {
     let ip = fleet.follower.borrow().choose(fleet.now())?;
     let address = fleet.boot.control_process(ip);
-    let mut caller = match caller.filter(|c| c.to() == address) {
+    let mut caller = match caller.filter(|c| c.address() == address) {
         Some(caller) => caller,
         None => Caller::open(address, CONNECT).await.ok()?,
     };
