--- /dev/null
+++ b/crates/gaugesaddle-balancer/src/estimates.rs
@@ -0,0 +1,165 @@
+//! Running estimates: means, rates, levels and token buckets. No decisions.
+
+use crate::interface::Time;
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg32;
+
+/// Samples in a kind's or class's mean: its error is then about a tenth of the spread.
+pub(crate) const KIND_SAMPLES: f64 = 100.0;
+
+/// The proxy's own random numbers, the same on every machine for the same seed.
+pub(crate) struct Dice(Pcg32);
+
+impl Dice {
+    pub fn new(seed: u64) -> Dice {
+        Dice(Pcg32::seed_from_u64(seed))
+    }
+
+    /// Even from 0 up to 1.
+    pub fn unit(&mut self) -> f64 {
+        f64::from(self.0.next_u32()) / 4_294_967_296.0
+    }
+
+    /// One of the items, each with its weight.
+    pub fn pick<T: Copy>(&mut self, weighted: &[(T, f64)]) -> Option<T> {
+        let mut left = self.unit() * weighted.iter().map(|w| w.1).sum::<f64>();
+        let mut hit = |w: &&(T, f64)| {
+            left -= w.1;
+            left < 0.0
+        };
+        weighted.iter().find(&mut hit).or(weighted.last()).map(|w| w.0)
+    }
+}
+
+/// A mean over about the last `cap` samples.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct Mean {
+    pub value: f64,
+    pub count: f64,
+}
+
+impl Mean {
+    pub fn add(&mut self, sample: f64, cap: f64) {
+        self.count = (self.count + 1.0).min(cap);
+        self.value += (sample - self.value) / self.count;
+    }
+
+    pub fn get(&self) -> Option<f64> {
+        (self.count > 0.0).then_some(self.value)
+    }
+}
+
+/// Events a second over about the last seconds, [`RATE_MEMORY`] where no other number is given; unbiased from the
+/// start on.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Rate {
+    memory: f64,
+    events: f64,
+    seen: f64,
+    at: Option<Time>,
+}
+
+/// Memory of a rate, s: some hundred arrivals, yet short beside a ramp or a failure.
+pub(crate) const RATE_MEMORY: f64 = 2.0;
+
+impl Default for Rate {
+    fn default() -> Rate {
+        Rate::over(RATE_MEMORY)
+    }
+}
+
+impl Rate {
+    /// One with another memory, s.
+    pub fn over(memory: f64) -> Rate {
+        Rate { memory, events: 0.0, seen: 0.0, at: None }
+    }
+
+    /// Counts `events` at `now`; none just lets time pass.
+    pub fn add(&mut self, now: Time, events: f64) {
+        let gap = self.at.map_or(0.0, |at| (now - at).secs());
+        let fade = (-gap / self.memory).exp();
+        self.events = self.events * fade + events;
+        self.seen = self.seen * fade + (1.0 - fade) * self.memory;
+        self.at = Some(now);
+    }
+
+    /// `None` until a twentieth of the memory has passed.
+    pub fn per_s(&self) -> Option<f64> {
+        (self.seen > self.memory / 20.0).then(|| self.events / self.seen)
+    }
+}
+
+/// Memory of a level, s: what makes a backend choke is the mean over some seconds, and this acts ahead of it.
+const LEVEL_MEMORY: f64 = 1.0;
+
+/// The mean of a level over about the last second.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct Level {
+    pub mean: f64,
+    at: Option<Time>,
+}
+
+impl Level {
+    /// The mean, where the level has been `now` since it was last told.
+    pub fn at(&mut self, now: Time, level: f64) -> f64 {
+        let gap = self.at.map_or(0.0, |at| (now - at).secs());
+        self.mean += (level - self.mean) * (1.0 - (-gap / LEVEL_MEMORY).exp());
+        self.at = Some(now);
+        self.mean
+    }
+}
+
+/// A tenant's quota: full at first, it holds what it is due over [`RATE_MEMORY`].
+#[derive(Default)]
+pub(crate) struct Bucket {
+    tokens: f64,
+    at: Option<Time>,
+}
+
+impl Bucket {
+    /// An empty one.
+    pub fn empty(now: Time) -> Bucket {
+        Bucket { tokens: 0.0, at: Some(now) }
+    }
+
+    /// Takes a token if there is one, at so many a second.
+    pub fn take(&mut self, now: Time, rate: f64) -> bool {
+        let gap = self.at.map_or(f64::MAX, |at| (now - at).secs());
+        self.tokens = (self.tokens + rate * gap).min((rate * RATE_MEMORY).max(1.0));
+        self.at = Some(now);
+        let within = self.tokens >= 1.0;
+        self.tokens -= f64::from(within);
+        within
+    }
+}
+
+/// Memory of a backend's latency beside its kind's, s: some answers of one user among many, short beside an illness.
+const BESIDE_MEMORY: f64 = 8.0;
+
+/// A sum of logarithms that fades.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct Beside {
+    sum: f64,
+    count: f64,
+    at: Option<Time>,
+}
+
+impl Beside {
+    fn fade(&mut self, now: Time) {
+        let gap = self.at.map_or(0.0, |at| (now - at).secs());
+        let keep = (-gap / BESIDE_MEMORY).exp();
+        (self.sum, self.count, self.at) = (self.sum * keep, self.count * keep, Some(now));
+    }
+
+    /// Takes in one answer.
+    pub fn add(&mut self, now: Time, logarithm: f64) {
+        self.fade(now);
+        (self.sum, self.count) = (self.sum + logarithm, self.count + 1.0);
+    }
+
+    /// The mean, with so many answers of 0 among them.
+    pub fn at(&mut self, now: Time, prior: f64) -> f64 {
+        self.fade(now);
+        self.sum / (self.count + prior)
+    }
+}
--- /dev/null
+++ b/crates/gaugesaddle-balancer/src/interface/action.rs
@@ -0,0 +1,49 @@
+//! Actions: what the decision module requests of the host.
+
+use super::units::{AttemptNo, BackendId, Micros, RequestId, TimerToken};
+
+/// What the module asks of the host, in order.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Action {
+    /// Send an attempt; it may last until the client gives up.
+    Dispatch {
+        /// The request.
+        request: RequestId,
+        /// Where to.
+        backend: BackendId,
+    },
+    /// Final answer: refused, a retry is harmless.
+    Refuse {
+        /// The request.
+        request: RequestId,
+    },
+    /// Final answer: failed, nothing is promised.
+    Fail {
+        /// The request.
+        request: RequestId,
+    },
+    /// Hand it to another region, within the last [`Offer`](super::Offer): the host owes its final answer from here on. No attempt
+    /// of it is out, and none may have run unless a repeat is free.
+    Leave {
+        /// The request.
+        request: RequestId,
+    },
+    /// Stop waiting for an attempt.
+    Cancel {
+        /// The request.
+        request: RequestId,
+        /// The attempt.
+        attempt: AttemptNo,
+    },
+    /// Ask for an [`Event::Timer`](super::Event::Timer).
+    SetTimer {
+        /// The token it is to carry.
+        token: TimerToken,
+        /// When, from now.
+        after: Micros,
+    },
+    /// Ask discovery for changes from now on.
+    Follow,
+    /// A line for the operators.
+    Log(String),
+}
--- a/crates/gaugesaddle-balancer/src/lib.rs
+++ b/crates/gaugesaddle-balancer/src/lib.rs
@@ -3,10 +3,12 @@
 //! [`Balancer`] is a state machine without clock, network or threads: a host feeds it [`Event`]s
 //! with the time at which they happened and carries out the [`Action`]s it returns.
 
+mod estimates;
 mod interface;
 mod limits;
 mod logic;
 mod mix;
+mod records;
 pub mod settings;
 mod state;
 pub mod subset;
--- a/crates/gaugesaddle-balancer/src/limits.rs
+++ b/crates/gaugesaddle-balancer/src/limits.rs
@@ -1,4 +1,4 @@
-//! What a backend may hold, learned from what it does. No clock, no list: `logic.rs` feeds it.
+//! What a backend may hold, learned from what it does. No clock, no list: `logic` feeds it.
 //!
 //! By turns that all proxies read off the clock that they share, a few backends of a kind may hold twice as
 //! much as the rest for a moment too short to choke anything, and a few only half, under the same traffic.
@@ -9,9 +9,9 @@
 //! found: one that opens a backend alone takes its work from the others, sees that as more served, and goes
 //! on until the backend chokes (seen on a simulated day).
 
+use crate::estimates::Mean;
 use crate::interface::*;
 use crate::mix::mix;
-use crate::state::Mean;
 
 /// Requests that any backend may hold: a shared processor at four fifths of its capacity holds four. What is
 /// learned lies above it, for on fewer than these it cannot be told from chance.
--- a/crates/gaugesaddle-balancer/src/limits/tests.rs
+++ b/crates/gaugesaddle-balancer/src/limits/tests.rs
@@ -2,7 +2,7 @@
 //! back after each disturbance, with answers as noisy as real ones.
 
 use super::*;
-use crate::state::Dice;
+use crate::estimates::Dice;
 
 /// Backends of so many cores whose requests work and wait so long, s.
 #[derive(Clone, Copy)]
--- /dev/null
+++ b/crates/gaugesaddle-balancer/src/logic/completion.rs
@@ -0,0 +1,51 @@
+//! Completion: the end of a request, by an answer, a refusal or another region.
+
+use crate::estimates::KIND_SAMPLES;
+use crate::interface::*;
+use crate::state::Balancer;
+
+impl Balancer {
+    /// Hands a request to another region, if it could come in time there and has no effect here: backends
+    /// there know nothing of its key, so what may have run here must not run there.
+    pub(super) fn leave(&mut self, now: Time, id: RequestId) -> bool {
+        let Some(r) = self.requests.get(&id) else { return false };
+        let free = self.cfg.classes[r.class].effect == Effect::Free;
+        let unseen = free || r.sent.iter().all(|s| s.never_ran);
+        let in_time = now + self.offer.trip + self.usual(r.class) < r.aim;
+        let Some(room) = self.offer.room.get_mut(r.class).filter(|n| **n > 0) else { return false };
+        if r.streaming || !unseen || !in_time {
+            return false;
+        }
+        *room -= 1;
+        self.close(id, None); // whatever is out of a free one is called off first
+        self.actions.push(Action::Leave { request: id });
+        true
+    }
+
+    /// Final answer for a request that will not be served here, unless it leaves.
+    pub(super) fn give_up(&mut self, now: Time, id: RequestId, why: GivenUp) {
+        if self.leave(now, id) {
+            return;
+        }
+        let Some(r) = self.requests.get(&id) else { return };
+        self.given_up[why as usize] += 1;
+        let free = matches!(self.cfg.classes[r.class].effect, Effect::Free | Effect::Keyed(KeyScope::All, _));
+        let harmless = free || r.sent.iter().all(|s| s.never_ran);
+        let (refused, failed) = (Action::Refuse { request: id }, Action::Fail { request: id });
+        self.actions.push(if harmless { refused } else { failed });
+        self.close(id, Some(false));
+    }
+
+    pub(super) fn close(&mut self, id: RequestId, in_time: Option<bool>) {
+        let Some(r) = self.requests.remove(&id) else { return };
+        self.held.retain(|h| *h != id);
+        if let Some(good) = in_time {
+            for (i, s) in self.classes.iter_mut().enumerate() {
+                s.in_time += (f64::from(good && i == r.class) - s.in_time) / KIND_SAMPLES;
+            }
+        }
+        for (no, _) in r.sent.iter().enumerate().filter(|(_, s)| s.out && self.cfg.cancel) {
+            self.actions.push(Action::Cancel { request: id, attempt: AttemptNo(no as u32) });
+        }
+    }
+}
