--- a/crates/gaugesaddle-balancer/src/estimates.rs
+++ b/crates/gaugesaddle-balancer/src/estimates.rs
@@ -8,11 +8,11 @@
 pub(crate) const KIND_SAMPLES: f64 = 100.0;
 
 /// The proxy's own random numbers, the same on every machine for the same seed.
-pub(crate) struct Dice(Pcg32);
+pub(crate) struct Rng(Pcg32);
 
-impl Dice {
-    pub fn new(seed: u64) -> Dice {
-        Dice(Pcg32::seed_from_u64(seed))
+impl Rng {
+    pub fn new(seed: u64) -> Rng {
+        Rng(Pcg32::seed_from_u64(seed))
     }
 
     /// Even from 0 up to 1.
@@ -22,10 +22,10 @@
 
     /// One of the items, each with its weight.
     pub fn pick<T: Copy>(&mut self, weighted: &[(T, f64)]) -> Option<T> {
-        let mut left = self.unit() * weighted.iter().map(|w| w.1).sum::<f64>();
+        let mut remaining = self.unit() * weighted.iter().map(|w| w.1).sum::<f64>();
         let mut hit = |w: &&(T, f64)| {
-            left -= w.1;
-            left < 0.0
+            remaining -= w.1;
+            remaining < 0.0
         };
         weighted.iter().find(&mut hit).or(weighted.last()).map(|w| w.0)
     }
@@ -77,9 +77,9 @@
     /// Counts `events` at `now`; none just lets time pass.
     pub fn add(&mut self, now: Time, events: f64) {
         let gap = self.at.map_or(0.0, |at| (now - at).secs());
-        let fade = (-gap / self.memory).exp();
-        self.events = self.events * fade + events;
-        self.seen = self.seen * fade + (1.0 - fade) * self.memory;
+        let decay = (-gap / self.memory).exp();
+        self.events = self.events * decay + events;
+        self.seen = self.seen * decay + (1.0 - decay) * self.memory;
         self.at = Some(now);
     }
 
@@ -134,32 +134,32 @@
 }
 
 /// Memory of a backend's latency beside its kind's, s: some answers of one user among many, short beside an illness.
-const BESIDE_MEMORY: f64 = 8.0;
+const RELATIVE_MEMORY: f64 = 8.0;
 
 /// A sum of logarithms that fades.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Beside {
+pub(crate) struct RelativeLatency {
     sum: f64,
     count: f64,
     at: Option<Time>,
 }
 
-impl Beside {
-    fn fade(&mut self, now: Time) {
+impl RelativeLatency {
+    fn decay(&mut self, now: Time) {
         let gap = self.at.map_or(0.0, |at| (now - at).secs());
-        let keep = (-gap / BESIDE_MEMORY).exp();
-        (self.sum, self.count, self.at) = (self.sum * keep, self.count * keep, Some(now));
+        let decay = (-gap / RELATIVE_MEMORY).exp();
+        (self.sum, self.count, self.at) = (self.sum * decay, self.count * decay, Some(now));
     }
 
     /// Takes in one answer.
     pub fn add(&mut self, now: Time, logarithm: f64) {
-        self.fade(now);
+        self.decay(now);
         (self.sum, self.count) = (self.sum + logarithm, self.count + 1.0);
     }
 
     /// The mean, with so many answers of 0 among them.
     pub fn at(&mut self, now: Time, prior: f64) -> f64 {
-        self.fade(now);
+        self.decay(now);
         self.sum / (self.count + prior)
     }
 }
--- a/crates/gaugesaddle-balancer/src/limits.rs
+++ b/crates/gaugesaddle-balancer/src/limits.rs
@@ -1,76 +1,77 @@
-//! What a backend may hold, learned from what it does. No clock, no list: `logic` feeds it.
+//! Concurrency limits of backends, learned from their latency. No clock and no list: `logic` feeds it.
 //!
-//! By turns that all proxies read off the clock that they share, a few backends of a kind may hold twice as
-//! much as the rest for a moment too short to choke anything, and a few only half, under the same traffic.
-//! Where holding more makes answers no later, the backend works on all of it at once, on cores or waiting
-//! for others, neither of which is told: the kind may hold more. Where answers are later in proportion, the
-//! rest only queues: less. Nothing is compared with another time, so neither a drift nor a start in overload
-//! can fool it, and no unloaded latency need be known. All proxies take the same turns, whatever they have
-//! found: one that opens a backend alone takes its work from the others, sees that as more served, and goes
-//! on until the backend chokes (seen on a simulated day).
+//! In turns that all proxies derive from their common clock, a few backends of a kind have twice the limit of
+//! the rest, too briefly to overload them, and a few have half of it, under the same traffic. Where a higher
+//! concurrency does not raise latency, the backend serves all requests in parallel, on cores or waiting for
+//! others: the kind's limit rises. Where latency rises in proportion, the additional requests only queue: it
+//! falls. Only backends at the same time are compared, so neither a drift nor a start under overload biases
+//! it, and no unloaded latency is needed. All proxies take the same turns, whatever limits they have learned:
+//! one that raised a limit alone would take work from the others, count it as additional throughput, and go
+//! on until the backend is overloaded (observed on a simulated day).
 
 use crate::estimates::Mean;
 use crate::interface::*;
 use crate::mix::mix;
 
-/// Requests that any backend may hold: a shared processor at four fifths of its capacity holds four. What is
-/// learned lies above it, for on fewer than these it cannot be told from chance.
-pub(crate) const HOLD: f64 = 4.0;
-/// Of so many turns a backend has one to hold more and one to hold less.
+/// Lowest learned limit, in requests in flight: a shared processor at 80 % utilization has four in the mean.
+/// With fewer requests the effect of a limit cannot be distinguished from chance.
+pub(crate) const BASE_LIMIT: f64 = 4.0;
+/// Number of turns in which a backend has one with a higher and one with a lower limit.
 const TURNS: u64 = 8;
-/// What it may hold in them, beside the others: far apart, for noise is shared out over the difference.
-const PARTS: [f64; 3] = [0.5, 1.0, 2.0];
-/// A turn lasts so many aims of the shortest class, in these bounds, s. One core that holds eight for the
-/// least of them and four for the rest of 1.5 s holds under five in the mean: it does not choke.
+/// Factors of the limit in a lower, an even and a higher turn: far apart, since noise divides by the
+/// contrast.
+const TURN_FACTORS: [f64; 3] = [0.5, 1.0, 2.0];
+/// Length of a turn in shortest latency objectives, and its bounds in seconds. One core with eight requests
+/// for the shortest turn and four for the rest of 1.5 s has under five in the mean: it is not overloaded.
 const TURN_AIMS: f64 = 1.4;
 const TURN_S: (f64, f64) = (0.35, 2.0);
-/// Part of a turn until what was held before has left.
-const SETTLE: f64 = 0.3;
-/// What a look keeps of the sums of those before it, and what a step of the limit does: most was seen of
-/// another one.
+/// Fraction of a turn until the requests of the turn before have ended.
+const SETTLING: f64 = 0.3;
+/// Factors of the sums at each update: without a step of the limit, and after one, when most of them were
+/// measured at another limit.
 const MEMORY: f64 = 0.98;
-const MOVED: f64 = 0.2;
-/// Answers in each group, and how much more (as a logarithm) one group must hold than the other, to be
-/// compared.
+const MOVED_MEMORY: f64 = 0.2;
+/// Minimum answers in each of two groups, and minimum contrast of their concurrency (as a logarithm), for a
+/// comparison.
 const ANSWERS: f64 = 30.0;
 const CONTRAST: f64 = 0.3;
-/// Growth of latency with what is held, both as logarithms: 0 where all is worked on at once, 1 where all
-/// queues. Up to this more is tried.
+/// Growth of latency with concurrency, both as logarithms: 0 where all requests are served in parallel, 1
+/// where all queue. Below this the limit rises.
 const KNEE: f64 = 0.5;
-/// An error of the growth up to which it tells where the knee is.
-const TELLS: f64 = 0.15;
-/// Errors that must lie between the growth and the knee before a step up.
-const SURE: f64 = 2.0;
-/// Room above what is worked on, and the most that a step towards it is.
-const ROOM: f64 = 1.15;
+/// Maximum standard error of the growth for a step down.
+const MAX_ERROR: f64 = 0.15;
+/// Standard errors between the growth and the knee that a step up requires.
+const CONFIDENCE: f64 = 2.0;
+/// Headroom above the parallelism found, and the largest step towards it; both are factors.
+const HEADROOM: f64 = 1.15;
 const STEP: f64 = 1.25;
-/// Least step where holding more makes nothing later.
-const UP: f64 = 1.2;
-/// Under this multiple of the least limit what is worked on can't be told from chance.
-const TOLD: f64 = 1.5;
-/// Latency of a backend beside its kind's from which it is held to less than the kind.
-const ILL: f64 = 1.5;
-/// Samples in a backend's latency beside its kind's: many of its turns, or it would follow each of them.
-const BESIDE: f64 = 300.0;
+/// Smallest step up, as a factor.
+const MIN_STEP_UP: f64 = 1.2;
+/// Multiple of the lowest limit below which a measured parallelism is not significant.
+const MIN_MEASURABLE: f64 = 1.5;
+/// Latency relative to the kind's above which a backend gets a lower limit than its kind.
+const SLOW_FACTOR: f64 = 1.5;
+/// Samples in a backend's relative latency: of many turns, or it would follow each of them.
+const RELATIVE_SAMPLES: f64 = 300.0;
 /// Samples in a backend's recent latency, in a kind's unloaded one by class, and in the recent one that the
 /// unloaded never exceeds.
 const RECENT: f64 = 30.0;
 const UNLOADED: f64 = 100.0;
 const RECENT_CLASS: f64 = 300.0;
-/// A kind's first requests of a class are taken as alone: a fleet that starts holds nothing yet. They are
-/// chosen as they are sent, for those that are answered first are the short ones: so many at least, and all
-/// in this time, s.
+/// A kind's first requests of a class count as sent to unloaded backends, since a starting fleet has no load.
+/// They are selected when they are sent, since the first answers come from the shortest requests: at least
+/// this many, and all within this time in seconds.
 const FIRST: u32 = 6;
 const FIRST_S: f64 = 0.06;
-/// Part of the first that may be out when their mean counts.
+/// Fraction of the first requests that may be in flight when their mean counts.
 const FIRST_OUT: f64 = 0.1;
-/// One sample counts up to this multiple of the mean: an ill backend's answers say nothing of its kind. At
-/// twice the mean that of exponential latencies would come out a fifth low.
+/// Multiple of the mean at which a sample is clipped: an unhealthy backend's answers must not move its kind's
+/// mean. At twice the mean, that of exponential latencies would be biased low by a fifth.
 const CLIP: f64 = 5.0;
-/// What all others hold on a backend, by this proxy's mean of all, up to which one counts as idle.
+/// Other proxies' requests in flight at a backend, estimated by this proxy's mean, below which it is idle.
 pub(crate) const IDLE: f64 = 0.25;
 
-/// What a backend is held to for a while.
+/// The limit of a backend in a turn: lower, even or higher than its kind's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Turn {
     Less,
@@ -78,13 +79,13 @@
     More,
 }
 
-/// The length of a turn; alike at all proxies, for they have the same classes.
+/// The length of a turn; the same at all proxies, since they have the same classes.
 pub(crate) fn turn_length(cfg: &Config) -> Micros {
     let aim = cfg.classes.iter().map(|c| c.aim.secs()).fold(f64::MAX, f64::min);
     Micros::from_secs((aim * TURN_AIMS).clamp(TURN_S.0, TURN_S.1))
 }
 
-/// A backend's turn: its number, what it is, and whether what was held before has left.
+/// A backend's turn: its number, its limit, and whether the requests of the turn before have ended.
 pub(crate) fn turn(now: Time, id: BackendId, length: Micros) -> (u64, Turn, bool) {
     let number = now.0 / length.0.max(1);
     let turn = match mix(id.0).wrapping_add(number) % TURNS {
@@ -92,21 +93,21 @@
         n if n == TURNS / 2 => Turn::Less,
         _ => Turn::Even,
     };
-    (number, turn, (now.0 % length.0.max(1)) as f64 >= SETTLE * length.0 as f64)
+    (number, turn, (now.0 % length.0.max(1)) as f64 >= SETTLING * length.0 as f64)
 }
 
-/// What is known of a class on a kind.
+/// Latencies of a class on a kind.
 #[derive(Clone, Copy, Debug, Default)]
-struct OfClass {
+struct ClassLatency {
     unloaded: Mean,
     recent: Mean,
-    /// First requests that were sent, and those of them that are out.
+    /// First requests that were sent, and those of them that are in flight.
     first: u32,
     first_out: u32,
     since: Time,
 }
 
-impl OfClass {
+impl ClassLatency {
     fn known(&self) -> bool {
         self.unloaded.count > 0.0 && f64::from(self.first_out) <= FIRST_OUT * f64::from(self.first)
     }
@@ -115,23 +116,23 @@
 /// Unloaded latencies of a kind by class.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Unloaded {
-    classes: Vec<OfClass>,
+    classes: Vec<ClassLatency>,
 }
 
 impl Unloaded {
-    fn class(&mut self, class: usize) -> &mut OfClass {
+    fn class(&mut self, class: usize) -> &mut ClassLatency {
         if self.classes.len() <= class {
-            self.classes.resize(class + 1, OfClass::default());
+            self.classes.resize(class + 1, ClassLatency::default());
         }
         &mut self.classes[class]
     }
 
-    /// The class's, s.
+    /// The class's unloaded latency in seconds.
     pub fn get(&self, class: usize) -> Option<f64> {
         self.classes.get(class).filter(|c| c.known()).and_then(|c| c.unloaded.get())
     }
 
-    /// One is sent: whether it is among the first.
+    /// Records that a request is sent; whether it is among the first.
     pub fn sent(&mut self, now: Time, class: usize) -> bool {
         let c = self.class(class);
         c.since = if c.first == 0 { now } else { c.since };
@@ -140,13 +141,13 @@
         first
     }
 
-    /// One of the first has ended, however.
+    /// Records the end of one of the first requests.
     pub fn first_ended(&mut self, class: usize) {
         let c = self.class(class);
         c.first_out = c.first_out.saturating_sub(1);
     }
 
-    /// Takes in a served request; `alone`: its backend held nothing else.
+    /// Records a served request; `alone`: its backend had no other one in flight.
     pub fn served(&mut self, class: usize, secs: f64, alone: bool) {
         let c = self.class(class);
         let most = if c.known() { c.unloaded.value * CLIP } else { f64::MAX };
@@ -157,7 +158,7 @@
             return;
         }
         c.recent.add(secs, RECENT_CLASS);
-        // Nothing is faster than unloaded: a mean that was taken in a crowd goes with the first calm.
+        // Nothing is faster than unloaded: a mean measured under load is corrected at low load.
         if c.recent.count >= RECENT_CLASS {
             c.unloaded.value = c.unloaded.value.min(c.recent.value);
         }
@@ -168,10 +169,10 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Group {
     answers: f64,
-    /// Latency beside its class's mean, and its square.
+    /// Sum of latencies relative to their class's mean, and of their squares.
     took: f64,
     square: f64,
-    /// Requests held, times seconds, and the seconds.
+    /// Requests in flight times seconds, and the seconds.
     area: f64,
     secs: f64,
 }
@@ -184,100 +185,101 @@
         (mean, spread / (self.answers * mean * mean).max(1e-12))
     }
 
-    fn held(&self) -> f64 {
+    fn load(&self) -> f64 {
         self.area / self.secs.max(1e-9)
     }
 
-    fn fade(&mut self, part: f64) {
+    fn decay(&mut self, part: f64) {
         for sum in [&mut self.answers, &mut self.took, &mut self.square, &mut self.area, &mut self.secs] {
             *sum *= part;
         }
     }
 }
 
-/// The search for what a kind may hold, by one proxy.
+/// The search for a kind's concurrency limit, by one proxy.
 #[derive(Clone, Debug)]
 pub(crate) struct Search {
     limit: f64,
     groups: [Group; 3],
     /// Why the limit moved last.
-    pub why: LimitReason,
+    pub reason: LimitReason,
 }
 
 impl Default for Search {
     fn default() -> Search {
-        Search { limit: HOLD, groups: [Group::default(); 3], why: LimitReason::Start }
+        Search { limit: BASE_LIMIT, groups: [Group::default(); 3], reason: LimitReason::Start }
     }
 }
 
 impl Search {
-    /// What all proxies may hold on a backend of the kind in its turn.
+    /// The limit of all proxies together for a backend of the kind in a turn.
     pub fn limit(&self, turn: Turn) -> f64 {
-        // Below the least limit there is nothing to look for.
-        let part = if self.limit <= HOLD { PARTS[turn as usize].max(1.0) } else { PARTS[turn as usize] };
-        self.limit * part
+        // Below the lowest limit nothing is searched.
+        let factor = TURN_FACTORS[turn as usize];
+        self.limit * if self.limit <= BASE_LIMIT { factor.max(1.0) } else { factor }
     }
 
-    /// What a backend of the kind may hold beside its turns.
+    /// The limit of the kind.
     pub fn found(&self) -> f64 {
         self.limit
     }
 
-    /// An answer: `turn` that of its backend when it was sent, if it had settled; its latency beside its
+    /// Records an answer: the turn of its backend when it was sent, if settled; its latency relative to the
     /// class's mean.
-    pub fn answered(&mut self, turn: Option<Turn>, beside: f64) {
+    pub fn answered(&mut self, turn: Option<Turn>, relative: f64) {
         let Some(turn) = turn else { return };
         let group = &mut self.groups[turn as usize];
         group.answers += 1.0;
-        group.took += beside;
-        group.square += beside * beside;
+        group.took += relative;
+        group.square += relative * relative;
     }
 
-    /// A backend held so much for so long in a settled turn.
-    pub fn held(&mut self, turn: Turn, area: f64, secs: f64) {
+    /// Records the requests in flight at a backend, times seconds, over `secs` of a settled turn.
+    pub fn record_load(&mut self, turn: Turn, area: f64, secs: f64) {
         let group = &mut self.groups[turn as usize];
         (group.area, group.secs) = (group.area + area, group.secs + secs);
     }
 
-    /// Moves the limit.
+    /// Updates the limit.
     pub fn look(&mut self, bounds: &LimitBounds) {
-        let least = if self.limit <= HOLD { Turn::Even } else { Turn::Less };
+        let least = if self.limit <= BASE_LIMIT { Turn::Even } else { Turn::Less };
         let before = self.limit;
         match self.growth(least, Turn::More) {
-            Some((growth, error)) if growth + SURE * error < KNEE => {
-                // Up, as far as what was held has shown that it is flat.
-                let held = self.groups[Turn::More as usize].held();
-                if held > self.limit {
-                    self.limit = held.max(self.limit * UP);
-                    self.why = LimitReason::Flat;
+            Some((growth, error)) if growth + CONFIDENCE * error < KNEE => {
+                // Up to the concurrency at which latency was still flat.
+                let load = self.groups[Turn::More as usize].load();
+                if load > self.limit {
+                    self.limit = load.max(self.limit * MIN_STEP_UP);
+                    self.reason = LimitReason::Flat;
                 }
             }
-            Some((growth, error)) if error < TELLS && self.limit > HOLD => {
-                // Flat up to what is worked on at once, then in proportion: the growth says how much that
-                // is.
-                let (less, more) =
-                    (self.groups[least as usize].held(), self.groups[Turn::More as usize].held());
-                let worked_on = more * (less / more).powf(growth.clamp(0.0, 1.0)) * ROOM;
-                let told = if worked_on < TOLD * HOLD { HOLD } else { worked_on };
-                self.limit = told.clamp(self.limit / STEP, self.limit * STEP);
-                self.why = if self.limit < before { LimitReason::Crowded } else { self.why };
+            Some((growth, error)) if error < MAX_ERROR && self.limit > BASE_LIMIT => {
+                // Latency is flat up to the parallelism, then proportional: the growth gives the
+                // parallelism.
+                let less = self.groups[least as usize].load();
+                let more = self.groups[Turn::More as usize].load();
+                let worked_on = more * (less / more).powf(growth.clamp(0.0, 1.0)) * HEADROOM;
+                let limit = if worked_on < MIN_MEASURABLE * BASE_LIMIT { BASE_LIMIT } else { worked_on };
+                self.limit = limit.clamp(self.limit / STEP, self.limit * STEP);
+                self.reason = if self.limit < before { LimitReason::Crowded } else { self.reason };
             }
             _ => {}
         }
-        // What is learned lies above what any backend may hold, unless the operator wants less.
-        self.limit = self.limit.clamp(HOLD.max(bounds.least).min(bounds.most), bounds.most.max(HOLD));
-        let memory = if (self.limit - before).abs() > 0.02 * before { MOVED } else { MEMORY };
-        self.groups.iter_mut().for_each(|g| g.fade(memory));
+        // The lowest limit holds unless the operator's maximum is below it.
+        self.limit =
+            self.limit.clamp(BASE_LIMIT.max(bounds.least).min(bounds.most), bounds.most.max(BASE_LIMIT));
+        let memory = if (self.limit - before).abs() > 0.02 * before { MOVED_MEMORY } else { MEMORY };
+        self.groups.iter_mut().for_each(|g| g.decay(memory));
     }
 
-    /// Growth of latency with what is held from one sort of turn to another, and its standard error, where
-    /// they differ enough to tell.
+    /// Growth of latency with concurrency between two kinds of turns, and its standard error; `None` where
+    /// their concurrency differs too little.
     pub fn growth(&self, from: Turn, to: Turn) -> Option<(f64, f64)> {
         let (less, more) = (&self.groups[from as usize], &self.groups[to as usize]);
-        if less.answers < ANSWERS || more.answers < ANSWERS || less.held() <= 0.0 {
+        if less.answers < ANSWERS || more.answers < ANSWERS || less.load() <= 0.0 {
             return None;
         }
-        let contrast = (more.held() / less.held()).ln();
+        let contrast = (more.load() / less.load()).ln();
         let ((low, low_error), (high, high_error)) = (less.latency(), more.latency());
         let error = (low_error + high_error).sqrt();
         (contrast > CONTRAST).then(|| ((high / low).ln() / contrast, error / contrast))
@@ -287,18 +289,18 @@
 /// What is learned of one backend by one proxy.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Limiter {
-    /// Recent answers: latency beside their class's mean, latency, and unloaded latency, s.
-    beside: Mean,
+    /// Of recent answers: latency relative to their class's mean, latency, and unloaded latency, in seconds.
+    relative: Mean,
     took: Mean,
     unloaded: Mean,
-    /// Until when what it holds is counted, and in which settled turn that was.
+    /// Until when its requests in flight are counted, and in which settled turn that was.
     at: Time,
     turn: Option<(u64, Turn)>,
 }
 
 impl Limiter {
-    /// Before what it holds changes, and now and then: what it held, and for how long, in a settled turn;
-    /// `turn` is the present one.
+    /// To be called before its requests in flight change, and periodically: the turn, the requests times
+    /// seconds, and the seconds since the last call, within one settled turn; `turn` is the current one.
     pub fn pass(&mut self, now: Time, turn: (u64, Turn, bool), out: u32) -> Option<(Turn, f64, f64)> {
         let (before, secs) = (self.turn, (now - self.at).secs());
         (self.turn, self.at) = (turn.2.then_some((turn.0, turn.1)), now);
@@ -306,29 +308,30 @@
         Some((same.1, f64::from(out) * secs, secs))
     }
 
-    /// A served request.
+    /// Records a served request, with the usual and the unloaded latency of its class, in seconds.
     pub fn served(&mut self, secs: f64, usual: f64, unloaded: f64) {
-        self.beside.add(secs / usual.max(1e-9), BESIDE);
+        self.relative.add(secs / usual.max(1e-9), RELATIVE_SAMPLES);
         self.took.add(secs, RECENT);
         self.unloaded.add(unloaded, RECENT);
     }
 
-    /// Its latency beside its kind's, as far as that is known: what makes one backend slower than another
-    /// says nothing of how much it holds.
-    pub fn beside(&self) -> f64 {
-        self.beside.get().unwrap_or(1.0)
+    /// Its latency relative to its kind's, 1 where unknown. It is divided out of samples: what makes one
+    /// backend slower than others does not depend on its concurrency.
+    pub fn relative(&self) -> f64 {
+        self.relative.get().unwrap_or(1.0)
     }
 
-    /// Recent latency and what it would be unloaded, s.
+    /// Recent latency, and the unloaded latency of the same requests, in seconds.
     pub fn latencies(&self) -> Option<(f64, f64)> {
         self.took.get().zip(self.unloaded.get())
     }
 
-    /// What it may hold of what its kind may: one that answers much later than the others keeps what any
-    /// backend may hold, and less of the rest.
+    /// Its limit, given its kind's: a backend much slower than the others has the lowest limit, and a
+    /// fraction of the rest.
     pub fn own(&self, kind: f64) -> f64 {
-        let part = if self.beside.count < RECENT / 3.0 { 1.0 } else { (ILL / self.beside.value).min(1.0) };
-        kind.min(HOLD) + (kind - HOLD).max(0.0) * part
+        let part = (SLOW_FACTOR / self.relative.value).min(1.0);
+        let part = if self.relative.count < RECENT / 3.0 { 1.0 } else { part };
+        kind.min(BASE_LIMIT) + (kind - BASE_LIMIT).max(0.0) * part
     }
 }
 
--- a/crates/gaugesaddle-balancer/src/limits/tests.rs
+++ b/crates/gaugesaddle-balancer/src/limits/tests.rs
@@ -2,7 +2,7 @@
 //! back after each disturbance, with answers as noisy as real ones.
 
 use super::*;
-use crate::estimates::Dice;
+use crate::estimates::Rng;
 
 /// Backends of so many cores whose requests work and wait so long, s.
 #[derive(Clone, Copy)]
@@ -36,7 +36,7 @@
 struct Run {
     search: Search,
     bounds: LimitBounds,
-    dice: Dice,
+    rng: Rng,
     turn: u64,
     /// The largest limit so far.
     most: f64,
@@ -44,7 +44,7 @@
 
 impl Run {
     fn new(seed: u64, bounds: LimitBounds) -> Run {
-        Run { search: Search::default(), bounds, dice: Dice::new(seed), turn: 1000, most: 0.0 }
+        Run { search: Search::default(), bounds, rng: Rng::new(seed), turn: 1000, most: 0.0 }
     }
 
     /// Turns of a fleet of eight backends, each answering by its latency with a heavy tail (exponential, cv 1).
@@ -60,18 +60,18 @@
                     let held = model.demand.min(self.search.limit(kind));
                     let latency = model.latency(held);
                     if settled {
-                        self.search.held(kind, held * 0.25, 0.25);
+                        self.search.record_load(kind, held * 0.25, 0.25);
                     }
                     for _ in 0..((held / latency * 0.25) as usize).clamp(1, 200) {
-                        let drawn = latency * -(1.0 - self.dice.unit()).max(1e-9).ln();
+                        let drawn = latency * -(1.0 - self.rng.unit()).max(1e-9).ln();
                         self.search.answered(settled.then_some(kind), drawn / usual);
                     }
                 }
                 self.search.look(&self.bounds);
             }
             self.most = self.most.max(self.search.limit(Turn::Even));
-            assert!(self.search.limit(Turn::Even) <= self.bounds.most.max(HOLD));
-            assert!(self.search.limit(Turn::Even) >= HOLD.min(self.bounds.most));
+            assert!(self.search.limit(Turn::Even) <= self.bounds.most.max(BASE_LIMIT));
+            assert!(self.search.limit(Turn::Even) >= BASE_LIMIT.min(self.bounds.most));
         }
         self.search.limit(Turn::Even)
     }
@@ -86,7 +86,7 @@
             let mut run = Run::new(seed, LEARNED);
             let end = run.play(Model { cores: 1.0, work: 0.03, wait: 0.0, demand }, 100);
             assert!(
-                end == HOLD && run.most <= 2.0 * HOLD,
+                end == BASE_LIMIT && run.most <= 2.0 * BASE_LIMIT,
                 "{seed} {demand}: {end}, {} at the most",
                 run.most
             );
--- a/crates/gaugesaddle-balancer/src/logic.rs
+++ b/crates/gaugesaddle-balancer/src/logic.rs
@@ -1,8 +1,9 @@
-//! Every decision of the proxy. Its whole interface (events, actions, settings) is `src/interface.rs`;
-//! what it remembers of backends, kinds, classes and requests is laid out in `src/records.rs`.
+//! The decisions of a proxy. Their interface (events, actions, settings) is `src/interface.rs`; records of
+//! backends, kinds, classes and requests are in `src/records.rs`.
 //!
-//! Ordinary path: `solve` turns the arrival rate and the learned speeds into a share per kind (HALB),
-//! `draw` picks a kind by share and a backend inside it at random. All else is a departure for trouble.
+//! Normal operation: `solve` derives each kind's fraction of the traffic from the arrival rate and the
+//! learned speeds (HALB); `draw` selects a kind by it and one of its backends at random. The rest is for
+//! faults.
 
 mod admission;
 mod completion;
@@ -14,21 +15,21 @@
 pub use halb::halb_shares;
 
 use crate::interface::*;
-use crate::records::Sent;
+use crate::records::{BackendRecord, Sent, Subscription};
 use crate::state::Balancer;
 
-/// Held requests are looked at every so many ticks.
-const HELD_TICKS: f64 = 4.0;
-/// In a storm a repeat that finds no room is held so long, s, then refused: it comes again, and a line grows.
-const STORM_HOLD: f64 = 0.03;
-/// A request worth less than this part of a first try within quota finds half of the room: the rest is kept.
+/// Ticks between two checks of a queued request.
+const QUEUE_TICKS: f64 = 4.0;
+/// How long a client's retry is queued in a retry storm, s: it comes again, and the queue would grow.
+const STORM_QUEUE_S: f64 = 0.03;
+/// Value, relative to a first attempt within quota, below which a request may use half of the capacity only.
 const LOW: f64 = 0.5;
 
 impl Balancer {
-    /// Takes one event that happened at `now` and adds the actions it calls for.
+    /// Handles one event that happened at `now` and appends the resulting actions, in order.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         if !matches!(event, Event::Request(_) | Event::Timer { .. }) {
-            self.blocked = 0.0; // those two make no room, and trying a long line in vain costs too much CPU
+            self.blocked = 0.0; // those two free no capacity, and retrying a long queue in vain costs CPU
         }
         match event {
             Event::Members { update, backends } => self.members(now, update, backends),
@@ -39,7 +40,7 @@
                 }
             }
             Event::AttemptEnded(end) => self.ended(now, end),
-            Event::Pressure(pressure) => self.press(now, pressure),
+            Event::Pressure(pressure) => self.set_pressure(now, pressure),
             Event::Offer(offer) => self.offer = offer,
             Event::Tier(tier) if tier.is_sound() && tier != self.tier => {
                 self.tier = tier;
@@ -73,64 +74,65 @@
 
     fn members(&mut self, now: Time, update: ListUpdate, list: Vec<Backend>) {
         match (update, self.cfg.discovery) {
-            // A lost subscription is asked for again, later each time and not in step with others.
+            // A lost subscription is renewed with exponential backoff and jitter.
             (ListUpdate::Lost, Discovery::Subscribe(within)) => {
-                let wait = (self.ask.1 * 2.0).clamp(0.1, (within.secs() / 8.0).max(0.1));
-                let at = now + Micros::from_secs(wait * (0.5 + self.dice.unit()));
-                self.ask = (Some(at), wait);
+                let wait = (self.subscription.wait_s * 2.0).clamp(0.1, (within.secs() / 8.0).max(0.1));
+                let at = now + Micros::from_secs(wait * (0.5 + self.rng.unit()));
+                self.subscription = Subscription { retry_at: Some(at), wait_s: wait };
                 self.wake_by(at);
                 self.log(now, "discovery lost, asking again".into());
             }
             (ListUpdate::Changes | ListUpdate::Full, _) => {
-                self.ask = (None, 0.0);
-                self.peers.values_mut().for_each(|p| p.absent = false);
+                self.subscription = Subscription::default();
+                self.backends.values_mut().for_each(|p| p.absent = false);
             }
             _ => {}
         }
         if self.take_list(update, list) {
-            self.peers.retain(|_, p| p.entry.state != BackendState::Gone || p.out > 0);
+            self.backends.retain(|_, p| p.entry.state != BackendState::Gone || p.out > 0);
             self.choose();
             self.solve(now);
         }
     }
 
-    /// Every tick: what time alone brings about.
+    /// What follows from time alone; runs when it is due, at most once a tick.
     fn look_after(&mut self, now: Time) {
-        if let (Some(at), Discovery::Subscribe(within)) = (self.ask.0, self.cfg.discovery) {
+        if let (Some(at), Discovery::Subscribe(within)) = (self.subscription.retry_at, self.cfg.discovery) {
             if now >= at {
-                self.ask.0 = Some(now + within.times(0.5)); // unanswered so long, the call itself was lost
+                // Without an answer until then the request itself was lost.
+                self.subscription.retry_at = Some(now + within.times(0.5));
                 self.actions.push(Action::Follow);
             }
         }
-        self.wake_by(self.ask.0.unwrap_or(self.due));
-        self.suspect(now);
+        self.wake_by(self.subscription.retry_at.unwrap_or(self.due));
+        self.mark_unresponsive(now);
         let (mut over, mut leaving) = (Vec::new(), Vec::new());
-        let by = now + self.offer.trip + self.cfg.tick.times(2.0 * HELD_TICKS);
+        let by = now + self.offer.trip + self.cfg.tick.times(2.0 * QUEUE_TICKS);
         for (&id, r) in self.requests.iter().filter(|(_, r)| !r.streaming) {
             let usual = self.usual(r.class);
             let late_pays = self.cfg.classes[r.class].late_worth > 0.0 && !r.sent.is_empty();
             let last_start = if late_pays { r.deadline } else { r.aim };
-            let lost =
-                |s: &Sent| s.out && self.peers.get(&s.to.id).is_none_or(|p| p.silent || p.ejected.is_some());
+            let failed = |p: &BackendRecord| p.unresponsive || p.ejected.is_some();
+            let lost = |s: &Sent| s.out && self.backends.get(&s.to.id).is_none_or(failed);
             let lost = matches!(&r.sent[..], [only] if lost(only));
-            let held = if r.out() { r.deadline } else { now + self.cfg.tick.times(HELD_TICKS) };
-            self.due = self.due.min(held).min(Time(r.deadline.0.saturating_sub(self.cfg.tick.0)));
+            let recheck = if r.out() { r.deadline } else { now + self.cfg.tick.times(QUEUE_TICKS) };
+            self.due = self.due.min(recheck).min(Time(r.deadline.0.saturating_sub(self.cfg.tick.0)));
             let repeat = !self.pressure.copies && r.value < LOW && r.sent.is_empty();
-            let too_long = repeat && (now - r.came).secs() >= STORM_HOLD;
+            let too_long = repeat && (now - r.came).secs() >= STORM_QUEUE_S;
             if now + self.cfg.tick >= r.deadline || (!r.out() && (now + usual >= last_start || too_long)) {
-                // The deadline's own tick would be too late to answer; a request that was held so long
-                // that it cannot make it is refused while that is still harmless.
+                // The deadline's own tick would be too late to answer. A queued request that can no longer
+                // be served in time is refused while a retry elsewhere is still harmless.
                 over.push(id);
             } else if self.offer.room(r.class) > 0 && !r.out() && by + usual >= r.aim {
-                leaving.push((r.class, r.value, id)); // later the way would be too long
+                leaving.push((r.class, r.value, id)); // later the hop would take too long
             } else if lost && now + usual < r.aim && self.classes[r.class].extra >= 1.0 {
-                // Age alone is no reason: copies of merely heavy requests crowd every backend.
+                // Age alone is no reason: second attempts of heavy requests would overload every backend.
                 if self.cfg.second_copies {
-                    if self.pressure.copies && self.may_send(now, r) && !self.held.contains(&id) {
-                        self.held.push(id);
+                    if self.pressure.copies && self.may_send(now, r) && !self.queue.contains(&id) {
+                        self.queue.push(id);
                     }
                 } else if self.cfg.cancel && self.cfg.classes[r.class].effect != Effect::Unsafe {
-                    // Where no copy may run beside it, the first is called back to make way for the next.
+                    // Without concurrent attempts, the first is cancelled before the next is sent.
                     self.actions.push(Action::Cancel { request: id, attempt: AttemptNo(0) });
                 }
             }
--- a/crates/gaugesaddle-balancer/src/logic/completion.rs
+++ b/crates/gaugesaddle-balancer/src/logic/completion.rs
@@ -5,8 +5,8 @@
 use crate::state::Balancer;
 
 impl Balancer {
-    /// Hands a request to another region, if it could come in time there and has no effect here: backends
-    /// there know nothing of its key, so what may have run here must not run there.
+    /// Hands a request to another region if it can be served in time there and cannot have run here: backends
+    /// there do not know its key, so a request that may have run here must not run there.
     pub(super) fn leave(&mut self, now: Time, id: RequestId) -> bool {
         let Some(r) = self.requests.get(&id) else { return false };
         let free = self.cfg.classes[r.class].effect == Effect::Free;
@@ -17,18 +17,18 @@
             return false;
         }
         *room -= 1;
-        self.close(id, None); // whatever is out of a free one is called off first
+        self.close(id, None); // attempts of a free request in flight are cancelled first
         self.actions.push(Action::Leave { request: id });
         true
     }
 
-    /// Final answer for a request that will not be served here, unless it leaves.
-    pub(super) fn give_up(&mut self, now: Time, id: RequestId, why: GivenUp) {
+    /// Final answer for a request that will not be served here, unless another region takes it.
+    pub(super) fn give_up(&mut self, now: Time, id: RequestId, cause: GivenUp) {
         if self.leave(now, id) {
             return;
         }
         let Some(r) = self.requests.get(&id) else { return };
-        self.given_up[why as usize] += 1;
+        self.given_up[cause as usize] += 1;
         let free = matches!(self.cfg.classes[r.class].effect, Effect::Free | Effect::Keyed(KeyScope::All, _));
         let harmless = free || r.sent.iter().all(|s| s.never_ran);
         let (refused, failed) = (Action::Refuse { request: id }, Action::Fail { request: id });
@@ -38,7 +38,7 @@
 
     pub(super) fn close(&mut self, id: RequestId, in_time: Option<bool>) {
         let Some(r) = self.requests.remove(&id) else { return };
-        self.held.retain(|h| *h != id);
+        self.queue.retain(|h| *h != id);
         if let Some(good) = in_time {
             for (i, s) in self.classes.iter_mut().enumerate() {
                 s.in_time += (f64::from(good && i == r.class) - s.in_time) / KIND_SAMPLES;
--- a/crates/gaugesaddle-balancer/src/logic/halb.rs
+++ b/crates/gaugesaddle-balancer/src/logic/halb.rs
@@ -1,13 +1,13 @@
 //! HALB: the split of the traffic over kinds of backends.
 
 /// HALB: the clamped M/G/1/PS optimum. For kinds of (ready count, speed of one backend) and the arrival
-/// rate, the part of the traffic for each kind; all zero when nothing is ready.
+/// rate, the fraction of the traffic for each kind; all zero when no backend is ready.
 pub fn halb_shares(kinds: &[(f64, f64)], rate: Option<f64>) -> Vec<f64> {
     let split = |on: &dyn Fn(&(f64, f64)) -> bool| -> Vec<f64> {
         let total: f64 = kinds.iter().filter(|k| on(k)).map(|k| k.0).sum();
         kinds.iter().map(|k| if on(k) && total > 0.0 { k.0 / total } else { 0.0 }).collect()
     };
-    let Some(rate) = rate else { return split(&|_| true) }; // no rate yet: by ready counts
+    let Some(rate) = rate else { return split(&|_| true) }; // no rate yet: by ready count
     let mut live = kinds.to_vec();
     loop {
         let (roots, speeds) = live.iter().fold((0.0, 0.0), |s, k| (s.0 + k.0 * k.1.sqrt(), s.1 + k.0 * k.1));
--- a/crates/gaugesaddle-balancer/src/logic/outcomes.rs
+++ b/crates/gaugesaddle-balancer/src/logic/outcomes.rs
@@ -5,32 +5,33 @@
 use crate::records::Flight;
 use crate::state::Balancer;
 
-/// Error share from which a backend is ejected: two errors close together reach it.
+/// Error fraction above which a backend is ejected: two errors close together reach it.
 const ERROR_LIMIT: f64 = 0.3;
-/// The same where the newest was turned away unseen: one that takes some of them is used for those.
+/// The same where the newest attempt was rejected unprocessed: a backend that accepts some remains in use.
 const FULL_LIMIT: f64 = 0.7;
-/// Weight of the newest outcome in a backend's error share.
+/// Weight of the newest outcome in a backend's error fraction (exponential moving average).
 const ERROR_STEP: f64 = 0.2;
-/// An unanswered attempt this many times older than usual, with no later answer, marks silence.
-const SILENT_AFTER: f64 = 6.0;
-/// First term of an ejection, s; it doubles with each failed return, twice at most.
-const EJECT_TERM: f64 = 1.0;
+/// Multiple of the usual latency after which an attempt marks its backend unresponsive without later answers.
+const UNRESPONSIVE_AFTER: f64 = 6.0;
+/// Duration of the first ejection in seconds; it doubles with each failed return, twice at most.
+const EJECT_TERM_S: f64 = 1.0;
 
 impl Balancer {
     pub(super) fn ended(&mut self, now: Time, mut end: AttemptEnd) {
         let id = end.request;
         let Some(flight) = self.attempts.remove(&(id, end.attempt)) else { return };
         let Flight { backend, class, late, .. } = flight;
-        self.held_mean.at(now, self.out as f64);
+        self.load_mean.at(now, self.out as f64);
         self.out -= 1;
         if end.outcome == Outcome::Cancelled && end.latency > self.cfg.classes[class].aim {
-            // Called off when its client left after all that time: as much against the backend as a time-out.
+            // Its client left after the objective: counts against the backend like a time-out.
             end.outcome = Outcome::TimedOut;
         }
-        // Turned away unseen is that backend's own matter: it drains, hangs or has no connection left.
+        // A rejected attempt says nothing of load elsewhere: the backend drains, hangs or is out of
+        // connections.
         let judged = matches!(end.outcome, Outcome::Ok | Outcome::TimedOut);
         if judged && !late {
-            self.gauge(end.outcome == Outcome::Ok && end.latency < self.brisk(backend, class));
+            self.adjust_admission(end.outcome == Outcome::Ok && end.latency < self.brisk(backend, class));
         }
         self.learn(now, &flight, &end);
         let Some(r) = self.requests.get_mut(&id) else { return };
@@ -40,18 +41,18 @@
         if end.settled || end.outcome == Outcome::Ok {
             let in_time = end.outcome == Outcome::Ok && now <= r.aim;
             self.close(id, Some(in_time));
-        } else if !r.out() && !self.held.contains(&id) {
-            self.held.push(id); // `pump` sends it again or gives it up
+        } else if !r.out() && !self.queue.contains(&id) {
+            self.queue.push(id); // `pump` sends it again or gives it up
         }
     }
 
-    /// What an outcome says of the backend, its kind and its class.
+    /// Updates the estimates of the backend, its kind and its class by an outcome.
     fn learn(&mut self, now: Time, flight: &Flight, end: &AttemptEnd) {
         let Flight { backend: id, class, sent, .. } = *flight;
-        self.hold_changes(now, id);
+        self.record_load(now, id);
         let took = end.latency.secs().max(1e-6);
         let usual = self.classes[class].latency.get().unwrap_or(took);
-        let Some(p) = self.peers.get_mut(&id) else { return };
+        let Some(p) = self.backends.get_mut(&id) else { return };
         p.out = p.out.saturating_sub(1);
         let kind = p.entry.kind;
         if flight.first {
@@ -62,22 +63,22 @@
                 p.answered = now;
                 p.errors *= 1.0 - ERROR_STEP;
                 p.strikes = 0;
-                // Errors teach no limit: fast is not good.
+                // Only served requests update limits: errors may be fast.
                 let k = self.kinds.entry(kind).or_default();
                 let expected = usual * k.latency.get().unwrap_or(took) / self.overall.get().unwrap_or(took);
-                p.beside.add(now, (took / expected.max(1e-6)).ln());
+                p.relative.add(now, (took / expected.max(1e-6)).ln());
                 k.unloaded.served(class, took, flight.alone);
                 let unloaded = k.unloaded.get(class);
                 p.limiter.served(took, usual, unloaded.unwrap_or(took));
                 if self.cfg.limits.learned {
                     let (_, turn, settled) = turn(sent, id, self.turn);
-                    let beside = took / (usual * p.limiter.beside()).max(1e-9);
-                    k.search.answered(settled.then_some(turn), beside);
+                    let relative = took / (usual * p.limiter.relative()).max(1e-9);
+                    k.search.answered(settled.then_some(turn), relative);
                 }
                 self.served(kind, class, end.latency);
             }
             Outcome::Cancelled | Outcome::NeverSent => {}
-            // A heavy request alone is no illness: other answers came back meanwhile.
+            // A time-out does not count where the backend answered since: the request may just be heavy.
             Outcome::TimedOut if p.answered >= sent => {}
             Outcome::Error | Outcome::Full | Outcome::Reset => {
                 p.answered = now;
@@ -91,45 +92,45 @@
         }
     }
 
-    fn eject(&mut self, now: Time, id: BackendId, why: Outcome) {
-        let term = EJECT_TERM * (0.75 + 0.5 * self.dice.unit());
-        let Some(p) = self.peers.get_mut(&id) else { return };
+    fn eject(&mut self, now: Time, id: BackendId, cause: Outcome) {
+        let term = EJECT_TERM_S * (0.75 + 0.5 * self.rng.unit());
+        let Some(p) = self.backends.get_mut(&id) else { return };
         if p.ejected.is_none_or(|until| now >= until) {
             p.ejected = Some(now + Micros::from_secs(term * f64::from(p.strikes.min(2)).exp2()));
             (p.strikes, p.ready) = (p.strikes + 1, 0.0);
-            p.absent = why == Outcome::ConnectFailed && p.strikes > 1;
+            p.absent = cause == Outcome::ConnectFailed && p.strikes > 1;
             self.wake_by(now + self.cfg.tick);
-            self.log(now, format!("backend {} ejected: {why:?}", id.0));
+            self.log(now, format!("backend {} ejected: {cause:?}", id.0));
         }
     }
 
-    /// Marks the backends that owe an answer for suspiciously long.
-    pub(super) fn suspect(&mut self, now: Time) {
-        let before = std::mem::take(&mut self.silent);
+    /// Marks the backends without an answer for much longer than usual as unresponsive.
+    pub(super) fn mark_unresponsive(&mut self, now: Time) {
+        let before = std::mem::take(&mut self.unresponsive);
         for id in &before {
-            self.peers.get_mut(id).into_iter().for_each(|p| p.silent = false);
+            self.backends.get_mut(id).into_iter().for_each(|p| p.unresponsive = false);
         }
         let mut attempts = std::mem::take(&mut self.attempts);
         for Flight { backend, class, sent, late, .. } in attempts.values_mut() {
-            // Late is known once the time is up: an overloaded backend answers only much later.
+            // Lateness counts when the time is up: an overloaded backend answers only much later.
             let limit = *sent + self.brisk(*backend, *class);
             if !*late && now >= limit {
                 *late = true;
-                self.gauge(false);
+                self.adjust_admission(false);
             }
             let usual = self.usual(*class);
-            let from = *sent + usual.times(SILENT_AFTER);
+            let from = *sent + usual.times(UNRESPONSIVE_AFTER);
             let next = if now < from { from } else { now + usual };
             self.wake_by(if *late { next } else { next.min(limit) });
-            let peer = self.peers.get_mut(backend).filter(|p| now >= from && p.answered <= *sent);
+            let peer = self.backends.get_mut(backend).filter(|p| now >= from && p.answered <= *sent);
             if let Some(p) = peer {
-                p.silent = true;
-                self.silent.push(*backend);
+                p.unresponsive = true;
+                self.unresponsive.push(*backend);
             }
         }
         self.attempts = attempts;
         if self.attempts.is_empty() && !before.is_empty() {
-            self.blocked = 0.0; // the last answer came to a silence: no other event will tell of its room
+            self.blocked = 0.0; // no other event will report that the unresponsive backend has capacity again
         }
     }
 }
--- a/crates/gaugesaddle-balancer/src/state.rs
+++ b/crates/gaugesaddle-balancer/src/state.rs
@@ -2,7 +2,7 @@
 
 use crate::estimates::*;
 use crate::interface::*;
-use crate::limits::{turn_length, HOLD};
+use crate::limits::{turn_length, BASE_LIMIT};
 use crate::records::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,14 +18,14 @@
 /// The decisions of one proxy. Give it every event in order; it answers with actions.
 pub struct Balancer {
     pub(crate) cfg: Config,
-    pub(crate) dice: Dice,
-    pub(crate) peers: BTreeMap<BackendId, Peer>,
+    pub(crate) rng: Rng,
+    pub(crate) backends: BTreeMap<BackendId, BackendRecord>,
     pub(crate) kinds: BTreeMap<KindId, Kind>,
     pub(crate) classes: Vec<ClassState>,
     pub(crate) overall: Mean,
     pub(crate) buckets: Vec<Bucket>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
-    pub(crate) held: Vec<RequestId>,
+    pub(crate) queue: Vec<RequestId>,
     /// First tries worth less than this have found no room since the last event that could make some.
     pub(crate) blocked: f64,
     /// Part of the traffic that is let in, and the part of the arrivals that is worth little.
@@ -36,19 +36,19 @@
     pub(crate) out: usize,
     pub(crate) pool: f64,
     /// What it may hold in the mean, and has held of late.
-    pub(crate) hold: f64,
+    pub(crate) mean_limit: f64,
     /// Multiple of its turns' parts that its rooms go by.
     pub(crate) open: f64,
     /// None of the backends is in its turn.
     pub(crate) turnless: bool,
-    pub(crate) held_mean: Level,
+    pub(crate) load_mean: Level,
     /// Groups that the backends are cut into, one for each proxy of a round.
     pub(crate) groups: u64,
     /// The backends that it uses, in their order: a request looks through no others.
     pub(crate) used: Vec<BackendId>,
     /// Backends that are in use.
     pub(crate) ready: f64,
-    pub(crate) silent: Vec<BackendId>,
+    pub(crate) unresponsive: Vec<BackendId>,
     pub(crate) rate: Rate,
     /// Requests that came, let in or not, and what is left of what a storm lets in.
     pub(crate) arrivals: Rate,
@@ -67,7 +67,7 @@
     /// When time alone next asks for attention.
     pub(crate) due: Time,
     pub(crate) timer: (u64, Option<Time>),
-    pub(crate) ask: (Option<Time>, f64),
+    pub(crate) subscription: Subscription,
     pub(crate) log_at: Time,
     /// Requests given up, by [`GivenUp`].
     pub(crate) given_up: [u64; 4],
@@ -79,28 +79,28 @@
     pub fn new(cfg: Config, seed: u64) -> Result<Balancer, ConfigError> {
         cfg.validate()?;
         Ok(Balancer {
-            dice: Dice::new(seed),
-            peers: BTreeMap::new(),
+            rng: Rng::new(seed),
+            backends: BTreeMap::new(),
             kinds: BTreeMap::new(),
             classes: cfg.classes.iter().map(|_| ClassState::default()).collect(),
             overall: Mean::default(),
             buckets: cfg.tenants.iter().map(|_| Bucket::default()).collect(),
             requests: BTreeMap::new(),
-            held: Vec::new(),
+            queue: Vec::new(),
             blocked: 0.0,
             admit: 1.0,
             low: 0.0,
             attempts: BTreeMap::new(),
             out: 0,
             pool: 0.0,
-            hold: 0.0,
+            mean_limit: 0.0,
             open: 1.0,
             turnless: false,
-            held_mean: Level::default(),
+            load_mean: Level::default(),
             groups: 1,
             used: Vec::new(),
             ready: 0.0,
-            silent: Vec::new(),
+            unresponsive: Vec::new(),
             rate: Rate::default(),
             arrivals: Rate::default(),
             let_in: Bucket::default(),
@@ -114,7 +114,10 @@
             solved: Time(0),
             due: Time(0),
             timer: (0, None),
-            ask: ((cfg.discovery != Discovery::Push).then_some(Time(0)), 0.0),
+            subscription: Subscription {
+                retry_at: (cfg.discovery != Discovery::Push).then_some(Time(0)),
+                wait_s: 0.0,
+            },
             log_at: Time(0),
             given_up: [0; 4],
             actions: Vec::new(),
@@ -151,7 +154,7 @@
             admit: self.admit,
             pool: self.pool,
             out: self.out,
-            held: self.held.len(),
+            held: self.queue.len(),
             ready: self.ready,
             pull: self.kinds.values().map(|k| k.pull).sum(),
             given_up: self.given_up,
@@ -161,15 +164,15 @@
     /// What the backends can do that this proxy has no reason to doubt, and what comes. One that was ejected counts
     /// again with its first good answer.
     pub fn capacity(&self) -> Capacity {
-        let hold: f64 = self.peers.values().filter(|p| p.is_sound()).map(|p| p.limit * p.part).sum();
+        let hold: f64 = self.backends.values().filter(|p| p.is_sound()).map(|p| p.limit * p.fraction).sum();
         let able = self.rate_of(hold);
         let arrivals = self.arrivals.per_s().unwrap_or(0.0);
-        Capacity { able, demand: self.classes.iter().map(|c| c.asked * arrivals).collect() }
+        Capacity { able, demand: self.classes.iter().map(|c| c.demand * arrivals).collect() }
     }
 
     /// The backends that are listed ready, by their ids: those that may be dealt out.
     pub fn listed(&self) -> Vec<(BackendId, KindId, ZoneId)> {
-        let ready = self.peers.values().filter(|p| p.entry.state == BackendState::Ready);
+        let ready = self.backends.values().filter(|p| p.entry.state == BackendState::Ready);
         ready.map(|p| (p.entry.id, p.entry.kind, p.entry.zone)).collect()
     }
 
@@ -185,11 +188,11 @@
     /// The same by zone; a zone without a backend that this proxy uses is left out.
     pub fn zones(&self) -> BTreeMap<ZoneId, ZoneCapacity> {
         let mut zones: BTreeMap<ZoneId, (ZoneCapacity, f64)> = BTreeMap::new();
-        for p in self.peers.values().filter(|p| p.used && p.entry.state == BackendState::Ready) {
+        for p in self.backends.values().filter(|p| p.used && p.entry.state == BackendState::Ready) {
             let (zone, hold) = zones.entry(p.entry.zone).or_default();
             zone.backends += 1;
             zone.ill += u32::from(!p.is_sound());
-            *hold += if p.is_sound() { p.limit * p.part } else { 0.0 };
+            *hold += if p.is_sound() { p.limit * p.fraction } else { 0.0 };
         }
         let able = |(id, (zone, hold))| (id, ZoneCapacity { able: self.rate_of(hold), ..zone });
         zones.into_iter().map(able).collect()
@@ -198,19 +201,19 @@
     /// What is known of each backend's limit.
     pub fn limits(&self) -> Vec<LimitView> {
         let at_bound = |limit: f64| limit <= self.cfg.limits.least || limit >= self.cfg.limits.most;
-        let view = |(id, p): (&BackendId, &Peer)| LimitView {
+        let view = |(id, p): (&BackendId, &BackendRecord)| LimitView {
             backend: *id,
             limit: p.limit,
-            room: p.room as u32,
+            room: p.slots as u32,
             held: p.out,
             latency: p.limiter.latencies(),
             why: match self.kinds.get(&p.entry.kind) {
                 Some(_) if self.cfg.limits.learned && at_bound(p.limit) => LimitReason::Bound,
-                Some(k) if self.cfg.limits.learned => k.search.why,
+                Some(k) if self.cfg.limits.learned => k.search.reason,
                 _ => LimitReason::Constant,
             },
         };
-        self.peers.iter().map(view).collect()
+        self.backends.iter().map(view).collect()
     }
 
     /// A line for the operators, two a second at most.
@@ -222,17 +225,17 @@
     }
 
     /// Work that all proxies may send to a cold backend in a fall window; infinite once it is warm.
-    pub(crate) fn fall_limit(&self, now: Time, p: &Peer) -> f64 {
-        let warmth = warmth(&self.cfg, now, &p.entry, 1.0);
-        if warmth >= 1.0 {
+    pub(crate) fn fall_limit(&self, now: Time, p: &BackendRecord) -> f64 {
+        let warm = warm_fraction(&self.cfg, now, &p.entry, 1.0);
+        if warm >= 1.0 {
             return f64::INFINITY;
         }
-        let fair = self.rate.per_s().unwrap_or(1.0) / self.tier.share() / self.peers.len() as f64;
+        let fair = self.rate.per_s().unwrap_or(1.0) / self.tier.share() / self.backends.len() as f64;
         // Beside few ready backends the flow overshoots; one that holds no more than its limit is no faster than this.
-        let hold = |k: &Kind| if k.limit > 0.0 { k.limit } else { HOLD };
+        let hold = |k: &Kind| if k.limit > 0.0 { k.limit } else { BASE_LIMIT };
         let known = |k: &Kind| k.latency.get().map(|t| k.speed.min((1.0 + hold(k)) / t));
         let speed = self.kinds.get(&p.entry.kind).and_then(known).unwrap_or(fair);
-        self.cfg.fall_multiple * warmth * speed * self.cfg.fall_window.secs()
+        self.cfg.fall_multiple * warm * speed * self.cfg.fall_window.secs()
     }
 
     /// Takes news of the list into the records; true if anything but weights changed.
@@ -240,16 +243,20 @@
         let mut changed = false;
         if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
             let named: BTreeSet<BackendId> = list.iter().map(|b| b.id).collect();
-            for p in self.peers.values_mut().filter(|p| !named.contains(&p.entry.id)) {
+            for p in self.backends.values_mut().filter(|p| !named.contains(&p.entry.id)) {
                 (p.entry.state, changed) = (BackendState::Gone, true);
             }
         }
         for entry in list {
-            let p = self.peers.entry(entry.id).or_default();
+            let p = self.backends.entry(entry.id).or_default();
             if p.entry.booted != entry.booted {
                 // A restarted process has nothing in common with the old one but its address.
-                *p =
-                    Peer { out: p.out, used: p.used, spent: std::mem::take(&mut p.spent), ..Peer::default() };
+                *p = BackendRecord {
+                    out: p.out,
+                    used: p.used,
+                    spent: std::mem::take(&mut p.spent),
+                    ..BackendRecord::default()
+                };
             }
             // A live weight moves all the time; the next regular solving takes it in.
             changed |= p.entry != Backend { weight: p.entry.weight, ..entry.clone() };
--- a/crates/gaugesaddle-balancer/src/subset.rs
+++ b/crates/gaugesaddle-balancer/src/subset.rs
@@ -13,13 +13,13 @@
 
 /// Proxies that use a backend, about: as few as let it be known from what each of them sends, and enough
 /// for the sum of their traffic to be even.
-const USERS: u32 = 20;
+const TARGET_USERS: u32 = 20;
 /// Least backends of a proxy: with an ill third of them it still has a choice in each zone of three.
-const LEAST: usize = 8;
+const MIN_BACKENDS: usize = 8;
 
 /// Groups that a round cuts the backends into; one: every proxy uses all of them.
 pub fn groups(proxies: u32, backends: usize) -> u64 {
-    u64::from(proxies / USERS).min((backends / LEAST) as u64).max(1)
+    u64::from(proxies / TARGET_USERS).min((backends / MIN_BACKENDS) as u64).max(1)
 }
 
 /// What a proxy uses of the backends that are listed ready. Every kind is cut by itself, the zones of a
@@ -27,22 +27,23 @@
 pub fn chosen(position: u32, proxies: u32, listed: &[(BackendId, KindId, ZoneId)]) -> BTreeSet<BackendId> {
     let groups = groups(proxies, listed.len());
     let (round, group) = (u64::from(position) / groups, u64::from(position) % groups);
-    let mut places: BTreeMap<(KindId, ZoneId), Vec<(u64, BackendId)>> = BTreeMap::new();
+    let mut zones: BTreeMap<(KindId, ZoneId), Vec<(u64, BackendId)>> = BTreeMap::new();
     for (id, kind, zone) in listed {
-        places.entry((*kind, *zone)).or_default().push((mix(id.0 ^ mix(round)), *id));
+        zones.entry((*kind, *zone)).or_default().push((mix(id.0 ^ mix(round)), *id));
     }
     let mut kinds: BTreeMap<KindId, Vec<(f64, u64, BackendId)>> = BTreeMap::new();
-    for ((kind, zone), mut place) in places {
-        place.sort_unstable();
-        let (of, first) = (place.len() as f64, mix(zone.0 ^ mix(round)) as f64 / u64::MAX as f64);
-        let spread = place.iter().enumerate().map(|(i, (mark, id))| ((i as f64 + first) / of, *mark, *id));
+    for ((kind, zone), mut members) in zones {
+        members.sort_unstable();
+        let (of, first) = (members.len() as f64, mix(zone.0 ^ mix(round)) as f64 / u64::MAX as f64);
+        let spread =
+            members.iter().enumerate().map(|(i, (order, id))| ((i as f64 + first) / of, *order, *id));
         kinds.entry(kind).or_default().extend(spread);
     }
     let mut own = BTreeSet::new();
-    for mut line in kinds.into_values() {
-        line.sort_unstable_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        let of = line.len() as u64;
-        let mine = line.iter().enumerate().filter(|(rank, _)| *rank as u64 * groups / of == group);
+    for mut ranked in kinds.into_values() {
+        ranked.sort_unstable_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+        let of = ranked.len() as u64;
+        let mine = ranked.iter().enumerate().filter(|(rank, _)| *rank as u64 * groups / of == group);
         own.extend(mine.map(|(_, (_, _, id))| *id));
     }
     own
--- a/crates/gaugesaddle-balancer/src/subset/tests.rs
+++ b/crates/gaugesaddle-balancer/src/subset/tests.rs
@@ -27,10 +27,10 @@
         let mean = f64::from(proxies) / groups;
         for (id, ..) in &listed {
             let of = all.iter().filter(|own| own.contains(id)).count() as f64;
-            assert!((of - mean).abs() <= 1.0, "{of} users beside {mean}, {proxies} of {backends}");
+            assert!((of - mean).abs() <= 1.0, "{of} users relative {mean}, {proxies} of {backends}");
         }
         for own in &all {
-            let least = (backends as f64 / groups - 2.0).max(LEAST as f64 - 2.0);
+            let least = (backends as f64 / groups - 2.0).max(MIN_BACKENDS as f64 - 2.0);
             assert!(own.len() as f64 >= least, "{} of {backends} for one of {proxies}", own.len());
             let of = |kind: u64| listed.iter().filter(|l| own.contains(&l.0) && l.1 .0 == kind).count();
             assert!(of(0) > 0 && of(1) > 0, "no kind is left out");
