--- a/crates/gaugesaddle-balancer/src/estimates.rs
+++ b/crates/gaugesaddle-balancer/src/estimates.rs
@@ -7,7 +7,7 @@
 /// Samples in a kind's or class's mean: its error is then about a tenth of the spread.
 pub(crate) const KIND_SAMPLES: f64 = 100.0;
 
-/// The proxy's own random numbers, the same on every machine for the same seed.
+/// A proxy's random numbers, the same on every machine for the same seed.
 pub(crate) struct Rng(Pcg32);
 
 impl Rng {
@@ -15,12 +15,12 @@
         Rng(Pcg32::seed_from_u64(seed))
     }
 
-    /// Even from 0 up to 1.
+    /// Uniform in [0, 1).
     pub fn unit(&mut self) -> f64 {
         f64::from(self.0.next_u32()) / 4_294_967_296.0
     }
 
-    /// One of the items, each with its weight.
+    /// One of the items, with a probability proportional to its weight.
     pub fn pick<T: Copy>(&mut self, weighted: &[(T, f64)]) -> Option<T> {
         let mut remaining = self.unit() * weighted.iter().map(|w| w.1).sum::<f64>();
         let mut hit = |w: &&(T, f64)| {
@@ -31,7 +31,7 @@
     }
 }
 
-/// A mean over about the last `cap` samples.
+/// A mean over about the last `cap` samples: exact for the first ones, then exponential.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Mean {
     pub value: f64,
@@ -49,8 +49,7 @@
     }
 }
 
-/// Events a second over about the last seconds, [`RATE_MEMORY`] where no other number is given; unbiased from the
-/// start on.
+/// Events per second with an exponential memory, [`RATE_MEMORY`] by default; unbiased from the start on.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Rate {
     memory: f64,
@@ -59,7 +58,7 @@
     at: Option<Time>,
 }
 
-/// Memory of a rate, s: some hundred arrivals, yet short beside a ramp or a failure.
+/// Memory of a rate in seconds: some hundred arrivals, yet short compared with a slow start or a failure.
 pub(crate) const RATE_MEMORY: f64 = 2.0;
 
 impl Default for Rate {
@@ -69,12 +68,12 @@
 }
 
 impl Rate {
-    /// One with another memory, s.
+    /// A rate with another memory, in seconds.
     pub fn over(memory: f64) -> Rate {
         Rate { memory, events: 0.0, seen: 0.0, at: None }
     }
 
-    /// Counts `events` at `now`; none just lets time pass.
+    /// Counts `events` at `now`; 0 only advances the time.
     pub fn add(&mut self, now: Time, events: f64) {
         let gap = self.at.map_or(0.0, |at| (now - at).secs());
         let decay = (-gap / self.memory).exp();
@@ -89,7 +88,8 @@
     }
 }
 
-/// Memory of a level, s: what makes a backend choke is the mean over some seconds, and this acts ahead of it.
+/// Memory of a level in seconds: a backend is overloaded by its mean over some seconds, and this acts before
+/// that.
 const LEVEL_MEMORY: f64 = 1.0;
 
 /// The mean of a level over about the last second.
@@ -100,7 +100,7 @@
 }
 
 impl Level {
-    /// The mean, where the level has been `now` since it was last told.
+    /// Updates the mean: the level has been `level` since the last call.
     pub fn at(&mut self, now: Time, level: f64) -> f64 {
         let gap = self.at.map_or(0.0, |at| (now - at).secs());
         self.mean += (level - self.mean) * (1.0 - (-gap / LEVEL_MEMORY).exp());
@@ -109,7 +109,7 @@
     }
 }
 
-/// A tenant's quota: full at first, it holds what it is due over [`RATE_MEMORY`].
+/// A token bucket: full at first, with the capacity of [`RATE_MEMORY`] at its rate.
 #[derive(Default)]
 pub(crate) struct Bucket {
     tokens: f64,
@@ -117,12 +117,12 @@
 }
 
 impl Bucket {
-    /// An empty one.
+    /// An empty bucket.
     pub fn empty(now: Time) -> Bucket {
         Bucket { tokens: 0.0, at: Some(now) }
     }
 
-    /// Takes a token if there is one, at so many a second.
+    /// Takes a token if there is one; `rate` tokens per second are added.
     pub fn take(&mut self, now: Time, rate: f64) -> bool {
         let gap = self.at.map_or(f64::MAX, |at| (now - at).secs());
         self.tokens = (self.tokens + rate * gap).min((rate * RATE_MEMORY).max(1.0));
@@ -133,10 +133,11 @@
     }
 }
 
-/// Memory of a backend's latency beside its kind's, s: some answers of one user among many, short beside an illness.
+/// Memory of a relative latency in seconds: some answers of one proxy among many, yet short compared with a
+/// fault.
 const RELATIVE_MEMORY: f64 = 8.0;
 
-/// A sum of logarithms that fades.
+/// A backend's latency relative to the expected one: an exponentially decaying mean of logarithms.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RelativeLatency {
     sum: f64,
@@ -151,13 +152,13 @@
         (self.sum, self.count, self.at) = (self.sum * decay, self.count * decay, Some(now));
     }
 
-    /// Takes in one answer.
+    /// Records one answer by the logarithm of its relative latency.
     pub fn add(&mut self, now: Time, logarithm: f64) {
         self.decay(now);
         (self.sum, self.count) = (self.sum + logarithm, self.count + 1.0);
     }
 
-    /// The mean, with so many answers of 0 among them.
+    /// The mean, with `prior` additional answers of the expected latency.
     pub fn at(&mut self, now: Time, prior: f64) -> f64 {
         self.decay(now);
         self.sum / (self.count + prior)
--- a/crates/gaugesaddle-balancer/src/interface/action.rs
+++ b/crates/gaugesaddle-balancer/src/interface/action.rs
@@ -2,10 +2,10 @@
 
 use super::units::{AttemptNo, BackendId, Micros, RequestId, TimerToken};
 
-/// What the module asks of the host, in order.
+/// What the module requests of the host, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt; it may last until the client gives up.
+    /// Send an attempt; it may last until the client's deadline.
     Dispatch {
         /// The request.
         request: RequestId,
@@ -17,13 +17,13 @@
         /// The request.
         request: RequestId,
     },
-    /// Final answer: failed, nothing is promised.
+    /// Final answer: failed, a retry may run the request twice.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Hand it to another region, within the last [`Offer`](super::Offer): the host owes its final answer from here on. No attempt
-    /// of it is out, and none may have run unless a repeat is free.
+    /// Hand it to another region, within the last [`Offer`](super::Offer): the host owes its final answer
+    /// from here on. No attempt of it is out, and none may have run unless a repeat is free.
     Leave {
         /// The request.
         request: RequestId,
@@ -35,15 +35,15 @@
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// Ask for an [`Event::Timer`](super::Event::Timer).
+    /// Report an [`Event::Timer`](super::Event::Timer).
     SetTimer {
         /// The token it is to carry.
         token: TimerToken,
         /// When, from now.
         after: Micros,
     },
-    /// Ask discovery for changes from now on.
+    /// Subscribe to changes of the list of backends.
     Follow,
-    /// A line for the operators.
+    /// Write a line to the log.
     Log(String),
 }
--- a/crates/gaugesaddle-balancer/src/interface/config.rs
+++ b/crates/gaugesaddle-balancer/src/interface/config.rs
@@ -2,7 +2,7 @@
 
 use super::units::{Micros, ZoneId};
 
-/// Everything told at start-up.
+/// What a proxy is given at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
     /// How many proxies share the traffic, this one included.
@@ -13,69 +13,70 @@
     pub zone: ZoneId,
     /// How many zones there are.
     pub zones: u32,
-    /// The sorts of requests.
+    /// The classes of requests.
     pub classes: Vec<Class>,
-    /// The customers; may be empty.
+    /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request past its tenant's quota, as a part of its class's worth.
+    /// Worth of a request over its tenant's quota, as a fraction of its class's worth.
     pub over_quota_worth: f64,
-    /// What the operator's goal puts on the whole of the traffic.
+    /// Weight of the total traffic in the operator's goal.
     pub goal_whole: f64,
-    /// What the operator's goal puts on the worst-served class.
+    /// Weight of the worst-served class in the operator's goal.
     pub goal_worst_class: f64,
-    /// What it costs the goal when every request crosses zones once.
+    /// Cost to the goal when every request crosses zones once.
     pub cross_zone_cost: f64,
     /// Where the list of backends comes from.
     pub discovery: Discovery,
-    /// The list's weights are nominal size / (1 + requests held a core), as of a while ago.
+    /// The list's weights are nominal size / (1 + requests in flight per core), with some delay.
     pub live_weights: bool,
-    /// Attempts allowed for a request.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u32,
     /// Attempts may be cancelled.
     pub cancel: bool,
-    /// Two attempts of one request may be out at once.
+    /// Two attempts of one request may be in flight at once.
     pub second_copies: bool,
-    /// The least time between two rounds of events.
+    /// The shortest time between two timers.
     pub tick: Micros,
-    /// Part of its capacity that a backend has at least when it boots.
+    /// Fraction of its capacity that a backend has at least when it starts.
     pub cold_from: f64,
-    /// A booted backend is warm after this time at most.
+    /// Longest slow start: a backend is warm after this time.
     pub ramp: Micros,
-    /// A cold backend sent more than this multiple of its present capacity ...
+    /// A cold backend that gets more than this multiple of its current capacity ...
     pub fall_multiple: f64,
-    /// ... over this time falls over.
+    /// ... over this time fails.
     pub fall_window: Micros,
-    /// What the operator allows of the learned limits.
+    /// The operator's bounds of the learned limits.
     pub limits: LimitBounds,
 }
 
-/// Bounds of what all proxies together may hold on one backend; alike, they are that constant.
+/// Bounds of the limit of one backend, in requests in flight of all proxies together; equal bounds make it
+/// constant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitBounds {
     /// Limits are learned; else each is the constant of four, no less than `least` and no more than `most`.
     pub learned: bool,
-    /// No limit is learned below this.
+    /// Minimum of a learned limit.
     pub least: f64,
-    /// Nor above it.
+    /// Maximum of a learned limit.
     pub most: f64,
 }
 
 impl LimitBounds {
-    /// A limit within them.
+    /// The limit, clamped to these bounds.
     pub fn hold(&self, limit: f64) -> f64 {
         limit.clamp(self.least, self.most)
     }
 }
 
 impl Default for LimitBounds {
-    /// One request at least, or nothing would be learned; a thousand cores at most.
+    /// At least one request, since nothing is learned without; at most a thousand cores.
     fn default() -> LimitBounds {
         LimitBounds { learned: false, least: 1.0, most: 1000.0 }
     }
 }
 
 impl Config {
-    /// A small sound configuration: one zone, three proxies, one class that is free to repeat.
+    /// A small valid configuration: one zone, three proxies, one class that is free to repeat.
     pub fn example() -> Config {
         Config {
             proxies: 3,
@@ -108,7 +109,10 @@
         }
     }
 
-    /// The first field that is out of its range, if any.
+    /// Checks the ranges of the fields.
+    ///
+    /// # Errors
+    /// The first field that is out of its range.
     pub fn validate(&self) -> Result<(), ConfigError> {
         let part = |x: f64| (0.0..=1.0).contains(&x);
         let above_zero = |x: f64| x > 0.0 && x.is_finite();
@@ -139,33 +143,33 @@
     }
 }
 
-/// A sort of request.
+/// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
+    /// Latency objective: an answer within this time earns the full worth.
     pub aim: Micros,
-    /// The aim grows by this multiple of the request's work hint.
+    /// The objective grows by this multiple of the request's work hint.
     pub aim_stretch: f64,
     /// What a second run would do.
     pub effect: Effect,
-    /// What a request is worth.
+    /// Priority weight: the worth of a request.
     pub worth: f64,
-    /// The part of the worth left after the aim.
+    /// Fraction of the worth after the objective.
     pub late_worth: f64,
 }
 
-/// What running a request twice would do.
+/// What running a request twice does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing: it may be repeated and refused at will.
+    /// Nothing (idempotent): it may be repeated and refused at will.
     Free,
-    /// The backends of one scope discard repeats for a time after the first send.
+    /// The backends of one scope discard repeated keys for a time after the first send.
     Keyed(KeyScope, Micros),
     /// A second run does harm.
     Unsafe,
 }
 
-/// Which backends discard each other's repeats.
+/// Which backends discard each other's repeated keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// All of them.
@@ -176,35 +180,29 @@
     Cell,
 }
 
-/// A customer.
+/// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all proxies, that earn full worth.
+    /// Requests per second, over all proxies, that earn the full worth.
     pub quota_per_s: f64,
 }
 
 /// Where the list of backends comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes arrive unasked.
+    /// Changes are pushed.
     Push,
-    /// Changes arrive after [`Action::Follow`](super::Action::Follow); a proxy that does not ask counts as told after this time.
+    /// Changes arrive after [`Action::Follow`](super::Action::Follow); a proxy that does not subscribe counts
+    /// as informed after this time.
     Subscribe(Micros),
 }
 
-/// Why a configuration was not accepted.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why a configuration is not valid.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{field}: expected {expected}")]
 pub struct ConfigError {
     /// The field at fault.
     pub field: &'static str,
     /// What was expected of it.
     pub expected: &'static str,
 }
-
-impl std::fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}: expected {}", self.field, self.expected)
-    }
-}
-
-impl std::error::Error for ConfigError {}
--- a/crates/gaugesaddle-balancer/src/interface/event.rs
+++ b/crates/gaugesaddle-balancer/src/interface/event.rs
@@ -2,7 +2,7 @@
 
 use super::units::*;
 
-/// A line of the backend list.
+/// An entry of the list of backends.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Backend {
     /// Which backend.
@@ -11,38 +11,39 @@
     pub zone: ZoneId,
     /// Its cell.
     pub cell: CellId,
-    /// Its kind.
+    /// Its kind (speed class).
     pub kind: KindId,
-    /// What it may be sent.
+    /// Whether it may be sent requests.
     pub state: BackendState,
-    /// When it last started; `None` means long ago.
+    /// When it last started; `None`: long ago.
     pub booted: Option<Time>,
-    /// The list's weight, compared within a kind only; read where [`Config::live_weights`](super::Config::live_weights) is set.
+    /// The list's weight, compared within a kind only; read where
+    /// [`Config::live_weights`](super::Config::live_weights) is set.
     pub weight: f64,
 }
 
-/// What a backend may be sent.
+/// Whether a backend may be sent requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BackendState {
-    /// Requests.
+    /// It may.
     Ready,
-    /// Nothing new: it finishes what it has.
+    /// No new ones: it finishes those in flight.
     Draining,
-    /// Nothing: it has left.
+    /// None: it has departed.
     #[default]
     Gone,
 }
 
-/// What sort of news about the list this is.
+/// The kind of an update of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
     /// The entries that changed.
     Changes,
-    /// The whole list; what is absent is gone.
+    /// The full list; what is absent has departed.
     Full,
-    /// The whole list as it was before a restart, perhaps out of date.
+    /// The full list as of before a restart, possibly out of date.
     Cached,
-    /// The call or the subscription failed; the list held stays.
+    /// The call or the subscription failed; the last list stays.
     Lost,
 }
 
@@ -53,7 +54,7 @@
     Ok,
     /// An error answer; it may have run.
     Error,
-    /// Turned away unseen.
+    /// Rejected unprocessed.
     Full,
     /// No answer in time; it may have run or still run.
     TimedOut,
@@ -61,7 +62,7 @@
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// Withdrawn; it may have run.
+    /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
     NeverSent,
@@ -81,85 +82,86 @@
     pub request: RequestId,
     /// Its class.
     pub class: ClassId,
-    /// Its customer, if any.
+    /// Its tenant, if any.
     pub tenant: Option<TenantId>,
-    /// When the client gives up, from now.
+    /// Time until the client gives up.
     pub time_left: Micros,
-    /// The work expected, on a standard core.
+    /// The expected work, as time on a standard core.
     pub work_hint: Option<Micros>,
-    /// The client says that it asked before.
+    /// The client marks it as a retry.
     pub repeat: bool,
-    /// Its source comes back before it was told to.
+    /// Its source did not wait for the retry time that it was given.
     pub out_of_turn: bool,
-    /// It comes from another region, whose last resort this one is.
+    /// It comes from another region that cannot serve it.
     pub foreign: bool,
 }
 
-/// What may leave for another region, as the host finds it at that moment; the last one told holds.
+/// Which requests may be handed to another region; the last offer is in force.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Offer {
-    /// How many requests of each class; empty: none at all.
+    /// Number of requests of each class; empty: none.
     pub room: Vec<u32>,
-    /// The time that the way takes, beside serving.
+    /// Duration of the hop, without serving.
     pub trip: Micros,
-    /// Of each class the part that need not be tried here first, 0 to 1: so much of it the fleet here can't serve.
+    /// Of each class the part that need not be tried here first, 0 to 1: so much of it the fleet here can't
+    /// serve.
     pub at_once: Vec<f64>,
 }
 
 impl Offer {
-    /// Places for the class.
+    /// The number of requests of the class.
     pub fn room(&self, class: usize) -> u32 {
         self.room.get(class).copied().unwrap_or(0)
     }
 }
 
-/// The proxies that share the traffic, as they are seen now. Told nothing, a proxy goes by the told number and an even
-/// part. What may never be exceeded by all together goes by the told number in any case.
+/// The proxies that share the traffic, as they are seen now. Told nothing, a proxy goes by the told number
+/// and an even part. What may never be exceeded by all together goes by the told number in any case.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tier {
-    /// How many live, this one included.
+    /// How many are live, this one included.
     pub proxies: u32,
     /// Which of them this one is, from 0, in an order that all share.
     pub position: u32,
-    /// Its part of the traffic beside an even one.
+    /// Its traffic relative to an even fraction.
     pub weight: f64,
 }
 
 impl Tier {
-    /// This proxy's part of all traffic.
+    /// This proxy's fraction of all traffic.
     pub fn share(&self) -> f64 {
         self.weight / f64::from(self.proxies)
     }
 
-    /// What can be: others are kept out.
+    /// Whether the values are in their ranges; others are ignored.
     pub(crate) fn is_sound(&self) -> bool {
         self.position < self.proxies && (0.01..=100.0).contains(&self.weight)
     }
 }
 
-/// How this proxy uses a backend, as those that live have dealt it out among them.
+/// How this proxy uses a backend, as the live proxies have assigned it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Use {
     /// Which.
     pub backend: BackendId,
-    /// What it gets of this proxy's traffic beside the mean of those of its kind that this one uses.
+    /// Its weight in this proxy's traffic, relative to the mean of those of its kind that this one uses.
     pub weight: f64,
-    /// This proxy's part of all that the backend gets.
+    /// This proxy's fraction of the backend's limit.
     pub part: f64,
-    /// The parts of its users before this one, in an order that all share: whose turn it is goes by it.
+    /// Sum of the fractions of the users before this one, in an order that all share: rotation goes by it.
     pub before: f64,
     /// How many use it.
     pub users: u32,
 }
 
 impl Use {
-    /// What can be: others are kept out.
+    /// Whether the values are in their ranges; others are ignored.
     pub(crate) fn is_sound(&self) -> bool {
         let part = |x: f64| (0.0..=1.001).contains(&x);
         part(self.part) && part(self.before) && (0.0..=1e6).contains(&self.weight) && self.users > 0
     }
 
-    /// What rounds its part of so much: the users' rooms add up to the whole, and each is next in its turn.
+    /// The offset that rounds its fraction of the limit: the users' slots add up to the limit, and rotate.
     pub(crate) fn coin(&self, limit: f64, turn: u64) -> f64 {
         let users = u64::from(self.users);
         let step = (self.backend.0.wrapping_add(turn) % users) as f64 + 0.5;
@@ -167,14 +169,14 @@
     }
 }
 
-/// What the host sees of a storm, and what may be done while it lasts.
+/// A retry storm as the host detects it, and the limits while it lasts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pressure {
-    /// Requests a second that this proxy may let in; `None`: no storm, as many as come.
+    /// Requests per second that this proxy may admit; `None`: no storm, no limit.
     pub let_in_per_s: Option<f64>,
-    /// Second copies may be sent beside an attempt that is out.
+    /// Second attempts may be sent while one is in flight.
     pub copies: bool,
-    /// Attempts beside those that may have run, for each new request of the class.
+    /// Retries for each new request of the class.
     pub retry_ratio: f64,
 }
 
@@ -189,21 +191,21 @@
     pub outcome: Outcome,
     /// Time since the dispatch.
     pub latency: Micros,
-    /// The request has had its final answer; the module owes none.
+    /// The request has had its final answer; the module gives none.
     pub settled: bool,
 }
 
-/// What the host tells the module.
+/// What the host reports to the module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the backend list.
+    /// An update of the list of backends.
     Members {
-        /// What sort of news.
+        /// Its kind.
         update: ListUpdate,
         /// The entries.
         backends: Vec<Backend>,
     },
-    /// A client's request: it is owed one final answer.
+    /// A client's request: it gets one final answer.
     Request(Arrival),
     /// The answer has begun to stream: the attempt is the client's now and no time-out runs.
     StreamStarted {
@@ -214,15 +216,15 @@
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// A storm began, changed or ended.
+    /// A retry storm began, changed or ended.
     Pressure(Pressure),
-    /// What may leave for another region has changed.
+    /// The offer of other regions has changed.
     Offer(Offer),
-    /// The proxies that live, or their parts, have changed.
+    /// The live proxies, or their fractions of the traffic, have changed.
     Tier(Tier),
-    /// Which backends this proxy uses, all of them; none: it deals them out by the number of proxies.
+    /// All backends assigned to this proxy; none: it chooses them by the number of proxies.
     Uses(Vec<Use>),
-    /// The client left; no answer is owed.
+    /// The client disconnected; no answer is due.
     ClientGone {
         /// The request.
         request: RequestId,
--- a/crates/gaugesaddle-balancer/src/interface/units.rs
+++ b/crates/gaugesaddle-balancer/src/interface/units.rs
@@ -1,6 +1,6 @@
 //! Times, spans and identifiers.
 
-/// A point in time, in microseconds of the host's clock; it begins at no particular value.
+/// A point in time, in microseconds of the host's clock, which starts at an arbitrary value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Time(pub u64);
 
@@ -24,7 +24,7 @@
 }
 
 impl Micros {
-    /// The span of so many seconds; negative ones give zero.
+    /// The span of `secs` seconds; negative ones give zero.
     pub fn from_secs(secs: f64) -> Micros {
         Micros((secs * 1e6) as u64)
     }
@@ -51,11 +51,11 @@
     RequestId(u64);
     /// One server process's address, numbered by the host; the same number at every proxy.
     BackendId(u64);
-    /// A place in the network.
+    /// A zone of the network.
     ZoneId(u64);
-    /// A handful of backends that share which keys they have seen.
+    /// A few backends that share the keys that they have seen.
     CellId(u64);
-    /// A sort of machine: backends of one kind are taken as equally fast.
+    /// A kind of machine (speed class): backends of one kind count as equally fast.
     KindId(u64);
     /// Index into [`Config::classes`](super::Config::classes).
     ClassId(usize);
@@ -63,6 +63,6 @@
     TenantId(usize);
     /// Number of an attempt within its request, from 0 in the order of dispatch.
     AttemptNo(u32);
-    /// Names a timer to its owner.
+    /// Identifies a timer.
     TimerToken(u64);
 }
--- a/crates/gaugesaddle-balancer/src/interface/view.rs
+++ b/crates/gaugesaddle-balancer/src/interface/view.rs
@@ -5,20 +5,20 @@
 /// Why a backend's limit moved last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitReason {
-    /// No sign of a crowd yet, and no need of more.
+    /// No sign of congestion yet, and no demand for more.
     Start,
-    /// Holding more made nothing later: a step up.
+    /// Higher concurrency did not raise latency: a step up.
     Flat,
-    /// Holding more made answers later: a step down.
+    /// Higher concurrency raised latency: a step down.
     Crowded,
-    /// The operator's least or most.
+    /// The operator's minimum or maximum.
     Bound,
     /// It is not learned.
     Constant,
 }
 
 impl LimitReason {
-    /// For people.
+    /// Its name, for operators.
     pub fn name(self) -> &'static str {
         match self {
             LimitReason::Start => "start",
@@ -30,74 +30,74 @@
     }
 }
 
-/// What is known of a backend's limit.
+/// The limit of a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitView {
     /// Which backend.
     pub backend: BackendId,
-    /// What all proxies together may hold, by this one's part of the traffic.
+    /// Requests in flight of all proxies together, as this one knows it.
     pub limit: f64,
-    /// What this proxy may hold.
+    /// Limit of this proxy.
     pub room: u32,
-    /// What it holds.
+    /// Requests of this proxy in flight.
     pub held: u32,
-    /// Latency of its recent answers, and what the same would have taken unloaded, s.
+    /// Latency of its recent answers, and unloaded latency of the same requests, in seconds.
     pub latency: Option<(f64, f64)>,
     /// Why the limit moved last.
     pub why: LimitReason,
 }
 
-/// What the backends in use can do, by what this proxy knows of them, and what comes: requests a second of this proxy.
+/// Capacity of the backends in use, and demand, in requests per second of this proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Capacity {
-    /// What they can do; infinite before any was served.
+    /// Capacity; infinite before any request was served.
     pub able: f64,
-    /// What comes of each class.
+    /// Demand of each class.
     pub demand: Vec<f64>,
 }
 
-/// What the backends of one zone are to this proxy.
+/// The backends of one zone, as this proxy uses them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ZoneCapacity {
     /// Those that it uses.
     pub backends: u32,
-    /// Of these so many it finds ill.
+    /// Of these, how many are unhealthy.
     pub ill: u32,
-    /// What the others can do for this proxy, in requests a second; infinite before any was served.
+    /// Capacity of the others for this proxy, in requests per second; infinite before any was served.
     pub able: f64,
 }
 
 /// Why a request was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GivenUp {
-    /// Load shedding did not let it in.
+    /// Load shedding did not admit it.
     Shed,
-    /// Cold backends would have had it, beyond what they can bear.
+    /// Only cold backends were left for it, beyond their capacity.
     Cold,
-    /// It was held until it could not be served in time any more.
+    /// It was queued until it could no longer be served in time.
     Held,
     /// Its attempts ended without an answer and none may follow.
     Spent,
 }
 
-/// How a proxy stands.
+/// The state of a proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Standing {
-    /// Requests a second that were let in, and that came.
+    /// Requests per second that were admitted.
     pub rate: f64,
-    /// See `rate`.
+    /// Requests per second that arrived.
     pub arrivals: f64,
-    /// The part of the traffic that is let in, 0 to 1.
+    /// The fraction of the traffic that is admitted, 0 to 1.
     pub admit: f64,
-    /// Attempts that may be out.
+    /// Limit of the attempts in flight.
     pub pool: f64,
-    /// Attempts that are out.
+    /// Attempts in flight.
     pub out: usize,
-    /// Requests that wait for room.
+    /// Queued requests.
     pub held: usize,
     /// Backends in use.
     pub ready: f64,
-    /// The part of the traffic that has a place on a backend, 0 to 1 and a little more.
+    /// The fraction of the traffic that has a backend, 0 to slightly above 1.
     pub pull: f64,
     /// Requests given up so far, by [`GivenUp`].
     pub given_up: [u64; 4],
--- a/crates/gaugesaddle-balancer/src/lib.rs
+++ b/crates/gaugesaddle-balancer/src/lib.rs
@@ -1,7 +1,58 @@
-//! Load-balancing decisions for a proxy in front of a fleet of HTTP servers.
+//! Load-balancing decisions for a proxy in front of a fleet of HTTP servers (HALB), without I/O.
 //!
-//! [`Balancer`] is a state machine without clock, network or threads: a host feeds it [`Event`]s
-//! with the time at which they happened and carries out the [`Action`]s it returns.
+//! It decides whether a request is admitted, which backend each attempt goes to, when an attempt is repeated or
+//! cancelled, which backends are ejected, and how many requests each may have in flight.
+//!
+//! - [`Balancer`]: the state machine of one proxy. It owns everything that is learned of backends, kinds (classes of
+//!   equally fast machines), request classes and tenants, and all requests without a final answer.
+//! - [`Event`] and [`Action`]: its interface. The host reports events in order, with the time at which they happened,
+//!   and carries out the actions that [`Balancer::handle`] appends. It has neither clock nor network nor threads.
+//! - [`Config`]: what a proxy is given at its start; [`settings`] reads it from a document.
+//! - [`halb_shares`]: the split of the traffic over kinds; [`subset`]: which backends a proxy uses.
+//!
+//! ```
+//! use gaugesaddle_balancer::*;
+//!
+//! let mut balancer = Balancer::new(Config::example(), 1)?;
+//! let mut actions = Vec::new();
+//! let backend = Backend { id: BackendId(7), state: BackendState::Ready, ..Backend::default() };
+//! let list = Event::Members { update: ListUpdate::Full, backends: vec![backend] };
+//! balancer.handle(Time(0), list, &mut actions);
+//! let arrival = Arrival {
+//!     request: RequestId(1),
+//!     class: ClassId(0),
+//!     tenant: None,
+//!     time_left: Micros::from_secs(2.0),
+//!     work_hint: None,
+//!     repeat: false,
+//!     out_of_turn: false,
+//!     foreign: false,
+//! };
+//! balancer.handle(Time(1_000), Event::Request(arrival), &mut actions);
+//! assert!(actions.contains(&Action::Dispatch { request: RequestId(1), backend: BackendId(7) }));
+//! # Ok::<(), ConfigError>(())
+//! ```
+//!
+//! A request's way through it:
+//!
+//! ```text
+//!  Request --admitted--> queued --slot free--> in flight --served--> (the host has answered)
+//!     |                    |  ^                   |
+//!     |                    |  +-- may repeat -----+
+//!     +--shed--> Refuse or Leave <--too late------+--> Fail, where an attempt may have run
+//! ```
+//!
+//! # Guarantees
+//!
+//! Every request whose client stays gets exactly one final answer: an attempt's, [`Action::Refuse`], [`Action::Fail`]
+//! or [`Action::Leave`]. A request that may have run is repeated only where its [`Effect`] permits, and refused only where
+//! a retry is harmless. The same events with the same seed give the same actions. Events of unknown ids have no effect.
+//!
+//! # Bounds
+//!
+//! Requests leave the tables with their final answer, at their deadline at the latest, streams when they end. Departed
+//! backends leave with their last attempt in flight. A proxy's attempts in flight are bounded by the backends' limits. The host bounds
+//! the arrivals and the list of backends. Times are microseconds of the host's clock.
 
 mod estimates;
 mod interface;
@@ -18,7 +69,7 @@
 pub use mix::mix;
 pub use state::Balancer;
 
-/// The README's example, kept true by the documentation tests.
+/// The README's example, compiled by the documentation tests.
 #[cfg(doctest)]
 #[doc = include_str!("../../../README.md")]
 struct Readme;
--- a/crates/gaugesaddle-balancer/src/limits/tests.rs
+++ b/crates/gaugesaddle-balancer/src/limits/tests.rs
@@ -80,7 +80,7 @@
 const LEARNED: LimitBounds = LimitBounds { learned: true, least: 1.0, most: 1000.0 };
 
 #[test]
-fn one_core_that_only_computes_is_never_given_more() {
+fn limit_never_rises_for_one_cpu_bound_core() {
     for seed in 1..=20 {
         for demand in [1.0, 3.0, 100.0] {
             let mut run = Run::new(seed, LEARNED);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn many_cores_and_long_waits_are_found_and_overload_stays_bounded() {
+fn parallelism_is_found_and_overload_stays_bounded() {
     for seed in 1..=20 {
         for (cores, work, wait, demand, least, most) in [
             (8.0, 0.02, 0.0, 6.0, 6.0, 24.0),
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn it_follows_a_kind_that_changes_and_comes_back() {
+fn limit_follows_a_change_of_parallelism() {
     for seed in 1..=20 {
         let mut run = Run::new(seed, LEARNED);
         let wide = Model { cores: 8.0, work: 0.02, wait: 0.0, demand: 1000.0 };
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn the_operators_bounds_hold() {
+fn operator_bounds_are_respected() {
     let bounds = LimitBounds { learned: true, least: 1.0, most: 6.0 };
     let end = Run::new(1, bounds).play(Model { cores: 64.0, work: 0.1, wait: 0.0, demand: 1000.0 }, 60);
     assert!((5.0..=6.0).contains(&end), "{end}");
--- a/crates/gaugesaddle-balancer/src/mix.rs
+++ b/crates/gaugesaddle-balancer/src/mix.rs
@@ -1,6 +1,6 @@
-//! Draws that all proxies make alike, without a word between them.
+//! Pseudo-random numbers that all proxies derive alike, without communication.
 
-/// Numbers into one that looks like none of them (SplitMix64's last steps).
+/// A pseudo-random number derived from `a`: the finalizer of SplitMix64 (Steele, Lea, Flood 2014).
 pub fn mix(a: u64) -> u64 {
     let mut z = a.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/gaugesaddle-balancer/src/records.rs
+++ b/crates/gaugesaddle-balancer/src/records.rs
@@ -4,105 +4,113 @@
 use crate::interface::*;
 use crate::limits::{Limiter, Search, Turn, Unloaded};
 
-/// What is learned of a kind of machine.
+/// The estimates of a kind of machine (a speed class).
 #[derive(Default)]
 pub(crate) struct Kind {
     /// Seconds from dispatch to answer, of served requests only, with the class mix taken out.
     pub latency: Mean,
     /// Sum of its backends' readiness.
     pub ready: f64,
-    /// The same of those that this proxy uses.
+    /// The same of those that this proxy uses, weighted.
     pub own: f64,
-    /// Requests a second that one backend could serve.
+    /// Requests per second that one backend could serve.
     pub speed: f64,
-    /// Part of all proxies' traffic.
+    /// Fraction of all proxies' traffic.
     pub share: f64,
-    /// What a request of each class takes on an unloaded backend.
+    /// Latency of each class on an unloaded backend.
     pub unloaded: Unloaded,
-    /// What one of its warm backends may hold, by all proxies together.
+    /// Mean limit of its warm backends, for all proxies together.
     pub limit: f64,
-    /// The search for what its backends may hold.
+    /// The search for the limit of its backends.
     pub search: Search,
-    /// Highest weight that the list gave one of its backends: that of an idle one.
+    /// Highest list weight of its backends: that of an idle one.
     pub idle_weight: f64,
-    /// Part of this proxy's traffic.
+    /// Fraction of this proxy's traffic.
     pub pull: f64,
-    /// Its usable backends, each with its pull and those before it added up.
+    /// Its usable backends, each with the sum of its pull and those before it.
     pub cumulative: Vec<(BackendId, f64)>,
 }
 
 impl Kind {
-    /// One of the usable backends, each by its pull; `part` is even from 0 to 1.
+    /// One of the usable backends by their pull; `part` is uniform in [0, 1).
     pub fn pick(&self, part: f64) -> Option<BackendId> {
         let at = self.cumulative.partition_point(|l| l.1 <= part * self.pull);
         self.cumulative.get(at).or(self.cumulative.last()).map(|l| l.0)
     }
 }
 
-/// What is known of a backend.
+/// The record of a backend.
+///
+/// ```text
+///              errors, time-out, no connection              the term has passed
+///  in use ---------------------------------> ejected ------------------------> in use, strikes remain
+///   ^  |  no answer for long                                                     |  a served request
+///   |  +--------------------> unresponsive --> (any answer) in use               v
+///   +------------------------------------------------------------------- strikes are reset
+/// ```
 #[derive(Default)]
 pub(crate) struct BackendRecord {
     pub entry: Backend,
-    /// This proxy is one of its users, and how, where it is told.
+    /// Whether this proxy uses it, and its assignment, where the host gave one.
     pub used: bool,
     pub assigned: Option<Use>,
     /// From 0 (send nothing) to 1 (healthy and warm).
     pub ready: f64,
-    /// Its part of this proxy's traffic.
+    /// Its fraction of this proxy's traffic.
     pub pull: f64,
-    /// How many attempts of this proxy it may hold, as of the last solving; this proxy's part of its limit, and what
-    /// rounds it.
+    /// How many attempts of this proxy it may have in flight, as of the last solve; this proxy's fraction of
+    /// its limit, and the offset that rounds it.
     pub slots: f64,
     pub fraction: f64,
     pub coin: f64,
-    /// How many it holds.
+    /// Attempts of this proxy in flight.
     pub out: u32,
-    /// Running share of error answers.
+    /// Fraction of errors (exponential moving average).
     pub errors: f64,
-    /// Its latency beside what its kind and the class would have it be.
+    /// Its latency relative to that expected of its kind and the class.
     pub relative: RelativeLatency,
     /// When it last answered anything.
     pub answered: Time,
-    /// It owes an answer for suspiciously long.
+    /// It has not answered for much longer than usual.
     pub unresponsive: bool,
-    /// Out of use, until this time at least.
+    /// Ejected until this time at least.
     pub ejected: Option<Time>,
-    /// Ejections without a good answer between them.
+    /// Ejections since the last served request.
     pub strikes: i32,
-    /// Nobody took its connections time and again: its process has left, and who comes back there is another one.
+    /// Connections failed repeatedly: its process is gone, and one at that address later is another.
     pub absent: bool,
-    /// Work sent inside the fall window.
+    /// Work sent within the fall window, by time.
     pub spent: Vec<(Time, f64)>,
-    /// What it may hold.
+    /// Its own limit relative to its kind's.
     pub limiter: Limiter,
-    /// That of all proxies together, by this one's part.
+    /// Limit of all proxies together, as this proxy knows it.
     pub limit: f64,
 }
 
 impl BackendRecord {
-    /// It is used, and nothing speaks against it.
+    /// Whether it is used and healthy.
     pub fn is_sound(&self) -> bool {
         let ready = self.entry.state == BackendState::Ready;
         self.used && ready && self.ejected.is_none() && self.strikes == 0 && !self.unresponsive
     }
 
-    /// How much it counts among those of its kind, by what was told.
+    /// Its weight among those of its kind, by the assignment.
     pub fn weight(&self) -> f64 {
         self.assigned.map_or(1.0, |u| u.weight)
     }
 
-    /// How many attempts of this proxy it may hold where all proxies together may hold so many; where a user's part
-    /// of that is below one by their number alone its turn decides, else it is one at least.
+    /// How many attempts of this proxy it may have in flight where all proxies together have this limit.
+    /// Where proxies are so many that each has less than one, rotation decides; else there is at least one.
     pub fn slots_for(&self, limit: f64, one: bool) -> f64 {
         (limit * self.fraction + self.coin).floor().max(f64::from(one))
     }
 
-    /// The same with the limit times a factor where there are many users.
+    /// The same as of now; `many`: the factor of the limit where there are many proxies.
     pub fn slots_now(&self, many: Option<f64>, one: bool) -> f64 {
         many.map_or(self.slots, |factor| self.slots_for(self.limit * factor, one))
     }
 
-    /// Ahead of a change in what it holds, and now and then: tells the search what it held since.
+    /// To be called before its requests in flight change, and periodically: records them in the search.
     pub fn record_load(&mut self, now: Time, turn: (u64, Turn, bool), share: f64, search: &mut Search) {
         if let Some((turn, area, secs)) = self.limiter.pass(now, turn, self.out) {
             search.record_load(turn, area / share, secs);
@@ -110,15 +118,15 @@
     }
 }
 
-/// What is learned of a class.
+/// The estimates of a class.
 #[derive(Default)]
 pub(crate) struct ClassState {
     pub latency: Mean,
-    /// Its part of the arrivals.
+    /// Its fraction of the arrivals.
     pub demand: f64,
-    /// Its part of all that ended, served in time.
+    /// Fraction of all ended requests that are of this class and were served in time.
     pub in_time: f64,
-    /// Attempts that it may make beside those that may have run: the retry budget of the class.
+    /// The retry budget of the class, in attempts.
     pub extra: f64,
 }
 
@@ -126,46 +134,47 @@
 pub(crate) struct Sent {
     pub to: Backend,
     pub at: Time,
-    /// It has not ended yet.
+    /// It is in flight.
     pub out: bool,
     /// Its outcome proves that it did not run.
     pub never_ran: bool,
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 #[derive(Clone, Copy)]
 pub(crate) struct Flight {
     pub backend: BackendId,
     pub class: usize,
     pub sent: Time,
-    /// It counts as late already.
+    /// It has been counted as late.
     pub late: bool,
-    /// Its backend held nothing else when it was sent.
+    /// Its backend had no other request in flight when it was sent.
     pub alone: bool,
     /// It is among its kind's first of the class.
     pub first: bool,
 }
 
-/// A request that is owed an answer.
+/// A request without a final answer.
 pub(crate) struct Request {
     pub class: usize,
     pub came: Time,
     pub aim: Time,
     pub deadline: Time,
-    /// Its worth beside a first try within quota.
+    /// Its value relative to a first attempt within quota.
     pub value: f64,
     pub streaming: bool,
     pub sent: Vec<Sent>,
 }
 
 impl Request {
-    /// Some attempt has not ended yet.
+    /// Whether an attempt is in flight.
     pub fn out(&self) -> bool {
         self.sent.iter().any(|s| s.out)
     }
 }
 
-/// The part of its capacity that a backend has if it needs that part of the longest ramp to warm.
+/// The fraction of its capacity that a backend in slow start has, if it needs the fraction `ramp` of the
+/// longest one.
 pub(crate) fn warm_fraction(cfg: &Config, now: Time, entry: &Backend, ramp: f64) -> f64 {
     let ramp = (cfg.ramp.secs() * ramp).max(1e-6);
     let age = entry.booted.map_or(f64::MAX, |boot| (now - boot).secs() / ramp);
--- a/crates/gaugesaddle-balancer/src/settings.rs
+++ b/crates/gaugesaddle-balancer/src/settings.rs
@@ -1,9 +1,9 @@
-//! The settings of an instance to the library's configuration, and the names that go with it.
+//! Reads the configuration, and the names of classes, tenants and zones, from an instance's settings.
 
 use crate::interface::*;
 use serde_json::Value;
 
-/// Names of classes, tenants and zones, in the order of their numbers or as they are told.
+/// Names of classes and tenants in the order of their numbers, and of zones in the order of the settings.
 #[derive(Default)]
 pub struct Names {
     classes: Vec<String>,
@@ -12,7 +12,7 @@
     zone: String,
 }
 
-/// The number of an address, place or kind: the same in every process, whatever lists it has seen.
+/// The number of an address, zone or kind: the same in every process.
 pub fn number(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
         (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3) // FNV-1a
@@ -25,7 +25,7 @@
         self.classes.iter().position(|n| n == name).map(ClassId)
     }
 
-    /// Whether requests name a tenant.
+    /// Whether there are tenants.
     pub fn has_tenants(&self) -> bool {
         !self.tenants.is_empty()
     }
@@ -34,12 +34,12 @@
         &self.classes
     }
 
-    /// The names of all zones, as they are told.
+    /// The names of all zones, in the order of the settings.
     pub fn zones(&self) -> &[String] {
         &self.zones
     }
 
-    /// The name of the own one.
+    /// The name of the proxy's own zone.
     pub fn zone(&self) -> &str {
         &self.zone
     }
@@ -50,58 +50,58 @@
     }
 }
 
-/// What is wrong with a value of a document, by the path that leads to it.
+/// Why a value of a document is not valid, with its path.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
-    /// The key is not there.
+    /// The key is missing.
     #[error("{path}: missing, expected {expected}")]
     Missing {
-        /// Where it was looked for.
+        /// The path of the key.
         path: String,
-        /// What was looked for.
+        /// What was expected.
         expected: String,
     },
-    /// The value is not what it must be.
+    /// The value has another type or range.
     #[error("{path}: expected {expected}, got {got}")]
     Unfit {
-        /// Where it stands.
+        /// The path of the value.
         path: String,
         /// What was expected.
         expected: String,
-        /// The value, cut where it is long.
+        /// The value, truncated where it is long.
         got: String,
     },
-    /// A name that must be the only one.
+    /// A name that must be unique.
     #[error("{path}: the name stands twice")]
     Twice {
-        /// Where the second one stands.
+        /// The path of the second one.
         path: String,
     },
 }
 
-/// Characters of a value that an error shows: a whole list would bury what it says.
+/// Maximum characters of a value that an error shows.
 const SHOWN: usize = 120;
 
-/// A value inside a JSON document, with the path that led to it: what is wrong is told by that path.
+/// A value inside a JSON document, with its path for errors.
 pub struct Key<'a> {
     path: String,
     value: Option<&'a Value>,
 }
 
 impl<'a> Key<'a> {
-    /// The whole document.
+    /// The full document.
     pub fn root(value: &'a Value) -> Key<'a> {
         Key { path: String::new(), value: Some(value) }
     }
-    /// A part of a document that is read by itself, by the path at which it stands.
+    /// A value that is read by itself, with its path in the document.
     pub fn at(path: String, value: &'a Value) -> Key<'a> {
         Key { path, value: Some(value) }
     }
-    /// An item of the array that this is, where items are read one by one.
+    /// An item of this array.
     pub fn item<'b>(&self, n: usize, value: &'b Value) -> Key<'b> {
         Key { path: format!("{}[{n}]", self.path), value: Some(value) }
     }
-    /// The value itself, if it is there and not null.
+    /// The value, if it is present and not null.
     pub fn value(&self) -> Option<&'a Value> {
         self.value.filter(|v| !v.is_null())
     }
@@ -110,14 +110,17 @@
         let path = if self.path.is_empty() { name.into() } else { format!("{}.{name}", self.path) };
         Key { path, value: self.value.and_then(|v| v.get(name)) }
     }
-    /// What was got, or an error that says what was expected.
+    /// The parsed value.
+    ///
+    /// # Errors
+    /// Where it is `None`: names `what` as expected.
     pub fn want<T>(&self, got: Option<T>, what: &str) -> Result<T, KeyError> {
         got.ok_or_else(|| match self.value {
             Some(v) => self.unfit(what, &v.to_string()),
             None => KeyError::Missing { path: self.path.clone(), expected: what.into() },
         })
     }
-    /// The error that it is not what it must be.
+    /// The error that `got` is not the expected `what`.
     pub fn unfit(&self, what: &str, got: &str) -> KeyError {
         let got = got.chars().take(SHOWN).collect();
         KeyError::Unfit { path: self.path.clone(), expected: what.into(), got }
@@ -134,11 +137,11 @@
     pub fn real(&self) -> Result<f64, KeyError> {
         self.want(self.value.and_then(Value::as_f64), "a number")
     }
-    /// A span in whole microseconds.
+    /// A span in integer microseconds.
     pub fn micros(&self) -> Result<Micros, KeyError> {
         self.want(self.value.and_then(Value::as_u64), "whole microseconds").map(Micros)
     }
-    /// A whole number.
+    /// A non-negative integer.
     pub fn count(&self) -> Result<u32, KeyError> {
         let got = self.value.and_then(Value::as_u64).and_then(|n| u32::try_from(n).ok());
         self.want(got, "a whole number")
@@ -150,7 +153,10 @@
     }
 }
 
-/// Reads the settings; unknown keys are skipped.
+/// Reads the settings; unknown keys are ignored.
+///
+/// # Errors
+/// The first value that is missing or not valid, by its path.
 pub fn read(root: &Key) -> Result<(Config, Names), KeyError> {
     let mut names = Names::default();
     let my_zone = root.get("my_zone");
@@ -163,39 +169,8 @@
     }
     let zone = ZoneId(number(&names.zone));
     let mut classes = Vec::new();
-    for class in root.get("profiles").list()? {
-        let name = class.get("name");
-        if names.classes.iter().any(|n| name.text().is_ok_and(|m| m == n)) {
-            return Err(KeyError::Twice { path: name.path });
-        }
-        names.classes.push(name.text()?.into());
-        let scope = class.get("key_scope");
-        let effect = match class.get("effect").text()? {
-            "free" => Effect::Free,
-            "guarded" => {
-                let scope = match scope.text()? {
-                    "all" => KeyScope::All,
-                    "zone" => KeyScope::Zone,
-                    "cell" => KeyScope::Cell,
-                    _ => return scope.want(None, "all, zone or cell"),
-                };
-                Effect::Keyed(scope, class.get("window_us").micros()?)
-            }
-            "single_shot" => Effect::Unsafe,
-            _ => return class.get("effect").want(None, "free, guarded or single_shot"),
-        };
-        let stretch = class.get("aim_stretch");
-        let (aim, deadline) = (class.get("aim_us"), class.get("deadline_us"));
-        if aim.micros()? > deadline.micros()? {
-            return aim.want(None, "no more than deadline_us");
-        }
-        classes.push(Class {
-            aim: aim.micros()?,
-            aim_stretch: if stretch.value.is_some() { stretch.real()? } else { 0.0 },
-            effect,
-            worth: class.get("gain").real()?,
-            late_worth: class.get("late_worth").real()?,
-        });
+    for key in root.get("profiles").list()? {
+        classes.push(read_class(&key, &mut names)?);
     }
     let mut tenants = Vec::new();
     for tenant in root.get("customers").list()? {
@@ -231,7 +206,48 @@
         ramp: rules.get("ramp_time_us").micros()?,
         fall_multiple: rules.get("fall_multiple").real()?,
         fall_window: rules.get("tip_after_us").micros()?,
-        limits: LimitBounds::default(), // not told: the operator's file has them
+        limits: LimitBounds::default(), // the operator's file has them
     };
     Ok((config, names))
 }
+
+/// Reads a class, and adds its name to `names`.
+fn read_class(class: &Key, names: &mut Names) -> Result<Class, KeyError> {
+    let name = class.get("name");
+    if names.classes.iter().any(|n| name.text().is_ok_and(|m| m == n)) {
+        return Err(KeyError::Twice { path: name.path });
+    }
+    names.classes.push(name.text()?.into());
+    let effect = read_effect(class)?;
+    let stretch = class.get("aim_stretch");
+    let (aim, deadline) = (class.get("aim_us"), class.get("deadline_us"));
+    if aim.micros()? > deadline.micros()? {
+        return aim.want(None, "no more than deadline_us");
+    }
+    Ok(Class {
+        aim: aim.micros()?,
+        aim_stretch: if stretch.value.is_some() { stretch.real()? } else { 0.0 },
+        effect,
+        worth: class.get("gain").real()?,
+        late_worth: class.get("late_worth").real()?,
+    })
+}
+
+fn read_effect(class: &Key) -> Result<Effect, KeyError> {
+    let effect = class.get("effect");
+    match effect.text()? {
+        "free" => Ok(Effect::Free),
+        "guarded" => {
+            let scope = class.get("key_scope");
+            let scope = match scope.text()? {
+                "all" => KeyScope::All,
+                "zone" => KeyScope::Zone,
+                "cell" => KeyScope::Cell,
+                _ => return scope.want(None, "all, zone or cell"),
+            };
+            Ok(Effect::Keyed(scope, class.get("window_us").micros()?))
+        }
+        "single_shot" => Ok(Effect::Unsafe),
+        _ => effect.want(None, "free, guarded or single_shot"),
+    }
+}
--- a/crates/gaugesaddle-balancer/src/state.rs
+++ b/crates/gaugesaddle-balancer/src/state.rs
@@ -6,16 +6,17 @@
 use crate::records::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Memory of a kind's speed, s: a machine's speed changes seldom, the rate it is computed from all the time.
+/// Memory of a kind's speed in seconds: the speed changes seldom, the rate that it is computed from
+/// constantly.
 const SPEED_MEMORY: f64 = 10.0;
 /// Multiple of its kind's mean latency up to which one answer counts.
 const LATENCY_CLIP: f64 = 3.0;
-/// Extra attempts for each request: the usual tenth, doubled for the time until a failure is seen.
+/// Retries per request: the usual tenth, doubled for the time until a failure is detected.
 const RETRY_RATIO: f64 = 0.2;
 /// Answers before a kind's mean latency counts.
 const LATE_SAMPLES: f64 = 10.0;
 
-/// The decisions of one proxy. Give it every event in order; it answers with actions.
+/// The decisions of one proxy. The host reports every event in order and carries out the returned actions.
 pub struct Balancer {
     pub(crate) cfg: Config,
     pub(crate) rng: Rng,
@@ -26,45 +27,45 @@
     pub(crate) buckets: Vec<Bucket>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
     pub(crate) queue: Vec<RequestId>,
-    /// First tries worth less than this have found no room since the last event that could make some.
+    /// First attempts of lower value have found no slot since the last event that could free one.
     pub(crate) blocked: f64,
-    /// Part of the traffic that is let in, and the part of the arrivals that is worth little.
+    /// Fraction of the traffic that is admitted, and fraction of the arrivals that has a low value.
     pub(crate) admit: f64,
     pub(crate) low: f64,
     pub(crate) attempts: BTreeMap<(RequestId, AttemptNo), Flight>,
-    /// Attempts of this proxy that are out, and how many may be.
+    /// Attempts of this proxy in flight, and their limit.
     pub(crate) out: usize,
     pub(crate) pool: f64,
-    /// What it may hold in the mean, and has held of late.
+    /// Limit of the mean number in flight.
     pub(crate) mean_limit: f64,
-    /// Multiple of its turns' parts that its rooms go by.
+    /// Factor of the limits that slots are computed by, so that `MIN_OPEN` are open at least.
     pub(crate) open: f64,
-    /// None of the backends is in its turn.
+    /// No backend has a slot for this proxy in the current rotation.
     pub(crate) turnless: bool,
     pub(crate) load_mean: Level,
-    /// Groups that the backends are cut into, one for each proxy of a round.
+    /// Number of groups of backends; see [`crate::subset`].
     pub(crate) groups: u64,
-    /// The backends that it uses, in their order: a request looks through no others.
+    /// The backends that this proxy uses, in the order of their ids.
     pub(crate) used: Vec<BackendId>,
-    /// Backends that are in use.
+    /// Number of backends in use.
     pub(crate) ready: f64,
     pub(crate) unresponsive: Vec<BackendId>,
     pub(crate) rate: Rate,
-    /// Requests that came, let in or not, and what is left of what a storm lets in.
+    /// Requests that arrived, admitted or not, and the tokens of a storm's rate limit.
     pub(crate) arrivals: Rate,
     pub(crate) let_in: Bucket,
     pub(crate) pressure: Pressure,
     pub(crate) offer: Offer,
-    /// Who shares the traffic; by the settings until it is told.
+    /// The proxies that share the traffic; by the settings until the host reports them.
     pub(crate) tier: Tier,
-    /// Backends that it is told to use, and how.
+    /// Backends that the host assigned to this proxy.
     pub(crate) uses: BTreeMap<BackendId, Use>,
-    /// Backends' turns last so long.
+    /// Length of the backends' turns.
     pub(crate) turn: Micros,
-    /// The shares are solved this often, and when.
+    /// How often the traffic split is solved, and when it was last.
     pub(crate) period: Micros,
     pub(crate) solved: Time,
-    /// When time alone next asks for attention.
+    /// When something is next due by time alone.
     pub(crate) due: Time,
     pub(crate) timer: (u64, Option<Time>),
     pub(crate) subscription: Subscription,
@@ -75,7 +76,10 @@
 }
 
 impl Balancer {
-    /// A proxy that knows nothing yet but its configuration.
+    /// A proxy without backends or requests.
+    ///
+    /// # Errors
+    /// Where a field of the configuration is out of its range.
     pub fn new(cfg: Config, seed: u64) -> Result<Balancer, ConfigError> {
         cfg.validate()?;
         Ok(Balancer {
@@ -109,7 +113,7 @@
             tier: Tier { proxies: cfg.proxies, position: cfg.position, weight: 1.0 },
             uses: BTreeMap::new(),
             turn: turn_length(&cfg),
-            // No answer is told late by less than an aim: estimates move no faster.
+            // An answer is known to be late only after an objective: estimates move no faster.
             period: cfg.classes.iter().map(|c| c.aim).min().unwrap_or_default(),
             solved: Time(0),
             due: Time(0),
@@ -125,28 +129,28 @@
         })
     }
 
-    /// When a client that is refused now may find room: until then the rate that left it none still counts.
+    /// After which time a client that is refused now should retry: until then the current rate still counts.
     pub fn retry_after(&self) -> Micros {
         Micros::from_secs(RATE_MEMORY)
     }
 
-    /// Asks for attention at that time at the latest.
+    /// Makes the next timer fire at `at` at the latest.
     pub(crate) fn wake_by(&mut self, at: Time) {
         self.due = self.due.min(at);
     }
 
-    /// What a served request of the class usually takes; before any was served, a quarter of its aim.
+    /// Usual latency of a served request of the class; a quarter of its objective before any was served.
     pub(crate) fn usual(&self, class: usize) -> Micros {
         let known = self.classes[class].latency.get();
         known.map_or(self.cfg.classes[class].aim.times(0.25), Micros::from_secs)
     }
 
-    /// A class's work beside the mean, so far as latency tells it.
+    /// A class's work relative to the mean, estimated by latency.
     pub(crate) fn work(&self, class: usize) -> f64 {
         self.classes[class].latency.get().map_or(1.0, |own| own / self.overall.value)
     }
 
-    /// How the proxy stands, for those who look for a cause.
+    /// The current state, for operators.
     pub fn standing(&self) -> Standing {
         Standing {
             rate: self.rate.per_s().unwrap_or(0.0),
@@ -161,8 +165,8 @@
         }
     }
 
-    /// What the backends can do that this proxy has no reason to doubt, and what comes. One that was ejected counts
-    /// again with its first good answer.
+    /// Capacity of the healthy backends, and demand, in requests per second. An ejected backend counts again
+    /// after its first served request.
     pub fn capacity(&self) -> Capacity {
         let hold: f64 = self.backends.values().filter(|p| p.is_sound()).map(|p| p.limit * p.fraction).sum();
         let able = self.rate_of(hold);
@@ -170,13 +174,13 @@
         Capacity { able, demand: self.classes.iter().map(|c| c.demand * arrivals).collect() }
     }
 
-    /// The backends that are listed ready, by their ids: those that may be dealt out.
+    /// The backends that are listed ready, by id: those that may be assigned to proxies.
     pub fn listed(&self) -> Vec<(BackendId, KindId, ZoneId)> {
         let ready = self.backends.values().filter(|p| p.entry.state == BackendState::Ready);
         ready.map(|p| (p.entry.id, p.entry.kind, p.entry.zone)).collect()
     }
 
-    /// Requests a second of those that are held so many at a time.
+    /// Requests per second at `hold` requests in flight (Little's law).
     fn rate_of(&self, hold: f64) -> f64 {
         match self.overall.get() {
             _ if hold <= 0.0 => 0.0,
@@ -185,7 +189,7 @@
         }
     }
 
-    /// The same by zone; a zone without a backend that this proxy uses is left out.
+    /// Capacity by zone; zones without a backend that this proxy uses are left out.
     pub fn zones(&self) -> BTreeMap<ZoneId, ZoneCapacity> {
         let mut zones: BTreeMap<ZoneId, (ZoneCapacity, f64)> = BTreeMap::new();
         for p in self.backends.values().filter(|p| p.used && p.entry.state == BackendState::Ready) {
@@ -198,7 +202,7 @@
         zones.into_iter().map(able).collect()
     }
 
-    /// What is known of each backend's limit.
+    /// The limit of each backend.
     pub fn limits(&self) -> Vec<LimitView> {
         let at_bound = |limit: f64| limit <= self.cfg.limits.least || limit >= self.cfg.limits.most;
         let view = |(id, p): (&BackendId, &BackendRecord)| LimitView {
@@ -216,7 +220,7 @@
         self.backends.iter().map(view).collect()
     }
 
-    /// A line for the operators, two a second at most.
+    /// Logs a line for operators, at most two per second.
     pub(crate) fn log(&mut self, now: Time, text: String) {
         if now >= self.log_at {
             self.log_at = now + Micros(500_000);
@@ -224,21 +228,21 @@
         }
     }
 
-    /// Work that all proxies may send to a cold backend in a fall window; infinite once it is warm.
+    /// Work that all proxies together may send to a cold backend in a fall window; infinite once it is warm.
     pub(crate) fn fall_limit(&self, now: Time, p: &BackendRecord) -> f64 {
         let warm = warm_fraction(&self.cfg, now, &p.entry, 1.0);
         if warm >= 1.0 {
             return f64::INFINITY;
         }
         let fair = self.rate.per_s().unwrap_or(1.0) / self.tier.share() / self.backends.len() as f64;
-        // Beside few ready backends the flow overshoots; one that holds no more than its limit is no faster than this.
+        // With few ready backends the flow overshoots; a backend within its limit is no faster than this.
         let hold = |k: &Kind| if k.limit > 0.0 { k.limit } else { BASE_LIMIT };
         let known = |k: &Kind| k.latency.get().map(|t| k.speed.min((1.0 + hold(k)) / t));
         let speed = self.kinds.get(&p.entry.kind).and_then(known).unwrap_or(fair);
         self.cfg.fall_multiple * warm * speed * self.cfg.fall_window.secs()
     }
 
-    /// Takes news of the list into the records; true if anything but weights changed.
+    /// Applies an update of the list to the records; whether anything but weights changed.
     pub(crate) fn take_list(&mut self, update: ListUpdate, list: Vec<Backend>) -> bool {
         let mut changed = false;
         if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
@@ -250,7 +254,7 @@
         for entry in list {
             let p = self.backends.entry(entry.id).or_default();
             if p.entry.booted != entry.booted {
-                // A restarted process has nothing in common with the old one but its address.
+                // A restarted process shares only the address with the old one.
                 *p = BackendRecord {
                     out: p.out,
                     used: p.used,
@@ -258,19 +262,20 @@
                     ..BackendRecord::default()
                 };
             }
-            // A live weight moves all the time; the next regular solving takes it in.
+            // Live weights change constantly; the next regular solve applies them.
             changed |= p.entry != Backend { weight: p.entry.weight, ..entry.clone() };
             p.entry = entry;
         }
         changed
     }
 
-    /// Speed of every kind from its latency and its part of the rate; kinds without data: as fast as the others.
+    /// Updates every kind's speed from its latency and its fraction of the rate; kinds without data get the
+    /// mean.
     pub(crate) fn estimate_speeds(&mut self, passed: f64, rate: Option<f64>) {
         for k in self.kinds.values_mut() {
             let flow = if k.ready > 0.0 { rate.unwrap_or(0.0) * k.share / k.ready } else { 0.0 };
-            // Smoothed: the flow that this proxy computes is its own view; unsmoothed a kind with a large share
-            // looks ever faster, and proxies swing together.
+            // Smoothed, since the flow is this proxy's own estimate: unsmoothed, a kind with a large fraction
+            // looks ever faster, and proxies oscillate together.
             let speed = k.latency.get().map_or(0.0, |t| 1.0 / t + flow);
             let weight = if k.latency.count < LATE_SAMPLES { 1.0 } else { (passed / SPEED_MEMORY).min(1.0) };
             k.speed += (speed - k.speed) * weight;
@@ -281,7 +286,7 @@
         self.kinds.values_mut().filter(|k| k.speed == 0.0).for_each(|k| k.speed = mean);
     }
 
-    /// Takes in a served request's latency.
+    /// Records a served request's latency.
     pub(crate) fn served(&mut self, kind: KindId, class: usize, latency: Micros) {
         // Served requests only: errors, time-outs and refusals stay out of the speeds.
         let secs = latency.secs().max(1e-6);
@@ -289,7 +294,7 @@
         self.overall.add(secs, KIND_SAMPLES);
         let plain = secs * self.overall.value / self.classes[class].latency.value;
         let k = self.kinds.entry(kind).or_default();
-        // Ill backends answer late; a few such answers must not make the whole kind look slow.
+        // Unhealthy backends answer late; a few such answers must not slow their kind's estimate.
         k.latency.add(plain.min(k.latency.get().unwrap_or(plain) * LATENCY_CLIP), KIND_SAMPLES);
     }
 }
--- a/crates/gaugesaddle-balancer/src/subset.rs
+++ b/crates/gaugesaddle-balancer/src/subset.rs
@@ -1,29 +1,29 @@
-//! Which backends a proxy uses where proxies are many. No clock, no I/O.
+//! Subsetting: which backends a proxy uses where proxies are many. No clock, no I/O.
 //!
-//! Each of many proxies that uses every backend sends each of them a request now and then: it keeps
-//! connections to all that are hardly used, and learns nothing of any of them in time. So the proxies are
-//! dealt out in rounds. In a round the backends are shuffled and cut into as many groups as the round has
-//! proxies; each proxy uses one. Every backend is in one group of each round, so all have as many users,
-//! and two backends that share one user seldom share the next: what an ill backend does not take is spread
+//! If each of many proxies used every backend, it would keep connections to all that are hardly used, and
+//! learn too little of each. So proxies are assigned in rounds, as in deterministic subsetting (Site
+//! Reliability Engineering, chapter 20): in a round the backends are shuffled and divided into as many groups
+//! as the round has proxies, and each proxy uses one group. Every backend is in one group of each round, so
+//! all have the same number of users, and two backends share few users: an unhealthy backend's load spreads
 //! over the fleet.
 
 use crate::interface::*;
 use crate::mix::mix;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Proxies that use a backend, about: as few as let it be known from what each of them sends, and enough
-/// for the sum of their traffic to be even.
+/// Approximate number of proxies that use a backend: few enough that each learns it from its own traffic, and
+/// enough for the sum of their traffic to be even.
 const TARGET_USERS: u32 = 20;
-/// Least backends of a proxy: with an ill third of them it still has a choice in each zone of three.
+/// Minimum backends of a proxy: with a third of them unhealthy it still has a choice in each of three zones.
 const MIN_BACKENDS: usize = 8;
 
-/// Groups that a round cuts the backends into; one: every proxy uses all of them.
+/// Number of groups in a round; 1: every proxy uses all backends.
 pub fn groups(proxies: u32, backends: usize) -> u64 {
     u64::from(proxies / TARGET_USERS).min((backends / MIN_BACKENDS) as u64).max(1)
 }
 
-/// What a proxy uses of the backends that are listed ready. Every kind is cut by itself, the zones of a
-/// kind taking turns, so that groups are alike in both. A change of one backend moves few others.
+/// The backends that a proxy uses of those listed ready. Each kind is divided by itself, with its zones
+/// interleaved, so that groups have the same mix of both. A change of one backend moves few others.
 pub fn chosen(position: u32, proxies: u32, listed: &[(BackendId, KindId, ZoneId)]) -> BTreeSet<BackendId> {
     let groups = groups(proxies, listed.len());
     let (round, group) = (u64::from(position) / groups, u64::from(position) % groups);
--- a/crates/gaugesaddle-balancer/src/subset/tests.rs
+++ b/crates/gaugesaddle-balancer/src/subset/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn every_backend_has_as_many_users_and_every_user_some_of_each_kind_and_zone() {
+fn users_are_even_and_each_has_every_kind_and_zone() {
     for (proxies, backends) in [(100, 60), (100, 41), (100, 78), (60, 60), (97, 60), (300, 200)] {
         let listed = fleet(backends);
         let all = users(proxies, &listed);
@@ -42,7 +42,7 @@
 
 /// What an ill backend leaves must not fall on the same few others at all of its users.
 #[test]
-fn two_backends_share_few_of_their_users() {
+fn two_backends_share_few_users() {
     let listed = fleet(60);
     let all = users(100, &listed);
     for (i, (a, ..)) in listed.iter().enumerate() {
@@ -55,7 +55,7 @@
 
 /// A release replaces one after another: the connections to the rest must last.
 #[test]
-fn a_change_of_one_backend_moves_few_others() {
+fn change_of_one_backend_moves_few_others() {
     let mut listed = fleet(60);
     let before = users(100, &listed);
     listed.remove(7);
--- a/crates/gaugesaddle-balancer/tests/cold.rs
+++ b/crates/gaugesaddle-balancer/tests/cold.rs
@@ -125,7 +125,7 @@
 /// One, five, thirty and three hundred proxies, uneven traffic, a burst on the ramp, and a third of the proxies that start
 /// in the middle of it and know nothing of what was sent before.
 #[test]
-fn the_sum_of_all_proxies_stays_within_a_cold_backends_budget() {
+fn total_work_stays_within_cold_backend_budget() {
     for (proxies, backends) in [(1, 8), (5, 8), (30, 12), (300, 40)] {
         for restarts in [false, true].into_iter().skip(usize::from(proxies == 300)) {
             let mut fleet = Fleet::new(proxies, backends, 0.7);
--- a/crates/gaugesaddle-balancer/tests/failures.rs
+++ b/crates/gaugesaddle-balancer/tests/failures.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_unsound_configuration_is_a_typed_error() {
+fn invalid_configuration_is_a_typed_error() {
     let bad = |change: fn(&mut Config)| {
         let mut cfg = Config::example();
         change(&mut cfg);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_short_request_after_idleness_is_answered_in_time() {
+fn short_request_after_idle_time_is_answered_in_time() {
     // Found by the invariants: the timer once ran ten ticks long while nothing was in hand.
     let mut host = host(Config::example(), Vec::new());
     host.advance(1_000_000);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn at_light_load_the_faster_kind_takes_nearly_all() {
+fn faster_kind_takes_nearly_all_at_light_load() {
     let list = (0..6).map(|i| backend(i, 0, i % 2)).collect();
     let mut host = host(Config { proxies: 1, ..Config::example() }, list);
     let time = |b: u32| if b % 2 == 0 { 20_000 } else { 80_000 };
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn inside_a_kind_the_draw_is_even() {
+fn draw_within_a_kind_is_uniform() {
     let mut host = host(Config { proxies: 1, ..Config::example() }, fleet(4));
     let chosen = serve(&mut host, 800, 0, |_| 20_000);
     for b in 0..4 {
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn with_many_proxies_no_backend_is_closed_and_the_pool_bounds_the_whole() {
+fn pool_bounds_total_load_of_many_proxies_without_closing_backends() {
     // First score at full size: with a hold of 4 shared by hundreds, most backends had no room for a given
     // proxy and requests were refused beside idle backends. 4 * 40 / 320 = 0.5 are due to each: a few may go.
     let mut host = host(Config { proxies: 320, ..Config::example() }, fleet(40));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn load_is_shed_while_answers_are_late_and_let_in_again_when_they_are_brisk() {
+fn load_is_shed_while_answers_are_late_and_admitted_when_brisk() {
     // Standing rounds: backends that held too much for all proxies together choked and stayed slow.
     let mut host = host(Config { proxies: 300, ..Config::example() }, fleet(60));
     let refused = |host: &mut Host, time: u64| {
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_full_backend_is_drawn_again_and_the_rest_waits() {
+fn full_backend_is_drawn_again_and_excess_is_queued() {
     let mut host = host(Config { proxies: 1, ..Config::example() }, fleet(2));
     host.burst(20, 0, 900_000);
     let out = host.out();
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_silent_backend_gets_nothing_new_and_its_requests_a_copy() {
+fn unresponsive_backend_gets_no_request_and_its_requests_a_second_attempt() {
     let mut host = host(config(vec![class(Effect::Free)]), fleet(6));
     serve(&mut host, 100, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn where_no_copy_is_allowed_the_lost_attempt_is_called_back_first() {
+fn lost_attempt_is_cancelled_first_without_second_copies() {
     let cfg = Config { second_copies: false, ..config(vec![class(Effect::Free)]) };
     let mut host = host(cfg, fleet(6));
     serve(&mut host, 100, 0, |_| 10_000);
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_failed_and_one_that_never_ran_is_sent_again() {
+fn unsafe_request_is_retried_only_if_it_never_ran() {
     let mut host = host(config(vec![class(Effect::Unsafe)]), fleet(6));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn a_keyed_repeat_stays_in_its_zone_and_window() {
+fn keyed_retry_stays_in_its_zone_and_window() {
     let keyed = class(Effect::Keyed(KeyScope::Zone, Micros(200_000)));
     let mut host = host(config(vec![keyed]), (0..6).map(|i| backend(i, i % 2, 0)).collect());
     serve(&mut host, 60, 0, |_| 10_000);
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn an_erring_backend_is_ejected_and_comes_back_after_its_term() {
+fn failing_backend_is_ejected_and_returns_after_its_term() {
     let mut host = host(config(vec![class(Effect::Free)]), fleet(6));
     let bad = eject_one(&mut host);
     assert!(!serve(&mut host, 40, 0, |_| 5_000).contains(&bad), "used during its term");
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn when_most_backends_err_they_are_used_after_all() {
+fn ejected_backends_are_used_above_panic_threshold() {
     let mut host = host(config(vec![class(Effect::Free)]), fleet(4));
     serve(&mut host, 40, 0, |_| 10_000);
     for _ in 0..200 {
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn a_cold_backend_gets_less_than_its_budget() {
+fn cold_backend_gets_less_than_its_budget() {
     let cfg = Config { proxies: 1, cold_from: 0.1, fall_multiple: 2.0, ..Config::example() };
     let mut host = host(cfg, fleet(3));
     serve(&mut host, 200, 0, |_| 20_000);
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn a_burst_cannot_push_a_cold_backend_over() {
+fn burst_does_not_exceed_cold_backend_budget() {
     let cfg = Config { proxies: 3, cold_from: 0.1, fall_multiple: 2.0, ..Config::example() };
     let mut host = host(cfg, fleet(12));
     serve(&mut host, 100, 0, |_| 20_000);
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn a_clients_repeat_waits_behind_first_tries() {
+fn client_retry_is_queued_behind_first_attempts() {
     // Incident ic9a8f4: repeats counted as new and, newest first, made everyone late.
     let mut host = host(Config { proxies: 1, ..Config::example() }, fleet(1));
     let fill = host.burst(8, 0, 900_000);
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn traffic_beyond_a_quota_leaves_room_for_the_others() {
+fn traffic_over_quota_leaves_capacity_for_others() {
     let tenants = vec![Tenant { quota_per_s: 1.0 }, Tenant { quota_per_s: 1_000.0 }];
     let mut host = host(Config { proxies: 1, tenants, ..Config::example() }, fleet(2));
     let flood: Vec<RequestId> = (0..30).map(|_| host.arrive_for(0, 900_000, Some(TenantId(0)))).collect();
@@ -313,7 +313,7 @@
 }
 
 #[test]
-fn in_overload_the_densest_worth_is_served() {
+fn densest_worth_is_served_under_overload() {
     let rich = Class { worth: 8.0, ..class(Effect::Free) };
     let mut host = host(Config { proxies: 1, ..config(vec![class(Effect::Free), rich]) }, fleet(1));
     let ids: Vec<RequestId> = (0..60).map(|n| host.arrive(n % 2, 900_000)).collect();
@@ -335,7 +335,7 @@
 }
 
 #[test]
-fn where_crossing_zones_costs_traffic_stays_near() {
+fn traffic_stays_in_zone_where_crossing_has_a_cost() {
     let (near, all) = (zones(0.05, 3), zones(0.0, 3));
     assert!(near >= 270, "{near} of 300 stayed");
     assert!((70..=130).contains(&all), "{all} of 300 stayed without a cost");
@@ -373,7 +373,7 @@
 
 /// A constant of 4 turned away what eight cores could serve: latency that stays flat raises the limit.
 #[test]
-fn a_backend_that_works_on_many_at_once_is_given_more() {
+fn limit_rises_for_parallel_backend() {
     let mut host = host(learning(), fleet(1));
     // One backend alone has its turns one after the other: the search takes some cycles of them.
     let most = held_by_one(&mut host, 6_000, 5_000, |_| 60_000);
@@ -387,7 +387,7 @@
 
 /// One core in overload: each that it holds makes all others slower, and the limit must not follow its own crowd up.
 #[test]
-fn one_core_is_held_to_a_few_however_long_it_is_asked_for_more() {
+fn limit_stays_low_for_one_core_under_lasting_demand() {
     let mut host = host(learning(), fleet(1));
     let most = held_by_one(&mut host, 3_000, 15_000, |held| 20_000 * held as u64);
     // Four, and eight in a turn of a third of a second: too short to choke it.
@@ -398,14 +398,14 @@
 
 /// Two proxies over three zones: kept near, their traffic would leave a zone without any.
 #[test]
-fn zones_with_unlike_numbers_of_proxies_share_all_backends() {
+fn zones_with_different_numbers_of_proxies_use_all_backends() {
     let near = zones(0.05, 2);
     assert!((70..=130).contains(&near), "{near} of 300 stayed");
 }
 
 /// With its own zone out of use a proxy's traffic goes to the others, as many as there are.
 #[test]
-fn a_zone_without_backends_is_no_reason_to_refuse() {
+fn zone_without_backends_refuses_nothing() {
     let cfg = Config { cross_zone_cost: 0.05, zones: 3, ..Config::example() };
     let mut host = host(cfg, (0..9).map(|i| backend(i, i % 3, 0)).collect());
     serve(&mut host, 50, 0, |_| 10_000);
@@ -414,7 +414,7 @@
 }
 
 #[test]
-fn a_zone_short_of_backends_sends_its_surplus_out() {
+fn zone_with_few_backends_sends_excess_to_others() {
     // Own zone holds one of seven backends; three zones' proxies bring a third each: 3/7 may stay.
     let cfg = Config { cross_zone_cost: 0.05, zones: 3, ..Config::example() };
     let list = (0..7).map(|i| backend(i, if i == 0 { 0 } else { 1 + i % 2 }, 0)).collect();
@@ -426,7 +426,7 @@
 /// Backends that take only some of what they are sent, as under a limit on their rate: thrown out for each one
 /// turned away, they leave too few to serve the rest, and repeats of what never ran are not a load to be capped.
 #[test]
-fn backends_that_turn_some_away_are_used_for_the_rest() {
+fn backends_that_reject_some_requests_remain_in_use() {
     let mut host = host(config(vec![class(Effect::Unsafe)]), fleet(4));
     let (mut asked, mut taken, mut served) = ([0; 4], [0; 4], 0);
     for _ in 0..400 {
@@ -448,7 +448,7 @@
 
 /// One broken connection is no dead backend; that one refuses the next connect.
 #[test]
-fn a_reset_alone_puts_no_backend_out_of_use() {
+fn single_reset_does_not_eject() {
     let sent_after = |resets: usize| {
         let mut host = host(config(vec![class(Effect::Free)]), fleet(2));
         serve(&mut host, 20, 0, |_| 10_000);
@@ -469,7 +469,7 @@
 }
 
 #[test]
-fn discovery_is_followed_at_once_and_again_after_a_loss() {
+fn discovery_is_subscribed_at_once_and_again_after_a_loss() {
     let cfg = Config { discovery: Discovery::Subscribe(Micros(10_000_000)), ..Config::example() };
     let mut host = Host::new(cfg, 3);
     host.members(ListUpdate::Cached, fleet(2));
@@ -487,7 +487,7 @@
 /// A server leaves and another process comes to its address while discovery is out of hearing: that it left counts as told
 /// after 6 s, though nobody told it. Before, it was used again as soon as somebody answered there.
 #[test]
-fn a_server_that_left_unheard_is_not_used_before_discovery_is_heard() {
+fn absent_server_is_not_used_before_discovery_answers() {
     let subscribed = |list: Vec<Backend>| {
         let discovery = Discovery::Subscribe(Micros(10_000_000));
         host(Config { discovery, ..config(vec![class(Effect::Free)]) }, list)
@@ -522,7 +522,7 @@
 }
 
 #[test]
-fn a_stream_once_begun_is_left_alone() {
+fn started_stream_is_not_interrupted() {
     let mut host = host(config(vec![class(Effect::Free)]), fleet(2));
     let id = host.arrive(0, 300_000);
     host.start_stream(id, 0);
@@ -532,7 +532,7 @@
 }
 
 #[test]
-fn events_of_unknown_things_change_nothing() {
+fn events_of_unknown_ids_change_nothing() {
     let run = |noise: bool| {
         let mut host = host(config(vec![class(Effect::Free)]), fleet(3));
         if noise {
@@ -544,7 +544,7 @@
 }
 
 #[test]
-fn a_crowded_backend_is_drawn_less_where_weights_are_live() {
+fn congested_backend_is_drawn_less_with_live_weights() {
     // Lisboa rough-1: silent and choked backends held tens of requests; the list's live weight alone showed it.
     let part = |live_weights: bool| {
         let mut host = host(Config { live_weights, ..Config::example() }, fleet(4));
@@ -558,7 +558,7 @@
 }
 
 #[test]
-fn one_ill_backend_does_not_make_its_kind_look_slow() {
+fn one_unhealthy_backend_does_not_slow_its_kind() {
     // Narocila rough-2: a slow kind with one ill backend was left idle while the fast kind was refused for.
     let list = (0..12).map(|i| backend(i, 0, i % 2)).collect();
     let mut host = host(Config { proxies: 40, ..Config::example() }, list);
@@ -573,7 +573,7 @@
 }
 
 #[test]
-fn a_quiet_start_sheds_next_to_nothing() {
+fn start_at_light_load_sheds_almost_nothing() {
     // Lisboa quiet: with no unloaded latency known yet, answers well inside the aim counted as late.
     let mut host = host(Config { proxies: 300, ..Config::example() }, fleet(60));
     let before = serve(&mut host, 60, 0, |_| 150_000).len();
@@ -581,7 +581,7 @@
 }
 
 #[test]
-fn an_attempt_called_off_after_its_aim_counts_against_the_backend() {
+fn attempt_cancelled_after_objective_counts_against_backend() {
     // Accra rough-2: clients left before their deadline, so choked backends showed only cancels.
     let mut host = host(config(vec![class(Effect::Unsafe)]), fleet(6));
     serve(&mut host, 60, 0, |_| 10_000);
@@ -595,7 +595,7 @@
 }
 
 #[test]
-fn lateness_is_gauged_when_the_time_is_up() {
+fn lateness_counts_when_the_time_is_up() {
     // Incident ic093af: under overload answers came a second or two late, and the fleet choked meanwhile.
     let mut host = host(Config { proxies: 300, ..Config::example() }, fleet(600));
     serve(&mut host, 60, 0, |_| 30_000);
@@ -609,7 +609,7 @@
 }
 
 #[test]
-fn many_proxies_do_not_push_an_empty_cold_backend_over_beside_crowded_ones() {
+fn many_proxies_respect_cold_backend_budget_beside_congested_ones() {
     // Incident ic093af: live weights were low on all warm backends, so the cold one got more of the draw than they.
     let ramp = Micros(1_000_000_000);
     let cfg = Config { proxies: 126, live_weights: true, cold_from: 0.1, ramp, ..Config::example() };
@@ -630,7 +630,7 @@
 }
 
 #[test]
-fn in_a_storm_no_more_is_let_in_than_its_budget() {
+fn admission_in_retry_storm_stays_within_its_rate() {
     let mut host = host(config(vec![class(Effect::Free)]), fleet(10));
     host.event(storm(Some(20.0)));
     let mut sent = 0;
@@ -651,7 +651,7 @@
 }
 
 #[test]
-fn in_a_storm_no_second_copy_goes_out() {
+fn no_second_copy_in_retry_storm() {
     let copies = |pressed: bool| {
         let mut host = host(Config { proxies: 1, ..config(vec![class(Effect::Free)]) }, fleet(4));
         serve(&mut host, 60, 0, |_| 10_000);
@@ -673,7 +673,7 @@
 /// The only backend pauses, counts as silent, and answers: what is held must go out then, and not only when the shares
 /// are next reckoned, which an aim of seconds puts off for as long.
 #[test]
-fn a_backend_that_was_silent_for_a_moment_gets_what_is_held() {
+fn backend_that_responds_again_gets_queued_requests() {
     let slow = Class { aim: Micros(5_000_000), ..class(Effect::Free) };
     let mut host = host(config(vec![slow]), fleet(1));
     serve(&mut host, 40, 0, |_| 5_000);
--- a/crates/gaugesaddle-balancer/tests/halb.rs
+++ b/crates/gaugesaddle-balancer/tests/halb.rs
@@ -18,13 +18,13 @@
 }
 
 #[test]
-fn at_light_load_the_slow_kind_gets_nothing() {
+fn slow_kind_gets_nothing_at_light_load() {
     close(halb_shares(&TWO, Some(2.0)), &[1.0, 0.0]);
     close(halb_shares(&TWO, Some(1.0)), &[1.0, 0.0]);
 }
 
 #[test]
-fn a_clamped_kind_leaves_and_the_rest_is_solved_anew() {
+fn rest_is_solved_without_clamped_kind() {
     // Of all three: roots 6, speeds 14, the third flow 1 - 8.5 / 6 < 0.
     // Of the first two: roots 5, speeds 13: 9 - 3 * 1.5 = 4.5 and 4 - 2 * 1.5 = 1.
     let three = [(1.0, 9.0), (1.0, 4.0), (1.0, 1.0)];
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn counts_weigh_and_may_be_parts() {
+fn counts_are_weights_and_may_be_fractions() {
     // roots 2 * 2 + 0.5 = 4.5, speeds 8.5: at 4 a second (8.5 - 4) / 4.5 = 1: flows 8 - 4 and 0.5 - 0.5.
     close(halb_shares(&[(2.0, 4.0), (0.5, 1.0)], Some(4.0)), &[1.0, 0.0]);
     // At 6.25: (8.5 - 6.25) / 4.5 = 0.5: flows 8 - 2 and 0.5 - 0.25.
@@ -40,18 +40,18 @@
 }
 
 #[test]
-fn over_capacity_all_traffic_is_still_divided() {
+fn all_traffic_is_split_over_capacity() {
     // (5 - 8) / 3 = -1: flows 4 + 2 and 1 + 1.
     close(halb_shares(&TWO, Some(8.0)), &[0.75, 0.25]);
 }
 
 #[test]
-fn without_a_rate_ready_counts_decide() {
+fn split_without_a_rate_follows_ready_counts() {
     close(halb_shares(&[(3.0, 4.0), (1.0, 1.0), (0.0, 9.0)], None), &[0.75, 0.25, 0.0]);
 }
 
 #[test]
-fn near_zero_rate_the_fastest_kind_takes_all() {
+fn fastest_kind_takes_all_near_zero_rate() {
     close(halb_shares(&TWO, Some(0.0)), &[1.0, 0.0]);
     close(halb_shares(&[(1.0, 4.0), (3.0, 4.0)], Some(0.0)), &[0.25, 0.75]);
     close(halb_shares(&[(0.0, 9.0), (1.0, 4.0), (1.0, 1.0)], Some(1e-12)), &[0.0, 1.0, 0.0]);
--- a/crates/gaugesaddle-balancer/tests/invariants.rs
+++ b/crates/gaugesaddle-balancer/tests/invariants.rs
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn same_events_give_same_actions() {
     let all = (0..32u32, any::<u64>(), proptest::collection::vec(step(), 1..120));
     let run = runner(40).run(&all, |(bits, seed, steps)| {
         prop_assert_eq!(play(bits, seed, &steps), play(bits, seed, &steps));
--- a/crates/gaugesaddle-balancer/tests/leaving.rs
+++ b/crates/gaugesaddle-balancer/tests/leaving.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_finds_nobody_leaves_while_it_can_still_be_served_in_time() {
+fn request_without_backend_leaves_while_it_can_be_served_in_time() {
     let mut host = host(0);
     offer(&mut host, [9, 9, 9], 0.0);
     let id = host.arrive(0, 900_000);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn what_is_offered_at_once_is_not_tried_here() {
+fn request_offered_at_once_is_not_attempted_here() {
     let mut host = host(3);
     offer(&mut host, [1, 1, 1], 1.0);
     let ids: Vec<_> = (0..3).map(|class| host.arrive(class, 900_000)).collect();
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_offer_is_for_so_many_and_goes_to_those_worth_most() {
+fn offer_is_bounded_and_goes_to_highest_value() {
     let mut host = host(0);
     let (reads, votes) = (host.burst(4, 1, 900_000), host.burst(4, 0, 900_000));
     offer(&mut host, [3, 3, 3], 0.0);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn in_one_look_the_votes_go_first() {
+fn highest_density_leaves_first() {
     let mut host = host(0);
     host.burst(3, 1, 900_000);
     host.burst(3, 0, 900_000);
@@ -94,7 +94,7 @@
 
 /// Every cell: by effect, and by what is known of the attempts here.
 #[test]
-fn what_may_have_run_here_leaves_only_if_it_is_free() {
+fn request_that_may_have_run_leaves_only_if_free() {
     for (class, outcome, leaves) in [
         (0, Outcome::ConnectFailed, true),
         (0, Outcome::Full, true),
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_keyed_request_that_is_out_does_not_leave_whatever_its_backend_does() {
+fn keyed_request_in_flight_does_not_leave() {
     let mut host = host(1);
     let id = host.arrive(0, 900_000);
     offer(&mut host, [9, 9, 9], 1.0);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn another_regions_requests_wait_behind_the_own() {
+fn foreign_requests_are_queued_behind_local_ones() {
     let mut host = host(1);
     let foreign = |request| Arrival {
         request: RequestId(request),
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn capacity_is_of_backends_that_nothing_speaks_against() {
+fn capacity_counts_healthy_backends_only() {
     let mut host = host(4);
     assert_eq!(host.balancer.capacity().able, f64::INFINITY, "nothing was served yet");
     for _ in 0..60 {
--- a/crates/gaugesaddle-balancer/tests/size.rs
+++ b/crates/gaugesaddle-balancer/tests/size.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn the_decision_module_stays_reviewable() {
+fn policy_files_stay_reviewable() {
     let files = policy();
     assert!(files.iter().any(|f| f.0.ends_with("logic.rs")), "the decisions are among them");
     let lines: usize = files.iter().map(|f| f.1.lines().filter(|l| !l.trim().is_empty()).count()).sum();
