--- a/crates/gaugesaddle-balancer/src/interface/config.rs
+++ b/crates/gaugesaddle-balancer/src/interface/config.rs
@@ -63,7 +63,7 @@
 
 impl LimitBounds {
     /// The limit, clamped to these bounds.
-    pub fn hold(&self, limit: f64) -> f64 {
+    pub fn clamp(&self, limit: f64) -> f64 {
         limit.clamp(self.least, self.most)
     }
 }
--- a/crates/gaugesaddle-balancer/src/interface/event.rs
+++ b/crates/gaugesaddle-balancer/src/interface/event.rs
@@ -134,7 +134,7 @@
     }
 
     /// Whether the values are in their ranges; others are ignored.
-    pub(crate) fn is_sound(&self) -> bool {
+    pub(crate) fn is_valid(&self) -> bool {
         self.position < self.proxies && (0.01..=100.0).contains(&self.weight)
     }
 }
@@ -156,7 +156,7 @@
 
 impl Use {
     /// Whether the values are in their ranges; others are ignored.
-    pub(crate) fn is_sound(&self) -> bool {
+    pub(crate) fn is_valid(&self) -> bool {
         let part = |x: f64| (0.0..=1.001).contains(&x);
         part(self.part) && part(self.before) && (0.0..=1e6).contains(&self.weight) && self.users > 0
     }
--- a/crates/gaugesaddle-balancer/src/limits/tests.rs
+++ b/crates/gaugesaddle-balancer/src/limits/tests.rs
@@ -1,21 +1,21 @@
-//! The search against a model of a kind's backends: it finds what they work on at once, keeps to its bounds, and comes
-//! back after each disturbance, with answers as noisy as real ones.
+//! The search for a limit against a model of a kind's backends: it finds their parallelism, respects its bounds, and
+//! recovers after each disturbance, with realistic noise in the latencies.
 
 use super::*;
 use crate::estimates::Rng;
 
-/// Backends of so many cores whose requests work and wait so long, s.
+/// Backends with a number of cores, whose requests compute and wait for given times in seconds.
 #[derive(Clone, Copy)]
 struct Model {
     cores: f64,
     work: f64,
     wait: f64,
-    /// What comes, as what one backend would hold without any limit; more than any limit: overload.
+    /// Requests in flight at one backend without any limit; above the limit there is overload.
     demand: f64,
 }
 
 impl Model {
-    /// Mean latency of a backend that holds so many all the time: those that wait hold no core.
+    /// Mean latency of a backend with a constant number in flight: waiting requests use no core.
     fn latency(&self, held: f64) -> f64 {
         let (mut low, mut high) = (self.work + self.wait, self.wait + self.work * (1.0 + held / self.cores));
         for _ in 0..60 {
@@ -122,7 +122,7 @@
         assert!(held <= 6.0, "{seed}: {held}");
         let back = run.play(wide, 100);
         assert!(back >= 6.5, "{seed}: {back}");
-        // Nothing to learn from: what was found stays.
+        // At low load nothing is learned: the limit stays.
         let calm = run.play(Model { demand: 1.0, ..wide }, 60);
         assert!((calm - back).abs() < back / 2.0, "{seed}: {back} to {calm}");
     }
@@ -138,7 +138,7 @@
     assert!((10.0..=50.0).contains(&end), "{end}");
 }
 
-/// Of the backends of a fleet some have their turns at any time, and none has two that hold more in a row.
+/// At any time some backends have a higher or lower turn, and none has two higher ones in a row.
 #[test]
 fn turns_are_spread_over_backends_and_time() {
     for number in 0..50u64 {
--- a/crates/gaugesaddle-balancer/src/logic.rs
+++ b/crates/gaugesaddle-balancer/src/logic.rs
@@ -42,14 +42,14 @@
             Event::AttemptEnded(end) => self.ended(now, end),
             Event::Pressure(pressure) => self.set_pressure(now, pressure),
             Event::Offer(offer) => self.offer = offer,
-            Event::Tier(tier) if tier.is_sound() && tier != self.tier => {
+            Event::Tier(tier) if tier.is_valid() && tier != self.tier => {
                 self.tier = tier;
                 self.choose();
             }
             Event::Tier(_) => {}
             Event::Uses(uses) => {
-                let sound = uses.into_iter().filter(Use::is_sound);
-                self.uses = sound.map(|u| (u.backend, u)).collect();
+                let valid = uses.into_iter().filter(Use::is_valid);
+                self.uses = valid.map(|u| (u.backend, u)).collect();
                 self.choose();
             }
             Event::ClientGone { request } => self.close(request, None),
@@ -80,7 +80,7 @@
                 let at = now + Micros::from_secs(wait * (0.5 + self.rng.unit()));
                 self.subscription = Subscription { retry_at: Some(at), wait_s: wait };
                 self.wake_by(at);
-                self.log(now, "discovery lost, asking again".into());
+                self.log(now, "discovery lost, subscribing again".into());
             }
             (ListUpdate::Changes | ListUpdate::Full, _) => {
                 self.subscription = Subscription::default();
--- a/crates/gaugesaddle-balancer/src/logic/dispatch.rs
+++ b/crates/gaugesaddle-balancer/src/logic/dispatch.rs
@@ -95,7 +95,7 @@
             return p.slots_now(factor, self.turnless && self.out == 0);
         };
         let all = p.limiter.own(search.limit(turn(now, id, self.turn).1));
-        p.slots_for(self.cfg.limits.hold(all), !self.many())
+        p.slots_for(self.cfg.limits.clamp(all), !self.many())
     }
 
     /// Whether the rules let the backend have this request.
--- a/crates/gaugesaddle-balancer/src/logic/traffic.rs
+++ b/crates/gaugesaddle-balancer/src/logic/traffic.rs
@@ -22,7 +22,7 @@
 /// to one, it would refuse requests while backends are idle.
 const MIN_OPEN: f64 = 2.0;
 /// Fraction of the longest slow start that a backend likely needs: that one is the bound over all kinds.
-const LIKELY_RAMP: f64 = 0.7;
+const LIKELY_SLOW_START: f64 = 0.7;
 /// Standard deviations by which the total traffic to a cold backend stays below its limit.
 const FALL_SPREADS: f64 = 3.0;
 
@@ -103,7 +103,7 @@
                 }
             };
             p.ready = health
-                * warm_fraction(&self.cfg, now, &p.entry, LIKELY_RAMP)
+                * warm_fraction(&self.cfg, now, &p.entry, LIKELY_SLOW_START)
                 * uncongested(&self.cfg, &p.entry, k.idle_weight);
             k.ready += p.ready;
             k.own += if p.used { p.ready * p.weight() } else { 0.0 };
@@ -145,7 +145,7 @@
             .values_mut()
             .for_each(|k| (k.pull, k.cumulative) = (0.0, Vec::with_capacity(k.cumulative.len())));
         let length = self.turn;
-        let cold: Vec<f64> = self.backends.values().map(|p| self.fall_part(now, p)).collect();
+        let cold: Vec<f64> = self.backends.values().map(|p| self.fall_fraction(now, p)).collect();
         let (round, many) = (u64::from(self.tier.position) / self.groups, self.many());
         for ((&id, p), most) in self.backends.iter_mut().zip(cold).filter(|(p, _)| p.1.used) {
             let here = due.get(&p.entry.zone).map_or(0.0, |d| d.max(1e-9));
@@ -163,7 +163,7 @@
                 (p.limiter.own(s.limit(turn(now, id, length).1)), p.limiter.own(s.found()))
             });
             (p.limit, mine) =
-                (self.cfg.limits.hold(all), mine + self.cfg.limits.hold(mean) * own_part * p.ready);
+                (self.cfg.limits.clamp(all), mine + self.cfg.limits.clamp(mean) * own_part * p.ready);
             p.coin = p.assigned.map_or(even, |u| u.coin(p.limit, epoch));
             p.fraction = (0.5 + 0.5 * bias) * own_part * p.ready;
             p.slots = p.slots_for(p.limit, !many);
@@ -202,7 +202,7 @@
             k.search.look(&self.cfg.limits);
             let (found, reason) = (k.search.found(), k.search.reason.name());
             if found != before {
-                moved.push(format!("kind {} may hold {found:.1} a backend: {reason}", kind.0));
+                moved.push(format!("kind {}: limit {found:.1} per backend: {reason}", kind.0));
             }
         }
         moved.into_iter().for_each(|text| self.log(now, text));
@@ -216,7 +216,7 @@
     }
 
     /// The largest traffic fraction whose random count stays below the fall limit (see `FALL_SPREADS`).
-    fn fall_part(&self, now: Time, p: &BackendRecord) -> f64 {
+    fn fall_fraction(&self, now: Time, p: &BackendRecord) -> f64 {
         let root =
             ((FALL_SPREADS * FALL_SPREADS + 4.0 * self.fall_limit(now, p)).sqrt() - FALL_SPREADS) / 2.0;
         let rate = self.rate.per_s().unwrap_or(0.0) * self.max_users(p);
--- a/crates/gaugesaddle-balancer/src/records.rs
+++ b/crates/gaugesaddle-balancer/src/records.rs
@@ -89,7 +89,7 @@
 
 impl BackendRecord {
     /// Whether it is used and healthy.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_healthy(&self) -> bool {
         let ready = self.entry.state == BackendState::Ready;
         self.used && ready && self.ejected.is_none() && self.strikes == 0 && !self.unresponsive
     }
--- a/crates/gaugesaddle-balancer/src/state.rs
+++ b/crates/gaugesaddle-balancer/src/state.rs
@@ -168,7 +168,7 @@
     /// Capacity of the healthy backends, and demand, in requests per second. An ejected backend counts again
     /// after its first served request.
     pub fn capacity(&self) -> Capacity {
-        let hold: f64 = self.backends.values().filter(|p| p.is_sound()).map(|p| p.limit * p.fraction).sum();
+        let hold: f64 = self.backends.values().filter(|p| p.is_healthy()).map(|p| p.limit * p.fraction).sum();
         let able = self.rate_of(hold);
         let arrivals = self.arrivals.per_s().unwrap_or(0.0);
         Capacity { able, demand: self.classes.iter().map(|c| c.demand * arrivals).collect() }
@@ -195,8 +195,8 @@
         for p in self.backends.values().filter(|p| p.used && p.entry.state == BackendState::Ready) {
             let (zone, hold) = zones.entry(p.entry.zone).or_default();
             zone.backends += 1;
-            zone.ill += u32::from(!p.is_sound());
-            *hold += if p.is_sound() { p.limit * p.fraction } else { 0.0 };
+            zone.ill += u32::from(!p.is_healthy());
+            *hold += if p.is_healthy() { p.limit * p.fraction } else { 0.0 };
         }
         let able = |(id, (zone, hold))| (id, ZoneCapacity { able: self.rate_of(hold), ..zone });
         zones.into_iter().map(able).collect()
--- a/crates/gaugesaddle-balancer/src/subset/tests.rs
+++ b/crates/gaugesaddle-balancer/src/subset/tests.rs
@@ -1,4 +1,4 @@
-//! Proxies that all lean on the same few backends, leave some unused, or change them all when one changes.
+//! Failures guarded against: proxies all use the same few backends, leave some unused, or change all when one changes.
 
 use super::*;
 
--- a/crates/gaugesaddle-balancer/tests/cold.rs
+++ b/crates/gaugesaddle-balancer/tests/cold.rs
@@ -1,5 +1,6 @@
-//! A cold backend under the sum of what all proxies send. Each proxy is a module of its own that knows nothing of the
-//! others; the sum is held against what the settings allow, with 2 x root of N + 2 put down to chance.
+//! A cold backend under the total work that all proxies send. Each proxy is a module of its own without
+//! knowledge of the others; the total is compared with what the settings allow, with 2 * sqrt(N) + 2
+//! attributed to chance.
 
 mod common;
 use common::{backend, class, Host};
@@ -122,8 +123,8 @@
     cold.map(|t| t.at).collect()
 }
 
-/// One, five, thirty and three hundred proxies, uneven traffic, a burst on the ramp, and a third of the proxies that start
-/// in the middle of it and know nothing of what was sent before.
+/// One, five, thirty and three hundred proxies, uneven traffic, a burst on the ramp, and a third of the
+/// proxies that start in the middle of it and know nothing of what was sent before.
 #[test]
 fn total_work_stays_within_cold_backend_budget() {
     for (proxies, backends) in [(1, 8), (5, 8), (30, 12), (300, 40)] {
--- a/crates/gaugesaddle-balancer/tests/failures.rs
+++ b/crates/gaugesaddle-balancer/tests/failures.rs
@@ -18,7 +18,7 @@
     host
 }
 
-/// Requests one by one, each served after a time that may depend on its backend.
+/// Sends requests one by one, each served after a time that may depend on its backend.
 fn serve(host: &mut Host, count: usize, class: usize, time: impl Fn(u32) -> u64) -> Vec<u32> {
     let mut chosen = Vec::new();
     for _ in 0..count {
@@ -61,7 +61,7 @@
 
 #[test]
 fn short_request_after_idle_time_is_answered_in_time() {
-    // Found by the invariants: the timer once ran ten ticks long while nothing was in hand.
+    // Found by the invariants: the timer once ran ten ticks while no request was open.
     let mut host = host(Config::example(), Vec::new());
     host.advance(1_000_000);
     let id = host.arrive(0, 6_000);
@@ -92,7 +92,7 @@
 
 #[test]
 fn many_proxies_do_not_each_put_one_request_on_every_backend() {
-    // Incident i61ee64: eleven proxies with a floor of one each crowded every backend.
+    // Incident i61ee64: eleven proxies with a minimum of one each overloaded every backend.
     let mut host = host(Config { proxies: 11, ..Config::example() }, fleet(22));
     host.burst(60, 0, 900_000);
     let out = host.out().len();
@@ -101,8 +101,9 @@
 
 #[test]
 fn pool_bounds_total_load_of_many_proxies_without_closing_backends() {
-    // First score at full size: with a hold of 4 shared by hundreds, most backends had no room for a given
-    // proxy and requests were refused beside idle backends. 4 * 40 / 320 = 0.5 are due to each: a few may go.
+    // First score at full size: with a limit of 4 divided among hundreds, most backends had no slot for a
+    // given proxy, and requests were refused while backends were idle. 4 * 40 / 320 = 0.5 are due to each: a
+    // few may go.
     let mut host = host(Config { proxies: 320, ..Config::example() }, fleet(40));
     host.burst(2, 0, 900_000);
     assert_eq!(host.out().len(), 2, "a request waits beside idle backends");
@@ -115,7 +116,7 @@
 
 #[test]
 fn load_is_shed_while_answers_are_late_and_admitted_when_brisk() {
-    // Standing rounds: backends that held too much for all proxies together choked and stayed slow.
+    // Backends with too much in flight for all proxies together were overloaded and stayed slow.
     let mut host = host(Config { proxies: 300, ..Config::example() }, fleet(60));
     let refused = |host: &mut Host, time: u64| {
         let ids: Vec<RequestId> = (0..60)
@@ -208,7 +209,7 @@
     assert_eq!(host.requests[&id].answer, Some("failed"));
 }
 
-/// Serves on all but the erring backend until that is ejected; gives its number.
+/// Serves on all but the failing backend until that is ejected; returns its number.
 fn eject_one(host: &mut Host) -> u32 {
     serve(host, 60, 0, |_| 10_000);
     for _ in 0..200 {
@@ -287,7 +288,7 @@
 
 #[test]
 fn client_retry_is_queued_behind_first_attempts() {
-    // Incident ic9a8f4: repeats counted as new and, newest first, made everyone late.
+    // Incident ic9a8f4: retries counted as new and, newest first, made every request late.
     let mut host = host(Config { proxies: 1, ..Config::example() }, fleet(1));
     let fill = host.burst(8, 0, 900_000);
     host.advance(5_000);
@@ -327,7 +328,7 @@
     assert!(rich > poor, "{rich} rich and {poor} poor requests were served");
 }
 
-/// How many of 300 requests stay in the own zone, which holds a third of the backends.
+/// How many of 300 requests stay in the proxy's own zone, which has a third of the backends.
 fn zones(cost: f64, proxies: u32) -> usize {
     let cfg = Config { cross_zone_cost: cost, zones: 3, proxies, ..Config::example() };
     let mut host = host(cfg, (0..9).map(|i| backend(i, i % 3, 0)).collect());
@@ -341,7 +342,8 @@
     assert!((70..=130).contains(&all), "{all} of 300 stayed without a cost");
 }
 
-/// Serves requests that come so often, each after `time` of what its backend holds; returns the most that one held.
+/// Serves periodic requests, each after `time` of its backend's requests in flight; returns the maximum of
+/// these.
 fn held_by_one(host: &mut Host, count: usize, every: u64, time: impl Fn(usize) -> u64) -> usize {
     let mut due: Vec<(Time, RequestId, usize)> = Vec::new();
     let mut most = 0;
@@ -371,11 +373,11 @@
     Config { proxies: 1, limits, ..Config::example() }
 }
 
-/// A constant of 4 turned away what eight cores could serve: latency that stays flat raises the limit.
+/// A constant of 4 rejected what eight cores could serve: latency that stays flat raises the limit.
 #[test]
 fn limit_rises_for_parallel_backend() {
     let mut host = host(learning(), fleet(1));
-    // One backend alone has its turns one after the other: the search takes some cycles of them.
+    // A single backend has its turns one after the other: the search takes some cycles of them.
     let most = held_by_one(&mut host, 6_000, 5_000, |_| 60_000);
     assert!(most >= 11, "{most} held where 12 come within an answer's time and 60 ms is all that each takes");
     let served = |host: &Host| host.requests.values().filter(|r| r.answer == Some("served")).count();
@@ -385,25 +387,26 @@
     assert!(found >= 1_900, "{found} of 2000 served once it is found");
 }
 
-/// One core in overload: each that it holds makes all others slower, and the limit must not follow its own crowd up.
+/// One core under overload: each request slows all others, and the limit must not rise with its own
+/// congestion.
 #[test]
 fn limit_stays_low_for_one_core_under_lasting_demand() {
     let mut host = host(learning(), fleet(1));
     let most = held_by_one(&mut host, 3_000, 15_000, |held| 20_000 * held as u64);
-    // Four, and eight in a turn of a third of a second: too short to choke it.
+    // Four, and eight in a turn of a third of a second: too short to overload it.
     assert!(most <= 8, "{most} held by one core");
     let served = host.requests.values().filter(|r| r.answer == Some("served")).count();
     assert!(served >= 1_500, "{served} of 3000 served, at three quarters of what is asked it can do 2250");
 }
 
-/// Two proxies over three zones: kept near, their traffic would leave a zone without any.
+/// Two proxies over three zones: traffic that stays in its zone would leave one zone without any.
 #[test]
 fn zones_with_different_numbers_of_proxies_use_all_backends() {
     let near = zones(0.05, 2);
     assert!((70..=130).contains(&near), "{near} of 300 stayed");
 }
 
-/// With its own zone out of use a proxy's traffic goes to the others, as many as there are.
+/// With its own zone out of use a proxy's traffic goes to all other zones.
 #[test]
 fn zone_without_backends_refuses_nothing() {
     let cfg = Config { cross_zone_cost: 0.05, zones: 3, ..Config::example() };
@@ -423,8 +426,8 @@
     assert!((120..=220).contains(&near), "{near} of 400 stayed on the one near backend");
 }
 
-/// Backends that take only some of what they are sent, as under a limit on their rate: thrown out for each one
-/// turned away, they leave too few to serve the rest, and repeats of what never ran are not a load to be capped.
+/// Backends that accept only some requests, as under a rate limit: if each rejection ejected one, too few
+/// would remain, and retries of requests that never ran are no load to be limited.
 #[test]
 fn backends_that_reject_some_requests_remain_in_use() {
     let mut host = host(config(vec![class(Effect::Unsafe)]), fleet(4));
@@ -446,7 +449,7 @@
     assert!(taken.iter().all(|n| *n >= 40), "{taken:?} taken");
 }
 
-/// One broken connection is no dead backend; that one refuses the next connect.
+/// One broken connection does not mean a dead backend; a dead one refuses the next connection.
 #[test]
 fn single_reset_does_not_eject() {
     let sent_after = |resets: usize| {
@@ -484,8 +487,9 @@
     assert_eq!(host.follows, 3, "an unanswered call is repeated");
 }
 
-/// A server leaves and another process comes to its address while discovery is out of hearing: that it left counts as told
-/// after 6 s, though nobody told it. Before, it was used again as soon as somebody answered there.
+/// A server departs and another process takes its address while discovery is unreachable: the departure
+/// counts as reported after 6 s, though it was not. Before, the address was used again as soon as any process
+/// answered there.
 #[test]
 fn absent_server_is_not_used_before_discovery_answers() {
     let subscribed = |list: Vec<Backend>| {
@@ -545,7 +549,8 @@
 
 #[test]
 fn congested_backend_is_drawn_less_with_live_weights() {
-    // Lisboa rough-1: silent and choked backends held tens of requests; the list's live weight alone showed it.
+    // Lisboa rough-1: hung and overloaded backends had tens of requests in flight; only the list's live
+    // weight showed it.
     let part = |live_weights: bool| {
         let mut host = host(Config { live_weights, ..Config::example() }, fleet(4));
         serve(&mut host, 20, 0, |_| 10_000);
@@ -559,14 +564,15 @@
 
 #[test]
 fn one_unhealthy_backend_does_not_slow_its_kind() {
-    // Narocila rough-2: a slow kind with one ill backend was left idle while the fast kind was refused for.
+    // Narocila rough-2: a slow kind with one unhealthy backend stayed idle while requests for the fast kind
+    // were refused.
     let list = (0..12).map(|i| backend(i, 0, i % 2)).collect();
     let mut host = host(Config { proxies: 40, ..Config::example() }, list);
     let mut chosen = Vec::new();
     for _ in 0..600 {
         let time = |b: u32| if b == 1 { 380_000 } else { 30_000 };
         chosen.extend(serve(&mut host, 1, 0, time));
-        host.advance(150_000); // 40 proxies ask for about half of what the fleet can do
+        host.advance(150_000); // 40 proxies use about half of the fleet's capacity
     }
     let odd = chosen.iter().skip(200).filter(|b| **b % 2 == 1).count();
     assert!(odd >= 100, "{odd} of {} went to that kind", chosen.len() - 200);
@@ -574,7 +580,7 @@
 
 #[test]
 fn start_at_light_load_sheds_almost_nothing() {
-    // Lisboa quiet: with no unloaded latency known yet, answers well inside the aim counted as late.
+    // Lisboa quiet: with no unloaded latency known yet, answers well within the objective counted as late.
     let mut host = host(Config { proxies: 300, ..Config::example() }, fleet(60));
     let before = serve(&mut host, 60, 0, |_| 150_000).len();
     assert!(before >= 57, "{before} of 60 were sent");
@@ -582,7 +588,8 @@
 
 #[test]
 fn attempt_cancelled_after_objective_counts_against_backend() {
-    // Accra rough-2: clients left before their deadline, so choked backends showed only cancels.
+    // Accra rough-2: clients left before their deadline, so overloaded backends showed only cancelled
+    // attempts.
     let mut host = host(config(vec![class(Effect::Unsafe)]), fleet(6));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
@@ -596,12 +603,13 @@
 
 #[test]
 fn lateness_counts_when_the_time_is_up() {
-    // Incident ic093af: under overload answers came a second or two late, and the fleet choked meanwhile.
+    // Incident ic093af: under overload answers came a second or two late, and the fleet was overloaded
+    // meanwhile.
     let mut host = host(Config { proxies: 300, ..Config::example() }, fleet(600));
     serve(&mut host, 60, 0, |_| 30_000);
     let mut refused = 0;
     for _ in 0..30 {
-        host.advance(150_000); // nothing is answered at all
+        host.advance(150_000); // no request is answered
         let id = host.arrive(0, 20_000_000);
         refused += usize::from(host.requests[&id].answer == Some("refused"));
     }
@@ -610,7 +618,8 @@
 
 #[test]
 fn many_proxies_respect_cold_backend_budget_beside_congested_ones() {
-    // Incident ic093af: live weights were low on all warm backends, so the cold one got more of the draw than they.
+    // Incident ic093af: live weights were low on all warm backends, so the cold one got more of the draw than
+    // they.
     let ramp = Micros(1_000_000_000);
     let cfg = Config { proxies: 126, live_weights: true, cold_from: 0.1, ramp, ..Config::example() };
     let mut host = host(Config { fall_multiple: 2.0, ..cfg }, fleet(36));
@@ -663,15 +672,15 @@
         host.advance(5_000);
         let first = host.sent_to(id);
         assert_eq!(first.len(), 1);
-        // Its backend falls silent: others would be asked beside it.
+        // Its backend hangs: second attempts would go to others.
         host.advance(300_000);
         host.sent_to(id).len() - 1
     };
     assert_eq!((copies(false), copies(true)), (1, 0));
 }
 
-/// The only backend pauses, counts as silent, and answers: what is held must go out then, and not only when the shares
-/// are next reckoned, which an aim of seconds puts off for as long.
+/// The only backend stalls, counts as unresponsive, and answers: queued requests must be sent then, and not
+/// only at the next solve, which an objective of seconds delays for as long.
 #[test]
 fn backend_that_responds_again_gets_queued_requests() {
     let slow = Class { aim: Micros(5_000_000), ..class(Effect::Free) };
--- a/crates/gaugesaddle-balancer/tests/halb.rs
+++ b/crates/gaugesaddle-balancer/tests/halb.rs
@@ -1,4 +1,4 @@
-//! Shares against values worked by hand from the paper's formula.
+//! The traffic split against values computed by hand from the paper's formula.
 
 use gaugesaddle_balancer::halb_shares;
 
--- a/crates/gaugesaddle-balancer/tests/leaving.rs
+++ b/crates/gaugesaddle-balancer/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Another region as last resort, as the module decides on it: what leaves, when, in which order, and what never may.
+//! Spillover to another region: which requests leave, when, in which order, and which never may.
 
 mod common;
 use common::{backend, class, Host};
