--- a/crates/gaugesaddle-balancer/src/limits/tests.rs
+++ b/crates/gaugesaddle-balancer/src/limits/tests.rs
@@ -1,21 +1,21 @@
-//! The search against a model of a kind's backends: it finds what they work on at once, keeps to its bounds, and comes
-//! back after each disturbance, with answers as noisy as real ones.
+//! The search for a limit against a model of a kind's backends: it finds their parallelism, respects its bounds, and
+//! recovers after each disturbance, with realistic noise in the latencies.
 
 use super::*;
-use crate::state::Dice;
+use crate::estimates::Rng;
 
-/// Backends of so many cores whose requests work and wait so long, s.
+/// Backends with a number of cores, whose requests compute and wait for given times in seconds.
 #[derive(Clone, Copy)]
 struct Model {
     cores: f64,
     work: f64,
     wait: f64,
-    /// What comes, as what one backend would hold without any limit; more than any limit: overload.
+    /// Requests in flight at one backend without any limit; above the limit there is overload.
     demand: f64,
 }
 
 impl Model {
-    /// Mean latency of a backend that holds so many all the time: those that wait hold no core.
+    /// Mean latency of a backend with a constant number in flight: waiting requests use no core.
     fn latency(&self, held: f64) -> f64 {
         let (mut low, mut high) = (self.work + self.wait, self.wait + self.work * (1.0 + held / self.cores));
         for _ in 0..60 {
@@ -36,7 +36,7 @@
 struct Run {
     search: Search,
     bounds: LimitBounds,
-    dice: Dice,
+    rng: Rng,
     turn: u64,
     /// The largest limit so far.
     most: f64,
@@ -44,7 +44,7 @@
 
 impl Run {
     fn new(seed: u64, bounds: LimitBounds) -> Run {
-        Run { search: Search::default(), bounds, dice: Dice::new(seed), turn: 1000, most: 0.0 }
+        Run { search: Search::default(), bounds, rng: Rng::new(seed), turn: 1000, most: 0.0 }
     }
 
     /// Turns of a fleet of eight backends, each answering by its latency with a heavy tail (exponential, cv 1).
@@ -60,18 +60,18 @@
                     let held = model.demand.min(self.search.limit(kind));
                     let latency = model.latency(held);
                     if settled {
-                        self.search.held(kind, held * 0.25, 0.25);
+                        self.search.record_load(kind, held * 0.25, 0.25);
                     }
                     for _ in 0..((held / latency * 0.25) as usize).clamp(1, 200) {
-                        let drawn = latency * -(1.0 - self.dice.unit()).max(1e-9).ln();
+                        let drawn = latency * -(1.0 - self.rng.unit()).max(1e-9).ln();
                         self.search.answered(settled.then_some(kind), drawn / usual);
                     }
                 }
                 self.search.look(&self.bounds);
             }
             self.most = self.most.max(self.search.limit(Turn::Even));
-            assert!(self.search.limit(Turn::Even) <= self.bounds.most.max(HOLD));
-            assert!(self.search.limit(Turn::Even) >= HOLD.min(self.bounds.most));
+            assert!(self.search.limit(Turn::Even) <= self.bounds.most.max(BASE_LIMIT));
+            assert!(self.search.limit(Turn::Even) >= BASE_LIMIT.min(self.bounds.most));
         }
         self.search.limit(Turn::Even)
     }
@@ -80,13 +80,13 @@
 const LEARNED: LimitBounds = LimitBounds { learned: true, least: 1.0, most: 1000.0 };
 
 #[test]
-fn one_core_that_only_computes_is_never_given_more() {
+fn limit_never_rises_for_one_cpu_bound_core() {
     for seed in 1..=20 {
         for demand in [1.0, 3.0, 100.0] {
             let mut run = Run::new(seed, LEARNED);
             let end = run.play(Model { cores: 1.0, work: 0.03, wait: 0.0, demand }, 100);
             assert!(
-                end == HOLD && run.most <= 2.0 * HOLD,
+                end == BASE_LIMIT && run.most <= 2.0 * BASE_LIMIT,
                 "{seed} {demand}: {end}, {} at the most",
                 run.most
             );
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn many_cores_and_long_waits_are_found_and_overload_stays_bounded() {
+fn parallelism_is_found_and_overload_stays_bounded() {
     for seed in 1..=20 {
         for (cores, work, wait, demand, least, most) in [
             (8.0, 0.02, 0.0, 6.0, 6.0, 24.0),
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn it_follows_a_kind_that_changes_and_comes_back() {
+fn limit_follows_a_change_of_parallelism() {
     for seed in 1..=20 {
         let mut run = Run::new(seed, LEARNED);
         let wide = Model { cores: 8.0, work: 0.02, wait: 0.0, demand: 1000.0 };
@@ -122,14 +122,14 @@
         assert!(held <= 6.0, "{seed}: {held}");
         let back = run.play(wide, 100);
         assert!(back >= 6.5, "{seed}: {back}");
-        // Nothing to learn from: what was found stays.
+        // At low load nothing is learned: the limit stays.
         let calm = run.play(Model { demand: 1.0, ..wide }, 60);
         assert!((calm - back).abs() < back / 2.0, "{seed}: {back} to {calm}");
     }
 }
 
 #[test]
-fn the_operators_bounds_hold() {
+fn operator_bounds_are_respected() {
     let bounds = LimitBounds { learned: true, least: 1.0, most: 6.0 };
     let end = Run::new(1, bounds).play(Model { cores: 64.0, work: 0.1, wait: 0.0, demand: 1000.0 }, 60);
     assert!((5.0..=6.0).contains(&end), "{end}");
@@ -138,7 +138,7 @@
     assert!((10.0..=50.0).contains(&end), "{end}");
 }
 
-/// Of the backends of a fleet some have their turns at any time, and none has two that hold more in a row.
+/// At any time some backends have a higher or lower turn, and none has two higher ones in a row.
 #[test]
 fn turns_are_spread_over_backends_and_time() {
     for number in 0..50u64 {
--- a/crates/gaugesaddle-balancer/src/subset/tests.rs
+++ b/crates/gaugesaddle-balancer/src/subset/tests.rs
@@ -1,4 +1,4 @@
-//! Proxies that all lean on the same few backends, leave some unused, or change them all when one changes.
+//! Failures guarded against: proxies all use the same few backends, leave some unused, or change all when one changes.
 
 use super::*;
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn every_backend_has_as_many_users_and_every_user_some_of_each_kind_and_zone() {
+fn users_are_even_and_each_has_every_kind_and_zone() {
     for (proxies, backends) in [(100, 60), (100, 41), (100, 78), (60, 60), (97, 60), (300, 200)] {
         let listed = fleet(backends);
         let all = users(proxies, &listed);
@@ -27,10 +27,10 @@
         let mean = f64::from(proxies) / groups;
         for (id, ..) in &listed {
             let of = all.iter().filter(|own| own.contains(id)).count() as f64;
-            assert!((of - mean).abs() <= 1.0, "{of} users beside {mean}, {proxies} of {backends}");
+            assert!((of - mean).abs() <= 1.0, "{of} users relative {mean}, {proxies} of {backends}");
         }
         for own in &all {
-            let least = (backends as f64 / groups - 2.0).max(LEAST as f64 - 2.0);
+            let least = (backends as f64 / groups - 2.0).max(MIN_BACKENDS as f64 - 2.0);
             assert!(own.len() as f64 >= least, "{} of {backends} for one of {proxies}", own.len());
             let of = |kind: u64| listed.iter().filter(|l| own.contains(&l.0) && l.1 .0 == kind).count();
             assert!(of(0) > 0 && of(1) > 0, "no kind is left out");
@@ -42,7 +42,7 @@
 
 /// What an ill backend leaves must not fall on the same few others at all of its users.
 #[test]
-fn two_backends_share_few_of_their_users() {
+fn two_backends_share_few_users() {
     let listed = fleet(60);
     let all = users(100, &listed);
     for (i, (a, ..)) in listed.iter().enumerate() {
@@ -55,7 +55,7 @@
 
 /// A release replaces one after another: the connections to the rest must last.
 #[test]
-fn a_change_of_one_backend_moves_few_others() {
+fn change_of_one_backend_moves_few_others() {
     let mut listed = fleet(60);
     let before = users(100, &listed);
     listed.remove(7);
--- a/crates/gaugesaddle-control/src/catalog_updates.rs
+++ b/crates/gaugesaddle-control/src/catalog_updates.rs
@@ -9,11 +9,11 @@
     pub fn handle_catalog_message(&self, ip: u32, message: PeerMessage) {
         let changed = self.with(|core| {
             let now = core.clock.now();
-            let (changed, answers) = core.catalog_replica.take(now, ip, message);
-            for answer in answers {
-                core.peers.send(ip, answer);
+            let outcome = core.catalog_replica.apply(now, ip, message);
+            for response in outcome.responses {
+                core.peers.send(ip, response);
             }
-            changed
+            outcome.changed
         });
         if changed {
             self.notify_change();
--- a/crates/gaugesaddle-control/src/peer_connections.rs
+++ b/crates/gaugesaddle-control/src/peer_connections.rs
@@ -100,7 +100,7 @@
         }
         PeerMessage::Load(loads) => core.with(|c| {
             let now = c.clock.now();
-            c.loads.take(now, ip, loads);
+            c.loads.record_sums(now, ip, loads);
         }),
         message => {
             if let PeerMessage::Compare { members, .. } = &message {
--- a/crates/gaugesaddle-control/src/registrations.rs
+++ b/crates/gaugesaddle-control/src/registrations.rs
@@ -1,7 +1,7 @@
 //! Registrations of backends: heartbeats and deregistrations, acknowledged once they are replicated.
 
 use crate::core::CoreHandle;
-use gaugesaddle_catalog::Acknowledgement;
+use gaugesaddle_catalog::{Acknowledgement, AcknowledgementDecision};
 use gaugesaddle_protocol::{Lifecycle, Registration, Subject};
 use serde::Deserialize;
 use std::net::SocketAddrV4;
@@ -77,9 +77,9 @@
             acknowledgement.decide(now, &c.catalog_replica, c.is_fresh(), voters)
         });
         match decided {
-            Some(true) => return RegistrationOutcome::Acknowledged,
-            Some(false) => return RegistrationOutcome::NotReplicated,
-            None => tokio::time::sleep(POLL_INTERVAL).await,
+            AcknowledgementDecision::Acknowledge => return RegistrationOutcome::Acknowledged,
+            AcknowledgementDecision::Reject => return RegistrationOutcome::NotReplicated,
+            AcknowledgementDecision::Wait => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
--- a/crates/gaugesaddle-control/src/replica_driver.rs
+++ b/crates/gaugesaddle-control/src/replica_driver.rs
@@ -132,7 +132,7 @@
     fn handle_committed(&self) {
         self.with(|core| {
             let Some(newest) = core.replica.as_ref().and_then(Replica::committed) else { return };
-            if !core.distributor.take(newest) {
+            if !core.distributor.apply(newest) {
                 return;
             }
             // Only the leader allocates tokens, and a new leader creates its own allocator.
--- a/crates/gaugesaddle-edge/src/admission.rs
+++ b/crates/gaugesaddle-edge/src/admission.rs
@@ -111,14 +111,14 @@
 
 impl<'a> TokenDeficit<'a> {
     fn register(state: &'a EdgeState, tenant: &'a str, cost: u64) -> TokenDeficit<'a> {
-        state.allowance.borrow_mut().adjust_deficit(tenant, cost, true);
+        state.allowance.borrow_mut().add_deficit(tenant, cost);
         TokenDeficit { state, tenant, cost }
     }
 }
 
 impl Drop for TokenDeficit<'_> {
     fn drop(&mut self) {
-        self.state.allowance.borrow_mut().adjust_deficit(self.tenant, self.cost, false);
+        self.state.allowance.borrow_mut().remove_deficit(self.tenant, self.cost);
     }
 }
 
--- a/crates/gaugesaddle-edge/src/control_client.rs
+++ b/crates/gaugesaddle-edge/src/control_client.rs
@@ -31,7 +31,7 @@
             if let Err(e) = follow(&state, ip).await {
                 debug!("control process {}: {e}", Ipv4Addr::from(ip));
             }
-            state.follower.borrow_mut().failed(state.now(), ip);
+            state.follower.borrow_mut().record_failure(state.now(), ip);
         }
         tokio::time::sleep(RETRY_DELAY).await;
     }
--- a/crates/gaugesaddle-edge/src/load_reporter.rs
+++ b/crates/gaugesaddle-edge/src/load_reporter.rs
@@ -67,7 +67,7 @@
 async fn report(state: &EdgeState, caller: Option<Caller>, proxy: u64) -> Option<Caller> {
     let ip = state.follower.borrow().choose(state.now())?;
     let address = state.boot.control_process(ip);
-    let mut caller = match caller.filter(|caller| caller.to() == address) {
+    let mut caller = match caller.filter(|caller| caller.address() == address) {
         Some(caller) => caller,
         None => Caller::open(address, CONNECT_TIMEOUT).await.ok()?,
     };
@@ -75,7 +75,7 @@
     let loads = state.load_view.borrow_mut().report(reported_at);
     match caller.call(&Request::Load { proxy, loads }, ANSWER_TIMEOUT).await.ok()? {
         Reply::Load { loads } => {
-            state.load_view.borrow_mut().heard(reported_at, loads);
+            state.load_view.borrow_mut().record_sums(reported_at, loads);
             Some(caller)
         }
         _ => None,
--- a/crates/gaugesaddle-edge/src/service_statistics.rs
+++ b/crates/gaugesaddle-edge/src/service_statistics.rs
@@ -27,7 +27,7 @@
             chooser_settings,
             retry_settings: RetrySettings {
                 ratio: bounds.retry_budget_ratio,
-                window: (bounds.budget_window_s * 1000.0) as u64,
+                window_ms: (bounds.budget_window_s * 1000.0) as u64,
                 slack: bounds.budget_slack,
             },
             choosers: RefCell::default(),
--- a/crates/gaugesaddle-edge/src/state.rs
+++ b/crates/gaugesaddle-edge/src/state.rs
@@ -144,14 +144,14 @@
     /// Applies the answer of a control process to a call made at `called_at` whose answer is valid for `valid_ms`. Returns
     /// whether the same process should be called again.
     pub fn apply_pull_reply(&self, called_at: u64, valid_ms: u64, reply: PullReply) -> bool {
-        let applied = self.follower.borrow_mut().take(self.now(), called_at, valid_ms, reply);
+        let applied = self.follower.borrow_mut().apply(self.now(), called_at, valid_ms, reply);
         if applied.registrations {
             self.apply_registrations();
         }
         if applied.configuration {
             self.apply_configuration();
         }
-        applied.stays
+        applied.fresh
     }
 
     fn apply_registrations(&self) {
--- a/crates/gaugesaddle-simulation/src/control/calls.rs
+++ b/crates/gaugesaddle-simulation/src/control/calls.rs
@@ -4,7 +4,7 @@
 use crate::network::Node;
 use crate::packet::{Answer, Call, Packet, RegistrationOutcome};
 use crate::Millis;
-use gaugesaddle_catalog::Acknowledgement;
+use gaugesaddle_catalog::{Acknowledgement, AcknowledgementDecision};
 use gaugesaddle_consensus::{Input, NotLeader, Replica};
 use gaugesaddle_distribution::ReplicaStatus;
 use gaugesaddle_protocol::{ChangeReply, ConfigurationChange, PeerMessage, Pull, Registration};
@@ -141,9 +141,9 @@
         let voters = self.replica.as_ref().map_or(0, |replica| replica.voters().len());
         for pending in std::mem::take(&mut self.pending_registrations) {
             let outcome = match pending.acknowledgement.decide(clock, &self.catalog_replica, fresh, voters) {
-                Some(true) => RegistrationOutcome::Acknowledged,
-                Some(false) => RegistrationOutcome::NotAcknowledged,
-                None => {
+                AcknowledgementDecision::Acknowledge => RegistrationOutcome::Acknowledged,
+                AcknowledgementDecision::Reject => RegistrationOutcome::NotAcknowledged,
+                AcknowledgementDecision::Wait => {
                     self.pending_registrations.push(pending);
                     continue;
                 }
--- a/crates/gaugesaddle-simulation/src/control/peers.rs
+++ b/crates/gaugesaddle-simulation/src/control/peers.rs
@@ -79,10 +79,10 @@
         if let PeerMessage::Compare { members, .. } = &message {
             self.add_peers(members.clone());
         }
-        let (changed, answers) = self.catalog_replica.take(clock, ip, message);
-        self.has_changes |= changed;
-        for answer in answers {
-            self.send_to_peer(ip, answer);
+        let outcome = self.catalog_replica.apply(clock, ip, message);
+        self.has_changes |= outcome.changed;
+        for response in outcome.responses {
+            self.send_to_peer(ip, response);
         }
     }
 
--- a/crates/gaugesaddle-simulation/src/control/replica.rs
+++ b/crates/gaugesaddle-simulation/src/control/replica.rs
@@ -101,7 +101,7 @@
 
     fn handle_committed(&mut self) {
         let Some(newest) = self.replica.as_ref().and_then(Replica::committed).cloned() else { return };
-        if self.distributor.take(&newest) {
+        if self.distributor.apply(&newest) {
             self.effects.committed.push(newest);
             self.has_changes = true;
         }
--- a/crates/gaugesaddle-simulation/src/proxy.rs
+++ b/crates/gaugesaddle-simulation/src/proxy.rs
@@ -88,7 +88,7 @@
 
     fn switch_process(&mut self, now: Millis) {
         if let Some(call) = self.call.take() {
-            self.follower.failed(now, call.ip);
+            self.follower.record_failure(now, call.ip);
         }
         self.pull_wait_ms = 0;
         self.next_call_at = now + RETRY_DELAY_MS;
@@ -110,7 +110,7 @@
     fn apply(&mut self, now: Millis, call: CallInFlight, reply: PullReply) -> bool {
         self.last_answer_requested_at = call.sent_at;
         let valid_for_ms = call.deadline - call.sent_at + TRANSFER_TIMEOUT_MS;
-        self.follower.take(now, call.sent_at, valid_for_ms, reply).stays
+        self.follower.apply(now, call.sent_at, valid_for_ms, reply).fresh
     }
 
     /// When the call was made whose answer was received last.
