--- a/crates/gaugesaddle-control/src/peer_connections.rs
+++ b/crates/gaugesaddle-control/src/peer_connections.rs
@@ -33,7 +33,7 @@
     let address = core.with(|c| c.boot.control_process(ip));
     loop {
         if let Err(e) = connect_and_send(&core, address, &mut messages).await {
-            debug!("peer {address}: {e}");
+            debug!("peer {address}: {:#}", eyre::Report::new(e));
         }
         tokio::time::sleep(RETRY_INTERVAL).await;
         // Queued messages are older than what the state machines would send now.
--- a/crates/gaugesaddle-control/src/request_server.rs
+++ b/crates/gaugesaddle-control/src/request_server.rs
@@ -24,7 +24,7 @@
         let core = core.clone();
         tokio::task::spawn_local(async move {
             if let Err(e) = serve_connection(core, Link::new(stream)).await {
-                debug!("connection of {from} ends: {e}");
+                debug!("connection of {from} ends: {:#}", eyre::Report::new(e));
             }
         });
     }
--- a/crates/gaugesaddle-edge/src/control_client.rs
+++ b/crates/gaugesaddle-edge/src/control_client.rs
@@ -29,7 +29,7 @@
         let chosen = state.follower.borrow().choose(state.now());
         if let Some(ip) = chosen {
             if let Err(e) = follow(&state, ip).await {
-                debug!("control process {}: {e}", Ipv4Addr::from(ip));
+                debug!("control process {}: {:#}", Ipv4Addr::from(ip), eyre::Report::new(e));
             }
             state.follower.borrow_mut().record_failure(state.now(), ip);
         }
--- a/crates/gaugesaddle-testbed/src/world.rs
+++ b/crates/gaugesaddle-testbed/src/world.rs
@@ -320,8 +320,8 @@
         })
     }
 
-    /// The operator's file of a proxy, where anything is to be said.
-    fn file(&self, proxy: usize) -> io::Result<Option<PathBuf>> {
+    /// The operator's file of a proxy and its text, where it needs one.
+    fn operator_file(&self, proxy: usize) -> Option<(PathBuf, String)> {
         let mut text = self.joined.as_ref().map(|j| j.section(proxy)).unwrap_or_default();
         if let Some(datagrams) = &self.datagrams {
             let addresses = datagrams.addresses();
@@ -340,12 +340,7 @@
         if self.s.failover {
             text += "[failover]\nenabled = true\n";
         }
-        if text.is_empty() {
-            return Ok(None);
-        }
-        let file = self.folder.join(format!("p{proxy}.toml"));
-        std::fs::write(&file, text)?;
-        Ok(Some(file))
+        (!text.is_empty()).then(|| (self.folder.join(format!("p{proxy}.toml")), text))
     }
 
     async fn start_proxy(&self, proxy: usize) -> io::Result<()> {
@@ -359,15 +354,20 @@
             Cast::Program(program) => {
                 let config = self.config(proxy, &agent.known());
                 let mut program = program.clone();
-                if let Some(file) = self.file(proxy)? {
-                    program.arguments.extend(["--config".into(), file.display().to_string()]);
+                let operator_file = self.operator_file(proxy);
+                if let Some((path, _)) = &operator_file {
+                    program.arguments.extend(["--config".into(), path.display().to_string()]);
                 }
                 let folder = self.folder.clone();
                 let name = format!("p{proxy}");
-                // Writing its file and spawning it may block for seconds beside builds; clients go on meanwhile, or answers
-                // that came in time would be read late.
-                let starting =
-                    tokio::task::spawn_blocking(move || Process::start(&program, &folder, &name, &config));
+                // Writing over its files and spawning it may block for seconds beside builds (a file system flushes a file that
+                // is truncated and written again); clients go on meanwhile, or answers in time would be read late.
+                let starting = tokio::task::spawn_blocking(move || {
+                    if let Some((path, text)) = operator_file {
+                        std::fs::write(path, text)?;
+                    }
+                    Process::start(&program, &folder, &name, &config)
+                });
                 Actor::Process(starting.await.map_err(io::Error::other)??)
             }
             Cast::Faulty(fault) => {
