--- a/crates/gaugesaddle-allocation/src/dealer/tests.rs
+++ b/crates/gaugesaddle-allocation/src/dealer/tests.rs
@@ -27,7 +27,7 @@
         assert_eq!((tier.proxies, tier.position), (60, own as u32));
     }
     for (id, _, _) in listed(60) {
-        let of = all.iter().flat_map(|d| d.uses()).filter(|u| u.backend == id);
+        let of = all.iter().flat_map(super::Dealer::uses).filter(|u| u.backend == id);
         assert!((of.map(|u| u.part).sum::<f64>() - 1.0).abs() < 1e-9);
     }
     let Look::ByNeed(tier) = look(&mut all[4], 60 * S, 60 * S, 4, &needs) else { panic!("it knows") };
--- a/crates/gaugesaddle-balancer/src/logic/traffic.rs
+++ b/crates/gaugesaddle-balancer/src/logic/traffic.rs
@@ -41,9 +41,10 @@
         self.groups = subset::groups(self.tier.proxies, listed.len());
         // An assignment may be of an older list: it counts only if some of its backends are still listed.
         let is_assigned = listed.iter().any(|l| self.uses.contains_key(&l.0));
-        let own = match is_assigned {
-            true => listed.iter().map(|l| l.0).filter(|id| self.uses.contains_key(id)).collect(),
-            false => subset::chosen(self.tier.position, self.tier.proxies, &listed),
+        let own = if is_assigned {
+            listed.iter().map(|l| l.0).filter(|id| self.uses.contains_key(id)).collect()
+        } else {
+            subset::chosen(self.tier.position, self.tier.proxies, &listed)
         };
         for (id, p) in &mut self.backends {
             p.used = own.contains(id);
--- a/crates/gaugesaddle-consensus/src/replica.rs
+++ b/crates/gaugesaddle-consensus/src/replica.rs
@@ -143,9 +143,10 @@
                 self.handle_pre_vote_response(now, from, term, granted, out);
             }
             ReplicaMessage::RequestVote { term, last_position, leadership_transfer } => {
-                let kind = match leadership_transfer {
-                    true => CampaignKind::LeadershipTransfer,
-                    false => CampaignKind::Election,
+                let kind = if leadership_transfer {
+                    CampaignKind::LeadershipTransfer
+                } else {
+                    CampaignKind::Election
                 };
                 self.handle_vote_request(now, from, VoteRequest { term, last_position, kind }, out);
             }
--- a/crates/gaugesaddle-consensus/tests/faults.rs
+++ b/crates/gaugesaddle-consensus/tests/faults.rs
@@ -81,7 +81,7 @@
     }
     for _ in 0..400 {
         group.run(20);
-        let id = group.machines[&ip].replica.as_ref().map(|r| r.id());
+        let id = group.machines[&ip].replica.as_ref().map(gaugesaddle_consensus::Replica::id);
         let leader = group.leader().and_then(|l| group.machines[&l].replica.as_ref());
         if leader.is_some_and(|l| id.is_some_and(|id| l.voters().contains(&id))) {
             return;
--- a/crates/gaugesaddle-consensus/tests/group/mod.rs
+++ b/crates/gaugesaddle-consensus/tests/group/mod.rs
@@ -174,7 +174,11 @@
 
     /// Machines whose replicas vote according to the leader.
     pub fn voting_machines(&self) -> BTreeSet<u32> {
-        self.leading_replica().into_iter().flat_map(|r| r.voters()).map(|v| v.ip).collect()
+        self.leading_replica()
+            .into_iter()
+            .flat_map(gaugesaddle_consensus::Replica::voters)
+            .map(|v| v.ip)
+            .collect()
     }
 
     /// Ends a process without warning; an unsynced write may or may not have reached the disk.
@@ -314,7 +318,11 @@
             self.finish_writes();
             let due: Vec<u32> = self.machines.keys().copied().collect();
             for ip in due {
-                let deadline = self.machines.get(&ip).and_then(|m| m.replica.as_ref()).map(|r| r.deadline());
+                let deadline = self
+                    .machines
+                    .get(&ip)
+                    .and_then(|m| m.replica.as_ref())
+                    .map(gaugesaddle_consensus::Replica::deadline);
                 if deadline.is_some_and(|at| at <= self.now) {
                     self.input(ip, Input::Tick);
                 }
--- a/crates/gaugesaddle-consensus/tests/membership.rs
+++ b/crates/gaugesaddle-consensus/tests/membership.rs
@@ -49,7 +49,7 @@
                     assert!(voters >= size as usize, "{size} replicas, seed {seed}: {voters} voters");
                 }
             }
-            let id = group.machines[&victim].replica.as_ref().map(|r| r.id());
+            let id = group.machines[&victim].replica.as_ref().map(gaugesaddle_consensus::Replica::id);
             assert!(group
                 .leading_replica()
                 .is_some_and(
--- a/crates/gaugesaddle-consensus/tests/ordering.rs
+++ b/crates/gaugesaddle-consensus/tests/ordering.rs
@@ -115,9 +115,10 @@
             2,
             ReplicaMessage::RequestVote { term: 6, last_position: last, leadership_transfer: false },
         );
-        let after = match out.iter().any(|o| matches!(o, Output::Persist { .. })) {
-            true => handle(&mut replica, NOW + 2, Input::Persisted(write_id(&out))),
-            false => Vec::new(),
+        let after = if out.iter().any(|o| matches!(o, Output::Persist { .. })) {
+            handle(&mut replica, NOW + 2, Input::Persisted(write_id(&out)))
+        } else {
+            Vec::new()
         };
         assert_eq!(granted(&out) || granted(&after), wanted, "{last:?}");
         let mut replica = new_replica(5, state(4, 9));
@@ -237,10 +238,7 @@
         message(&mut replica, now + 2, 2, reply(sequence));
         let rejected = |out: &[Output]| {
             out.iter().any(|o| {
-                let result = match o {
-                    Output::Proposed(5, result) => result,
-                    _ => return false,
-                };
+                let Output::Proposed(5, result) = o else { return false };
                 matches!(result, ProposalResult::Conflict { .. } | ProposalResult::StaleRevision { .. })
             })
         };
--- a/crates/gaugesaddle-control/src/operator_client.rs
+++ b/crates/gaugesaddle-control/src/operator_client.rs
@@ -175,7 +175,7 @@
         match compio::time::timeout(CALL_TIMEOUT, send_call(&client, *address, call)).await {
             Ok(Ok(response)) if response.is_conclusive() => return Ok(response),
             Ok(Ok(response)) => {
-                last_error = eyre!("{address} answers {}: {}", response.status, response.body)
+                last_error = eyre!("{address} answers {}: {}", response.status, response.body);
             }
             Ok(Err(e)) => last_error = e.wrap_err(format!("calling {address}")),
             Err(_) => last_error = eyre!("{address} does not answer within {CALL_TIMEOUT:?}"),
--- a/crates/gaugesaddle-control/src/peer_connections.rs
+++ b/crates/gaugesaddle-control/src/peer_connections.rs
@@ -90,10 +90,10 @@
 fn handle_message(core: &CoreHandle, ip: u32, message: PeerMessage) {
     match message {
         PeerMessage::Hello { has_disk, bootstrap_node, .. } => {
-            core.record_bootstrap_report(ip, has_disk, bootstrap_node)
+            core.record_bootstrap_report(ip, has_disk, bootstrap_node);
         }
         PeerMessage::Replica { from, to, message } => {
-            let own_id = core.with(|c| c.replica.as_ref().map(|replica| replica.id()));
+            let own_id = core.with(|c| c.replica.as_ref().map(gaugesaddle_consensus::Replica::id));
             if to.is_none() || to == own_id {
                 core.step(Input::Message { from, message });
             }
--- a/crates/gaugesaddle-control/src/replica_driver.rs
+++ b/crates/gaugesaddle-control/src/replica_driver.rs
@@ -91,7 +91,7 @@
                     core.peers.broadcast(&PeerMessage::Replica { from, to: None, message });
                 }),
                 Output::Persist { write_id, hard_state, state } => {
-                    self.persist(DiskWrite { write_id, hard_state, state })
+                    self.persist(DiskWrite { write_id, hard_state, state });
                 }
                 Output::Committed => self.handle_committed(),
                 Output::Proposed(number, result) => self.answer_proposal(number, result),
--- a/crates/gaugesaddle-control/src/status.rs
+++ b/crates/gaugesaddle-control/src/status.rs
@@ -42,7 +42,7 @@
             match registration.subject {
                 Subject::Proxy => report.proxies += u64::from(is_ready),
                 Subject::Backend { .. } if registration.lifecycle.is_leaving() => {
-                    report.backends_leaving += 1
+                    report.backends_leaving += 1;
                 }
                 Subject::Backend { .. } => report.backends += u64::from(is_ready),
             }
--- a/crates/gaugesaddle-control/tests/bootstrap.rs
+++ b/crates/gaugesaddle-control/tests/bootstrap.rs
@@ -37,7 +37,7 @@
         let voters = initial_voters(&disks, &[1, 2, 3], &order);
         assert_eq!(voters.len(), 5);
         assert!(voters.windows(2).all(|pair| pair[0] == pair[1]), "{voters:?}");
-        assert!(matches!(voters[0].as_deref(), Some([7] | [9])), "{voters:?}");
+        assert!(matches!(voters[0].as_deref(), Some([7 | 9])), "{voters:?}");
     }
 }
 
--- a/crates/gaugesaddle-control/tests/configuration_changes.rs
+++ b/crates/gaugesaddle-control/tests/configuration_changes.rs
@@ -110,8 +110,15 @@
     full
 }
 
+/// The configuration that a process gives; it is asked again while it knows no leader, as callers do.
 fn read_back(fleet: &Fleet, at: usize) -> Value {
-    serde_json::from_str(&fleet.get(at).1).unwrap_or_default()
+    let mut text = String::new();
+    until("the configuration is given", || {
+        let (status, body) = fleet.get(at);
+        text = body;
+        status == 200
+    });
+    serde_json::from_str(&text).unwrap_or_default()
 }
 
 #[test]
--- a/crates/gaugesaddle-edge/src/attempt.rs
+++ b/crates/gaugesaddle-edge/src/attempt.rs
@@ -109,8 +109,8 @@
 /// Takes over the idle time-out that a backend announces (`Keep-Alive: timeout=SECONDS`).
 fn apply_keep_alive(backend: &Backend, head: &Parts) {
     let Some(keep_alive) = headers::text(&head.headers, &KEEP_ALIVE) else { return };
-    let parameters = keep_alive.split(',').map(str::trim);
-    let timeout = parameters.filter_map(|parameter| parameter.strip_prefix("timeout=")).next();
+    let mut parameters = keep_alive.split(',').map(str::trim);
+    let timeout = parameters.find_map(|parameter| parameter.strip_prefix("timeout="));
     if let Some(seconds) = timeout.and_then(|text| text.trim().parse().ok()) {
         backend.set_announced_idle_timeout(seconds);
     }
--- a/crates/gaugesaddle-edge/src/dispatch.rs
+++ b/crates/gaugesaddle-edge/src/dispatch.rs
@@ -296,7 +296,7 @@
 /// Draws one of the route's services by weight.
 fn pick_service(state: &EdgeState, route: &Route) -> Option<ServiceIndex> {
     let total: f64 = route.split.iter().map(|(_, weight)| weight).sum();
-    let uniform = state.random.borrow_mut().next_u32() as f64 / (u32::MAX as f64 + 1.0);
+    let uniform = f64::from(state.random.borrow_mut().next_u32()) / (f64::from(u32::MAX) + 1.0);
     let mut remaining = uniform * total;
     for (service, weight) in &route.split {
         if remaining < *weight {
--- a/crates/gaugesaddle-edge/src/relay.rs
+++ b/crates/gaugesaddle-edge/src/relay.rs
@@ -127,10 +127,13 @@
                 }
             }
             Poll::Ready(None) => Step::Return(self.finish()),
-            Poll::Ready(Some(Err(_))) => match self.resume_elsewhere() {
-                true => Step::Continue,
-                false => Step::Return(self.break_off()),
-            },
+            Poll::Ready(Some(Err(_))) => {
+                if self.resume_elsewhere() {
+                    Step::Continue
+                } else {
+                    Step::Return(self.break_off())
+                }
+            }
             Poll::Pending => self.poll_timer(context),
         }
     }
--- a/crates/gaugesaddle-inference/src/event_scanner.rs
+++ b/crates/gaugesaddle-inference/src/event_scanner.rs
@@ -50,7 +50,7 @@
 }
 
 fn last_id(events: &[u8]) -> Option<String> {
-    let newest_first = events.split(|byte| *byte == b'\n').rev();
-    let id = newest_first.filter_map(|line| line.strip_prefix(b"id:")).next()?;
+    let mut newest_first = events.split(|byte| *byte == b'\n').rev();
+    let id = newest_first.find_map(|line| line.strip_prefix(b"id:"))?;
     std::str::from_utf8(id).ok().map(|id| id.trim().to_owned())
 }
--- a/crates/gaugesaddle-measure/src/bare.rs
+++ b/crates/gaugesaddle-measure/src/bare.rs
@@ -65,7 +65,7 @@
         let body = body.collect().await?.to_bytes();
         let (address, idle) = &self.nodes[self.turn.get() % self.nodes.len()];
         self.turn.set(self.turn.get() + 1);
-        let kept = idle.borrow_mut().pop().filter(|s| s.is_ready());
+        let kept = idle.borrow_mut().pop().filter(hyper::client::conn::http1::SendRequest::is_ready);
         let mut sender = match kept {
             Some(sender) => sender,
             None => {
--- a/crates/gaugesaddle-measure/src/limits.rs
+++ b/crates/gaugesaddle-measure/src/limits.rs
@@ -171,7 +171,7 @@
     println!("{} cells, {seeds} seeds, {seconds} s each, in virtual time", cells.len());
     println!("{:<48} learned chokes |  four chokes | relay chokes |  best (limit) chokes", "cell");
     let (next, done) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
-    let threads = std::thread::available_parallelism().map_or(1, |n| n.get());
+    let threads = std::thread::available_parallelism().map_or(1, std::num::NonZero::get);
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| loop {
@@ -193,11 +193,11 @@
                         if f.learned.0 < f.best.1 * MOST_CELLS { "  <" } else { "" }
                     );
                 }
-                done.lock().unwrap_or_else(|e| e.into_inner()).push(got);
+                done.lock().unwrap_or_else(std::sync::PoisonError::into_inner).push(got);
             });
         }
     });
-    let done = done.into_inner().unwrap_or_else(|e| e.into_inner());
+    let done = done.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
     let all: Vec<Figures> = done.into_iter().collect::<io::Result<_>>()?;
     let part = |f: &Figures| if f.best.1 > 0.0 { f.learned.0 / f.best.1 } else { 1.0 };
     let good = all.iter().filter(|f| part(f) >= MOST_CELLS).count();
--- a/crates/gaugesaddle-measure/src/load.rs
+++ b/crates/gaugesaddle-measure/src/load.rs
@@ -121,12 +121,13 @@
 fn request(read: bool) -> String {
     let id = NEXT_ID.fetch_add(1, Ordering::Relaxed);
     let common = format!("Host: x\r\nX-Correlation-Id: {id:016x}\r\nX-Time-Left-Ms: 1000\r\n");
-    match read {
-        true => format!("GET /read/{id:x} HTTP/1.1\r\n{common}X-Service-Class: read\r\n\r\n"),
-        false => format!(
+    if read {
+        format!("GET /read/{id:x} HTTP/1.1\r\n{common}X-Service-Class: read\r\n\r\n")
+    } else {
+        format!(
             "POST /vote/{id:x} HTTP/1.1\r\n{common}X-Service-Class: vote\r\nIdempotency-Key: {id:016x}\r\n\
-             Content-Length: 8\r\n\r\none vote"
-        ),
+         Content-Length: 8\r\n\r\none vote"
+        )
     }
 }
 
@@ -187,9 +188,9 @@
             std::thread::spawn(move || -> io::Result<Seen> {
                 let mut asker = Asker::open(to)?;
                 let mut seen = Seen::default();
-                let gap = threads as f64 / per_s;
+                let gap = f64::from(threads) / per_s;
                 for n in 0.. {
-                    let due = gap * (n as f64 + t as f64 / threads as f64);
+                    let due = gap * (f64::from(n) + f64::from(t) / f64::from(threads));
                     if due >= seconds {
                         return Ok(seen);
                     }
--- a/crates/gaugesaddle-measure/src/runs.rs
+++ b/crates/gaugesaddle-measure/src/runs.rs
@@ -29,11 +29,11 @@
                 let i = next.fetch_add(1, Ordering::Relaxed);
                 let Some(scenario) = all.get(i) else { return };
                 let outcome = play_with(&cast, scenario);
-                done.lock().unwrap_or_else(|e| e.into_inner()).push((i, outcome));
+                done.lock().unwrap_or_else(std::sync::PoisonError::into_inner).push((i, outcome));
             });
         }
     });
-    let mut done = done.into_inner().unwrap_or_else(|e| e.into_inner());
+    let mut done = done.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
     done.sort_by_key(|d| d.0);
     done.into_iter().map(|d| d.1).collect()
 }
--- a/crates/gaugesaddle-proxy-simulation/src/strange.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/strange.rs
@@ -140,7 +140,7 @@
         0 => bytes.truncate(dice.below(bytes.len())),
         1 => bytes.extend((0..dice.below(DATAGRAM_BYTES)).map(|_| dice.below(256) as u8)),
         _ => {
-            for _ in 0..1 + dice.below(4) {
+            for _ in 0..=dice.below(4) {
                 let at = dice.below(bytes.len());
                 bytes[at] ^= 1 << dice.below(8);
             }
--- a/crates/gaugesaddle-proxy-simulation/tests/tier.rs
+++ b/crates/gaugesaddle-proxy-simulation/tests/tier.rs
@@ -43,7 +43,7 @@
             let parts = 2 + dice.below(2);
             links.parts = (0..places).map(|_| dice.below(parts) as u8).collect();
         }
-        1 => links.one_way = (0..1 + any(dice)).map(|_| (any(dice), any(dice))).collect(),
+        1 => links.one_way = (0..=any(dice)).map(|_| (any(dice), any(dice))).collect(),
         2 => links.unheard = vec![any(dice)],
         3 => links.loss = dice.within([0.05, 0.5]),
         4 => links.doubled = dice.within([0.1, 1.0]),
@@ -64,7 +64,7 @@
         let late = if dice.chance(0.2) { 8 * S } else { S };
         steps.push((moment(&mut dice, late), Step::Start(place)));
     }
-    for _ in 0..1 + dice.below(5) {
+    for _ in 0..=dice.below(5) {
         let at = 2 * S + moment(&mut dice, 8 * S);
         let place = dice.below(places);
         match dice.below(6) {
--- a/crates/gaugesaddle-simulation/src/control/replica.rs
+++ b/crates/gaugesaddle-simulation/src/control/replica.rs
@@ -85,7 +85,7 @@
                     }
                 }
                 Output::Persist { write_id, hard_state, state } => {
-                    self.persist(now, PendingWrite { write_id, hard_state, state })
+                    self.persist(now, PendingWrite { write_id, hard_state, state });
                 }
                 Output::Committed => self.handle_committed(),
                 Output::Proposed(number, result) => self.answer_proposal(number, result),
--- a/crates/gaugesaddle-simulation/src/world/checks.rs
+++ b/crates/gaugesaddle-simulation/src/world/checks.rs
@@ -82,7 +82,7 @@
         if self.history.confirmed_changes() == confirmed_before {
             self.record_recovery_failure(RecoveryFailure::NoChangeConfirmed);
         }
-        self.operators.iter_mut().for_each(|operator| operator.stop());
+        self.operators.iter_mut().for_each(super::super::operator::Operator::stop);
         self.run_until(self.now + 3 * APPLY_DEADLINE_MS);
         self.check_recovery();
     }
@@ -147,7 +147,7 @@
         let machines_with_disk = self.machines.values().filter(|machine| machine.has_disk);
         let running: Vec<ReplicaId> = machines_with_disk
             .filter_map(|machine| machine.process.as_ref()?.replica.as_ref())
-            .map(|replica| replica.id())
+            .map(gaugesaddle_consensus::Replica::id)
             .collect();
         if !voters.iter().all(|voter| running.contains(voter)) {
             failures.push(RecoveryFailure::DeadVoter);
--- a/crates/gaugesaddle-simulation/src/world/delivery.rs
+++ b/crates/gaugesaddle-simulation/src/world/delivery.rs
@@ -41,7 +41,7 @@
         }
         match (to, packet) {
             (Node::Control(ip), packet) => {
-                self.step_process(ip, |process, now| process.receive(now, from, packet))
+                self.step_process(ip, |process, now| process.receive(now, from, packet));
             }
             (Node::Proxy(number), Packet::Answer { id, answer }) => {
                 self.deliver_to_proxy(number, id, answer);
@@ -70,7 +70,7 @@
         }
         self.wakes.remove(&node);
         match node {
-            Node::Control(ip) => self.step_process(ip, |process, now| process.tick(now)),
+            Node::Control(ip) => self.step_process(ip, super::super::control::ControlProcess::tick),
             Node::Proxy(number) => self.wake_proxy(number),
             Node::Operator(number) => {
                 let operator = &mut self.operators[number as usize];
--- a/crates/gaugesaddle-simulation/src/world/faults.rs
+++ b/crates/gaugesaddle-simulation/src/world/faults.rs
@@ -201,7 +201,7 @@
 
     fn inject_restart(&mut self, target: Target, down: Millis) -> Injection {
         self.inject_at(target, DiskRequirement::Any, SHUTDOWN_MS + down, |world, ip| {
-            world.step_process(ip, |process, now| process.transfer_leadership(now));
+            world.step_process(ip, super::super::control::ControlProcess::transfer_leadership);
             let ends_at = world.now + SHUTDOWN_MS;
             world.schedule(ends_at, Event::EndProcess { ip, machine: MachineDisposition::Retained });
             world.schedule_start(ip, ends_at + down);
--- a/crates/gaugesaddle-simulation/src/world/processes.rs
+++ b/crates/gaugesaddle-simulation/src/world/processes.rs
@@ -58,7 +58,7 @@
             random,
         };
         machine.process = Some(ControlProcess::start(now, options));
-        self.step_process(ip, |process, now| process.connect_to_peers(now));
+        self.step_process(ip, super::super::control::ControlProcess::connect_to_peers);
     }
 
     /// Seeds of the boot file: the first machines with a disk that have not been removed.
@@ -92,7 +92,7 @@
     /// Ends a process gracefully where its machine is removed, else abruptly: it has shut down already.
     pub(super) fn end_process(&mut self, ip: u32, machine: MachineDisposition) {
         if machine == MachineDisposition::Removed {
-            self.step_process(ip, |process, now| process.transfer_leadership(now));
+            self.step_process(ip, super::super::control::ControlProcess::transfer_leadership);
         }
         self.terminate(ip, Termination::Killed);
         if let Some(ended) = self.machines.get_mut(&ip) {
@@ -114,7 +114,7 @@
         if let Some(machine) = self.machines.get(&ip) {
             machine.disk.set_full(self.now < machine.disk_full_until);
         }
-        self.step_process(ip, |process, now| process.complete_write(now));
+        self.step_process(ip, super::super::control::ControlProcess::complete_write);
     }
 
     pub(super) fn start_proxy(&mut self, number: u32) {
--- a/crates/gaugesaddle-testbed/src/clients.rs
+++ b/crates/gaugesaddle-testbed/src/clients.rs
@@ -132,9 +132,8 @@
             // A kept connection that was closed meanwhile is no try: it goes on with a new one.
             for _ in 0..2 {
                 let Some((reader, fresh)) = self.connection(proxy, ask.crowd).await else { break };
-                match self.exchange(proxy, reader, fresh, ask, id, number).await {
-                    Some(ended) => return ended,
-                    None => continue,
+                if let Some(ended) = self.exchange(proxy, reader, fresh, ask, id, number).await {
+                    return ended;
                 }
             }
         }
--- a/crates/gaugesaddle-testbed/src/datagrams.rs
+++ b/crates/gaugesaddle-testbed/src/datagrams.rs
@@ -222,7 +222,8 @@
     pub fn start(listens: &[SocketAddr], host: IpAddr, seed: u64) -> io::Result<Datagrams> {
         let sockets: Vec<std::net::UdpSocket> =
             listens.iter().map(|_| std::net::UdpSocket::bind((host, 0))).collect::<io::Result<_>>()?;
-        let addresses = sockets.iter().map(|s| s.local_addr()).collect::<io::Result<Vec<_>>>()?;
+        let addresses =
+            sockets.iter().map(std::net::UdpSocket::local_addr).collect::<io::Result<Vec<_>>>()?;
         sockets.iter().try_for_each(|s| s.set_nonblocking(true))?;
         let count = listens.len();
         let state = State {
--- a/crates/gaugesaddle-testbed/src/hunt.rs
+++ b/crates/gaugesaddle-testbed/src/hunt.rs
@@ -147,7 +147,7 @@
             links.parts = (0..proxies).map(|p| u8::from(p % halls == lost)).collect();
             cut = (0..halls).map(|h| u8::from(h == lost)).collect();
         }
-        2 => links.one_way = (0..1 + any(dice)).map(|_| (any(dice), any(dice))).collect(),
+        2 => links.one_way = (0..=any(dice)).map(|_| (any(dice), any(dice))).collect(),
         3 => links.unheard = vec![any(dice)],
         4 => links.loss = dice.within([0.05, 0.5]),
         5 => (links.slow, links.slow_us) = (vec![any(dice), any(dice)], 150_000),
@@ -157,7 +157,7 @@
         }
         7 => {
             let (loss, more_us) = (dice.within([0.3, 1.0]), 100_000);
-            let pairs = (0..1 + any(dice)).map(|_| (vec![any(dice)], vec![any(dice)]));
+            let pairs = (0..=any(dice)).map(|_| (vec![any(dice)], vec![any(dice)]));
             links.poor = pairs.map(|(from, to)| Poor { from, to, loss, more_us }).collect();
         }
         _ => (links.doubled, links.way_us) = (0.5, [100, 20_000]),
--- a/crates/gaugesaddle-testbed/src/main.rs
+++ b/crates/gaugesaddle-testbed/src/main.rs
@@ -90,9 +90,10 @@
 
 fn seconds(text: &str) -> Result<f64, String> {
     let value: f64 = text.parse().map_err(|_| "expected a number of seconds".to_string())?;
-    match (5.0..=3600.0).contains(&value) {
-        true => Ok(value),
-        false => Err("expected 5 to 3600".into()),
+    if (5.0..=3600.0).contains(&value) {
+        Ok(value)
+    } else {
+        Err("expected 5 to 3600".into())
     }
 }
 
--- a/crates/gaugesaddle-testbed/src/process.rs
+++ b/crates/gaugesaddle-testbed/src/process.rs
@@ -53,7 +53,7 @@
             let kept = log.clone();
             std::thread::spawn(move || {
                 for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                    let mut kept = kept.lock().unwrap_or_else(|e| e.into_inner());
+                    let mut kept = kept.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
                     if kept.len() == LOG_LINES {
                         kept.pop_front();
                     }
@@ -96,16 +96,17 @@
 
     /// The last lines that it has written to standard error.
     pub fn log(&self) -> Vec<String> {
-        self.log.lock().unwrap_or_else(|e| e.into_inner()).iter().cloned().collect()
+        self.log.lock().unwrap_or_else(std::sync::PoisonError::into_inner).iter().cloned().collect()
     }
 }
 
 /// Sends a signal by its name to a process. It starts a program, which may block for long on a busy machine.
 pub fn send_signal(process: u32, name: &str) -> io::Result<()> {
     let status = Command::new("kill").args([&format!("-{name}"), &process.to_string()]).status()?;
-    match status.success() {
-        true => Ok(()),
-        false => Err(io::Error::other(format!("kill -{name} failed"))),
+    if status.success() {
+        Ok(())
+    } else {
+        Err(io::Error::other(format!("kill -{name} failed")))
     }
 }
 
--- a/crates/gaugesaddle-testbed/src/record.rs
+++ b/crates/gaugesaddle-testbed/src/record.rs
@@ -267,7 +267,7 @@
     /// Writes down what happened just now.
     pub fn put(&self, event: Event) -> Moment {
         // The stamp is taken inside of the lock: no record is older than the one before it.
-        let mut kept = self.kept.lock().unwrap_or_else(|e| e.into_inner());
+        let mut kept = self.kept.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let at = self.now();
         if kept.0.len() < MOST {
             kept.0.push(Record { at, event });
@@ -279,12 +279,12 @@
 
     /// All records so far, and how many were dropped.
     pub fn take(&self) -> (Vec<Record>, u64) {
-        std::mem::take(&mut *self.kept.lock().unwrap_or_else(|e| e.into_inner()))
+        std::mem::take(&mut *self.kept.lock().unwrap_or_else(std::sync::PoisonError::into_inner))
     }
 
     /// Calls a function with the records from the n-th on.
     pub fn read<T>(&self, from: usize, with: impl FnOnce(&[Record]) -> T) -> T {
-        let kept = self.kept.lock().unwrap_or_else(|e| e.into_inner());
+        let kept = self.kept.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         with(kept.0.get(from..).unwrap_or(&[]))
     }
 }
--- a/crates/gaugesaddle-testbed/src/regions.rs
+++ b/crates/gaugesaddle-testbed/src/regions.rs
@@ -16,7 +16,9 @@
 
 /// A region's name.
 pub fn name(region: usize) -> String {
-    ["north", "south", "west", "east"].get(region).map_or_else(|| format!("r{region}"), |n| n.to_string())
+    ["north", "south", "west", "east"]
+        .get(region)
+        .map_or_else(|| format!("r{region}"), std::string::ToString::to_string)
 }
 
 /// What joins the regions of a run.
--- a/crates/gaugesaddle-testbed/src/relay.rs
+++ b/crates/gaugesaddle-testbed/src/relay.rs
@@ -88,9 +88,10 @@
         while self.silent.get() {
             self.changed.notified().await;
         }
-        match waits {
-            true => Err(io::ErrorKind::ConnectionReset.into()),
-            false => Ok(()),
+        if waits {
+            Err(io::ErrorKind::ConnectionReset.into())
+        } else {
+            Ok(())
         }
     }
 
--- a/crates/gaugesaddle-testbed/src/scripted.rs
+++ b/crates/gaugesaddle-testbed/src/scripted.rs
@@ -229,9 +229,12 @@
             _ => self.given = (self.index, calls),
         }
         let is_gone = |line: &Value| line["status"] == "gone";
-        let told = self.lines.values().filter(|(version, line)| match whole {
-            true => !is_gone(line),
-            false => after.is_some_and(|after| *version > after),
+        let told = self.lines.values().filter(|(version, line)| {
+            if whole {
+                !is_gone(line)
+            } else {
+                after.is_some_and(|after| *version > after)
+            }
         });
         let lines: Vec<&Value> = told.map(|l| &l.1).collect();
         let list = json!({"index": self.index, "snapshot": whole, "endpoints": lines});
--- a/crates/gaugesaddle-testbed/src/tier.rs
+++ b/crates/gaugesaddle-testbed/src/tier.rs
@@ -247,7 +247,7 @@
                     });
                 }
                 Fact::Terminated(p) => {
-                    judge.lives[*p].last_mut().into_iter().for_each(|l| l.told = Some(*at))
+                    judge.lives[*p].last_mut().into_iter().for_each(|l| l.told = Some(*at));
                 }
                 Fact::Ended(p) => {
                     judge.lives[*p].last_mut().into_iter().for_each(|l| l.end = *at);
@@ -255,7 +255,7 @@
                 }
                 Fact::Stopped(p) => judge.pauses[*p].push((*at, u64::MAX)),
                 Fact::Continued(p) => {
-                    judge.pauses[*p].last_mut().into_iter().for_each(|p| p.1 = p.1.min(*at))
+                    judge.pauses[*p].last_mut().into_iter().for_each(|p| p.1 = p.1.min(*at));
                 }
                 Fact::Links(links) => judge.links.push((*at, links.clone())),
             }
--- a/crates/gaugesaddle-testbed/src/world.rs
+++ b/crates/gaugesaddle-testbed/src/world.rs
@@ -199,9 +199,10 @@
                 }
             }
         }
-        let joined = match s.regions.count > 1 && s.regions.joined {
-            true => Some(Joined::new(s, &lease, &folder).await?),
-            false => None,
+        let joined = if s.regions.count > 1 && s.regions.joined {
+            Some(Joined::new(s, &lease, &folder).await?)
+        } else {
+            None
         };
         let listens: Vec<SocketAddr> = (0..s.proxies).map(|p| peer_listen(&lease, p)).collect();
         let datagrams = s.peers.then(|| Datagrams::start(&listens, lease.peer().ip(), s.seed)).transpose()?;
@@ -561,7 +562,7 @@
             Step::RegionDelay(by_us) => self.joined.iter().for_each(|j| j.delay(by_us)),
             Step::RegionCut(cut) => self.joined.iter().for_each(|j| j.cut(cut)),
             Step::NewKeys => {
-                if let Some(Err(e)) = self.joined.as_ref().map(|j| j.new_keys()) {
+                if let Some(Err(e)) = self.joined.as_ref().map(super::regions::Joined::new_keys) {
                     self.journal.put(Event::Strange { text: format!("no new keys: {e}") });
                 }
                 for actor in self.proxies.borrow().iter().flatten() {
--- a/crates/gaugesaddle/src/admin.rs
+++ b/crates/gaugesaddle/src/admin.rs
@@ -104,7 +104,7 @@
                 }
             }
             (&Method::PUT, "/api/rejoin") => {
-                let back = self.registry.change(|l| l.rejoin());
+                let back = self.registry.change(gaugesaddle_maintenance::Lifecycle::rejoin);
                 tracing::info!(back, "rejoin requested");
                 if back {
                     OK
@@ -120,9 +120,10 @@
     }
 
     fn ready(&self) -> Answer {
-        match self.registry.is_ready() {
-            true => OK,
-            false => (StatusCode::SERVICE_UNAVAILABLE, "not ready"),
+        if self.registry.is_ready() {
+            OK
+        } else {
+            (StatusCode::SERVICE_UNAVAILABLE, "not ready")
         }
     }
 
--- a/crates/gaugesaddle/src/app.rs
+++ b/crates/gaugesaddle/src/app.rs
@@ -216,9 +216,10 @@
     let tier = tier.transpose()?;
     if let Some(tier) = &tier {
         // The process before this one speaks for the place as long as it holds the address.
-        let socket = match replaces {
-            true => None,
-            false => Some(tier.bind().map_err(cannot_listen("peers.listen", tier.listen()))?),
+        let socket = if replaces {
+            None
+        } else {
+            Some(tier.bind().map_err(cannot_listen("peers.listen", tier.listen()))?)
         };
         let zones = server.rules.names.zones().iter();
         let zones =
--- a/crates/gaugesaddle/src/cli.rs
+++ b/crates/gaugesaddle/src/cli.rs
@@ -124,8 +124,9 @@
 }
 
 fn print<T: Serialize>(json: bool, document: &T, table: impl Fn() -> String) {
-    match json {
-        true => println!("{}", serde_json::to_string_pretty(document).unwrap_or_default()),
-        false => print!("{}", table()),
+    if json {
+        println!("{}", serde_json::to_string_pretty(document).unwrap_or_default());
+    } else {
+        print!("{}", table());
     }
 }
--- a/crates/gaugesaddle/src/config.rs
+++ b/crates/gaugesaddle/src/config.rs
@@ -61,7 +61,7 @@
 fn differences(path: String, old: &Value, new: &Value, found: &mut Vec<String>) {
     let (Value::Object(old), Value::Object(new)) = (old, new) else {
         return if old != new {
-            found.push(path)
+            found.push(path);
         };
     };
     let only_new = new.keys().filter(|k| !old.contains_key(*k));
@@ -144,10 +144,8 @@
         is_told(&key).then(|| address(&key)).transpose()
     };
     let key = root.get("peers");
-    let addresses = match is_told(&key) {
-        true => key.list()?.iter().map(address).collect::<Result<_, _>>()?,
-        false => Vec::new(),
-    };
+    let addresses =
+        if is_told(&key) { key.list()?.iter().map(address).collect::<Result<_, _>>()? } else { Vec::new() };
     Ok(Some(Platform { listen: told("peer_listen")?, addresses, all: told("peers_all")? }))
 }
 
--- a/crates/gaugesaddle/src/discovery.rs
+++ b/crates/gaugesaddle/src/discovery.rs
@@ -96,7 +96,8 @@
         "gone" => BackendState::Gone,
         _ => return status.want(None, "ready, draining or gone"),
     };
-    let started = since.want(since.value().map_or(Some(0), |v| v.as_u64()), "whole milliseconds")?;
+    let started =
+        since.want(since.value().map_or(Some(0), serde_json::Value::as_u64), "whole milliseconds")?;
     let address = line.get("address");
     let (name, zone, kind) = (line.get("name").text()?, line.get("zone").text()?, line.get("type").text()?);
     let (cell, weight) = (line.get("group"), line.get("weight"));
--- a/crates/gaugesaddle/src/driver.rs
+++ b/crates/gaugesaddle/src/driver.rs
@@ -597,10 +597,8 @@
         self.overdue.clear();
         self.timers.clear();
         self.events.clear();
-        let state = |u: &Rc<dyn Upstream>| match u.is_open() {
-            true => BackendState::Ready,
-            false => BackendState::Draining,
-        };
+        let state =
+            |u: &Rc<dyn Upstream>| if u.is_open() { BackendState::Ready } else { BackendState::Draining };
         let seen = |u: &Rc<dyn Upstream>| self.backend_set.view(&u.target().backend);
         let entry = |u: &Rc<dyn Upstream>| Backend { state: state(u), ..seen(u) };
         let backends = self.backends.values().map(entry).collect();
--- a/crates/gaugesaddle/src/failover.rs
+++ b/crates/gaugesaddle/src/failover.rs
@@ -167,9 +167,10 @@
         let blind = judged.blind.iter().filter(|b: &&Blind| b.place == place);
         let names: Vec<&str> = blind.map(|b| self.names[b.zone].as_str()).collect();
         if self.registry.cut_off.replace(cut) != cut {
-            match cut {
-                true => tracing::warn!("zones: cut off from {}, which most see: not ready", names.join(", ")),
-                false => tracing::info!("zones: sees what most see again: ready"),
+            if cut {
+                tracing::warn!("zones: cut off from {}, which most see: not ready", names.join(", "))
+            } else {
+                tracing::info!("zones: sees what most see again: ready")
             }
         }
         cut.then(|| names.join(", "))
--- a/crates/gaugesaddle/src/peers/mod.rs
+++ b/crates/gaugesaddle/src/peers/mod.rs
@@ -108,9 +108,10 @@
     ) -> Result<Rc<Tier>, PeersError> {
         let by_file = !section.addresses.is_empty();
         let platform = platform.filter(|_| !by_file).unwrap_or_default();
-        let (addresses, all) = match by_file {
-            true => (section.addresses.clone(), section.all),
-            false => (platform.addresses, section.all.or(platform.all)),
+        let (addresses, all) = if by_file {
+            (section.addresses.clone(), section.all)
+        } else {
+            (platform.addresses, section.all.or(platform.all))
         };
         if addresses.is_empty() {
             return Err(key(
@@ -121,9 +122,10 @@
         }
         let listen = section.listen.or(platform.listen);
         let listen = listen.ok_or_else(|| key("peers.listen", "missing, expected an address"))?;
-        let place = match by_file {
-            true => addresses.iter().position(|a| *a == section.own.unwrap_or(listen)),
-            false => Some(own.position as usize),
+        let place = if by_file {
+            addresses.iter().position(|a| *a == section.own.unwrap_or(listen))
+        } else {
+            Some(own.position as usize)
         };
         let place = place.filter(|p| *p < addresses.len());
         let place =
--- a/crates/gaugesaddle/src/peers/settings.rs
+++ b/crates/gaugesaddle/src/peers/settings.rs
@@ -183,9 +183,10 @@
     let mut secret = Vec::new();
     file.take(MOST_KEY_BYTES + 1).read_to_end(&mut secret).map_err(unread)?;
     let bytes = secret.len() as u64;
-    match (LEAST_KEY_BYTES as u64..=MOST_KEY_BYTES).contains(&bytes) {
-        true => Ok(secret),
-        false => Err(PeersError::Length { path: path.into(), bytes }),
+    if (LEAST_KEY_BYTES as u64..=MOST_KEY_BYTES).contains(&bytes) {
+        Ok(secret)
+    } else {
+        Err(PeersError::Length { path: path.into(), bytes })
     }
 }
 
--- a/crates/gaugesaddle/src/region/client.rs
+++ b/crates/gaugesaddle/src/region/client.rs
@@ -180,7 +180,7 @@
                 |value: Option<&HeaderValue>| value.and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
             // Between gateways only: no client sees them.
             let headers = answer.headers_mut();
-            let fate = Fate::read(headers.remove(FATE).as_ref().map(|v| v.as_bytes()));
+            let fate = Fate::read(headers.remove(FATE).as_ref().map(hyper::http::HeaderValue::as_bytes));
             if headers.remove(FULL).is_some() && fate == Fate::NotRun {
                 let now = self.clock.now();
                 self.gates.borrow_mut().shut(now, way, Shut::Full);
--- a/crates/gaugesaddle/src/region/front.rs
+++ b/crates/gaugesaddle/src/region/front.rs
@@ -174,7 +174,8 @@
     }
     let taken = Taken(regions.clone(), sender);
     let body = tokio::time::timeout(BODY, Limited::new(body, BODY_BYTES).collect()).await;
-    let body = body.ok().and_then(|b| b.ok()).ok_or_else(|| barred("the body did not come whole"))?;
+    let body =
+        body.ok().and_then(std::result::Result::ok).ok_or_else(|| barred("the body did not come whole"))?;
     let body = CallBody::Whole(body.to_bytes());
     let effect = server.rules.classes.get(class.0).map_or(Effect::Unsafe, |c| c.effect);
     let source = sender as u64;
--- a/crates/gaugesaddle/src/region/mod.rs
+++ b/crates/gaugesaddle/src/region/mod.rs
@@ -332,7 +332,7 @@
             let days = (ends - now).0 / 86_400_000_000;
             match end {
                 End::Over => {
-                    tracing::error!("region: the certificate has ended: other regions refuse this one")
+                    tracing::error!("region: the certificate has ended: other regions refuse this one");
                 }
                 _ => tracing::warn!("region: the certificate ends in {days} days"),
             }
--- a/crates/gaugesaddle/src/region/settings.rs
+++ b/crates/gaugesaddle/src/region/settings.rs
@@ -216,9 +216,12 @@
     /// The first key that can't be, and what was expected.
     pub fn check(&self) -> Result<(), (String, String)> {
         let flaw = |key: &str, expected: String| Err((format!("region.{key}"), expected));
-        let within = |key: &str, value: u32, least: u32, most: u32| match (least..=most).contains(&value) {
-            true => Ok(()),
-            false => flaw(key, format!("expected {least} to {most}, got {value}")),
+        let within = |key: &str, value: u32, least: u32, most: u32| {
+            if (least..=most).contains(&value) {
+                Ok(())
+            } else {
+                flaw(key, format!("expected {least} to {most}, got {value}"))
+            }
         };
         within("exercise_percent", self.exercise_percent, 0, 100)?;
         within("hops", self.hops, 1, u32::from(MOST_HOPS))?;
@@ -302,12 +305,15 @@
                 if allowed.is_none() && !needed {
                     continue;
                 }
-                let bound = |what: &str, value: u32, least: u32| match (least..=MOST_PER_S).contains(&value) {
-                    true => Ok(()),
-                    false => flaw(
-                        &key(&format!("{name}.{what}")),
-                        format!("expected {least} to {MOST_PER_S}, got {value}"),
-                    ),
+                let bound = |what: &str, value: u32, least: u32| {
+                    if (least..=MOST_PER_S).contains(&value) {
+                        Ok(())
+                    } else {
+                        flaw(
+                            &key(&format!("{name}.{what}")),
+                            format!("expected {least} to {MOST_PER_S}, got {value}"),
+                        )
+                    }
                 };
                 bound("per_s", allowed.per_s, 1)?;
                 bound("burst", allowed.burst, 0)?;
--- a/crates/gaugesaddle/src/table.rs
+++ b/crates/gaugesaddle/src/table.rs
@@ -2,7 +2,7 @@
 
 /// Renders a head and its rows, each line ended.
 pub fn render(head: &[&str], rows: impl Iterator<Item = Vec<String>>) -> String {
-    let head: Vec<String> = head.iter().map(|h| h.to_string()).collect();
+    let head: Vec<String> = head.iter().map(std::string::ToString::to_string).collect();
     let all: Vec<Vec<String>> = std::iter::once(head).chain(rows).collect();
     let columns = all.iter().map(Vec::len).max().unwrap_or(0);
     let cell = |row: &'_ Vec<String>, i: usize| row.get(i).map_or(0, |c| c.chars().count());
@@ -14,9 +14,12 @@
     let right: Vec<bool> = (0..columns).map(number).collect();
     let mut text = String::new();
     for row in &all {
-        let cells = row.iter().enumerate().map(|(i, c)| match right[i] {
-            true => format!("{c:>w$}", w = width[i]),
-            false => format!("{c:<w$}", w = width[i]),
+        let cells = row.iter().enumerate().map(|(i, c)| {
+            if right[i] {
+                format!("{c:>w$}", w = width[i])
+            } else {
+                format!("{c:<w$}", w = width[i])
+            }
         });
         let line = cells.collect::<Vec<_>>().join("  ");
         text += line.trim_end();
--- a/crates/gaugesaddle/tests/operator.rs
+++ b/crates/gaugesaddle/tests/operator.rs
@@ -40,10 +40,7 @@
     let folder = Folder::new(name);
     let socket = folder.0.join("state.sock");
     let file = folder.file("gaugesaddle.toml", &format!("[state]\nsocket = {socket:?}\n{more}"));
-    let backend = Backend::start(|m| match m.start.contains("slow") {
-        true => Reply::Silence,
-        false => ok("x"),
-    });
+    let backend = Backend::start(|m| if m.start.contains("slow") { Reply::Silence } else { ok("x") });
     let discovery = Discovery::start();
     let config = config(discovery.address, &[line("a", backend.address, "ready", 0)]);
     let proxy = Proxy::spawn_with(&config, "unlimited", &["--config", file.to_str().unwrap()]);
--- a/crates/gaugesaddle/tests/peers.rs
+++ b/crates/gaugesaddle/tests/peers.rs
@@ -268,7 +268,7 @@
     let start = |place: usize, allowed: bool| {
         let mut config = config(tier.discovery.address, &[]);
         config["peer_listen"] = tier.listens[place].to_string().into();
-        config["peers"] = tier.ways.addresses().iter().map(|a| a.to_string()).collect();
+        config["peers"] = tier.ways.addresses().iter().map(std::string::ToString::to_string).collect();
         config["settings"]["limits"]["peers"] = allowed.into();
         config["settings"]["group_size"] = 2.into();
         config["settings"]["position"] = place.into();
--- a/crates/gaugesaddle/tests/proxy.rs
+++ b/crates/gaugesaddle/tests/proxy.rs
@@ -283,9 +283,12 @@
 #[test]
 fn a_stale_pooled_connection_costs_no_attempt() {
     let closing = std::sync::atomic::AtomicBool::new(true);
-    let backend = Backend::start(move |_| match closing.swap(false, std::sync::atomic::Ordering::SeqCst) {
-        true => Reply::SayAndClose("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".into()),
-        false => ok("x"),
+    let backend = Backend::start(move |_| {
+        if closing.swap(false, std::sync::atomic::Ordering::SeqCst) {
+            Reply::SayAndClose("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".into())
+        } else {
+            ok("x")
+        }
     });
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     assert_eq!(ask(&proxy, &request("pay", 7000)).status(), 200);
@@ -608,7 +611,10 @@
     proxy.reload(&config.to_string());
     second.tell(true, &[line("b", b.address, "ready", 0)]);
     assert_eq!(ask(&proxy, &request("read", 7000)).body, b"b");
-    assert!(proxy.log().contains("not taken up before a restart: limits.sockets"), "{}", proxy.log());
+    // The log is read by a thread of its own.
+    until("the log names the setting that needs a restart", || {
+        proxy.log().contains("not taken up before a restart: limits.sockets")
+    });
     until("the connection to the old one closed", || first.closed() == 1);
     for bad in ["", &config.to_string()[..200], r#"{"discovery":"nowhere"}"#] {
         let before = proxy.log().matches("stays as it was").count();
