--- a/crates/gaugesaddle-failover/src/decision.rs
+++ b/crates/gaugesaddle-failover/src/decision.rs
@@ -1,161 +1,255 @@
-//! A decision of the tier, as it travels: which plan holds, whose it is, and which one is newer.
+//! A failover decision and its encoding.
 //!
 //! ```text
-//! 0x80 | epoch 4 | round 2 | by 2 | level 1 | away 2 | zones 1 | each: near 2, to 1, trust 1      up to 45 bytes
+//! 0x80 | epoch 4 | revision 2 | decider 2 | utilization 1 | absorbed 2 | zone count 1 | per zone:
+//!                                               local 2, inbound fraction 1, trust 1   up to 45 bytes
 //! ```
-//! What stays near or leaves is told as one place in the order of worth: classes above it whole, the class there by a part
-//! of 255, classes below it none. Big-endian.
+//! Integers are big-endian. Fractions are encoded in 255ths. What stays local or is absorbed is a [`PriorityThreshold`]
+//! and not one fraction a class, so that the length does not depend on the number of classes.
 
 use crate::plan::Plan;
+use std::cmp::{Ordering, Reverse};
+use thiserror::Error;
 
-/// Zones that a decision has room for.
-pub const MOST_ZONES: usize = 8;
-/// The longest decision.
-pub const DECISION_BYTES: usize = 13 + 4 * MOST_ZONES;
-/// Its first byte: other notes begin otherwise.
-pub const TAG: u8 = 0x80;
+/// Maximum number of zones in a decision.
+pub const MAX_ZONES: usize = 8;
+/// Length of a decision with [`MAX_ZONES`] zones, in bytes.
+pub const MAX_DECISION_BYTES: usize = HEADER_BYTES + ZONE_BYTES * MAX_ZONES;
+/// First byte of a decision; other messages between proxies begin otherwise.
+pub const DECISION_TAG: u8 = 0x80;
 
-/// A place in the order of worth: so many classes whole, the next by a part of 255.
+const HEADER_BYTES: usize = 13;
+const ZONE_BYTES: usize = 4;
+/// Difference up to which a fraction still counts as 1.
+const ROUNDING_ERROR: f64 = 1e-9;
+
+/// Why a plan cannot be turned into a decision.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum PlanError {
+    /// There are more zones than a decision can carry.
+    #[error("encoding a plan: {zones} zones, at most {MAX_ZONES} fit")]
+    TooManyZones {
+        /// Zones of the plan.
+        zones: usize,
+    },
+    /// The list of trusted fractions does not match the plan.
+    #[error("encoding a plan: {zones} zones, but {trusted} trusted fractions")]
+    TrustMismatch {
+        /// Zones of the plan.
+        zones: usize,
+        /// Trusted fractions that were passed.
+        trusted: usize,
+    },
+}
+
+/// Why bytes are not a decision for this tier.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum DecodeError {
+    /// The first byte is another one than [`DECISION_TAG`].
+    #[error("decoding a decision: expected tag {DECISION_TAG:#04x}, got {0:#04x}")]
+    Tag(u8),
+    /// Too short or too long for the configured number of zones.
+    #[error("decoding a decision: unexpected length of {0} bytes")]
+    Length(usize),
+    /// The decision is about another number of zones than configured here.
+    #[error("decoding a decision: expected {expected} zones, got {encoded}")]
+    ZoneCount {
+        /// Zones configured here.
+        expected: usize,
+        /// Zones that the message claims.
+        encoded: u8,
+    },
+}
+
+/// A position in the classes sorted by descending priority weight. Classes above it are included in full, the class at it
+/// by a fraction, classes below it not at all.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Cut {
-    /// Classes that are in whole, those worth most first.
-    pub whole: u8,
-    /// Of the next so many 255ths.
-    pub part: u8,
+pub struct PriorityThreshold {
+    /// Number of classes included in full.
+    pub full_classes: u8,
+    /// Fraction of the next class, in 255ths.
+    pub fraction: u8,
 }
 
-impl Cut {
-    /// The place where the classes, in the order of worth, stop to be in.
-    fn of(parts: impl Iterator<Item = f64>) -> Cut {
-        let (mut whole, mut part) = (0, 0);
-        for value in parts {
-            if value < 1.0 - 1e-9 {
-                part = (value.clamp(0.0, 1.0) * 255.0).round() as u8;
+impl PriorityThreshold {
+    /// The threshold of per-class fractions, given by descending priority weight.
+    fn from_fractions(fractions: impl Iterator<Item = f64>) -> PriorityThreshold {
+        let mut threshold = PriorityThreshold::default();
+        for fraction in fractions {
+            if fraction < 1.0 - ROUNDING_ERROR {
+                threshold.fraction = to_255ths(fraction);
                 break;
             }
-            whole += 1;
+            threshold.full_classes += 1;
         }
-        Cut { whole, part }
+        threshold
     }
 
-    /// The part of the class that is the so many-th in the order of worth.
-    pub fn part(self, rank: usize) -> f64 {
-        match rank.cmp(&usize::from(self.whole)) {
-            std::cmp::Ordering::Less => 1.0,
-            std::cmp::Ordering::Equal => f64::from(self.part) / 255.0,
-            std::cmp::Ordering::Greater => 0.0,
+    /// The included fraction, 0 to 1, of the class with this rank; rank 0 has the highest priority weight.
+    pub fn class_fraction(self, rank: usize) -> f64 {
+        match rank.cmp(&usize::from(self.full_classes)) {
+            Ordering::Less => 1.0,
+            Ordering::Equal => f64::from(self.fraction) / 255.0,
+            Ordering::Greater => 0.0,
         }
     }
+
+    /// Position on one scale: 255 a class.
+    fn position(self) -> u32 {
+        u32::from(self.full_classes) * 255 + u32::from(self.fraction)
+    }
+
+    fn is_within(self, other: PriorityThreshold, tolerance: u8) -> bool {
+        self.position().abs_diff(other.position()) <= u32::from(tolerance)
+    }
 }
 
-/// What a decision says of a zone.
+/// What a decision requires of one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Order {
-    /// What of its own stays.
-    pub near: Cut,
-    /// Its part of all that leaves a zone for another, in 255ths.
-    pub to: u8,
-    /// How far it is trusted, in 255ths of what it can do.
+pub struct ZoneDirective {
+    /// The zone's own traffic that it serves itself.
+    pub local: PriorityThreshold,
+    /// Fraction that this zone receives of all traffic sent from zone to zone, in 255ths.
+    pub inbound_fraction: u8,
+    /// Fraction of its capacity that the zone is trusted with, in 255ths.
     pub trust: u8,
 }
 
-/// Which decision is newer: a side with more than half of the tier begins an epoch with each, another only a round in the
-/// epoch that it knows. So whatever a smaller side did meanwhile, the greater one's counts at the heal.
+impl ZoneDirective {
+    fn is_within(&self, other: &ZoneDirective, tolerance: u8) -> bool {
+        self.trust == other.trust
+            && self.inbound_fraction.abs_diff(other.inbound_fraction) <= tolerance
+            && self.local.is_within(other.local, tolerance)
+    }
+}
+
+/// Orders decisions by age. A decider that sees a majority of the tier increments the epoch; one that sees a minority
+/// increments only the revision within the epoch that it knows. So after a partition heals, the majority's decision
+/// supersedes whatever the minority decided meanwhile.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Number {
-    /// See above.
+pub struct DecisionVersion {
+    /// Incremented by decisions of a majority.
     pub epoch: u32,
-    /// See above.
-    pub round: u16,
+    /// Incremented by decisions of a minority; 0 at the start of an epoch.
+    pub revision: u16,
 }
 
-/// A decision.
+/// The plan that all proxies of the tier follow, with its version and origin.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Decision {
-    /// Which.
-    pub number: Number,
-    /// Whose: a place of the tier.
-    pub by: u16,
-    /// The load that zones are filled to, in 255ths.
-    pub level: u8,
-    /// What of that which leaves a zone still finds a place in another; the rest is for a region.
-    pub placed: Cut,
+    /// Its age relative to other decisions.
+    pub version: DecisionVersion,
+    /// Member that decided.
+    pub decider: u16,
+    /// Utilization that zones are filled to, in 255ths of their trusted capacity.
+    pub utilization: u8,
+    /// Of the traffic that leaves its zone, what other zones have headroom for; the remainder goes to another region.
+    pub absorbed: PriorityThreshold,
     /// By zone.
-    pub zones: Vec<Order>,
+    pub zones: Vec<ZoneDirective>,
 }
 
-fn byte(part: f64) -> u8 {
-    (part.clamp(0.0, 1.0) * 255.0).round() as u8
+fn to_255ths(fraction: f64) -> u8 {
+    (fraction.clamp(0.0, 1.0) * 255.0).round() as u8
 }
 
 impl Decision {
-    /// A plan as a decision; `order`: the classes by worth. `None` where there are more zones than fit.
-    pub fn of(number: Number, by: u16, plan: &Plan, trust: &[f64], order: &[usize]) -> Option<Decision> {
-        if plan.near.len() > MOST_ZONES || trust.len() != plan.near.len() {
-            return None;
+    /// Encodes a plan. `trust` is the trusted fraction (0 to 1) by zone; `class_order` has the indices of the classes by
+    /// descending priority weight.
+    ///
+    /// # Errors
+    /// [`PlanError`] where there are more than [`MAX_ZONES`] zones, or `trust` has another length than the plan.
+    pub fn from_plan(
+        version: DecisionVersion, decider: u16, plan: &Plan, trust: &[f64], class_order: &[usize],
+    ) -> Result<Decision, PlanError> {
+        let zones = plan.local_fraction.len();
+        if zones > MAX_ZONES {
+            return Err(PlanError::TooManyZones { zones });
+        }
+        if trust.len() != zones {
+            return Err(PlanError::TrustMismatch { zones, trusted: trust.len() });
         }
-        let zone = |(z, near): (usize, &Vec<f64>)| Order {
-            near: Cut::of(order.iter().map(|k| near[*k])),
-            to: byte(plan.to[z]),
-            trust: byte(trust[z]),
+        let directive = |zone: usize| {
+            let local = class_order.iter().map(|class| plan.local_fraction[zone][*class]);
+            ZoneDirective {
+                local: PriorityThreshold::from_fractions(local),
+                inbound_fraction: to_255ths(plan.inbound_fraction[zone]),
+                trust: to_255ths(trust[zone]),
+            }
         };
-        let placed = Cut::of(order.iter().map(|k| 1.0 - plan.away[*k]));
-        let zones = plan.near.iter().enumerate().map(zone).collect();
-        Some(Decision { number, by, level: byte(plan.level), placed, zones })
+        let absorbed = class_order.iter().map(|class| 1.0 - plan.spillover_fraction[*class]);
+        Ok(Decision {
+            version,
+            decider,
+            utilization: to_255ths(plan.utilization),
+            absorbed: PriorityThreshold::from_fractions(absorbed),
+            zones: (0..zones).map(directive).collect(),
+        })
     }
 
-    /// Whether it counts instead of another: the newer one does, of two alike that of the lower place. Two processes of one
-    /// place may have given one number to two decisions; which of them all come to hold must not depend on the way.
-    pub fn over(&self, other: &Decision) -> bool {
-        let rank = |d: &Decision| (d.number, std::cmp::Reverse(d.by), d.encode());
-        rank(self) > rank(other)
+    /// Whether this decision replaces the other: by version, then by the lower decider. A restarted decider may have used
+    /// one version for two decisions; their bytes break the tie, so that all proxies converge whatever the order in which
+    /// they receive them.
+    pub fn supersedes(&self, other: &Decision) -> bool {
+        let precedence =
+            |decision: &Decision| (decision.version, Reverse(decision.decider), decision.encode());
+        precedence(self) > precedence(other)
     }
 
-    /// Whether the other gives about the same orders, whatever its number: no figure is off by more than so many 255ths, and
-    /// trust by none.
-    pub fn says_about(&self, other: &Decision, within: u8) -> bool {
-        let cut = |c: Cut| u32::from(c.whole) * 255 + u32::from(c.part);
-        let near = |a: u32, b: u32| a.abs_diff(b) <= u32::from(within);
-        let zone = |(a, b): (&Order, &Order)| {
-            a.trust == b.trust && a.to.abs_diff(b.to) <= within && near(cut(a.near), cut(b.near))
-        };
-        self.level.abs_diff(other.level) <= within
-            && near(cut(self.placed), cut(other.placed))
+    /// Whether the other requires nearly the same, whatever its version: no figure differs by more than `tolerance`
+    /// 255ths, and trust does not differ at all.
+    pub fn is_within(&self, other: &Decision, tolerance: u8) -> bool {
+        self.utilization.abs_diff(other.utilization) <= tolerance
+            && self.absorbed.is_within(other.absorbed, tolerance)
             && self.zones.len() == other.zones.len()
-            && self.zones.iter().zip(&other.zones).all(zone)
+            && self.zones.iter().zip(&other.zones).all(|(own, other)| own.is_within(other, tolerance))
     }
 
-    /// As bytes.
+    /// The bytes in which it travels; zones beyond [`MAX_ZONES`] are left out.
     pub fn encode(&self) -> Vec<u8> {
-        let mut out = vec![TAG];
-        out.extend(self.number.epoch.to_be_bytes());
-        out.extend(self.number.round.to_be_bytes());
-        out.extend(self.by.to_be_bytes());
-        out.extend([self.level, self.placed.whole, self.placed.part]);
-        out.push(self.zones.len().min(MOST_ZONES) as u8);
-        for z in self.zones.iter().take(MOST_ZONES) {
-            out.extend([z.near.whole, z.near.part, z.to, z.trust]);
+        let mut out = vec![DECISION_TAG];
+        out.extend(self.version.epoch.to_be_bytes());
+        out.extend(self.version.revision.to_be_bytes());
+        out.extend(self.decider.to_be_bytes());
+        out.extend([self.utilization, self.absorbed.full_classes, self.absorbed.fraction]);
+        out.push(self.zones.len().min(MAX_ZONES) as u8);
+        for zone in self.zones.iter().take(MAX_ZONES) {
+            out.extend([zone.local.full_classes, zone.local.fraction, zone.inbound_fraction, zone.trust]);
         }
         out
     }
 
-    /// From bytes; `None` where they are no decision for so many zones.
-    pub fn decode(bytes: &[u8], zones: usize) -> Option<Decision> {
-        let (head, rest) = bytes.split_at_checked(13)?;
-        let whole = rest.len() == 4 * zones && usize::from(head[12]) == zones && zones <= MOST_ZONES;
-        if head[0] != TAG || !whole {
-            return None;
+    /// Decodes a decision for a tier of `zones` zones.
+    ///
+    /// # Errors
+    /// [`DecodeError`] where the bytes are not exactly such a decision.
+    pub fn decode(bytes: &[u8], zones: usize) -> Result<Decision, DecodeError> {
+        let Some((header, body)) = bytes.split_at_checked(HEADER_BYTES) else {
+            return Err(DecodeError::Length(bytes.len()));
+        };
+        if header[0] != DECISION_TAG {
+            return Err(DecodeError::Tag(header[0]));
+        }
+        if usize::from(header[12]) != zones || zones > MAX_ZONES {
+            return Err(DecodeError::ZoneCount { expected: zones, encoded: header[12] });
         }
-        let zone = |z: &[u8]| Order { near: Cut { whole: z[0], part: z[1] }, to: z[2], trust: z[3] };
-        Some(Decision {
-            number: Number {
-                epoch: u32::from_be_bytes([head[1], head[2], head[3], head[4]]),
-                round: u16::from_be_bytes([head[5], head[6]]),
+        if body.len() != ZONE_BYTES * zones {
+            return Err(DecodeError::Length(bytes.len()));
+        }
+        let directive = |zone: &[u8]| ZoneDirective {
+            local: PriorityThreshold { full_classes: zone[0], fraction: zone[1] },
+            inbound_fraction: zone[2],
+            trust: zone[3],
+        };
+        Ok(Decision {
+            version: DecisionVersion {
+                epoch: u32::from_be_bytes([header[1], header[2], header[3], header[4]]),
+                revision: u16::from_be_bytes([header[5], header[6]]),
             },
-            by: u16::from_be_bytes([head[7], head[8]]),
-            level: head[9],
-            placed: Cut { whole: head[10], part: head[11] },
-            zones: rest.chunks(4).map(zone).collect(),
+            decider: u16::from_be_bytes([header[7], header[8]]),
+            utilization: header[9],
+            absorbed: PriorityThreshold { full_classes: header[10], fraction: header[11] },
+            zones: body.chunks_exact(ZONE_BYTES).map(directive).collect(),
         })
     }
 }
--- a/crates/gaugesaddle-failover/src/decision/tests.rs
+++ b/crates/gaugesaddle-failover/src/decision/tests.rs
@@ -3,51 +3,75 @@
 use proptest::prelude::*;
 
 #[test]
-fn a_plan_comes_through_right_to_a_255th() {
-    let needs = vec![vec![60.0, 20.0, 100.0], vec![10.0, 5.0, 20.0], vec![0.0, 0.0, 0.0]];
-    let worth = [1.0, 8.0, 0.5];
-    let p = plan(0.8, &needs, &[100.0, 60.0, 10.0], &worth);
-    let order = [1, 0, 2];
-    let number = Number { epoch: 7, round: 2 };
-    let d = Decision::of(number, 3, &p, &[1.0, 0.5, 0.125], &order).expect("three zones");
-    let got = Decision::decode(&d.encode(), 3).expect("a decision");
-    assert_eq!(got, d);
-    for (z, near) in p.near.iter().enumerate() {
-        for (rank, class) in order.iter().enumerate() {
-            assert!((got.zones[z].near.part(rank) - near[*class]).abs() < 0.003, "{z} {class}: {p:?}");
+fn a_plan_survives_encoding_to_within_one_255th() {
+    let demand = vec![vec![60.0, 20.0, 100.0], vec![10.0, 5.0, 20.0], vec![0.0, 0.0, 0.0]];
+    let p = plan(0.8, &demand, &[100.0, 60.0, 10.0], &[1.0, 8.0, 0.5]);
+    let class_order = [1, 0, 2];
+    let version = DecisionVersion { epoch: 7, revision: 2 };
+    let decision =
+        Decision::from_plan(version, 3, &p, &[1.0, 0.5, 0.125], &class_order).expect("three zones");
+    let decoded = Decision::decode(&decision.encode(), 3).expect("a decision");
+    assert_eq!(decoded, decision);
+    for (zone, local) in p.local_fraction.iter().enumerate() {
+        for (rank, class) in class_order.iter().enumerate() {
+            let difference = decoded.zones[zone].local.class_fraction(rank) - local[*class];
+            assert!(difference.abs() < 0.003, "zone {zone}, class {class}: {p:?}");
         }
     }
-    for (rank, class) in order.iter().enumerate() {
-        assert!((1.0 - got.placed.part(rank) - p.away[*class]).abs() < 0.003, "{p:?}");
+    for (rank, class) in class_order.iter().enumerate() {
+        let spillover = 1.0 - decoded.absorbed.class_fraction(rank);
+        assert!((spillover - p.spillover_fraction[*class]).abs() < 0.003, "{p:?}");
     }
-    assert_eq!(got.zones[2].trust, 32);
-    assert!(d.encode().len() <= DECISION_BYTES && DECISION_BYTES <= 64);
-    assert!(Decision::of(number, 3, &p, &[1.0], &order).is_none());
+    assert_eq!(decoded.zones[2].trust, 32);
+    assert!(decision.encode().len() <= MAX_DECISION_BYTES && MAX_DECISION_BYTES <= 64);
+    let mismatch = Decision::from_plan(version, 3, &p, &[1.0], &class_order);
+    assert_eq!(mismatch, Err(PlanError::TrustMismatch { zones: 3, trusted: 1 }));
 }
 
 #[test]
-fn a_greater_sides_epoch_counts_over_any_round_of_a_smaller_one() {
-    let with = |epoch, round, by| Decision { number: Number { epoch, round }, by, ..Decision::default() };
-    assert!(with(4, 0, 9).over(&with(3, 900, 0)));
-    assert!(with(3, 2, 9).over(&with(3, 1, 0)));
-    assert!(with(3, 2, 0).over(&with(3, 2, 1)) && !with(3, 2, 1).over(&with(3, 2, 1)));
+fn more_zones_than_fit_are_an_error() {
+    let p = plan(0.8, &[const { Vec::new() }; MAX_ZONES + 1], &[], &[1.0]);
+    let result = Decision::from_plan(DecisionVersion::default(), 0, &p, &[1.0; MAX_ZONES + 1], &[0]);
+    assert_eq!(result, Err(PlanError::TooManyZones { zones: MAX_ZONES + 1 }));
+}
+
+#[test]
+fn decoding_reports_what_is_wrong() {
+    let bytes = Decision { zones: vec![ZoneDirective::default(); 2], ..Decision::default() }.encode();
+    assert_eq!(Decision::decode(&bytes[..12], 2), Err(DecodeError::Length(12)));
+    assert_eq!(Decision::decode(&bytes[..20], 2), Err(DecodeError::Length(20)));
+    assert_eq!(Decision::decode(&bytes, 3), Err(DecodeError::ZoneCount { expected: 3, encoded: 2 }));
+    let other_message = [&[0x81], &bytes[1..]].concat();
+    assert_eq!(Decision::decode(&other_message, 2), Err(DecodeError::Tag(0x81)));
+}
+
+#[test]
+fn an_epoch_supersedes_any_revision_of_an_older_one() {
+    let with = |epoch, revision, decider| Decision {
+        version: DecisionVersion { epoch, revision },
+        decider,
+        ..Decision::default()
+    };
+    assert!(with(4, 0, 9).supersedes(&with(3, 900, 0)));
+    assert!(with(3, 2, 9).supersedes(&with(3, 1, 0)));
+    assert!(with(3, 2, 0).supersedes(&with(3, 2, 1)) && !with(3, 2, 1).supersedes(&with(3, 2, 1)));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(500) })]
 
     #[test]
-    fn any_bytes_are_a_decision_that_reads_back_or_none(
+    fn arbitrary_bytes_are_rejected_or_encode_back_to_themselves(
         bytes in prop::collection::vec(any::<u8>(), 0..60), zones in 0usize..10, tag in any::<bool>()
     ) {
         let mut bytes = bytes;
         if let Some(first) = bytes.first_mut().filter(|_| tag) {
-            *first = TAG;
+            *first = DECISION_TAG;
         }
         if let Some(count) = bytes.get_mut(12).filter(|_| tag) {
             *count = zones as u8;
         }
-        if let Some(decision) = Decision::decode(&bytes, zones) {
+        if let Ok(decision) = Decision::decode(&bytes, zones) {
             prop_assert_eq!(decision.encode(), bytes);
         }
     }
--- a/crates/gaugesaddle-failover/src/plan.rs
+++ b/crates/gaugesaddle-failover/src/plan.rs
@@ -1,101 +1,150 @@
-//! Who sends what where: near as far as the target load allows, the excess over the headroom of the others, and what no zone
-//! has a place for to another region.
+//! Which traffic stays in its zone, which goes to another zone, and which to another region.
 //!
-//! All zones are filled to one level: the target, or as much over it as all need, up to all that they can do. What a zone
-//! needs beyond the level is its excess; what it has left below it is its headroom; none has both. So a zone that is sent to
-//! sends nothing, and whoever sends, no zone is lifted over the level.
+//! All zones are filled to one utilization: the target, or as much above it as the total demand requires, up to 1. A zone's
+//! demand above that level is its excess, what is left below it its headroom. No zone has both, so a zone that receives
+//! traffic sends none, and no zone is filled above the level whoever sends.
 
-use crate::judge::sound;
+use crate::numeric::finite_non_negative;
 
-/// A zone's figures, in requests a second.
+/// Amounts up to this, in requests per second, count as nothing.
+const NEGLIGIBLE_PER_S: f64 = 1e-9;
+
+/// How one zone is filled, in requests per second.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Fill {
-    /// What of its own it keeps, by class.
-    near: Vec<f64>,
+struct ZoneFill {
+    /// Its own demand that it serves, by class.
+    local: Vec<f64>,
+    /// Its own demand that it does not serve, by class.
     excess: Vec<f64>,
     headroom: f64,
 }
 
-/// What all proxies do until the next plan.
+/// The distribution of traffic until the next plan. All figures are fractions, 0 to 1.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// The part of what they can do that zones are filled to.
-    pub level: f64,
-    /// By zone and class: the part that stays in the zone.
-    pub near: Vec<Vec<f64>>,
-    /// By zone: its part of all that leaves a zone for another. All 0 where nobody has headroom.
-    pub to: Vec<f64>,
-    /// By class: of what leaves a zone the part that no zone has a place for.
-    pub away: Vec<f64>,
+    /// Utilization that zones are filled to.
+    pub utilization: f64,
+    /// By zone and class: the fraction of the zone's own demand that it serves itself.
+    pub local_fraction: Vec<Vec<f64>>,
+    /// By zone: the fraction that it receives of all traffic sent from zone to zone. All 0 where no zone has headroom.
+    pub inbound_fraction: Vec<f64>,
+    /// By class: of the traffic that leaves its zone, the fraction that no zone has headroom for.
+    pub spillover_fraction: Vec<f64>,
 }
 
-/// Fills from the greatest worth down until nothing is left; what is placed, by class.
-fn by_worth(amounts: &[f64], order: &[usize], mut room: f64) -> Vec<f64> {
-    let mut placed = vec![0.0; amounts.len()];
-    for class in order {
-        placed[*class] = amounts[*class].min(room);
-        room -= placed[*class];
+/// Fits amounts by class into a capacity, in the order given; returns what fits, by class.
+fn fit_by_priority(amounts: &[f64], class_order: &[usize], mut capacity: f64) -> Vec<f64> {
+    let mut fitted = vec![0.0; amounts.len()];
+    for class in class_order {
+        fitted[*class] = amounts[*class].min(capacity);
+        capacity -= fitted[*class];
     }
-    placed
+    fitted
+}
+
+/// The classes by descending priority weight, equal ones by index.
+fn classes_by_priority(priority_weights: &[f64]) -> Vec<usize> {
+    let mut order: Vec<usize> = (0..priority_weights.len()).collect();
+    order.sort_by(|a, b| priority_weights[*b].total_cmp(&priority_weights[*a]).then(a.cmp(b)));
+    order
 }
 
-/// The plan for zones of which each needs so much of each class and can do so much. `target`: the load that zones are kept
-/// at or under while they can; `worth`: of a request, by class.
-pub fn plan(target: f64, needs: &[Vec<f64>], can: &[f64], worth: &[f64]) -> Plan {
-    let classes = worth.len();
-    let mut order: Vec<usize> = (0..classes).collect();
-    order.sort_by(|a, b| worth[*b].total_cmp(&worth[*a]).then(a.cmp(b)));
-    let need = |z: usize, k: usize| needs[z].get(k).copied().map_or(0.0, sound);
-    let wants: Vec<Vec<f64>> = (0..needs.len()).map(|z| (0..classes).map(|k| need(z, k)).collect()).collect();
-    let can: Vec<f64> = (0..needs.len()).map(|z| can.get(z).copied().map_or(0.0, sound)).collect();
-    let (all, able) = (wants.iter().flatten().sum::<f64>(), can.iter().sum::<f64>());
-    let target = target.clamp(0.0, 1.0);
-    let level = if able > 0.0 { (all / able).clamp(target, 1.0) } else { 1.0 };
-    let fill = |(wants, can): (&Vec<f64>, &f64)| {
-        let room = level * can;
-        let near = by_worth(wants, &order, room);
-        let excess = wants.iter().zip(&near).map(|(w, n)| w - n).collect();
-        Fill { headroom: (room - wants.iter().sum::<f64>()).max(0.0), near, excess }
+fn ratio(amount: f64, total: f64, if_no_total: f64) -> f64 {
+    if total > NEGLIGIBLE_PER_S {
+        (amount / total).clamp(0.0, 1.0)
+    } else {
+        if_no_total
+    }
+}
+
+fn fill_zone(demand: &[f64], class_order: &[usize], capacity: f64) -> ZoneFill {
+    let local = fit_by_priority(demand, class_order, capacity);
+    let excess = demand.iter().zip(&local).map(|(demand, local)| demand - local).collect();
+    let headroom = (capacity - demand.iter().sum::<f64>()).max(0.0);
+    ZoneFill { local, excess, headroom }
+}
+
+/// The utilization that lets the zones serve as much of the demand as they can.
+fn common_utilization(target: f64, total_demand: f64, total_capacity: f64) -> f64 {
+    if total_capacity > 0.0 {
+        (total_demand / total_capacity).clamp(target.clamp(0.0, 1.0), 1.0)
+    } else {
+        1.0
+    }
+}
+
+/// Plans the distribution of traffic. `target_utilization` is the fraction of their capacity that zones are kept at or
+/// below while the demand allows; `demand` is in requests per second by zone and class; `capacity` in requests per second
+/// by zone; `priority_weights` by class. Figures that are missing, negative or no numbers count as 0.
+pub fn plan(
+    target_utilization: f64, demand: &[Vec<f64>], capacity: &[f64], priority_weights: &[f64],
+) -> Plan {
+    let (zones, classes) = (demand.len(), priority_weights.len());
+    let class_order = classes_by_priority(priority_weights);
+    let value = |values: &[f64], index: usize| values.get(index).copied().map_or(0.0, finite_non_negative);
+    let demand: Vec<Vec<f64>> =
+        demand.iter().map(|by_class| (0..classes).map(|class| value(by_class, class)).collect()).collect();
+    let capacity: Vec<f64> = (0..zones).map(|zone| value(capacity, zone)).collect();
+
+    let total_demand: f64 = demand.iter().flatten().sum();
+    let total_capacity: f64 = capacity.iter().sum();
+    let utilization = common_utilization(target_utilization, total_demand, total_capacity);
+    let fills: Vec<ZoneFill> = demand
+        .iter()
+        .zip(&capacity)
+        .map(|(demand, capacity)| fill_zone(demand, &class_order, utilization * capacity))
+        .collect();
+
+    let headroom: f64 = fills.iter().map(|fill| fill.headroom).sum();
+    let excess: Vec<f64> =
+        (0..classes).map(|class| fills.iter().map(|fill| fill.excess[class]).sum()).collect();
+    let absorbed = fit_by_priority(&excess, &class_order, headroom);
+    let local_fraction = |zone: usize| -> Vec<f64> {
+        // Without demand the first request of a class stays, where the zone has any capacity.
+        let if_no_demand = f64::from(capacity[zone] > 0.0);
+        let by_class = fills[zone].local.iter().zip(&demand[zone]);
+        by_class.map(|(local, demand)| ratio(*local, *demand, if_no_demand)).collect()
     };
-    let fills: Vec<Fill> = wants.iter().zip(&can).map(fill).collect();
-    let headroom: f64 = fills.iter().map(|f| f.headroom).sum();
-    let excess: Vec<f64> = (0..classes).map(|k| fills.iter().map(|f| f.excess[k]).sum()).collect();
-    let placed = by_worth(&excess, &order, headroom);
-    let part = |n: f64, of: f64, none: f64| if of > 1e-9 { (n / of).clamp(0.0, 1.0) } else { none };
     Plan {
-        level,
-        near: fills
+        utilization,
+        local_fraction: (0..zones).map(local_fraction).collect(),
+        inbound_fraction: fills.iter().map(|fill| ratio(fill.headroom, headroom, 0.0)).collect(),
+        spillover_fraction: excess
             .iter()
-            .zip(&wants)
-            .zip(&can)
-            .map(|((fill, wants), can)| {
-                // Of a class that nobody asks for now the first that comes stays, where there is anybody.
-                let none = f64::from(*can > 0.0);
-                fill.near.iter().zip(wants).map(|(near, want)| part(*near, *want, none)).collect()
-            })
-            .collect(),
-        to: fills.iter().map(|f| part(f.headroom, headroom, 0.0)).collect(),
-        away: excess
-            .iter()
-            .zip(&placed)
-            .map(|(excess, placed)| part(excess - placed, *excess, 0.0))
+            .zip(&absorbed)
+            .map(|(excess, absorbed)| ratio(excess - absorbed, *excess, 0.0))
             .collect(),
     }
 }
 
 impl Plan {
-    /// What a zone gets of each class in requests a second, of its own and of others', if these needs come.
-    pub fn gets(&self, needs: &[Vec<f64>], zone: usize) -> f64 {
-        let own: f64 = needs[zone].iter().zip(&self.near[zone]).map(|(n, near)| n * near).sum();
-        let left = |z: usize, k: usize| needs[z][k] * (1.0 - self.near[z][k]) * (1.0 - self.away[k]);
-        let others = (0..needs.len()).flat_map(|z| (0..self.away.len()).map(move |k| (z, k)));
-        own + others.map(|(z, k)| left(z, k) * self.to[zone]).sum::<f64>()
+    /// What a zone serves under this demand, its own and that of other zones, in requests per second.
+    pub fn zone_load_per_s(&self, demand: &[Vec<f64>], zone: usize) -> f64 {
+        let by_class = demand[zone].iter().zip(&self.local_fraction[zone]);
+        let local: f64 = by_class.map(|(demand, fraction)| demand * fraction).sum();
+        let mut inbound = 0.0;
+        for source in 0..demand.len() {
+            for (class, spillover) in self.spillover_fraction.iter().enumerate() {
+                let outbound = self.outbound_per_s(demand, source, class);
+                inbound += outbound * (1.0 - spillover) * self.inbound_fraction[zone];
+            }
+        }
+        local + inbound
+    }
+
+    /// What goes to another region under this demand, in requests per second.
+    pub fn spillover_per_s(&self, demand: &[Vec<f64>]) -> f64 {
+        let mut total = 0.0;
+        for source in 0..demand.len() {
+            for (class, spillover) in self.spillover_fraction.iter().enumerate() {
+                total += self.outbound_per_s(demand, source, class) * spillover;
+            }
+        }
+        total
     }
 
-    /// What leaves for another region, in requests a second, if these needs come.
-    pub fn leaves(&self, needs: &[Vec<f64>]) -> f64 {
-        let of = |(z, k): (usize, usize)| needs[z][k] * (1.0 - self.near[z][k]) * self.away[k];
-        (0..needs.len()).flat_map(|z| (0..self.away.len()).map(move |k| (z, k))).map(of).sum()
+    fn outbound_per_s(&self, demand: &[Vec<f64>], zone: usize, class: usize) -> f64 {
+        demand[zone][class] * (1.0 - self.local_fraction[zone][class])
     }
 }
 
--- a/crates/gaugesaddle-failover/src/plan/tests.rs
+++ b/crates/gaugesaddle-failover/src/plan/tests.rs
@@ -1,68 +1,80 @@
 use super::*;
 use proptest::prelude::*;
 
-const WORTH: [f64; 2] = [8.0, 1.0];
+const PRIORITY_WEIGHTS: [f64; 2] = [8.0, 1.0];
 
 #[test]
-fn what_fits_stays_near_and_the_excess_goes_where_there_is_room() {
-    let calm = vec![vec![10.0, 50.0], vec![5.0, 20.0], vec![0.0, 0.0]];
-    let p = plan(0.8, &calm, &[100.0, 100.0, 100.0], &WORTH);
-    assert!(p.near.iter().flatten().all(|n| *n == 1.0) && p.away == [0.0, 0.0]);
-    // A zone is lost: all of its own leaves, to the others by what they have left.
-    let p = plan(0.8, &calm, &[0.0, 100.0, 50.0], &WORTH);
-    assert_eq!(p.near[0], [0.0, 0.0]);
-    assert!((p.to[1] - 55.0 / 95.0).abs() < 1e-9 && (p.to[2] - 40.0 / 95.0).abs() < 1e-9);
-    assert!((p.gets(&calm, 1) - 25.0 - 60.0 * 55.0 / 95.0).abs() < 1e-9 && p.leaves(&calm) == 0.0);
+fn demand_stays_local_and_excess_follows_headroom() {
+    let demand = vec![vec![10.0, 50.0], vec![5.0, 20.0], vec![0.0, 0.0]];
+    let p = plan(0.8, &demand, &[100.0, 100.0, 100.0], &PRIORITY_WEIGHTS);
+    assert!(p.local_fraction.iter().flatten().all(|fraction| *fraction == 1.0));
+    assert_eq!(p.spillover_fraction, [0.0, 0.0]);
+    // The first zone is lost: all of its demand goes to the others in proportion to their headroom.
+    let p = plan(0.8, &demand, &[0.0, 100.0, 50.0], &PRIORITY_WEIGHTS);
+    assert_eq!(p.local_fraction[0], [0.0, 0.0]);
+    assert!((p.inbound_fraction[1] - 55.0 / 95.0).abs() < 1e-9);
+    assert!((p.inbound_fraction[2] - 40.0 / 95.0).abs() < 1e-9);
+    assert!((p.zone_load_per_s(&demand, 1) - 25.0 - 60.0 * 55.0 / 95.0).abs() < 1e-9);
+    assert_eq!(p.spillover_per_s(&demand), 0.0);
 }
 
 #[test]
-fn what_is_worth_most_stays_and_only_what_fits_nowhere_goes_to_a_region() {
-    let short = vec![vec![60.0, 100.0], vec![10.0, 20.0]];
-    let p = plan(0.8, &short, &[100.0, 100.0], &WORTH);
-    assert!((p.level - 0.95).abs() < 1e-9, "over the target, for together they can do it: {p:?}");
-    assert_eq!((p.near[0][0], p.near[1][0]), (1.0, 1.0));
-    assert!((p.gets(&short, 0) - 95.0).abs() < 1e-9 && (p.gets(&short, 1) - 95.0).abs() < 1e-9);
-    assert!(p.leaves(&short) < 1e-9);
-    let p = plan(0.8, &short, &[100.0, 50.0], &WORTH);
-    assert_eq!((p.level, p.away[0]), (1.0, 0.0));
-    assert!((p.leaves(&short) - 40.0).abs() < 1e-9, "{p:?}");
-    let p = plan(0.8, &short, &[0.0, 0.0], &WORTH);
-    assert_eq!((p.away[0], p.away[1], p.to[0], p.to[1]), (1.0, 1.0, 0.0, 0.0));
+fn high_priority_stays_and_only_demand_beyond_all_zones_spills_over() {
+    let demand = vec![vec![60.0, 100.0], vec![10.0, 20.0]];
+    let p = plan(0.8, &demand, &[100.0, 100.0], &PRIORITY_WEIGHTS);
+    assert!(
+        (p.utilization - 0.95).abs() < 1e-9,
+        "above the target, since together they have the capacity: {p:?}"
+    );
+    assert_eq!((p.local_fraction[0][0], p.local_fraction[1][0]), (1.0, 1.0));
+    assert!((p.zone_load_per_s(&demand, 0) - 95.0).abs() < 1e-9);
+    assert!((p.zone_load_per_s(&demand, 1) - 95.0).abs() < 1e-9);
+    assert!(p.spillover_per_s(&demand) < 1e-9);
+    let p = plan(0.8, &demand, &[100.0, 50.0], &PRIORITY_WEIGHTS);
+    assert_eq!((p.utilization, p.spillover_fraction[0]), (1.0, 0.0));
+    assert!((p.spillover_per_s(&demand) - 40.0).abs() < 1e-9, "{p:?}");
+    let p = plan(0.8, &demand, &[0.0, 0.0], &PRIORITY_WEIGHTS);
+    assert_eq!(p.spillover_fraction, [1.0, 1.0]);
+    assert_eq!(p.inbound_fraction, [0.0, 0.0]);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(2000) })]
 
     #[test]
-    fn whatever_comes_nobody_is_over_the_level_and_nothing_is_lost_or_goes_round(
+    fn plans_conserve_demand_respect_utilization_and_never_relay(
         zones in prop::collection::vec((0.0f64..200.0, 0.0f64..200.0, prop_oneof![Just(0.0), 1.0f64..300.0]), 1..8),
-        target in 0.3f64..1.0, worth in prop::array::uniform2(0.1f64..10.0)
+        target in 0.3f64..1.0, weights in prop::array::uniform2(0.1f64..10.0)
     ) {
-        let needs: Vec<Vec<f64>> = zones.iter().map(|z| vec![z.0, z.1]).collect();
-        let can: Vec<f64> = zones.iter().map(|z| z.2).collect();
-        let p = plan(target, &needs, &can, &worth);
-        let all: f64 = needs.iter().flatten().sum();
-        let able: f64 = can.iter().sum();
-        let gets: Vec<f64> = (0..zones.len()).map(|z| p.gets(&needs, z)).collect();
+        let demand: Vec<Vec<f64>> = zones.iter().map(|zone| vec![zone.0, zone.1]).collect();
+        let capacity: Vec<f64> = zones.iter().map(|zone| zone.2).collect();
+        let p = plan(target, &demand, &capacity, &weights);
+        let total_demand: f64 = demand.iter().flatten().sum();
+        let total_capacity: f64 = capacity.iter().sum();
+        let load: Vec<f64> = (0..zones.len()).map(|zone| p.zone_load_per_s(&demand, zone)).collect();
         for z in 0..zones.len() {
-            prop_assert!(gets[z] <= p.level * can[z] + 1e-6, "{} of {}", gets[z], can[z]);
-            let sends = needs[z].iter().zip(&p.near[z]).any(|(n, near)| n * (1.0 - near) > 1e-6);
-            prop_assert!(!sends || p.to[z] < 1e-9, "none sends to one that sends");
+            prop_assert!(load[z] <= p.utilization * capacity[z] + 1e-6, "{} of {}", load[z], capacity[z]);
+            let sends = demand[z].iter().zip(&p.local_fraction[z]).any(|(n, local)| n * (1.0 - local) > 1e-6);
+            prop_assert!(!sends || p.inbound_fraction[z] < 1e-9, "a zone that sends receives nothing");
         }
-        let served: f64 = gets.iter().sum();
-        prop_assert!((served + p.leaves(&needs) - all).abs() < 1e-6);
-        // Against the plain reference: all that the zones together can do is done before anything leaves.
-        prop_assert!((served - all.min(able)).abs() < 1e-6);
-        if all <= target * able {
-            prop_assert!((p.level - target).abs() < 1e-9);
+        let served: f64 = load.iter().sum();
+        prop_assert!((served + p.spillover_per_s(&demand) - total_demand).abs() < 1e-6);
+        // Reference: the zones together serve as much as they can before anything goes to another region.
+        prop_assert!((served - total_demand.min(total_capacity)).abs() < 1e-6);
+        if total_demand <= target * total_capacity {
+            prop_assert!((p.utilization - target).abs() < 1e-9);
         }
-        // Of two classes the one that is worth more never leaves a zone while the other stays.
-        let (more, less) = if worth[0] >= worth[1] { (0, 1) } else { (1, 0) };
-        for (z, near) in p.near.iter().enumerate() {
-            let leaves = needs[z][more] * (1.0 - near[more]) > 1e-6;
-            prop_assert!(!leaves || needs[z][less] * near[less] < 1e-6);
+        // The class of the higher weight never leaves a zone while the other stays.
+        let (high, low) = if weights[0] >= weights[1] { (0, 1) } else { (1, 0) };
+        for (z, local) in p.local_fraction.iter().enumerate() {
+            let high_leaves = demand[z][high] * (1.0 - local[high]) > 1e-6;
+            prop_assert!(!high_leaves || demand[z][low] * local[low] < 1e-6);
         }
-        prop_assert!(p.away[more] <= 0.0 + 1e-9 || p.away[less] >= 1.0 - 1e-6 || needs.iter().all(|n| n[less] < 1e-9)
-            || p.near.iter().zip(&needs).all(|(near, n)| n[less] * (1.0 - near[less]) < 1e-6));
+        let spillover = &p.spillover_fraction;
+        let by_zone = || p.local_fraction.iter().zip(&demand);
+        prop_assert!(spillover[high] <= 0.0 + 1e-9
+            || spillover[low] >= 1.0 - 1e-6
+            || demand.iter().all(|by_class| by_class[low] < 1e-9)
+            || by_zone().all(|(local, by_class)| by_class[low] * (1.0 - local[low]) < 1e-6));
     }
 }
--- a/crates/gaugesaddle/src/failover.rs
+++ b/crates/gaugesaddle/src/failover.rs
@@ -7,8 +7,9 @@
 use gaugesaddle_allocation::{parts, Law, AWAKE};
 use gaugesaddle_balancer::{Balancer, Class, Event, Micros, Time};
 use gaugesaddle_failover::{
-    judge, plan, Blind, Council, Decision, Find, Judgement, Ladder, Number, Rule, Rungs, Seen, Voice,
-    MOST_ZONES,
+    evaluate, plan, Assessment, Decision, DecisionReplica, DecisionVersion, EscalationLevels,
+    EscalationPolicy, EvaluatorSettings, MembershipView, Outgoing, ProxyReport, UnobservedZone,
+    ZoneObservation, MAX_ZONES,
 };
 use gaugesaddle_membership::{Signals, ZoneSignal};
 use serde::Deserialize;
@@ -52,7 +53,7 @@
     }
 }
 
-/// Who lives, as of the last look; see [`Seen`].
+/// Who lives, as of the last look; see [`MembershipView`].
 #[derive(Default)]
 struct Looked {
     living: Vec<u16>,
@@ -62,35 +63,42 @@
 
 /// What the notes of others meet: the decision that is held, and who lives.
 pub struct Zones {
-    council: RefCell<Council>,
+    council: RefCell<DecisionReplica>,
     looked: RefCell<Looked>,
 }
 
 impl Zones {
-    fn with<T>(&self, act: impl FnOnce(&mut Council, &Seen) -> T) -> T {
+    fn with<T>(&self, act: impl FnOnce(&mut DecisionReplica, &MembershipView) -> T) -> T {
         let looked = self.looked.borrow();
-        let seen = Seen { living: &looked.living, most: looked.most, awake: looked.awake };
+        let seen =
+            MembershipView { live: &looked.living, has_majority: looked.most, is_current: looked.awake };
         act(&mut self.council.borrow_mut(), &seen)
     }
 
     /// The same, where another decision may be held after it: that is said.
-    fn step(&self, act: impl FnOnce(&mut Council, &Seen) -> bool) {
+    fn step(&self, act: impl FnOnce(&mut DecisionReplica, &MembershipView) -> bool) {
         if self.with(act) {
-            self.council.borrow().held().iter().for_each(|(d, _)| told(d));
+            self.council.borrow().current().iter().for_each(|current| told(&current.decision));
         }
     }
 }
 
 impl Listener for Zones {
     fn noted(&self, now: Time, from: u16, body: &[u8], answers: &mut Vec<(u16, Vec<u8>)>) {
-        self.step(|council, seen| council.hear(now, from, body, seen, answers));
+        let mut out = Vec::new();
+        self.step(|council, seen| council.receive(now, from, body, seen, &mut out));
+        answers.extend(out.into_iter().map(|Outgoing { to, bytes }| (to, bytes)));
     }
 }
 
 fn told(d: &Decision) {
-    let Number { epoch, round } = d.number;
+    let DecisionVersion { epoch, revision } = d.version;
     let trust: Vec<String> = d.zones.iter().map(|z| format!("{:.2}", f64::from(z.trust) / 255.0)).collect();
-    tracing::info!("zones: decision {epoch}.{round} of place {} holds, trust {}", d.by, trust.join(" "));
+    tracing::info!(
+        "zones: decision {epoch}.{revision} of place {} holds, trust {}",
+        d.decider,
+        trust.join(" ")
+    );
 }
 
 pub struct ZoneWatch {
@@ -102,7 +110,7 @@
     worth: Vec<f64>,
     /// Classes by worth, the greatest first.
     order: Vec<usize>,
-    ladders: Vec<Ladder>,
+    ladders: Vec<EscalationPolicy>,
     /// Since when most find this proxy cut off.
     cut: Option<Time>,
     next: Time,
@@ -114,33 +122,37 @@
         settings: Failover, tier: Rc<Tier>, registry: Rc<Registry>, names: &[String], classes: &[Class],
         seed: u64,
     ) -> Option<ZoneWatch> {
-        if names.len() > MOST_ZONES {
+        if names.len() > MAX_ZONES {
             return None;
         }
-        let council = RefCell::new(Council::new(tier.place(), names.len(), NOISE, seed));
+        let council = RefCell::new(DecisionReplica::new(tier.place(), names.len(), NOISE, seed));
         let zones = Rc::new(Zones { council, looked: RefCell::default() });
         tier.listen_to(zones.clone());
         let worth: Vec<f64> = classes.iter().map(|c| c.worth).collect();
         let mut order: Vec<usize> = (0..worth.len()).collect();
         order.sort_by(|a, b| worth[*b].total_cmp(&worth[*a]).then(a.cmp(b)));
-        let ladders = vec![Ladder::new(Rungs::default()); names.len()];
+        let ladders = vec![EscalationPolicy::new(EscalationLevels::default()); names.len()];
         let (names, next) = (names.to_vec(), Time(0));
         Some(ZoneWatch { settings, tier, registry, zones, names, worth, order, ladders, cut: None, next })
     }
 
-    fn voices(&self, now: Time, living: &[u16]) -> Vec<Voice> {
+    fn voices(&self, now: Time, living: &[u16]) -> Vec<ProxyReport> {
         let records = self.tier.records(now, living);
         let needs: Vec<Option<f64>> = records.iter().map(|r| r.signals.need).collect();
         let parts = parts(&Law::default(), &needs);
         let voice = |(r, part): (Said, f64)| {
             let Signals { arrivals, zones, .. } = r.signals;
-            let find = |z: ZoneSignal| Find { backends: z.backends, ill: z.ill, can_per_s: z.can_per_s };
-            Some(Voice {
-                place: r.place,
+            let find = |z: ZoneSignal| ZoneObservation {
+                backends: z.backends,
+                unhealthy: z.ill,
+                capacity_per_s: z.can_per_s,
+            };
+            Some(ProxyReport {
+                member: r.place,
                 zone: self.names.iter().position(|n| *n == r.zone)?,
-                part,
-                needs: arrivals,
-                finds: zones.into_iter().map(find).collect(),
+                allocation: part,
+                demand_per_s: arrivals,
+                observations: zones.into_iter().map(find).collect(),
                 age: r.age,
             })
         };
@@ -148,23 +160,23 @@
     }
 
     /// What should hold by this judgement; `None` while nobody knows what some zone can do.
-    fn should(&self, judged: &Judgement) -> Option<Decision> {
-        let trust: Vec<f64> = self.ladders.iter().map(Ladder::part).collect();
+    fn should(&self, judged: &Assessment) -> Option<Decision> {
+        let trust: Vec<f64> = self.ladders.iter().map(EscalationPolicy::trusted_fraction).collect();
         let can: Option<Vec<f64>> =
-            judged.zones.iter().zip(&trust).map(|(z, part)| z.can.map(|can| can * part)).collect();
-        let needs: Vec<Vec<f64>> = judged.zones.iter().map(|z| z.needs.clone()).collect();
+            judged.zones.iter().zip(&trust).map(|(z, part)| z.capacity_per_s.map(|can| can * part)).collect();
+        let needs: Vec<Vec<f64>> = judged.zones.iter().map(|z| z.demand_per_s.clone()).collect();
         let target = f64::from(self.settings.target_percent) / 100.0;
         let plan = plan(target, &needs, &can?, &self.worth);
-        Decision::of(Number::default(), self.tier.place(), &plan, &trust, &self.order)
+        Decision::from_plan(DecisionVersion::default(), self.tier.place(), &plan, &trust, &self.order).ok()
     }
 
     /// Whether most find this proxy blind to what they see. It serves on, and asks for no more clients.
-    fn look_at_self(&mut self, now: Time, judged: &Judgement) -> Option<String> {
+    fn look_at_self(&mut self, now: Time, judged: &Assessment) -> Option<String> {
         let place = self.tier.place();
-        let is_cut = judged.cut.contains(&place);
+        let is_cut = judged.partitioned.contains(&place);
         self.cut = if is_cut { self.cut.or(Some(now)) } else { None };
         let cut = self.cut.is_some_and(|since| now - since >= CUT_AFTER);
-        let blind = judged.blind.iter().filter(|b: &&Blind| b.place == place);
+        let blind = judged.unobserved.iter().filter(|b: &&UnobservedZone| b.member == place);
         let names: Vec<&str> = blind.map(|b| self.names[b.zone].as_str()).collect();
         if self.registry.cut_off.replace(cut) != cut {
             match cut {
@@ -175,32 +187,32 @@
         cut.then(|| names.join(", "))
     }
 
-    fn view(&self, now: Time, judged: &Judgement, cut: Option<String>) -> ZonesView {
-        let decides = self.zones.with(|council, seen| council.decides(seen));
+    fn view(&self, now: Time, judged: &Assessment, cut: Option<String>) -> ZonesView {
+        let decides = self.zones.with(|council, seen| council.is_decider(seen));
         let council = self.zones.council.borrow();
-        let held = council.held();
+        let held = council.current();
         let row = |(z, name): (usize, &String)| {
-            let (zone, order) = (&judged.zones[z], held.map(|h| h.0.zones[z]).unwrap_or_default());
+            let (zone, order) = (&judged.zones[z], held.map(|h| h.decision.zones[z]).unwrap_or_default());
             ZoneRow {
                 name: name.clone(),
-                voices: zone.voices,
-                against: zone.against,
-                lost: zone.lost,
-                needs: zone.needs.iter().sum(),
-                can: zone.can,
+                voices: zone.reports,
+                against: zone.lost_reports,
+                lost: zone.status.is_lost(),
+                needs: zone.demand_per_s.iter().sum(),
+                can: zone.capacity_per_s,
                 trust: f64::from(order.trust) / 255.0,
-                near: (0..self.order.len()).map(|rank| order.near.part(rank)).collect(),
-                to: f64::from(order.to) / 255.0,
+                near: (0..self.order.len()).map(|rank| order.local.class_fraction(rank)).collect(),
+                to: f64::from(order.inbound_fraction) / 255.0,
             }
         };
         ZonesView {
-            epoch: held.map_or(0, |h| h.0.number.epoch),
-            round: held.map_or(0, |h| h.0.number.round),
-            by: held.map(|h| h.0.by),
-            held_us: held.map_or(0, |h| (now - h.1).0),
+            epoch: held.map_or(0, |h| h.decision.version.epoch),
+            round: held.map_or(0, |h| h.decision.version.revision),
+            by: held.map(|h| h.decision.decider),
+            held_us: held.map_or(0, |h| (now - h.since).0),
             decides,
             cut_off: cut,
-            blind: judged.blind.iter().map(|b| (b.place, self.names[b.zone].clone())).collect(),
+            blind: judged.unobserved.iter().map(|b| (b.member, self.names[b.zone].clone())).collect(),
             zones: self.names.iter().enumerate().map(row).collect(),
         }
     }
@@ -216,15 +228,15 @@
         let (most, awake) = (places.len() * 2 > told, awake >= AWAKE);
         let voices = self.voices(now, &places);
         *self.zones.looked.borrow_mut() = Looked { living: places, most, awake };
-        let judged = judge(&Rule::default(), self.names.len(), self.worth.len(), &voices);
+        let judged = evaluate(&EvaluatorSettings::default(), self.names.len(), self.worth.len(), &voices);
         // Before that its own voice may be the only one, and most of one is no judgement.
         for (ladder, zone) in self.ladders.iter_mut().zip(&judged.zones).filter(|_| awake) {
-            ladder.look(now, zone.lost);
+            ladder.observe(now, zone.status);
         }
         let should = self.should(&judged);
         let mut notes = Vec::new();
-        self.zones.step(|council, seen| council.look(now, seen, should.as_ref(), &mut notes));
-        self.tier.note(notes);
+        self.zones.step(|council, seen| council.tick(now, seen, should.as_ref(), &mut notes));
+        self.tier.note(notes.into_iter().map(|Outgoing { to, bytes }| (to, bytes)));
         let cut = self.look_at_self(now, &judged);
         *self.registry.zones.borrow_mut() = Some(self.view(now, &judged, cut));
     }
