--- a/crates/gaugesaddle-failover/src/failure_evaluator.rs
+++ b/crates/gaugesaddle-failover/src/failure_evaluator.rs
@@ -94,7 +94,7 @@
 /// Whether a zone can serve.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ZoneStatus {
-    /// It serves, or nobody has reported on it.
+    /// It serves, or there are no reports on it.
     #[default]
     Available,
     /// Most reports find nearly all of its backends unhealthy.
@@ -113,7 +113,7 @@
 pub struct ZoneAssessment {
     /// Requests per second that arrive at the zone's proxies, by class.
     pub demand_per_s: Vec<f64>,
-    /// What its backends can serve, in requests per second; `None` where no report tells.
+    /// What its backends can serve, in requests per second; `None` where no report contains it.
     pub capacity_per_s: Option<f64>,
     /// Whether it can serve.
     pub status: ZoneStatus,
--- a/crates/gaugesaddle-failover/src/plan.rs
+++ b/crates/gaugesaddle-failover/src/plan.rs
@@ -1,7 +1,7 @@
 //! Which traffic stays in its zone, which goes to another zone, and which to another region.
 //!
 //! All zones are filled to one utilization: the target, or as much above it as the total demand requires, up to 1. A zone's
-//! demand above that level is its excess, what is left below it its headroom. No zone has both, so a zone that receives
+//! demand above that level is its excess, what remains below it is its headroom. No zone has both, so a zone that receives
 //! traffic sends none, and no zone is filled above the level whoever sends.
 
 use crate::numeric::finite_non_negative;
@@ -73,7 +73,7 @@
     }
 }
 
-/// Plans the distribution of traffic. `target_utilization` is the fraction of their capacity that zones are kept at or
+/// Plans the distribution of traffic. `target_utilization` is the fraction of their capacity that zones stay at or
 /// below while the demand allows; `demand` is in requests per second by zone and class; `capacity` in requests per second
 /// by zone; `priority_weights` by class. Figures that are missing, negative or no numbers count as 0.
 pub fn plan(
--- a/crates/gaugesaddle-federation/src/backoff.rs
+++ b/crates/gaugesaddle-federation/src/backoff.rs
@@ -1,58 +1,64 @@
-//! When a region that refused, or could not be reached, is asked again: not by all proxies at one moment.
+//! When a region that rejected a request, or could not be reached, is sent requests again; the return is spread over time, so that not all
+//! proxies send at one moment.
 
 use gaugesaddle_balancer::{Micros, Time};
 
-/// First pause after a link failed; it doubles with each failure in a row, up to the longest.
-const FIRST: Micros = Micros(250_000);
-const LONGEST: Micros = Micros(8_000_000);
-/// A pause that a region asks for is held to this.
-const TOLD_MOST: Micros = Micros(30_000_000);
+/// Backoff after the first failure of a link; it doubles with each consecutive failure.
+const INITIAL_BACKOFF: Micros = Micros(250_000);
+/// Limit of that backoff, before the random spread.
+const MAX_BACKOFF: Micros = Micros(8_000_000);
+/// Highest exponent of the doubled backoff: 250 ms times 2^5 is [`MAX_BACKOFF`].
+const MAX_BACKOFF_EXPONENT: u32 = 5;
+/// Limit of a backoff that the region requests, before the random spread.
+const MAX_RETRY_AFTER: Micros = Micros(30_000_000);
 
-/// The pause of one region.
+/// The backoff for one region.
 #[derive(Clone, Debug, Default)]
 pub struct Backoff {
     until: Time,
-    failures: u32,
-    /// When the last failure was seen.
-    noted: Time,
+    consecutive_failures: u32,
+    last_failure: Time,
 }
 
 impl Backoff {
-    /// It may be asked.
-    pub fn open(&self, now: Time) -> bool {
+    /// Whether a request may be sent.
+    pub fn is_over(&self, now: Time) -> bool {
         now >= self.until
     }
 
-    /// Until when it is left alone.
+    /// End of the backoff.
     pub fn until(&self) -> Time {
         self.until
     }
 
-    /// It refused and said when to come back; `unit`: an even draw from 0 to 1.
-    pub fn refused(&mut self, now: Time, after: Micros, unit: f64) {
-        let after = Micros(after.0.min(TOLD_MOST.0));
-        self.pause(now, after.times(1.0 + unit.clamp(0.0, 1.0)));
+    /// The region rejected a request and requested a delay. `random` is uniform in 0 to 1; it lengthens the delay by up to
+    /// twice and never shortens it.
+    pub fn record_rejection(&mut self, now: Time, retry_after: Micros, random: f64) {
+        let retry_after = Micros(retry_after.0.min(MAX_RETRY_AFTER.0));
+        self.extend(now, retry_after.times(1.0 + random.clamp(0.0, 1.0)));
     }
 
-    /// The link failed under what was sent at `sent`: no connection, or it broke or went silent. All that was out when
-    /// a failure was seen is of the same failure: counted one by one, a hundred at once would mean the longest pause.
-    pub fn failed(&mut self, now: Time, sent: Time, unit: f64) {
-        if self.failures > 0 && sent <= self.noted {
+    /// The link failed under a request that was sent at `sent_at`: it could not connect, broke, or timed out. All requests
+    /// that were in flight when a failure was recorded belong to that failure: counted one by one, a hundred at once would
+    /// mean the longest backoff. `random` is uniform in 0 to 1.
+    pub fn record_failure(&mut self, now: Time, sent_at: Time, random: f64) {
+        if self.consecutive_failures > 0 && sent_at <= self.last_failure {
             return;
         }
-        self.noted = now;
-        let pause = Micros(FIRST.0 << self.failures.min(5)).min(LONGEST);
-        self.failures = self.failures.saturating_add(1);
-        self.pause(now, pause.times(0.5 + unit.clamp(0.0, 1.0)));
+        self.last_failure = now;
+        let exponent = self.consecutive_failures.min(MAX_BACKOFF_EXPONENT);
+        let backoff = Micros(INITIAL_BACKOFF.0 << exponent).min(MAX_BACKOFF);
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        self.extend(now, backoff.times(0.5 + random.clamp(0.0, 1.0)));
     }
 
-    /// It answered.
-    pub fn answered(&mut self) {
-        self.failures = 0;
+    /// The region answered.
+    pub fn record_success(&mut self) {
+        self.consecutive_failures = 0;
     }
 
-    fn pause(&mut self, now: Time, span: Micros) {
-        self.until = self.until.max(now + span);
+    fn extend(&mut self, now: Time, duration: Micros) {
+        self.until = self.until.max(now + duration);
     }
 }
 
--- a/crates/gaugesaddle-federation/src/budget.rs
+++ b/crates/gaugesaddle-federation/src/budget.rs
@@ -1,290 +1,233 @@
-//! What may cross to a region, or come from one: so many a second and in flight, over all proxies together, held in
-//! every window of a second and not only in the mean.
+//! How many requests may go to a region, or come from one: a rate, a burst and a number in flight, over all proxies
+//! together, in every window of a second and not only on average.
 //!
-//! A token bucket of rate r and burst b lets r + b through in some second; a log of the last sends lets r. Its memory
-//! is r times, which for a last resort is small. Proxies tell one another nothing, so each goes by its even part; the
-//! parts add up to the budget exactly. Where the budget is below the number of proxies, each has one send in slots of
-//! the clock that they share, cut so that no second touches more slots than the budget has sends.
+//! A token bucket of rate r and burst b passes r + b in some second; a log of the last sends passes r. Its memory is
+//! proportional to r, which for a last resort is small. Proxies do not coordinate each send: each has its allocation, and
+//! the allocations add up to the budget. Where the rate is below the number of proxies, each has one send in its slots of
+//! the common clock.
 
+use crate::allocation::{EvenAllocation, WeightedAllocation};
+use crate::rate_limit::{RateLimit, SlidingWindow, SECOND};
 use gaugesaddle_balancer::{Micros, Time};
-use std::collections::VecDeque;
+use thiserror::Error;
 
-const SECOND: Micros = Micros(1_000_000);
-/// A burst is what may go in any window of this length.
-const BURST: Micros = Micros(100_000);
+/// Window of a burst.
+const BURST_WINDOW: Micros = Micros(100_000);
 
-/// One of so many proxies.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Share {
-    /// How many there are, at least one.
-    pub proxies: u32,
-    /// Which this is, from 0.
-    pub position: u32,
-}
-
-impl Share {
-    /// This one's part of a whole number; all parts add up to it.
-    pub fn of(self, whole: u32) -> u32 {
-        let proxies = self.proxies.max(1);
-        whole / proxies + u32::from(self.position % proxies < whole % proxies)
-    }
+/// The limit that leaves no capacity.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum BudgetExceeded {
+    /// Requests per second, of the region or of the class, or the burst.
+    #[error("budget: no requests left in this second")]
+    Rate,
+    /// Requests in flight.
+    #[error("budget: no requests left in flight")]
+    InFlight,
 }
 
-/// A proxy's part of everything, by need, among those that live.
+/// The limits of one class of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Span {
-    /// The parts of those before it, in an order that all share.
-    pub before: f64,
-    /// Its own.
-    pub part: f64,
-    /// Its place among those that live.
-    pub share: Share,
+pub struct ClassLimits {
+    /// Requests per second of all proxies, where the class has a lower limit than the region.
+    pub per_s: Option<u32>,
+    /// Priority weight of its requests.
+    pub priority_weight: f64,
 }
 
-impl Span {
-    /// This one's part of a whole number; where all see the same all parts add up to it.
-    pub fn of(self, whole: u32) -> u32 {
-        let upto = |part: f64| (part.clamp(0.0, 1.0) * f64::from(whole) + 1e-6) as u32;
-        upto(self.before + self.part) - upto(self.before.min(self.before + self.part))
-    }
-}
-
-/// Sends in a sliding window.
-#[derive(Clone, Debug)]
-struct Window {
-    span: Micros,
-    most: u32,
-    sent: VecDeque<Time>,
+/// The limits of a budget, for all proxies together.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct BudgetLimits {
+    /// Requests in any window of a second.
+    pub per_s: u32,
+    /// Requests in any window of a tenth of a second.
+    pub burst: u32,
+    /// Requests in flight.
+    pub in_flight: u32,
+    /// By class.
+    pub classes: Vec<ClassLimits>,
 }
 
-impl Window {
-    fn new(span: Micros, most: u32) -> Window {
-        Window { span, most, sent: VecDeque::new() }
-    }
-
-    fn left(&mut self, now: Time) -> u32 {
-        // Open at its end: two sends a whole span apart never share a window.
-        while self.sent.front().is_some_and(|at| now - *at >= self.span) {
-            self.sent.pop_front();
-        }
-        self.most.saturating_sub(self.sent.len() as u32)
-    }
-
-    fn take(&mut self, now: Time) {
-        self.sent.push_back(now);
-    }
+/// How much of a limit is used.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Usage {
+    /// Present use.
+    pub used: u32,
+    /// This proxy's limit.
+    pub limit: u32,
 }
 
-/// One proxy's part of a rate that all proxies share.
 #[derive(Clone, Debug)]
-enum Rate {
-    /// So many in every second.
-    Part(Window),
-    /// One in each of its slots: their length, one slot of how many, which, and the last that was used.
-    Slots { length: u64, of: u64, own: u64, used: Option<u64> },
+struct ClassRate {
+    per_s: u32,
+    limit: RateLimit,
 }
 
-impl Rate {
-    fn new(per_s: u32, share: Share) -> Rate {
-        let proxies = share.proxies.max(1);
-        if per_s >= proxies {
-            return Rate::Part(Window::new(SECOND, share.of(per_s)));
-        }
-        // A second touches one slot more than fit into it; with a budget of one every other slot stays empty.
-        let fit = u64::from(per_s.max(2) - 1);
-        let stride = if per_s < 2 { 2 } else { 1 };
-        let (of, own) = (u64::from(proxies) * stride, u64::from(share.position % proxies) * stride);
-        Rate::Slots { length: SECOND.0.div_ceil(fit), of, own, used: None }
-    }
-
-    fn left(&mut self, now: Time) -> u32 {
-        match self {
-            Rate::Part(window) => window.left(now),
-            Rate::Slots { length, of, own, used } => {
-                let slot = now.0 / *length;
-                u32::from(slot % *of == *own && *used != Some(slot))
-            }
-        }
-    }
-
-    fn take(&mut self, now: Time) {
-        match self {
-            Rate::Part(window) => window.take(now),
-            Rate::Slots { length, used, .. } => *used = Some(now.0 / *length),
-        }
-    }
-
-    /// Takes another part of so many a second; what was sent in the last one counts on.
-    fn deal(&mut self, per_s: u32, span: Span) {
-        match self {
-            Rate::Part(window) if per_s >= span.share.proxies => window.most = span.of(per_s),
-            Rate::Slots { of, own, .. } if per_s < span.share.proxies => {
-                let stride = if per_s < 2 { 2 } else { 1 };
-                *of = u64::from(span.share.proxies) * stride;
-                *own = u64::from(span.share.position % span.share.proxies) * stride;
-            }
-            _ => *self = Rate::new(per_s, span.share),
-        }
-    }
-
-    /// What this proxy may send in a second at most.
-    fn most(&self) -> u32 {
-        match self {
-            Rate::Part(window) => window.most,
-            Rate::Slots { .. } => 1,
-        }
-    }
-}
-
-/// The bound that leaves no room.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Over {
-    /// Requests a second, of the region or of the class, or its burst.
-    Rate,
-    /// Requests in flight.
-    InFlight,
+#[derive(Clone, Debug)]
+struct ClassBudget {
+    rate: Option<ClassRate>,
+    priority_weight: f64,
+    /// Sends of the last second, without a limit of its own.
+    sent: SlidingWindow,
+    expected_per_s: f64,
 }
 
-/// What is known of a class.
-#[derive(Clone, Debug)]
-struct Class {
-    /// Bound more closely than the whole: so many for all proxies.
-    rate: Option<(u32, Rate)>,
-    worth: f64,
-    /// Sent in the last second, and how many a second want to.
-    sent: Window,
-    wants: f64,
+/// Sends in one second of the clock.
+#[derive(Clone, Copy, Debug, Default)]
+struct SecondCount {
+    second: u64,
+    sent: u32,
 }
 
-/// One proxy's part of a region's budget.
+/// One proxy's allocation of a region's budget.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    rate: Rate,
-    burst: Window,
-    classes: Vec<Class>,
-    in_flight: (u32, u32),
-    /// Of all proxies: a second, in a burst, in flight.
-    whole: [u32; 3],
-    clock: Time,
-    /// In the present second, which one that is, and the most in any: for the operators.
-    second: (u64, u32),
+    rate: RateLimit,
+    burst: SlidingWindow,
+    classes: Vec<ClassBudget>,
+    in_flight: Usage,
+    /// Of all proxies; the limits of classes are in `classes`.
+    total_per_s: u32,
+    total_burst: u32,
+    total_in_flight: u32,
+    /// Latest time seen: time that goes back counts as standing still.
+    now: Time,
+    /// For operators.
+    current_second: SecondCount,
 }
 
 impl Budget {
-    /// `per_s`, `burst` and `in_flight` are those of all proxies; `classes` has for each class the rate that binds it
-    /// more closely, if one does, and what one of its requests is worth.
-    pub fn new(
-        per_s: u32, burst: u32, in_flight: u32, classes: &[(Option<u32>, f64)], share: Share,
-    ) -> Budget {
-        let class = |&(per_s, worth): &(Option<u32>, f64)| Class {
-            rate: per_s.map(|per_s| (per_s, Rate::new(per_s, share))),
-            worth,
-            sent: Window::new(SECOND, u32::MAX),
-            wants: 0.0,
+    /// One proxy's even allocation of `limits`.
+    pub fn new(limits: &BudgetLimits, allocation: EvenAllocation) -> Budget {
+        let class = |limits: &ClassLimits| ClassBudget {
+            rate: limits.per_s.map(|per_s| ClassRate { per_s, limit: RateLimit::new(per_s, allocation) }),
+            priority_weight: limits.priority_weight,
+            sent: SlidingWindow::new(SECOND, u32::MAX),
+            expected_per_s: 0.0,
         };
         Budget {
-            rate: Rate::new(per_s, share),
-            burst: Window::new(BURST, share.of(burst).max(1)),
-            classes: classes.iter().map(class).collect(),
-            in_flight: (0, share.of(in_flight)),
-            whole: [per_s, burst, in_flight],
-            clock: Time(0),
-            second: (0, 0),
+            rate: RateLimit::new(limits.per_s, allocation),
+            burst: SlidingWindow::new(BURST_WINDOW, allocation.of_total(limits.burst).max(1)),
+            classes: limits.classes.iter().map(class).collect(),
+            in_flight: Usage { used: 0, limit: allocation.of_total(limits.in_flight) },
+            total_per_s: limits.per_s,
+            total_burst: limits.burst,
+            total_in_flight: limits.in_flight,
+            now: Time(0),
+            current_second: SecondCount::default(),
         }
     }
 
-    /// Another part of the whole from now on: by need among those that live, where the other end holds the whole.
-    pub fn deal(&mut self, span: Span) {
-        let [per_s, burst, in_flight] = self.whole;
-        self.rate.deal(per_s, span);
-        self.burst.most = span.of(burst).max(1);
-        self.in_flight.1 = span.of(in_flight).max(1);
-        for (per_s, rate) in self.classes.iter_mut().filter_map(|c| c.rate.as_mut()) {
-            rate.deal(*per_s, span);
+    /// Takes another allocation of the same limits: by demand among the live proxies, where the other end enforces the
+    /// total. What was sent in the last second still counts.
+    pub fn reallocate(&mut self, allocation: WeightedAllocation) {
+        self.rate.reallocate(self.total_per_s, allocation);
+        self.burst.set_limit(allocation.of_total(self.total_burst).max(1));
+        self.in_flight.limit = allocation.of_total(self.total_in_flight).max(1);
+        for rate in self.classes.iter_mut().filter_map(|class| class.rate.as_mut()) {
+            rate.limit.reallocate(rate.per_s, allocation);
         }
     }
 
-    /// So many a second from now on, and of the burst as large a part; classes that are bound more closely keep theirs.
-    /// Nothing changes where proxies take turns.
-    pub fn hold(&mut self, most: u32) {
-        let [per_s, burst, _] = self.whole;
-        if let Rate::Part(window) = &mut self.rate {
-            window.most = most;
-            let part = u64::from(burst) * u64::from(most) / u64::from(per_s.max(1));
-            self.burst.most = (part as u32).max(1);
+    /// Sets this proxy's rate, and its burst in proportion; lower limits of classes stay. Changes nothing where
+    /// [`has_rate`](Budget::has_rate) is false.
+    pub fn set_rate(&mut self, per_s: u32) {
+        if let RateLimit::Window(window) = &mut self.rate {
+            window.set_limit(per_s);
+            let burst = u64::from(self.total_burst) * u64::from(per_s) / u64::from(self.total_per_s.max(1));
+            self.burst.set_limit((burst as u32).max(1));
         }
     }
 
-    /// Whether each proxy has a number a second for its part, and not a turn now and then.
-    pub fn is_counted(&self) -> bool {
-        matches!(self.rate, Rate::Part(_))
+    /// Whether this proxy has a number of requests per second; otherwise the proxies send in turns.
+    pub fn has_rate(&self) -> bool {
+        matches!(self.rate, RateLimit::Window(_))
     }
 
-    /// How many requests a second of each class are expected to want to go: what is worth less leaves that room.
-    pub fn expect(&mut self, wants: impl IntoIterator<Item = f64>) {
-        for (class, wants) in self.classes.iter_mut().zip(wants) {
-            class.wants = if wants.is_finite() { wants.max(0.0) } else { 0.0 };
+    /// Sets the expected requests per second by class: classes of a lower priority weight leave that capacity.
+    pub fn expect_demand(&mut self, per_s: impl IntoIterator<Item = f64>) {
+        for (class, per_s) in self.classes.iter_mut().zip(per_s) {
+            class.expected_per_s = if per_s.is_finite() { per_s.max(0.0) } else { 0.0 };
         }
     }
 
-    /// Room that those worth more will want within this second.
-    fn kept(&mut self, now: Time, class: usize) -> u32 {
-        let worth = self.classes[class].worth;
-        let above = self.classes.iter_mut().filter(|c| c.worth > worth);
-        let wanted = above.map(|c| (c.wants.ceil() as u32).saturating_sub(u32::MAX - c.sent.left(now)));
-        wanted.fold(0, u32::saturating_add)
+    /// Requests of higher priority weights that are still expected within this second.
+    fn reserved_for_higher(&mut self, now: Time, class: usize) -> u32 {
+        let priority_weight = self.classes[class].priority_weight;
+        let mut reserved: u32 = 0;
+        for higher in self.classes.iter_mut().filter(|other| other.priority_weight > priority_weight) {
+            let expected = higher.expected_per_s.ceil() as u32;
+            reserved = reserved.saturating_add(expected.saturating_sub(higher.sent.used(now)));
+        }
+        reserved
     }
 
-    /// How many more of the class may go now while only the part `open` of the budget may be used, and what keeps
-    /// the rest.
-    pub fn room(&mut self, now: Time, class: usize, open: f64) -> Result<u32, Over> {
-        self.clock = self.clock.max(now);
-        let now = self.clock;
+    /// How many more requests of the class may be sent now, while only `open_fraction` (0 to 1) of the budget may be used.
+    ///
+    /// # Errors
+    /// The limit that leaves none. A class that does not exist has no rate.
+    pub fn available(&mut self, now: Time, class: usize, open_fraction: f64) -> Result<u32, BudgetExceeded> {
+        self.now = self.now.max(now);
+        let now = self.now;
         if class >= self.classes.len() {
-            return Err(Over::Rate);
+            return Err(BudgetExceeded::Rate);
         }
-        let shut = (f64::from(self.rate.most()) * (1.0 - open.clamp(0.0, 1.0))) as u32;
-        let kept = self.kept(now, class).saturating_add(if open > 0.0 { shut } else { u32::MAX });
-        let own = self.classes[class].rate.as_mut().map_or(u32::MAX, |rate| rate.1.left(now));
-        let rate = self.rate.left(now).saturating_sub(kept).min(own).min(self.burst.left(now));
-        if rate == 0 {
-            return Err(Over::Rate);
+        let closed = if open_fraction > 0.0 {
+            (f64::from(self.rate.limit_per_s()) * (1.0 - open_fraction.clamp(0.0, 1.0))) as u32
+        } else {
+            u32::MAX
+        };
+        let withheld = self.reserved_for_higher(now, class).saturating_add(closed);
+        let class_rate = self.classes[class].rate.as_mut();
+        let by_class = class_rate.map_or(u32::MAX, |rate| rate.limit.remaining(now));
+        let by_region = self.rate.remaining(now).saturating_sub(withheld);
+        let by_rate = by_region.min(by_class).min(self.burst.remaining(now));
+        if by_rate == 0 {
+            return Err(BudgetExceeded::Rate);
         }
-        match self.in_flight.1.saturating_sub(self.in_flight.0) {
-            0 => Err(Over::InFlight),
-            flights => Ok(rate.min(flights)),
+        match self.in_flight.limit.saturating_sub(self.in_flight.used) {
+            0 => Err(BudgetExceeded::InFlight),
+            by_in_flight => Ok(by_rate.min(by_in_flight)),
         }
     }
 
-    /// Takes a place for one, if there is room.
-    pub fn take(&mut self, now: Time, class: usize, open: f64) -> Result<(), Over> {
-        self.room(now, class, open)?;
-        let now = self.clock;
-        self.rate.take(now);
-        self.burst.take(now);
+    /// Takes capacity for one request; each has to end by one [`release`](Budget::release).
+    ///
+    /// # Errors
+    /// As [`available`](Budget::available); nothing is taken then.
+    pub fn acquire(&mut self, now: Time, class: usize, open_fraction: f64) -> Result<(), BudgetExceeded> {
+        self.available(now, class, open_fraction)?;
+        let now = self.now;
+        self.rate.record(now);
+        self.burst.record(now);
         let class = &mut self.classes[class];
-        class.rate.iter_mut().for_each(|rate| rate.1.take(now));
-        class.sent.take(now);
-        self.in_flight.0 += 1;
+        if let Some(rate) = &mut class.rate {
+            rate.limit.record(now);
+        }
+        class.sent.record(now);
+        self.in_flight.used += 1;
         let second = now.0 / SECOND.0;
-        self.second = (second, if self.second.0 == second { self.second.1 + 1 } else { 1 });
+        if self.current_second.second != second {
+            self.current_second = SecondCount { second, sent: 0 };
+        }
+        self.current_second.sent += 1;
         Ok(())
     }
 
-    /// One of those that took a place has ended.
-    pub fn ended(&mut self) {
-        self.in_flight.0 = self.in_flight.0.saturating_sub(1);
+    /// A request that was acquired has ended.
+    pub fn release(&mut self) {
+        self.in_flight.used = self.in_flight.used.saturating_sub(1);
     }
 
-    /// In flight, and how many may be.
-    pub fn in_flight(&self) -> (u32, u32) {
+    /// Requests in flight.
+    pub fn in_flight(&self) -> Usage {
         self.in_flight
     }
 
-    /// Sent in the second of `now`, and how many this proxy may send in one.
-    pub fn used(&self, now: Time) -> (u32, u32) {
-        let used = if self.second.0 == now.0 / SECOND.0 { self.second.1 } else { 0 };
-        (used, self.rate.most())
+    /// Requests sent in the second of the clock that contains `now`.
+    pub fn rate_usage(&self, now: Time) -> Usage {
+        let SecondCount { second, sent } = self.current_second;
+        let used = if second == now.0 / SECOND.0 { sent } else { 0 };
+        Usage { used, limit: self.rate.limit_per_s() }
     }
 }
 
--- /dev/null
+++ b/crates/gaugesaddle-federation/src/credentials/tests.rs
@@ -0,0 +1,52 @@
+use super::*;
+
+fn day(day: u64) -> Time {
+    Time(day * DAY_US)
+}
+
+fn valid() -> CredentialFacts {
+    CredentialFacts {
+        valid_from: day(10),
+        valid_until: day(100),
+        key_matches: true,
+        key_mode: 0o600,
+        names_own_region: true,
+        chain_length: 1,
+        anchors: 1,
+    }
+}
+
+#[test]
+fn each_fault_has_its_own_error() {
+    let now = day(50);
+    assert_eq!(check(now, &valid()), Ok(()));
+    for (facts, expected) in [
+        (CredentialFacts { key_mode: 0o640, ..valid() }, CredentialError::KeyAccessible(0o640)),
+        (CredentialFacts { key_mode: 0o604, ..valid() }, CredentialError::KeyAccessible(0o604)),
+        (CredentialFacts { chain_length: 0, ..valid() }, CredentialError::NoCertificate),
+        (CredentialFacts { anchors: 0, ..valid() }, CredentialError::NoAnchor),
+        (CredentialFacts { key_matches: false, ..valid() }, CredentialError::KeyMismatch),
+        (CredentialFacts { names_own_region: false, ..valid() }, CredentialError::WrongName),
+        (CredentialFacts { valid_from: day(0), valid_until: day(49), ..valid() }, CredentialError::Expired),
+        (
+            CredentialFacts { valid_from: day(51), valid_until: day(99), ..valid() },
+            CredentialError::NotYetValid,
+        ),
+    ] {
+        assert_eq!(check(now, &facts), Err(expected));
+    }
+}
+
+#[test]
+fn expiry_is_reported_in_advance() {
+    for (now, expected) in [
+        (10, Expiry::Distant),
+        (69, Expiry::Distant),
+        (71, Expiry::Near),
+        (94, Expiry::Urgent),
+        (101, Expiry::Expired),
+    ] {
+        assert_eq!(Expiry::of(day(now), day(100)), expected, "day {now}");
+    }
+    assert_eq!(Expiry::of(Time(0), Time(u64::MAX)), Expiry::Distant);
+}
--- a/crates/gaugesaddle-federation/src/lib.rs
+++ b/crates/gaugesaddle-federation/src/lib.rs
@@ -1,35 +1,88 @@
-//! Another region as last resort: decisions without I/O, clock or threads.
-//!
-//! - [`Spill`] says whether the local fleet is able to serve: local, spilling or returning, by capacity against demand.
-//! - [`Budget`] holds what may go to a region, or come from one, in every window of a second and in flight, by class,
-//!   as this proxy's part of what all proxies may.
-//! - [`Path`] is the way that a request has come, as a header; [`Path::onward`] lets none go round.
-//! - [`RoundTrip`] and [`onward`] make each hop's time strictly shorter than the one before it.
-//! - [`Fate`] is what a gateway says became of a request, and [`word`] what its client may be told then.
-//! - [`Backoff`] spreads the return to a region that refused or did not answer.
-//! - [`Link`] puts these together for one region: what may leave now, and what came of it.
-//! - [`keys`] judges certificates and keys that change in service.
-//!
-//! Which request leaves stays the module's to say (`gaugesaddle_balancer::Offer`, `gaugesaddle_balancer::Action::Leave`). Nothing here
-//! panics on outside input; every table has a bound; every function of time takes `now`, and one that goes back counts
-//! as standing still. Not covered: sharing a budget by anything but the told number of proxies, and more than
-//! [`MOST_REGIONS`] regions.
+//! Other regions as last resort: when requests are forwarded to them, how many, and what is believed of the answer. No I/O,
+//! clock or threads.
+//!
+//! # Main types
+//!
+//! - [`Spillover`] decides whether the local fleet can serve its demand: local, spilling or returning. One a proxy.
+//! - [`Link`] is one other region, as one proxy sees it. It owns a [`Budget`], a [`RoundTripEstimator`] and a [`Backoff`],
+//!   and decides for each request whether it may be sent, and with what deadline.
+//! - [`Budget`] is this proxy's allocation of what may go to a region, or come from one: in every window of a second, in
+//!   flight, and by class. A gateway has one for each sender.
+//! - [`Via`] lists the regions that a request came through; [`Via::next_hop`] prevents loops.
+//! - [`RemoteOutcome`] is what a gateway reports of a request, [`client_answer`] what its client may be answered then.
+//! - [`EndpointSelector`] chooses among the connections to a region's gateways.
+//! - [`credentials`] decides whether replaced certificates and keys may be taken into use.
+//!
+//! Which request is forwarded is the balancer's decision (`gaugesaddle_balancer::Offer`,
+//! `gaugesaddle_balancer::Action::Leave`). The host owns sockets, clock, files and random numbers.
+//!
+//! # Example
+//!
+//! A request is forwarded once, with a shorter deadline, and not back again:
+//!
+//! ```rust
+//! use gaugesaddle_balancer::{Micros, Time};
+//! use gaugesaddle_federation::{
+//!     BudgetLimits, ClassLimits, EvenAllocation, HopRequest, Ineligible, Link, LinkSettings, Via,
+//! };
+//!
+//! let mut link = Link::new(LinkSettings {
+//!     local: "north".into(),
+//!     remote: "south".into(),
+//!     budget: BudgetLimits {
+//!         per_s: 10,
+//!         burst: 10,
+//!         in_flight: 10,
+//!         classes: vec![ClassLimits { per_s: None, priority_weight: 1.0 }],
+//!     },
+//!     allocation: EvenAllocation { proxies: 1, position: 0 },
+//!     max_hops: 1,
+//!     initial_round_trip: Micros(40_000),
+//!     deadline_margin: Micros(10_000),
+//! });
+//! let request = HopRequest { class: 0, remaining: Micros(250_000), via: None, open_fraction: 1.0 };
+//! let hop = link.start_hop(Time(0), request)?;
+//! assert_eq!(hop.via.header_value(), "north;left=0");
+//! assert_eq!(hop.remaining, Micros(200_000));
+//!
+//! let received = Via::parse("north;left=0", "north")?;
+//! assert_eq!(Via::next_hop(Some(&received), "south", "north", 1), Err(Ineligible::AlreadyVisited));
+//! # Ok::<(), Box<dyn std::error::Error>>(())
+//! ```
+//!
+//! # Guarantees
+//!
+//! - No request is in a region twice, and none makes more hops than its first region allowed.
+//! - Each hop has a strictly shorter deadline than the one before it.
+//! - All proxies together exceed a budget in no window of a second, while their allocations add up to it.
+//! - A request that may have been executed elsewhere is answered as retryable only where a retry is harmless.
+//! - Nothing panics on outside input. Every function of time takes `now`; time that goes back counts as standing still.
+//!
+//! # Bounds
+//!
+//! [`MAX_REGIONS`] regions, [`MAX_HOPS`] hops, [`MAX_HEADER_BYTES`] of header. A budget remembers the sends of one second, a
+//! round trip its last 32 samples.
 
+mod allocation;
 mod backoff;
 mod budget;
-mod fate;
-mod gates;
-pub mod keys;
+pub mod credentials;
+mod endpoints;
 mod link;
-mod path;
-mod spill;
-mod trip;
+mod rate_limit;
+mod remote_outcome;
+mod round_trip;
+mod spillover;
+mod via;
 
+pub use allocation::{EvenAllocation, WeightedAllocation};
 pub use backoff::Backoff;
-pub use budget::{Budget, Over, Share, Span};
-pub use fate::{of_refusal, word, Fate, Final};
-pub use gates::{Gates, Shut};
-pub use link::{Figures, HopEnd, Link, Refused, Terms};
-pub use path::{valid_name, Barred, Path, PathError, HEADER_BYTES, MOST_HOPS, MOST_REGIONS};
-pub use spill::{Capacity, Look, Spill, State, Switch, Thresholds};
-pub use trip::{onward, RoundTrip};
+pub use budget::{Budget, BudgetExceeded, BudgetLimits, ClassLimits, Usage};
+pub use endpoints::{EndpointSelector, Unavailable, MAX_CONNECTIONS, MIN_CONNECTIONS};
+pub use link::{Hop, HopRequest, HopResult, Link, LinkCounters, LinkError, LinkSettings, LinkUsage};
+pub use remote_outcome::{client_answer, outcome_of_rejection, ClientAnswer, RemoteOutcome, Transmission};
+pub use round_trip::{remaining_after_hop, RoundTripEstimator};
+pub use spillover::{
+    FleetCapacity, Spillover, SpilloverMode, SpilloverState, SpilloverThresholds, Transition,
+};
+pub use via::{is_valid_name, Ineligible, Via, ViaError, MAX_HEADER_BYTES, MAX_HOPS, MAX_REGIONS};
--- a/crates/gaugesaddle-federation/src/link.rs
+++ b/crates/gaugesaddle-federation/src/link.rs
@@ -1,200 +1,244 @@
-//! One other region, as one proxy of this one sees it: what may leave for it now, and what came of that.
-
-use crate::{onward, Backoff, Barred, Budget, Fate, Path, RoundTrip, Share, Span};
+//! One other region, as one proxy of this one sees it: what may be sent there now, and what came of it.
+
+use crate::allocation::{EvenAllocation, WeightedAllocation};
+use crate::backoff::Backoff;
+use crate::budget::{Budget, BudgetLimits, Usage};
+use crate::remote_outcome::RemoteOutcome;
+use crate::round_trip::{remaining_after_hop, RoundTripEstimator};
+use crate::via::{Ineligible, Via};
 use gaugesaddle_balancer::{Micros, Time};
+use thiserror::Error;
 
-/// What the operator says of a region.
+/// The operator's settings of a link.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
-    /// This region's own name.
-    pub me: String,
-    /// The other's.
-    pub name: String,
-    /// Requests a second that may leave for it, all proxies together, and how many of them within a tenth of one.
-    pub per_s: u32,
-    /// See `per_s`.
-    pub burst: u32,
-    /// In flight, all proxies together.
-    pub in_flight: u32,
-    /// For each class the rate that binds it more closely, if one does, and the worth of a request.
-    pub classes: Vec<(Option<u32>, f64)>,
+pub struct LinkSettings {
+    /// Name of this region.
+    pub local: String,
+    /// Name of the other region.
+    pub remote: String,
+    /// What may be sent there, all proxies together.
+    pub budget: BudgetLimits,
     /// Which proxy this is.
-    pub share: Share,
+    pub allocation: EvenAllocation,
     /// Hops that a client's request may make.
-    pub hops: u8,
-    /// The round trip until one was measured.
-    pub round_trip: Micros,
-    /// Taken off a deadline at each hop, beside the round trip.
-    pub margin: Micros,
+    pub max_hops: u8,
+    /// Estimated round-trip time until one was measured.
+    pub initial_round_trip: Micros,
+    /// Subtracted from a deadline at each hop, besides the round trip.
+    pub deadline_margin: Micros,
 }
 
-/// Why a request does not leave.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// It would go round, or has no hop left.
-    Barred(Barred),
-    /// What is left of its time is under the round trip.
-    TooLate,
+/// Why a request is not sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum LinkError {
+    /// It would loop, or may make no further hop.
+    #[error("forwarding to a region: {0}")]
+    Ineligible(#[source] Ineligible),
+    /// Its remaining time is below the round trip and margin.
+    #[error("forwarding to a region: no answer could come before the deadline")]
+    DeadlineTooShort,
     /// The budget is used up.
-    Budget,
-    /// The region refused, or the link failed, a moment ago.
+    #[error("forwarding to a region: the budget is used up")]
+    BudgetExceeded,
+    /// The region rejected a request, or the link failed, a moment ago.
+    #[error("forwarding to a region: backing off")]
     Backoff,
 }
 
-/// What has come of all, so far.
+/// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
-    /// Requests that left.
+pub struct LinkCounters {
+    /// Requests that were sent.
     pub sent: u64,
-    /// Of these: served there, refused as not run, and those that may have run.
-    pub ran: u64,
-    /// See `ran`.
-    pub not_run: u64,
-    /// See `ran`.
-    pub may_have_run: u64,
-    /// Requests that did not leave, by [`Refused`].
-    pub barred: u64,
-    /// See `barred`.
-    pub too_late: u64,
-    /// See `barred`.
+    /// Of these: served there.
+    pub executed: u64,
+    /// Of these: rejected without being executed.
+    pub not_executed: u64,
+    /// Of these: may have been executed.
+    pub indeterminate: u64,
+    /// Not sent: [`LinkError::Ineligible`].
+    pub ineligible: u64,
+    /// Not sent: [`LinkError::DeadlineTooShort`].
+    pub deadline_too_short: u64,
+    /// Not sent: [`LinkError::BudgetExceeded`].
     pub over_budget: u64,
-    /// See `barred`.
+    /// Not sent: [`LinkError::Backoff`].
     pub backed_off: u64,
 }
 
-/// One other region.
-#[derive(Clone, Debug)]
-pub struct Link {
-    terms: Terms,
-    budget: Budget,
-    trip: RoundTrip,
-    backoff: Backoff,
-    figures: Figures,
+/// This proxy's use of a link.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct LinkUsage {
+    /// Requests in flight.
+    pub in_flight: Usage,
+    /// Requests in this second.
+    pub per_s: Usage,
+}
+
+/// A request that is to be sent.
+#[derive(Clone, Copy, Debug)]
+pub struct HopRequest<'a> {
+    /// Index of its class.
+    pub class: usize,
+    /// Time until its deadline.
+    pub remaining: Micros,
+    /// The regions that it came through; `None` from a client.
+    pub via: Option<&'a Via>,
+    /// Fraction of the budget that may be used, 0 to 1.
+    pub open_fraction: f64,
+}
+
+/// What a request that is sent carries.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Hop {
+    /// The regions that it came through, this one included.
+    pub via: Via,
+    /// Time that the other side has, in full milliseconds.
+    pub remaining: Micros,
 }
 
 /// How a hop ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HopEnd {
+pub struct HopResult {
     /// What became of the request.
-    pub fate: Fate,
-    /// Since it left.
-    pub took: Micros,
-    /// How long the other side had it, where it said so: the rest was the way.
-    pub there: Option<Micros>,
-    /// It refused and said when to come back.
+    pub outcome: RemoteOutcome,
+    /// Time since it was sent.
+    pub duration: Micros,
+    /// How long the other side worked on it, where it reported that; the remainder is the round trip.
+    pub remote_duration: Option<Micros>,
+    /// The delay that the other side requested when it rejected the request.
     pub retry_after: Option<Micros>,
     /// No answer came: the link itself failed.
-    pub lost: bool,
+    pub link_failed: bool,
+}
+
+/// The link to one other region.
+#[derive(Clone, Debug)]
+pub struct Link {
+    settings: LinkSettings,
+    budget: Budget,
+    round_trip: RoundTripEstimator,
+    backoff: Backoff,
+    counters: LinkCounters,
 }
 
 impl Link {
-    /// Nothing is known of it yet.
-    pub fn new(terms: Terms) -> Link {
-        let Terms { per_s, burst, in_flight, share, round_trip, .. } = terms;
-        let budget = Budget::new(per_s, burst, in_flight, &terms.classes, share);
-        let (trip, backoff) = (RoundTrip::new(round_trip), Backoff::default());
-        Link { terms, budget, trip, backoff, figures: Figures::default() }
+    /// A link without any history.
+    pub fn new(settings: LinkSettings) -> Link {
+        Link {
+            budget: Budget::new(&settings.budget, settings.allocation),
+            round_trip: RoundTripEstimator::new(settings.initial_round_trip),
+            backoff: Backoff::default(),
+            counters: LinkCounters::default(),
+            settings,
+        }
     }
 
-    /// Its name.
+    /// Name of the other region.
     pub fn name(&self) -> &str {
-        &self.terms.name
+        &self.settings.remote
     }
 
-    /// How many requests of the class may leave now, while the part `open` of the budget may be used.
-    pub fn room(&mut self, now: Time, class: usize, open: f64) -> u32 {
-        match self.backoff.open(now) && open > 0.0 {
-            true => self.budget.room(now, class, open).unwrap_or(0),
-            false => 0,
+    /// How many requests of the class may be sent now, while `open_fraction` (0 to 1) of the budget may be used.
+    pub fn available(&mut self, now: Time, class: usize, open_fraction: f64) -> u32 {
+        if self.backoff.is_over(now) && open_fraction > 0.0 {
+            self.budget.available(now, class, open_fraction).unwrap_or(0)
+        } else {
+            0
         }
     }
 
-    /// Requests a second of each class that are expected to want to leave.
-    pub fn expect(&mut self, wants: impl IntoIterator<Item = f64>) {
-        self.budget.expect(wants);
+    /// Sets the expected requests per second by class.
+    pub fn expect_demand(&mut self, per_s: impl IntoIterator<Item = f64>) {
+        self.budget.expect_demand(per_s);
     }
 
-    /// Another part of the budget from now on.
-    pub fn deal(&mut self, span: Span) {
-        self.budget.deal(span);
+    /// Takes another allocation of the budget.
+    pub fn reallocate(&mut self, allocation: WeightedAllocation) {
+        self.budget.reallocate(allocation);
     }
 
-    /// The time that a hop takes on the way.
-    pub fn trip(&self, now: Time) -> Micros {
-        Micros(self.trip.get(now).0.saturating_add(self.terms.margin.0))
+    /// What a hop subtracts from a deadline: round trip and margin.
+    pub fn hop_overhead(&self, now: Time) -> Micros {
+        Micros(self.round_trip.estimate(now).0.saturating_add(self.settings.deadline_margin.0))
     }
 
-    /// A request wants to leave; `left` is what is left of its time. With what it is told on the way: its path and the
-    /// time left there. Each that is let go has to end by [`Link::ended`] once.
-    pub fn leave(
-        &mut self, now: Time, class: usize, left: Micros, came: Option<&Path>, open: f64,
-    ) -> Result<(Path, Micros), Refused> {
-        let tried = self.try_leave(now, class, left, came, open);
-        let count = match tried {
-            Ok(_) => &mut self.figures.sent,
-            Err(Refused::Barred(_)) => &mut self.figures.barred,
-            Err(Refused::TooLate) => &mut self.figures.too_late,
-            Err(Refused::Budget) => &mut self.figures.over_budget,
-            Err(Refused::Backoff) => &mut self.figures.backed_off,
+    /// Decides whether a request may be sent, and what it carries. Each that may has to end by one
+    /// [`complete`](Link::complete) or [`cancel`](Link::cancel).
+    ///
+    /// # Errors
+    /// Why it may not; nothing of the budget is taken then.
+    pub fn start_hop(&mut self, now: Time, request: HopRequest) -> Result<Hop, LinkError> {
+        let result = self.try_start_hop(now, request);
+        let counter = match result {
+            Ok(_) => &mut self.counters.sent,
+            Err(LinkError::Ineligible(_)) => &mut self.counters.ineligible,
+            Err(LinkError::DeadlineTooShort) => &mut self.counters.deadline_too_short,
+            Err(LinkError::BudgetExceeded) => &mut self.counters.over_budget,
+            Err(LinkError::Backoff) => &mut self.counters.backed_off,
         };
-        *count += 1;
-        tried
+        *counter += 1;
+        result
     }
 
-    fn try_leave(
-        &mut self, now: Time, class: usize, left: Micros, came: Option<&Path>, open: f64,
-    ) -> Result<(Path, Micros), Refused> {
-        let Terms { me, name, hops, margin, .. } = &self.terms;
-        let path = Path::onward(came, me, name, *hops).map_err(Refused::Barred)?;
-        let told = onward(left, self.trip.get(now), *margin).ok_or(Refused::TooLate)?;
-        if !self.backoff.open(now) {
-            return Err(Refused::Backoff);
+    fn try_start_hop(&mut self, now: Time, request: HopRequest) -> Result<Hop, LinkError> {
+        let LinkSettings { local, remote, max_hops, deadline_margin, .. } = &self.settings;
+        let via = Via::next_hop(request.via, local, remote, *max_hops).map_err(LinkError::Ineligible)?;
+        let round_trip = self.round_trip.estimate(now);
+        let remaining = remaining_after_hop(request.remaining, round_trip, *deadline_margin)
+            .ok_or(LinkError::DeadlineTooShort)?;
+        if !self.backoff.is_over(now) {
+            return Err(LinkError::Backoff);
         }
-        // Last, for only this one takes something.
-        self.budget.take(now, class, open).map_err(|_| Refused::Budget)?;
-        Ok((path, told))
+        // Must be last: only this step takes something.
+        self.budget
+            .acquire(now, request.class, request.open_fraction)
+            .map_err(|_| LinkError::BudgetExceeded)?;
+        Ok(Hop { via, remaining })
     }
 
-    /// One that left has ended; `unit`: an even draw from 0 to 1.
-    pub fn ended(&mut self, now: Time, end: HopEnd, unit: f64) {
-        self.budget.ended();
-        match end.fate {
-            Fate::Ran => self.figures.ran += 1,
-            Fate::NotRun => self.figures.not_run += 1,
-            Fate::MayHaveRun => self.figures.may_have_run += 1,
+    /// A hop has ended; `random` is uniform in 0 to 1 and spreads the backoff.
+    pub fn complete(&mut self, now: Time, result: HopResult, random: f64) {
+        self.budget.release();
+        match result.outcome {
+            RemoteOutcome::Executed => self.counters.executed += 1,
+            RemoteOutcome::NotExecuted => self.counters.not_executed += 1,
+            RemoteOutcome::Indeterminate => self.counters.indeterminate += 1,
         }
-        // Never of one that was lost: its time is the client's patience, and taken for the way it would keep all others
-        // from leaving long after the link is back.
-        if let Some(there) = end.there.filter(|_| !end.lost) {
-            self.trip.add(now, Micros(end.took.0.saturating_sub(there.0)));
+        // Never of a failed link: that duration is the client's deadline, and as a round trip it would keep all other
+        // requests from being sent long after the link has recovered.
+        if let Some(remote_duration) = result.remote_duration.filter(|_| !result.link_failed) {
+            let round_trip = result.duration.0.saturating_sub(remote_duration.0);
+            self.round_trip.record(now, Micros(round_trip));
         }
-        if end.lost {
-            self.backoff.failed(now, Time(now.0.saturating_sub(end.took.0)), unit);
-        } else if let Some(after) = end.retry_after {
-            self.backoff.refused(now, after, unit);
+        if result.link_failed {
+            let sent_at = Time(now.0.saturating_sub(result.duration.0));
+            self.backoff.record_failure(now, sent_at, random);
+        } else if let Some(retry_after) = result.retry_after {
+            self.backoff.record_rejection(now, retry_after, random);
         } else {
-            self.backoff.answered();
+            self.backoff.record_success();
         }
     }
 
-    /// The client of one that left has gone, or its time is up: nothing was learned of the link.
-    pub fn withdrawn(&mut self) {
-        self.budget.ended();
-        self.figures.may_have_run += 1;
+    /// The client of a hop disconnected, or its deadline passed: nothing was learned of the link.
+    pub fn cancel(&mut self) {
+        self.budget.release();
+        self.counters.indeterminate += 1;
     }
 
     /// Counts so far.
-    pub fn figures(&self) -> Figures {
-        self.figures
+    pub fn counters(&self) -> LinkCounters {
+        self.counters
     }
 
-    /// In flight and how many may be; sent in this second and how many may be.
-    pub fn used(&self, now: Time) -> [(u32, u32); 2] {
-        [self.budget.in_flight(), self.budget.used(now)]
+    /// This proxy's present use.
+    pub fn usage(&self, now: Time) -> LinkUsage {
+        LinkUsage { in_flight: self.budget.in_flight(), per_s: self.budget.rate_usage(now) }
     }
 
-    /// Until when it is left alone, where it is.
-    pub fn paused(&self, now: Time) -> Option<Time> {
+    /// End of the present backoff; `None` where there is none.
+    pub fn backoff_until(&self, now: Time) -> Option<Time> {
         Some(self.backoff.until()).filter(|until| *until > now)
     }
 }
--- a/crates/gaugesaddle-federation/src/link/tests.rs
+++ b/crates/gaugesaddle-federation/src/link/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::budget::ClassLimits;
 
 fn ms(n: u64) -> Micros {
     Micros(n * 1000)
@@ -9,79 +10,102 @@
 }
 
 fn link() -> Link {
-    Link::new(Terms {
-        me: "north".into(),
-        name: "south".into(),
-        per_s: 10,
-        burst: 10,
-        in_flight: 3,
-        classes: vec![(None, 8.0), (None, 1.0)],
-        share: Share { proxies: 1, position: 0 },
-        hops: 1,
-        round_trip: ms(40),
-        margin: ms(10),
+    let class = |priority_weight| ClassLimits { per_s: None, priority_weight };
+    Link::new(LinkSettings {
+        local: "north".into(),
+        remote: "south".into(),
+        budget: BudgetLimits { per_s: 10, burst: 10, in_flight: 3, classes: vec![class(8.0), class(1.0)] },
+        allocation: EvenAllocation { proxies: 1, position: 0 },
+        max_hops: 1,
+        initial_round_trip: ms(40),
+        deadline_margin: ms(10),
     })
 }
 
-fn served(took: u64, there: u64) -> HopEnd {
-    HopEnd { fate: Fate::Ran, took: ms(took), there: Some(ms(there)), retry_after: None, lost: false }
+/// A client's request with that time until its deadline.
+fn request(remaining: Micros) -> HopRequest<'static> {
+    HopRequest { class: 0, remaining, via: None, open_fraction: 1.0 }
 }
 
 #[test]
-fn a_request_leaves_with_a_shorter_time_and_its_path() {
+fn a_request_carries_a_shorter_deadline_and_its_regions() {
     let mut link = link();
-    let (path, told) = link.leave(at(0), 0, ms(250), None, 1.0).expect("room");
-    assert_eq!((path.text().as_str(), told), ("north;left=0", ms(200)));
-    link.ended(at(60), served(60, 50), 0.5);
-    let (_, told) = link.leave(at(70), 0, ms(250), None, 1.0).expect("room");
-    assert_eq!(told, ms(230), "the measured way, 10 ms, and the margin");
-    assert_eq!(link.figures().ran, 1);
+    let hop = link.start_hop(at(0), request(ms(250))).expect("within the budget");
+    assert_eq!((hop.via.header_value().as_str(), hop.remaining), ("north;left=0", ms(200)));
+    let result = HopResult {
+        outcome: RemoteOutcome::Executed,
+        duration: ms(60),
+        remote_duration: Some(ms(50)),
+        retry_after: None,
+        link_failed: false,
+    };
+    link.complete(at(60), result, 0.5);
+    let hop = link.start_hop(at(70), request(ms(250))).expect("within the budget");
+    assert_eq!(hop.remaining, ms(230), "the measured round trip, 10 ms, and the margin");
+    assert_eq!(link.counters().executed, 1);
 }
 
 #[test]
-fn each_refusal_is_counted_as_what_it_is_and_takes_no_place() {
+fn each_error_is_counted_and_takes_nothing() {
     let mut link = link();
-    let came = Path::parse("south;left=1", "south").expect("sound");
+    let from_south = Via::parse("south;left=1", "south").expect("valid");
+    assert_eq!(
+        link.start_hop(at(0), HopRequest { via: Some(&from_south), ..request(ms(250)) }),
+        Err(LinkError::Ineligible(Ineligible::AlreadyVisited)),
+        "both regions forward to each other"
+    );
+    let exhausted = Via::parse("west;left=0", "west").expect("valid");
+    assert_eq!(
+        link.start_hop(at(0), HopRequest { via: Some(&exhausted), ..request(ms(250)) }),
+        Err(LinkError::Ineligible(Ineligible::HopsExhausted))
+    );
+    assert_eq!(link.start_hop(at(0), request(ms(45))), Err(LinkError::DeadlineTooShort));
+    assert_eq!(
+        link.start_hop(at(0), HopRequest { open_fraction: 0.0, ..request(ms(250)) }),
+        Err(LinkError::BudgetExceeded),
+        "nothing is open"
+    );
+    (0..3).for_each(|_| assert!(link.start_hop(at(0), request(ms(250))).is_ok()));
+    let fourth = link.start_hop(at(0), request(ms(250)));
+    assert_eq!(fourth, Err(LinkError::BudgetExceeded), "three in flight");
+    let counters = link.counters();
     assert_eq!(
-        link.leave(at(0), 0, ms(250), Some(&came), 1.0),
-        Err(Refused::Barred(Barred::Been)),
-        "both fail over to each other"
+        (counters.sent, counters.ineligible, counters.deadline_too_short, counters.over_budget),
+        (3, 2, 1, 2)
     );
-    let spent = Path::parse("west;left=0", "west").expect("sound");
-    assert_eq!(link.leave(at(0), 0, ms(250), Some(&spent), 1.0), Err(Refused::Barred(Barred::Spent)));
-    assert_eq!(link.leave(at(0), 0, ms(45), None, 1.0), Err(Refused::TooLate));
-    assert_eq!(link.leave(at(0), 0, ms(250), None, 0.0), Err(Refused::Budget), "nothing is open");
-    (0..3).for_each(|_| assert!(link.leave(at(0), 0, ms(250), None, 1.0).is_ok()));
-    assert_eq!(link.leave(at(0), 0, ms(250), None, 1.0), Err(Refused::Budget), "three in flight");
-    let f = link.figures();
-    assert_eq!((f.sent, f.barred, f.too_late, f.over_budget), (3, 2, 1, 2));
 }
 
 #[test]
-fn a_silent_link_is_left_alone_for_a_while_and_its_way_is_no_longer_for_it() {
+fn a_failed_link_backs_off_and_its_duration_is_no_round_trip() {
     let mut link = link();
-    link.leave(at(0), 0, ms(250), None, 1.0).expect("room");
-    let lost = HopEnd { fate: Fate::MayHaveRun, took: ms(200), there: None, retry_after: None, lost: true };
-    link.ended(at(200), lost, 0.5);
-    assert_eq!(link.leave(at(210), 0, ms(900), None, 1.0), Err(Refused::Backoff));
-    assert_eq!(link.room(at(210), 0, 1.0), 0);
-    assert!(link.leave(at(500), 0, ms(205), None, 1.0).is_ok());
+    link.start_hop(at(0), request(ms(250))).expect("within the budget");
+    let failed = HopResult {
+        outcome: RemoteOutcome::Indeterminate,
+        duration: ms(200),
+        remote_duration: None,
+        retry_after: None,
+        link_failed: true,
+    };
+    link.complete(at(200), failed, 0.5);
+    assert_eq!(link.start_hop(at(210), request(ms(900))), Err(LinkError::Backoff));
+    assert_eq!(link.available(at(210), 0, 1.0), 0);
+    assert!(link.start_hop(at(500), request(ms(205))).is_ok());
 }
 
 #[test]
-fn a_refusal_is_kept_to_and_its_place_is_free_again() {
+fn a_rejection_is_obeyed_and_releases_its_budget() {
     let mut link = link();
-    link.leave(at(0), 0, ms(250), None, 1.0).expect("room");
-    let full = HopEnd {
-        fate: Fate::NotRun,
-        took: ms(20),
-        there: Some(ms(1)),
+    link.start_hop(at(0), request(ms(250))).expect("within the budget");
+    let rejected = HopResult {
+        outcome: RemoteOutcome::NotExecuted,
+        duration: ms(20),
+        remote_duration: Some(ms(1)),
         retry_after: Some(ms(1000)),
-        lost: false,
+        link_failed: false,
     };
-    link.ended(at(20), full, 0.5);
-    assert_eq!(link.paused(at(21)), Some(at(1520)));
-    assert_eq!(link.used(at(21))[0], (0, 3));
-    assert_eq!(link.leave(at(1519), 0, ms(250), None, 1.0), Err(Refused::Backoff));
-    assert!(link.leave(at(1520), 0, ms(250), None, 1.0).is_ok());
+    link.complete(at(20), rejected, 0.5);
+    assert_eq!(link.backoff_until(at(21)), Some(at(1520)));
+    assert_eq!(link.usage(at(21)).in_flight, Usage { used: 0, limit: 3 });
+    assert_eq!(link.start_hop(at(1519), request(ms(250))), Err(LinkError::Backoff));
+    assert!(link.start_hop(at(1520), request(ms(250))).is_ok());
 }
--- a/crates/gaugesaddle-measure/src/region.rs
+++ b/crates/gaugesaddle-measure/src/region.rs
@@ -4,7 +4,7 @@
 
 use crate::proc::children_cpu_seconds;
 use crate::runs::{cast, interval, play, play_all, play_with, round};
-use gaugesaddle_federation::Path;
+use gaugesaddle_federation::Via;
 use gaugesaddle_testbed::scenario::{Clients, Kind, Regions};
 use gaugesaddle_testbed::{Broken, Scenario, What};
 use serde_json::{json, Value};
@@ -103,8 +103,8 @@
     let mut bad = 0;
     for _ in 0..FUZZ {
         let text: String = (0..draw(12)).map(|_| parts[draw(parts.len() as u64) as usize]).collect();
-        if let Ok(path) = Path::parse(&text, "north") {
-            bad += u64::from(Path::parse(&path.text(), "north") != Ok(path));
+        if let Ok(path) = Via::parse(&text, "north") {
+            bad += u64::from(Via::parse(&path.header_value(), "north") != Ok(path));
         }
     }
     bad
--- a/crates/gaugesaddle/src/app.rs
+++ b/crates/gaugesaddle/src/app.rs
@@ -15,7 +15,7 @@
 use crate::shares::ShareWatch;
 use crate::storm::StormWatch;
 use crate::{admin, clock, config, discovery, form, pacing, server, state, upstream};
-use gaugesaddle_federation::Share;
+use gaugesaddle_federation::EvenAllocation;
 use gaugesaddle_maintenance::MaintenanceCommand;
 use socket2::{Domain, Socket, Type};
 use std::cell::{Cell, RefCell};
@@ -190,7 +190,7 @@
     }
     let own = Own {
         clock,
-        share: Share { proxies: config.module.proxies, position: config.module.position },
+        share: EvenAllocation { proxies: config.module.proxies, position: config.module.position },
         classes: &config.module.classes,
         names: server.rules.names.classes(),
         seed: config.seed,
--- a/crates/gaugesaddle/src/driver.rs
+++ b/crates/gaugesaddle/src/driver.rs
@@ -7,7 +7,7 @@
 use crate::registry::{BackendRow, End, Registry};
 use crate::seam::{Leaving, Subsystem};
 use gaugesaddle_balancer::*;
-use gaugesaddle_federation::Final;
+use gaugesaddle_federation::ClientAnswer;
 use gaugesaddle_maintenance::{CommandOutcome, MaintenanceCommand};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap, VecDeque};
@@ -45,7 +45,7 @@
     source: (u64, bool),
     call: Rc<Call>,
     /// Through which regions it came.
-    hop: Option<gaugesaddle_federation::Path>,
+    hop: Option<gaugesaddle_federation::Via>,
     /// It was handed to another region: the module knows it no more.
     left: bool,
     /// `None`: it has had its final answer, or its client is gone.
@@ -656,10 +656,10 @@
     fn last_word(&mut self, now: Time, request: RequestId, outcome: Outcome) {
         let Some(r) = self.requests.get(&request) else { return };
         let effect = effect(&self.config, r.class);
-        match gaugesaddle_federation::word(effect, outcome) {
+        match gaugesaddle_federation::client_answer(effect, outcome) {
             _ if r.reply.is_none() => self.forget(request),
-            Final::Refuse => self.refuse(now, request, End::RefusedElsewhere),
-            Final::Fail => self.answer(request, Answer::Failed, End::FailedElsewhere),
+            ClientAnswer::Rejected => self.refuse(now, request, End::RefusedElsewhere),
+            ClientAnswer::Failed => self.answer(request, Answer::Failed, End::FailedElsewhere),
         }
     }
 
--- a/crates/gaugesaddle/src/exchange.rs
+++ b/crates/gaugesaddle/src/exchange.rs
@@ -121,7 +121,7 @@
     /// The hash of its account, or of its client's address where there are no accounts.
     pub source: u64,
     /// Through which regions it came, where another region's gateway brought it.
-    pub hop: Option<gaugesaddle_federation::Path>,
+    pub hop: Option<gaugesaddle_federation::Via>,
     pub call: Rc<Call>,
     pub reply: oneshot::Sender<Answer>,
 }
--- a/crates/gaugesaddle/src/region/client.rs
+++ b/crates/gaugesaddle/src/region/client.rs
@@ -5,7 +5,7 @@
 use crate::exchange::{Call, BODY_BYTES, TIME_LEFT};
 use bytes::Bytes;
 use gaugesaddle_balancer::{Micros, Time};
-use gaugesaddle_federation::{Fate, Gates, HopEnd, Path, Shut};
+use gaugesaddle_federation::{EndpointSelector, HopResult, RemoteOutcome, Transmission, Unavailable, Via};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::client::conn::http2::{self, SendRequest};
@@ -74,7 +74,7 @@
     name: ServerName<'static>,
     host: String,
     ways: Vec<Way>,
-    gates: RefCell<Gates>,
+    gates: RefCell<EndpointSelector>,
     keys: Rc<RefCell<Keys>>,
 }
 
@@ -90,12 +90,12 @@
         keys: Rc<RefCell<Keys>>,
     ) -> Option<Peer> {
         let name = ServerName::try_from(certificate_name.to_string()).ok()?;
-        let gates = Gates::new(addresses.len());
+        let gates = EndpointSelector::new(addresses.len());
         let way = |n: usize| {
             let address = *addresses.get((from + n) % addresses.len().max(1))?;
             Some(Way { address, held: Mutex::default() })
         };
-        let ways = (0..gates.ways()).map(way).collect::<Option<_>>()?;
+        let ways = (0..gates.connections()).map(way).collect::<Option<_>>()?;
         Some(Peer { clock, name, host: certificate_name.into(), ways, gates: RefCell::new(gates), keys })
     }
 
@@ -142,23 +142,27 @@
     /// One hop to its end, which comes by `until`. With the answer, if a backend there served it. What a gateway never
     /// saw, or has no place for, goes to the next.
     pub async fn hop(
-        &self, call: &Call, body: Bytes, path: &Path, told: Micros, until: Time,
-    ) -> (HopEnd, Option<Response<Bytes>>) {
+        &self, call: &Call, body: Bytes, path: &Via, told: Micros, until: Time,
+    ) -> (HopResult, Option<Response<Bytes>>) {
         let began = self.clock.now();
-        let end = |fate, retry_after, lost| {
-            let took = self.clock.now() - began;
-            HopEnd { fate, took, there: None, retry_after, lost }
+        let end = |outcome, retry_after, link_failed| {
+            let duration = self.clock.now() - began;
+            HopResult { outcome, duration, remote_duration: None, retry_after, link_failed }
+        };
+        let failed = |begun| {
+            let transmission = Transmission::started_if(begun);
+            end(RemoteOutcome::of_connection_failure(transmission), None, true)
         };
         let (mut tried, mut seen) = (0, None);
         loop {
             let now = self.clock.now();
-            let way = self.gates.borrow_mut().next(now, tried);
+            let way = self.gates.borrow_mut().select(now, tried);
             let Some(way) = way else {
                 // Full everywhere: no failure of the link, and soon there is a place again.
-                let again = self.gates.borrow().again(now);
+                let again = self.gates.borrow().full_for(now);
                 return match (seen, again) {
-                    (Some(Shut::Down), None) => (end(Fate::of_lost(false), None, true), None),
-                    _ => (end(Fate::NotRun, again, false), None),
+                    (Some(Unavailable::Unreachable), None) => (failed(false), None),
+                    _ => (end(RemoteOutcome::NotExecuted, again, false), None),
                 };
             };
             tried |= 1 << way;
@@ -169,33 +173,39 @@
             let mut answer = match ended {
                 Ok(Ok(answer)) => answer,
                 Ok(Err(Lost { begun: false })) if self.clock.now() - now < QUICK => {
-                    self.gates.borrow_mut().shut(now, way, Shut::Down);
-                    seen = Some(Shut::Down);
+                    self.gates.borrow_mut().mark_unavailable(now, way, Unavailable::Unreachable);
+                    seen = Some(Unavailable::Unreachable);
                     continue;
                 }
-                Ok(Err(lost)) => return (end(Fate::of_lost(lost.begun), None, true), None),
-                Err(_) => return (end(Fate::of_lost(begun.get()), None, true), None),
+                Ok(Err(lost)) => return (failed(lost.begun), None),
+                Err(_) => return (failed(begun.get()), None),
             };
             let number =
                 |value: Option<&HeaderValue>| value.and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
             // Between gateways only: no client sees them.
             let headers = answer.headers_mut();
-            let fate = Fate::read(headers.remove(FATE).as_ref().map(|v| v.as_bytes()));
-            if headers.remove(FULL).is_some() && fate == Fate::NotRun {
+            let fate = RemoteOutcome::from_header(headers.remove(FATE).as_ref().map(|v| v.as_bytes()));
+            if headers.remove(FULL).is_some() && fate == RemoteOutcome::NotExecuted {
                 let now = self.clock.now();
-                self.gates.borrow_mut().shut(now, way, Shut::Full);
-                seen = Some(Shut::Full);
+                self.gates.borrow_mut().mark_unavailable(now, way, Unavailable::Full);
+                seen = Some(Unavailable::Full);
                 if now < until {
                     continue;
                 }
-                return (end(Fate::NotRun, None, false), None);
+                return (end(RemoteOutcome::NotExecuted, None, false), None);
             }
             let took = self.clock.now() - now;
             let there = number(headers.remove(TOOK).as_ref()).map(|us| Micros(us).min(took));
             let after = number(headers.get(RETRY_AFTER)).map(|s| Micros(s.saturating_mul(1_000_000)));
-            let retry_after = after.filter(|_| fate == Fate::NotRun);
-            let end = HopEnd { fate, took, there, retry_after, lost: false };
-            return (end, (fate == Fate::Ran).then_some(answer));
+            let retry_after = after.filter(|_| fate == RemoteOutcome::NotExecuted);
+            let end = HopResult {
+                outcome: fate,
+                duration: took,
+                remote_duration: there,
+                retry_after,
+                link_failed: false,
+            };
+            return (end, (fate == RemoteOutcome::Executed).then_some(answer));
         }
     }
 
@@ -244,7 +254,7 @@
     false
 }
 
-fn request(host: &str, call: &Call, body: Bytes, path: &Path, told: Micros) -> Request<Full<Bytes>> {
+fn request(host: &str, call: &Call, body: Bytes, path: &Via, told: Micros) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = call.head.method().clone();
     let place = call.head.uri().path_and_query().map_or("/", |p| p.as_str());
@@ -258,7 +268,7 @@
     headers.remove(FULL);
     headers.remove(TOOK);
     headers.remove(PATH);
-    if let Ok(path) = HeaderValue::from_str(&path.text()) {
+    if let Ok(path) = HeaderValue::from_str(&path.header_value()) {
         headers.insert(PATH, path);
     }
     request
--- a/crates/gaugesaddle/src/region/front.rs
+++ b/crates/gaugesaddle/src/region/front.rs
@@ -8,7 +8,7 @@
 use crate::exchange::{Answer, BODY_BYTES};
 use crate::server::{plain, Server};
 use gaugesaddle_balancer::{Effect, Time};
-use gaugesaddle_federation::{of_refusal, Fate, Path};
+use gaugesaddle_federation::{outcome_of_rejection, RemoteOutcome, Via};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, RETRY_AFTER};
@@ -52,7 +52,7 @@
 
 impl Drop for Taken {
     fn drop(&mut self) {
-        self.0.inbound.borrow_mut()[self.1].budget.ended();
+        self.0.inbound.borrow_mut()[self.1].budget.release();
     }
 }
 
@@ -130,7 +130,9 @@
             if text == OVER {
                 answer.headers_mut().insert(FULL, HeaderValue::from_static("1"));
             }
-            answer.headers_mut().insert(FATE, HeaderValue::from_static(Fate::NotRun.text()));
+            answer
+                .headers_mut()
+                .insert(FATE, HeaderValue::from_static(RemoteOutcome::NotExecuted.header_value()));
             if let Some(after_s) = after_s {
                 answer.headers_mut().insert(RETRY_AFTER, HeaderValue::from(after_s));
             }
@@ -156,10 +158,10 @@
     let other = &regions.settings.other[sender].name;
     let mut paths = head.headers.get_all(PATH).iter();
     let path = match (paths.next().and_then(|v| v.to_str().ok()), paths.next()) {
-        (Some(text), None) => Path::parse(text, other).map_err(|_| barred("Region-Path: not of its form"))?,
+        (Some(text), None) => Via::parse(text, other).map_err(|_| barred("Region-Path: not of its form"))?,
         _ => return Err(barred("expected one Region-Path")),
     };
-    path.enters(&regions.settings.name).map_err(|_| barred("it has been here"))?;
+    path.check_entry(&regions.settings.name).map_err(|_| barred("it has been here"))?;
     head.headers.remove(PATH);
     let busy = |text| Turned(StatusCode::SERVICE_UNAVAILABLE, text, Some(1));
     if !server.registry.serves_here() {
@@ -183,22 +185,24 @@
     let (mut answer, fate) = match carried {
         // Its id is that of an open one: in truth another's, or its own on the way round.
         Err(wrong) => return Err(barred(wrong.1)),
-        Ok(Answer::Served(answer)) => (answer.map(|payload| Download::new(payload, || ())), Fate::Ran),
+        Ok(Answer::Served(answer)) => {
+            (answer.map(|payload| Download::new(payload, || ())), RemoteOutcome::Executed)
+        }
         Ok(Answer::Refused(refusal)) => {
             let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
             answer.headers_mut().insert(RETRY_AFTER, HeaderValue::from(refusal.after_s));
-            (answer, of_refusal(effect))
+            (answer, outcome_of_rejection(effect))
         }
-        Ok(Answer::Failed) => (plain(StatusCode::BAD_GATEWAY, "failed"), Fate::MayHaveRun),
+        Ok(Answer::Failed) => (plain(StatusCode::BAD_GATEWAY, "failed"), RemoteOutcome::Indeterminate),
     };
-    answer.headers_mut().insert(FATE, HeaderValue::from_static(fate.text()));
+    answer.headers_mut().insert(FATE, HeaderValue::from_static(fate.header_value()));
     Ok(answer)
 }
 
 /// Waits until nothing of another region's is in service, until that time at the latest.
 pub async fn drained(regions: &Regions, last: Time) {
     let clock = regions.clock;
-    while clock.now() < last && regions.inbound.borrow().iter().any(|i| i.budget.in_flight().0 > 0) {
+    while clock.now() < last && regions.inbound.borrow().iter().any(|i| i.budget.in_flight().used > 0) {
         tokio::time::sleep(duration(gaugesaddle_balancer::Micros(5_000))).await;
     }
 }
--- a/crates/gaugesaddle/src/region/mod.rs
+++ b/crates/gaugesaddle/src/region/mod.rs
@@ -17,9 +17,11 @@
 use client::{Keys, Peer};
 use gaugesaddle_allocation::{LoanView, Loans};
 use gaugesaddle_balancer::{Balancer, Class, ClassId, Effect, Event, Micros, Offer, Time};
-use gaugesaddle_federation::keys::End;
+use gaugesaddle_federation::credentials::Expiry;
 use gaugesaddle_federation::{
-    Budget, Capacity, Fate, HopEnd, Link, Look, Over, Path, Share, Span, Spill, Terms,
+    Budget, BudgetExceeded, BudgetLimits, ClassLimits, EvenAllocation, FleetCapacity, Hop, HopRequest,
+    HopResult, Link, LinkSettings, LinkUsage, RemoteOutcome, Spillover, Transition, Usage,
+    WeightedAllocation,
 };
 use hyper::header::HeaderName;
 use rand_core::{RngCore, SeedableRng};
@@ -105,7 +107,7 @@
     look: Notify,
     refused: Cell<u64>,
     /// How near its end the certificate was when that was last told.
-    told: Cell<End>,
+    told: Cell<Expiry>,
     switch: Cell<(SwitchKey, u32)>,
     front: Front,
     dice: RefCell<Pcg32>,
@@ -114,19 +116,25 @@
 /// What a proxy tells of itself.
 pub struct Own<'a> {
     pub clock: Clock,
-    pub share: Share,
+    pub share: EvenAllocation,
     pub classes: &'a [Class],
     pub names: &'a [String],
     pub seed: u64,
 }
 
 fn budget(allowed: &Allowance, own: &Own) -> Budget {
-    Budget::new(allowed.per_s, allowed.burst(), allowed.in_flight, &classes(allowed, own), own.share)
+    Budget::new(&limits(allowed, own), own.share)
 }
 
-fn classes(allowed: &Allowance, own: &Own) -> Vec<(Option<u32>, f64)> {
+fn limits(allowed: &Allowance, own: &Own) -> BudgetLimits {
     let names = own.names.iter().map(|name| allowed.classes.get(name).copied());
-    names.zip(own.classes).map(|(per_s, class)| (per_s, class.worth)).collect()
+    let limits = |(per_s, class): (Option<u32>, &Class)| ClassLimits { per_s, priority_weight: class.worth };
+    BudgetLimits {
+        per_s: allowed.per_s,
+        burst: allowed.burst(),
+        in_flight: allowed.in_flight,
+        classes: names.zip(own.classes).map(limits).collect(),
+    }
 }
 
 /// What `gaugesaddle check` can tell of the section beside its form: the files of keys.
@@ -147,18 +155,14 @@
         let identity = tls::load(&settings, own.clock.now())?;
         let keys = Rc::new(RefCell::new(Keys { client: identity.client.clone(), generation: 0 }));
         let link = |other: &settings::Other| {
-            let send = &other.send;
-            Link::new(Terms {
-                me: settings.name.clone(),
-                name: other.name.clone(),
-                per_s: send.per_s,
-                burst: send.burst(),
-                in_flight: send.in_flight,
-                classes: classes(send, &own),
-                share: own.share,
-                hops: settings.hops as u8,
-                round_trip: Micros(u64::from(other.round_trip_ms) * 1000),
-                margin: Micros(u64::from(settings.margin_ms) * 1000),
+            Link::new(LinkSettings {
+                local: settings.name.clone(),
+                remote: other.name.clone(),
+                budget: limits(&other.send, &own),
+                allocation: own.share,
+                max_hops: settings.hops as u8,
+                initial_round_trip: Micros(u64::from(other.round_trip_ms) * 1000),
+                deadline_margin: Micros(u64::from(settings.margin_ms) * 1000),
             })
         };
         let peer = |other: &settings::Other| {
@@ -186,7 +190,7 @@
             changed: watch::channel(0).0,
             look: Notify::new(),
             refused: Cell::default(),
-            told: Cell::new(End::Far),
+            told: Cell::new(Expiry::Distant),
             switch: Cell::new((settings.switch, settings.exercise_percent)),
             front: Front::default(),
             dice: RefCell::new(Pcg32::seed_from_u64(own.seed ^ 0x7265_6769_6f6e)),
@@ -209,8 +213,8 @@
     }
 
     /// This proxy's part of what may leave: the other end holds the whole.
-    pub fn deal(&self, span: Span) {
-        self.links.borrow_mut().iter_mut().for_each(|link| link.deal(span));
+    pub fn deal(&self, span: WeightedAllocation) {
+        self.links.borrow_mut().iter_mut().for_each(|link| link.reallocate(span));
     }
 
     /// A look at what is lent, a few times in a second: what came since the last one, and who lives.
@@ -260,12 +264,12 @@
         let mut inbound = self.inbound.borrow_mut();
         let inbound = &mut inbound[sender];
         inbound.came = inbound.came.saturating_add(1);
-        if self.lending.get() && inbound.budget.is_counted() {
+        if self.lending.get() && inbound.budget.has_rate() {
             let loans = self.loans.borrow();
-            inbound.budget.hold(loans.as_ref().map_or(0, |(loans, _)| loans.usable(sender, now)));
+            inbound.budget.set_rate(loans.as_ref().map_or(0, |(loans, _)| loans.usable(sender, now)));
         }
-        let taken = inbound.budget.take(now, class.0, 1.0);
-        inbound.short |= taken == Err(Over::Rate);
+        let taken = inbound.budget.acquire(now, class.0, 1.0);
+        inbound.short |= taken == Err(BudgetExceeded::Rate);
         *(if taken.is_ok() { &mut inbound.taken } else { &mut inbound.refused }) += 1;
         taken.is_ok()
     }
@@ -306,7 +310,7 @@
                     *self.identity.borrow_mut() = identity;
                     self.stamp.set(stamp);
                     self.changed.send_replace(generation);
-                    self.told.set(End::Far);
+                    self.told.set(Expiry::Distant);
                     tracing::info!(
                         "region: keys read again and in use, the {generation}. change since the start"
                     );
@@ -327,11 +331,11 @@
     fn warn_of_end(&self) {
         let now = self.clock.now();
         let ends = self.identity.borrow().ends;
-        let end = End::at(now, ends);
+        let end = Expiry::of(now, ends);
         if end > self.told.replace(end.max(self.told.get())) {
             let days = (ends - now).0 / 86_400_000_000;
             match end {
-                End::Over => {
+                Expiry::Expired => {
                     tracing::error!("region: the certificate has ended: other regions refuse this one")
                 }
                 _ => tracing::warn!("region: the certificate ends in {days} days"),
@@ -360,17 +364,17 @@
 }
 
 impl Out {
-    fn end(&mut self, end: HopEnd) {
+    fn end(&mut self, end: HopResult) {
         self.ended = true;
         let (now, unit) = (self.regions.clock.now(), self.regions.unit());
-        self.regions.links.borrow_mut()[self.link].ended(now, end, unit);
+        self.regions.links.borrow_mut()[self.link].complete(now, end, unit);
     }
 }
 
 impl Drop for Out {
     fn drop(&mut self) {
         if !self.ended {
-            self.regions.links.borrow_mut()[self.link].withdrawn();
+            self.regions.links.borrow_mut()[self.link].cancel();
         }
     }
 }
@@ -379,7 +383,7 @@
 pub struct RegionWatch {
     regions: Rc<Regions>,
     registry: Rc<Registry>,
-    spill: Spill,
+    spill: Spillover,
     /// The next look at the fleet; the earliest next offer, and whether one stands.
     next: Time,
     offer_at: Time,
@@ -400,7 +404,7 @@
             (false, false) => 1.0 - TRIED_AT_LEAST,
         };
         RegionWatch {
-            spill: Spill::new(regions.settings.rule.thresholds()),
+            spill: Spillover::new(regions.settings.rule.thresholds()),
             regions,
             registry,
             next: Time(0),
@@ -432,24 +436,25 @@
         let demand: f64 = seen.demand.iter().sum();
         // Before any was served nothing speaks against the fleet.
         let able = if seen.able.is_finite() { seen.able } else { demand };
-        if let Some(Look { from, to, covered }) = self.spill.look(now, Capacity { able, demand }) {
+        let fleet = FleetCapacity { capacity_per_s: able, demand_per_s: demand };
+        if let Some(Transition { from, to, coverage }) = self.spill.observe(now, fleet) {
             tracing::info!(
-                "region: {} after {}: backends can do {able:.0} of {demand:.0} a second ({covered:.2})",
+                "region: {} after {}: backends can do {able:.0} of {demand:.0} a second ({coverage:.2})",
                 to.name(),
                 from.name()
             );
         }
         let (switch, percent) = self.regions.switch.get();
         let exercise = if switch == SwitchKey::Now { f64::from(percent) / 100.0 } else { 0.0 };
-        let now_open = self.spill.open(now, switch.switch());
+        let now_open = self.spill.open_fraction(now, switch.switch());
         if now_open > 0.0 || open > 0.0 {
             self.shortfall(&seen, exercise);
             let wants: Vec<f64> = self.at_once.iter().zip(&seen.demand).map(|(part, d)| part * d).collect();
             for link in self.regions.links.borrow_mut().iter_mut() {
-                link.expect(wants.iter().copied());
+                link.expect_demand(wants.iter().copied());
             }
         }
-        let reachable = self.regions.links.borrow().iter().any(|l| l.paused(now).is_none());
+        let reachable = self.regions.links.borrow().iter().any(|l| l.backoff_until(now).is_none());
         self.registry.elsewhere.set(now_open > 0.0 && reachable);
         self.publish(now);
         now_open
@@ -460,22 +465,23 @@
         let mut links = regions.links.borrow_mut();
         let inbound = regions.inbound.borrow();
         let others = links.iter_mut().zip(inbound.iter()).map(|(link, inbound)| {
-            let (f, [in_flight, per_s]) = (link.figures(), link.used(now));
+            let (f, LinkUsage { in_flight, per_s }) = (link.counters(), link.usage(now));
+            let pair = |usage: Usage| (usage.used, usage.limit);
             OtherView {
                 name: link.name().into(),
-                in_flight,
-                per_s,
+                in_flight: pair(in_flight),
+                per_s: pair(per_s),
                 sent: f.sent,
-                ran: f.ran,
-                not_run: f.not_run,
-                may_have_run: f.may_have_run,
-                barred: f.barred,
-                too_late: f.too_late,
+                ran: f.executed,
+                not_run: f.not_executed,
+                may_have_run: f.indeterminate,
+                barred: f.ineligible,
+                too_late: f.deadline_too_short,
                 over_budget: f.over_budget,
                 backed_off: f.backed_off,
-                trip_us: link.trip(now).0,
-                paused_until_us: link.paused(now).map(|t| t.0),
-                taken_in_flight: inbound.budget.in_flight(),
+                trip_us: link.hop_overhead(now).0,
+                paused_until_us: link.backoff_until(now).map(|t| t.0),
+                taken_in_flight: pair(inbound.budget.in_flight()),
                 taken: inbound.taken,
                 refused: inbound.refused,
             }
@@ -484,7 +490,7 @@
             name: regions.settings.name.clone(),
             state: self.spill.state().name().into(),
             since_us: self.spill.since().0,
-            covered: self.spill.covered().min(9.99),
+            covered: self.spill.coverage().min(9.99),
             switch: regions.switch.get().0.name().into(),
             certificate_end_us: regions.identity.borrow().ends.0,
             keys_taken: regions.keys.borrow().generation,
@@ -501,7 +507,7 @@
 impl Subsystem for RegionWatch {
     fn turn(&mut self, now: Time, module: &Balancer, events: &mut Vec<Event>) {
         let switch = self.regions.switch.get().0.switch();
-        let mut open = self.spill.open(now, switch);
+        let mut open = self.spill.open_fraction(now, switch);
         if now >= self.next {
             self.next = now + LOOK;
             open = self.look(now, module, open);
@@ -519,12 +525,12 @@
         self.offer_at = now + self.tick;
         let mut links = self.regions.links.borrow_mut();
         let room =
-            |class: usize, links: &mut [Link]| links.iter_mut().map(|l| l.room(now, class, open)).sum();
+            |class: usize, links: &mut [Link]| links.iter_mut().map(|l| l.available(now, class, open)).sum();
         let rooms: Vec<u32> = (0..self.worth.len()).map(|class| room(class, &mut links)).collect();
         // The first that has room is the first that is asked.
         let trips = links.iter_mut().filter_map(|l| {
-            let any = (0..self.worth.len()).any(|class| l.room(now, class, open) > 0);
-            any.then(|| l.trip(now))
+            let any = (0..self.worth.len()).any(|class| l.available(now, class, open) > 0);
+            any.then(|| l.hop_overhead(now))
         });
         let trip = trips.min().unwrap_or_default();
         // While returning ever less is kept from the backends here; the rest is what the module cannot hold.
@@ -537,17 +543,14 @@
     fn place(&mut self, now: Time, leaving: Leaving) -> Option<Local<Ended>> {
         let body = client::body_of(leaving.call)?;
         let switch = self.regions.switch.get().0.switch();
-        let (open, left) = (self.spill.open(now, switch), leaving.deadline - now);
+        let (open, left) = (self.spill.open_fraction(now, switch), leaving.deadline - now);
         let regions = self.regions.clone();
-        let (link, path, told): (usize, Path, Micros) = {
+        let request =
+            HopRequest { class: leaving.class.0, remaining: left, via: leaving.hop, open_fraction: open };
+        let (link, Hop { via, remaining }) = {
             let mut links = regions.links.borrow_mut();
             let tried = links.iter_mut().enumerate().filter(|(i, _)| regions.peers[*i].is_some());
-            tried
-                .filter_map(|(i, l)| {
-                    l.leave(now, leaving.class.0, left, leaving.hop, open).ok().map(|ok| (i, ok))
-                })
-                .map(|(i, (path, told))| (i, path, told))
-                .next()?
+            tried.filter_map(|(i, l)| l.start_hop(now, request).ok().map(|hop| (i, hop))).next()?
         };
         // What was taken here is given back by the end of the hop, whatever ends it.
         let mut out = Out { regions: regions.clone(), link, ended: false };
@@ -556,10 +559,12 @@
         // that leaves.
         let until = Time(leaving.deadline.0.saturating_sub(self.tick.0));
         Some(Box::pin(async move {
-            let Some(peer) = &regions.peers[link] else { return Ended::from(Fate::NotRun.outcome()) };
-            let (end, answer) = peer.hop(&call, body, &path, told, until).await;
+            let Some(peer) = &regions.peers[link] else {
+                return Ended::from(RemoteOutcome::NotExecuted.attempt_outcome());
+            };
+            let (end, answer) = peer.hop(&call, body, &via, remaining, until).await;
             out.end(end);
-            Ended { outcome: end.fate.outcome(), answer: answer.map(|a| a.map(Payload::Whole)) }
+            Ended { outcome: end.outcome.attempt_outcome(), answer: answer.map(|a| a.map(Payload::Whole)) }
         }))
     }
 
--- a/crates/gaugesaddle/src/region/settings.rs
+++ b/crates/gaugesaddle/src/region/settings.rs
@@ -1,7 +1,7 @@
 //! `[region]` of the operator's file: this region, the rule, and the others with their budgets.
 
 use gaugesaddle_balancer::Micros;
-use gaugesaddle_federation::{valid_name, Switch, Thresholds, MOST_HOPS, MOST_REGIONS};
+use gaugesaddle_federation::{is_valid_name, SpilloverMode, SpilloverThresholds, MAX_HOPS, MAX_REGIONS};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -81,11 +81,11 @@
 
 impl SwitchKey {
     /// For the decisions.
-    pub fn switch(self) -> Switch {
+    pub fn switch(self) -> SpilloverMode {
         match self {
-            SwitchKey::Auto => Switch::Auto,
-            SwitchKey::Never => Switch::Never,
-            SwitchKey::Now => Switch::Now,
+            SwitchKey::Auto => SpilloverMode::Auto,
+            SwitchKey::Never => SpilloverMode::Never,
+            SwitchKey::Now => SpilloverMode::Now,
         }
     }
 
@@ -119,30 +119,30 @@
 
 impl Default for Rule {
     fn default() -> Rule {
-        let t = Thresholds::default();
+        let t = SpilloverThresholds::default();
         let ms = |span: Micros| (span.0 / 1000) as u32;
         Rule {
-            short_below_percent: (t.low * 100.0) as u32,
-            enough_from_percent: (t.high * 100.0) as u32,
-            enter_ms: ms(t.enter),
-            leave_ms: ms(t.leave),
-            relapse_ms: ms(t.relapse),
-            return_ms: ms(t.back),
+            short_below_percent: (t.low_coverage * 100.0) as u32,
+            enough_from_percent: (t.high_coverage * 100.0) as u32,
+            enter_ms: ms(t.enter_after),
+            leave_ms: ms(t.leave_after),
+            relapse_ms: ms(t.relapse_after),
+            return_ms: ms(t.return_duration),
         }
     }
 }
 
 impl Rule {
     /// For the decisions.
-    pub fn thresholds(self) -> Thresholds {
+    pub fn thresholds(self) -> SpilloverThresholds {
         let ms = |n: u32| Micros(u64::from(n) * 1000);
-        Thresholds {
-            low: f64::from(self.short_below_percent) / 100.0,
-            high: f64::from(self.enough_from_percent) / 100.0,
-            enter: ms(self.enter_ms),
-            leave: ms(self.leave_ms),
-            relapse: ms(self.relapse_ms),
-            back: ms(self.return_ms),
+        SpilloverThresholds {
+            low_coverage: f64::from(self.short_below_percent) / 100.0,
+            high_coverage: f64::from(self.enough_from_percent) / 100.0,
+            enter_after: ms(self.enter_ms),
+            leave_after: ms(self.leave_ms),
+            relapse_after: ms(self.relapse_ms),
+            return_duration: ms(self.return_ms),
         }
     }
 }
@@ -221,7 +221,7 @@
             false => flaw(key, format!("expected {least} to {most}, got {value}")),
         };
         within("exercise_percent", self.exercise_percent, 0, 100)?;
-        within("hops", self.hops, 1, u32::from(MOST_HOPS))?;
+        within("hops", self.hops, 1, u32::from(MAX_HOPS))?;
         within("margin_ms", self.margin_ms, 0, 1000)?;
         within("drain_s", self.drain_s, 1, 3600)?;
         within("connections", self.connections, 1, 1024)?;
@@ -249,7 +249,7 @@
     fn check_names(&self) -> Result<(), (String, String)> {
         let flaw = |key: &str, expected: String| Err((format!("region.{key}"), expected));
         const NAME: &str = "expected up to 32 lower-case letters, digits and inner hyphens";
-        if !valid_name(&self.name) {
+        if !is_valid_name(&self.name) {
             return flaw("name", format!("{NAME}, got {:?}", self.name));
         }
         for (key, path) in [("certificate", &self.certificate), ("key", &self.key), ("trust", &self.trust)] {
@@ -257,15 +257,15 @@
                 return flaw(key, format!("expected an absolute path, got {path:?}"));
             }
         }
-        if !(1..MOST_REGIONS).contains(&self.other.len()) {
+        if !(1..MAX_REGIONS).contains(&self.other.len()) {
             let got = self.other.len();
-            return flaw("other", format!("expected 1 to {} other regions, got {got}", MOST_REGIONS - 1));
+            return flaw("other", format!("expected 1 to {} other regions, got {got}", MAX_REGIONS - 1));
         }
         let (mut names, mut addresses) = (BTreeSet::new(), BTreeSet::new());
         let mut certificates = BTreeSet::from([self.own_certificate_name()]);
         for (i, other) in self.other.iter().enumerate() {
             let key = |name: &str| format!("other.{i}.{name}");
-            if !valid_name(&other.name) {
+            if !is_valid_name(&other.name) {
                 return flaw(&key("name"), format!("{NAME}, got {:?}", other.name));
             }
             if other.name == self.name {
--- a/crates/gaugesaddle/src/region/tls.rs
+++ b/crates/gaugesaddle/src/region/tls.rs
@@ -2,7 +2,7 @@
 
 use super::settings::{Other, Region};
 use gaugesaddle_balancer::Time;
-use gaugesaddle_federation::keys::{judge, Seen, Unfit};
+use gaugesaddle_federation::credentials::{check, CredentialError, CredentialFacts};
 use rustls::client::Resumption;
 use rustls::crypto::{ring, CryptoProvider};
 use rustls::pki_types::pem::PemObject;
@@ -45,7 +45,7 @@
     },
     /// Each file is sound, and together they are not.
     #[error("region.{0}")]
-    Unfit(Unfit),
+    Unfit(CredentialError),
     /// The library would not have it.
     #[error("region.{key}: {source}")]
     Library {
@@ -152,15 +152,17 @@
         let us = |seconds: i64| Time(u64::try_from(seconds).unwrap_or(0).saturating_mul(1_000_000));
         (us(c.validity().not_before.timestamp()), us(c.validity().not_after.timestamp()))
     });
-    let seen = Seen {
-        valid: times.unwrap_or_default(),
-        pair: certified.keys_match().is_ok(),
-        mode,
-        own_name: chain.first().is_some_and(|c| is_for(c, own_name)),
-        chain: chain.len(),
+    let (valid_from, valid_until) = times.unwrap_or_default();
+    let facts = CredentialFacts {
+        valid_from,
+        valid_until,
+        key_matches: certified.keys_match().is_ok(),
+        key_mode: mode,
+        names_own_region: chain.first().is_some_and(|c| is_for(c, own_name)),
+        chain_length: chain.len(),
         anchors: anchors.len(),
     };
-    judge(now, &seen).map_err(KeyError::Unfit)?;
+    check(now, &facts).map_err(KeyError::Unfit)?;
     let mut roots = RootCertStore::empty();
     for anchor in anchors {
         roots.add(anchor).map_err(library("trust"))?;
@@ -186,7 +188,7 @@
     client.resumption = Resumption::disabled();
     server.alpn_protocols = vec![b"h2".to_vec()];
     client.alpn_protocols = vec![b"h2".to_vec()];
-    Ok(Identity { server: Arc::new(server), client: Arc::new(client), ends: seen.valid.1 })
+    Ok(Identity { server: Arc::new(server), client: Arc::new(client), ends: facts.valid_until })
 }
 
 #[cfg(test)]
--- a/crates/gaugesaddle/src/region/tls/tests.rs
+++ b/crates/gaugesaddle/src/region/tls/tests.rs
@@ -20,7 +20,7 @@
     assert!(try_all(keys.certificate.as_bytes(), keys.key.as_bytes(), authority.pem.as_bytes(), now).is_ok());
     assert!(matches!(
         try_all(keys.certificate.as_bytes(), keys.key.as_bytes(), authority.pem.as_bytes(), YEAR_2030),
-        Err(KeyError::Unfit(Unfit::Expired))
+        Err(KeyError::Unfit(CredentialError::Expired))
     ));
     let sound = [&keys.certificate, &keys.key, &authority.pem, &wrong.certificate, &wrong.key];
     let secret: Vec<&str> = keys.key.lines().filter(|l| l.len() > 30).collect();
--- a/crates/gaugesaddle/src/seam.rs
+++ b/crates/gaugesaddle/src/seam.rs
@@ -13,7 +13,7 @@
     pub call: &'a Rc<Call>,
     pub deadline: Time,
     /// Through which regions it came here.
-    pub hop: Option<&'a gaugesaddle_federation::Path>,
+    pub hop: Option<&'a gaugesaddle_federation::Via>,
 }
 
 /// A part of the proxy that can be switched on alone.
--- a/crates/gaugesaddle/src/server.rs
+++ b/crates/gaugesaddle/src/server.rs
@@ -9,7 +9,7 @@
 use crate::tap::{Socket, Tap};
 use bytes::{Bytes, BytesMut};
 use gaugesaddle_balancer::{Micros, RequestId, Time};
-use gaugesaddle_federation::Path;
+use gaugesaddle_federation::Via;
 use gaugesaddle_maintenance::{IDLE_CLOSE_DELAY, LISTEN_AFTER_STOP};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -510,7 +510,7 @@
     /// Gives a whole request to the driver and waits for its one answer; dropped before that, its client has gone.
     /// `source`: whose it is where the request doesn't say; `hop`: through which regions it came.
     pub async fn carry(
-        &self, form: Form, mut head: Parts, mut body: CallBody, source: u64, hop: Option<Path>,
+        &self, form: Form, mut head: Parts, mut body: CallBody, source: u64, hop: Option<Via>,
     ) -> Result<Answer, Wrong> {
         if !self.ids.borrow_mut().insert(form.id.clone()) {
             return Err(open_already());
--- a/crates/gaugesaddle/src/shares.rs
+++ b/crates/gaugesaddle/src/shares.rs
@@ -7,7 +7,7 @@
 use crate::seam::Subsystem;
 use gaugesaddle_allocation::{Crowd, Dealer, Dealing, Law, LoanView, Look, Seen};
 use gaugesaddle_balancer::{Balancer, Event, ListUpdate, Micros, Standing, Time};
-use gaugesaddle_federation::{Share, Span};
+use gaugesaddle_federation::{EvenAllocation, WeightedAllocation};
 use serde::Deserialize;
 use std::rc::Rc;
 
@@ -150,8 +150,10 @@
                 events.push(Event::Uses(self.dealer.uses().to_vec()));
                 self.registry.living.set(tier.proxies);
                 let (before, part) = self.dealer.span();
-                let share = Share { proxies: tier.proxies, position: tier.position };
-                self.regions.iter().for_each(|r| r.deal(Span { before, part, share }));
+                let even = EvenAllocation { proxies: tier.proxies, position: tier.position };
+                self.regions
+                    .iter()
+                    .for_each(|r| r.deal(WeightedAllocation { preceding: before, fraction: part, even }));
                 ("by need", tier.share())
             }
         };
