--- a/crates/gaugesaddle-measure/src/tier/mod.rs
+++ b/crates/gaugesaddle-measure/src/tier/mod.rs
@@ -235,8 +235,8 @@
     let fuzz = strange(STRANGE, 1).map_err(io::Error::other);
     let (strange, strange_held) = match &fuzz {
         Ok(told) => (
-            json!({"tried": told.tried, "answered": told.answered, "garbled": told.counts.garbled,
-            "foreign": told.counts.foreign, "forged": told.counts.forged, "replayed": told.counts.replayed}),
+            json!({"tried": told.tried, "answered": told.answered, "garbled": told.counts.malformed,
+            "foreign": told.counts.misaddressed, "forged": told.counts.unauthenticated, "replayed": told.counts.replayed}),
             true,
         ),
         Err(e) => (json!({"failed": e.to_string()}), false),
--- a/crates/gaugesaddle-membership/src/health.rs
+++ b/crates/gaugesaddle-membership/src/health.rs
@@ -1,33 +1,34 @@
-//! How far this proxy trusts its own looks (Lifeguard's local health): one that is slow itself, or that nobody hears,
-//! asks slower and waits longer before it finds others silent.
+//! Local health multiplier (Lifeguard, section IV.A): a process that is slow itself, or whose datagrams get lost, probes
+//! less often and waits longer before it suspects others.
 
 use gaugesaddle_balancer::Micros;
 
-/// Waits grow up to so many times. More would keep a proxy that is well again slow for long.
-const WORST: u32 = 4;
+/// Highest multiplier of time-outs. A higher one would slow a process for long after it has recovered.
+const MAX_MULTIPLIER: u32 = 4;
 
-/// The multiplier.
+/// The local health score: 0 is healthy, at most `MAX_MULTIPLIER - 1`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Health(u32);
+pub struct LocalHealth(u32);
 
-impl Health {
-    /// A question was answered.
-    pub fn answered(&mut self) {
+impl LocalHealth {
+    /// A probe was acknowledged.
+    pub fn improve(&mut self) {
         self.0 = self.0.saturating_sub(1);
     }
 
-    /// A sign that the fault is here: no helper had our plea, we had to refute, we overslept.
-    pub fn doubted(&mut self) {
-        self.0 = (self.0 + 1).min(WORST - 1);
+    /// A sign that the fault is local: no helper received the ping request, a suspicion had to be refuted, or this
+    /// process stalled.
+    pub fn degrade(&mut self) {
+        self.0 = (self.0 + 1).min(MAX_MULTIPLIER - 1);
     }
 
-    /// A wait as this proxy should take it now.
-    pub fn stretch(self, span: Micros) -> Micros {
-        Micros(span.0 * u64::from(self.0 + 1))
+    /// A time-out multiplied for the current health.
+    pub fn scale(self, timeout: Micros) -> Micros {
+        Micros(timeout.0 * u64::from(self.multiplier()))
     }
 
-    /// 1 where all is well, up to 4.
-    pub fn factor(self) -> u32 {
+    /// The current multiplier, 1 to 4.
+    pub fn multiplier(self) -> u32 {
         self.0 + 1
     }
 }
--- a/crates/gaugesaddle-membership/src/lib.rs
+++ b/crates/gaugesaddle-membership/src/lib.rs
@@ -1,52 +1,123 @@
-//! Proxies that know one another: who lives, what each says of itself, and how sure a proxy may be of what it sees.
-//! Decisions without I/O, clock or threads: a host hands in datagrams and the time, and carries out [`Output`]s.
+//! SWIM gossip membership with Lifeguard's extensions, without I/O, clock or threads: which proxies of a tier are live,
+//! what each of them publishes, and how far this can be trusted. The host passes in datagrams and the time, and carries
+//! out each [`Output`].
 //!
-//! - [`Peers`] is one proxy's part of the tier. It asks the others (SWIM with suspicion, indirect questions and
-//!   Lifeguard's care for a proxy that is slow itself), tells what it heard, and publishes this proxy's record.
-//! - [`Held`] and [`Own`] are the core: what is held of another process and what this one is to itself.
-//! - [`View`] says what is seen and how sure that is; [`Shape`] tells a small tier from a torn one.
-//! - [`Record`] is what a proxy says of itself, unread here; [`Signals`] is the form that the proxy gives it, and
-//!   [`Totals`] the sum over the living with its age.
+//! Sources: Das, Gupta, Motivala, *SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol*
+//! (2002); Dadgar, Phillips, Currey, *Lifeguard: Local Health Awareness for More Accurate Failure Detection* (2018).
 //!
-//! **Promise.** Nothing that arrives makes it panic. A boot that was replaced never comes back, whatever is late,
-//! doubled or replayed: another boot counts only once it has answered a fresh question. A record never goes back.
+//! # Types
 //!
-//! **Under partition** each side finds the other dead and goes on; [`View::shape`] says that it may be the smaller
-//! side. After the heal every process refutes what was said of it, and both sides hold the same again. Nothing waits
-//! for an agreement. With some links cut and others not, a proxy that anybody reaches is reached through others.
+//! - [`Membership`] is one process's view of the tier. It owns the table of members, their records, the queue of updates
+//!   and all schedules. It is created from a [`TierConfig`], [`Settings`] and an [`Authenticator`].
+//! - [`KnownMember`] and [`LocalMember`] are the core rules: how updates and acknowledgements change the [`MemberState`]
+//!   of another member, and how this process refutes a wrong one. `tests/model.rs` checks them with a model checker.
+//! - [`View`] summarizes the membership; [`PartitionStatus`] tells a small tier from a partitioned one.
+//! - [`Record`] is what a member publishes, opaque to the protocol; [`Signals`] is its content, and [`Totals`] the sum
+//!   over the live members with the age of its inputs.
+//! - [`wire`] is the datagram format.
 //!
-//! **A paused process** finds its waits put off by the pause, so it calls nobody dead for it. What came in meanwhile
-//! counts as old as the pause. [`View::awake`] says how long ago that was; it refutes that it was found dead.
+//! # Example
 //!
-//! **Bounds.** A slot for each place of the told list, [`MOST_PEERS`] at most: one claim, one record of up to
-//! [`RECORD_BYTES`], one rumour, three open questions each. Datagrams of up to [`DATAGRAM_BYTES`]. What is sent:
-//! questions and answers at a flat rate, the rest within `bytes_per_s`; answers to others within a bucket.
+//! Two processes exchange datagrams until each has verified the other:
 //!
-//! Times are of the host's monotonic clock; no two machines' clocks are compared. Not covered: tiers whose told lists
-//! differ in order, more than one datagram for a record, encryption (the tag only keeps strangers out), and which of
-//! two living processes with one place is the right one (they are told as contested).
+//! ```rust
+//! use gaugesaddle_balancer::{Micros, Time};
+//! use gaugesaddle_membership::{Authenticator, Boot, Membership, Output, Settings, TierConfig};
+//!
+//! let addresses: Vec<std::net::SocketAddr> =
+//!     vec!["127.0.0.1:7000".parse().unwrap(), "127.0.0.1:7001".parse().unwrap()];
+//! let start = |own_index: u16| {
+//!     let config = TierConfig {
+//!         addresses: addresses.clone(),
+//!         own_index,
+//!         broadcast_address: None,
+//!         name: format!("proxy-{own_index}"),
+//!         zone: "a".into(),
+//!     };
+//!     let boot = Boot(100 + u32::from(own_index));
+//!     Membership::new(Settings::default(), Authenticator::disabled(), config, boot, 1, Time(0)).unwrap()
+//! };
+//! let mut processes = [start(0), start(1)];
+//!
+//! let mut now = Time(0);
+//! while processes.iter().any(|process| process.live_members() != [0, 1]) {
+//!     now = now + Micros(10_000);
+//!     assert!(now < Time(10_000_000), "both are live within ten seconds");
+//!     for sender in 0..2 {
+//!         let mut outputs = Vec::new();
+//!         processes[sender].turn(now, &mut outputs);
+//!         while let Some(output) = outputs.pop() {
+//!             let Output::Send { bytes, .. } = output else { continue };
+//!             let mut replies = Vec::new();
+//!             processes[1 - sender].datagram(now, addresses[sender], &bytes, &mut replies);
+//!             for reply in replies {
+//!                 let Output::Send { bytes, .. } = reply else { continue };
+//!                 processes[sender].datagram(now, addresses[1 - sender], &bytes, &mut outputs);
+//!             }
+//!         }
+//!     }
+//! }
+//! ```
+//!
+//! # Guarantees
+//!
+//! - Nothing that arrives makes it panic.
+//! - A former process never becomes live again, whatever is delayed, duplicated or replayed: another process counts only
+//!   after it has acknowledged a new probe.
+//! - A record is never replaced by an older one.
+//!
+//! **During a partition** each side declares the other dead and continues; [`View::partition_status`] tells that this may
+//! be the smaller side. After the partition has healed, every process refutes what was disseminated about it, and both
+//! sides converge to the same statuses. Nothing waits for agreement. If only some links are broken, a process that any
+//! member reaches is probed through that member.
+//!
+//! **After a stall** of the own process its time-outs are postponed by the stall, so it declares nobody dead because of
+//! it, and what was received meanwhile counts as old as the stall. [`View::since_stall`] tells how long ago that was. If
+//! the others declared it dead, it refutes that.
+//!
+//! # Bounds
+//!
+//! One table entry for each configured member, at most [`MAX_MEMBERS`]: one status, one record of at most
+//! [`MAX_RECORD_BYTES`], one pending update and three open probes. Datagrams have at most [`MAX_DATAGRAM_BYTES`]. Probes
+//! and acknowledgements of live members are sent at a constant rate, everything else within [`Settings::bytes_per_s`],
+//! and replies within a token bucket.
+//!
+//! Times are those of the host's monotonic clock; clocks of two machines are never compared.
+//!
+//! Not covered: tiers whose members have the addresses in a different order, records that exceed one datagram, encryption
+//! (the tag only excludes strangers), and which of two live processes at one index is the right one (they are reported
+//! by [`Output::IndexConflict`]).
 
-mod asking;
-mod claim;
+mod auth;
+mod config;
+mod counters;
+mod dissemination;
 mod health;
-mod hearing;
-mod peers;
+mod member;
+mod member_state;
+mod membership;
+mod output;
+mod rate_limit;
 mod records;
 mod replay;
-mod rumors;
-mod seal;
+mod schedule;
 mod settings;
 mod signals;
 mod suspicion;
-mod telling;
 mod view;
 pub mod wire;
 
-pub use claim::{Boot, Claim, Heard, Held, Own, Standing, MOST_INCARNATION};
-pub use peers::{Counts, Output, PeerView, Peers, Told, ToldError, Transition, Why};
+pub use auth::{Authenticator, KeyTooShort, MIN_KEY_BYTES};
+pub use config::{TierConfig, TierConfigError};
+pub use counters::Counters;
+pub use member::MemberView;
+pub use member_state::{
+    Boot, KnownMember, LocalMember, MemberState, MemberStatus, UpdateResult, MAX_INCARNATION,
+};
+pub use membership::Membership;
+pub use output::{Cause, Output, Transition};
 pub use records::Record;
-pub use seal::{Seal, LEAST_KEY_BYTES};
-pub use settings::{Settings, MOST_PEERS};
-pub use signals::{Signals, Totals, ZoneSignal, MOST_CLASSES, MOST_ZONES};
-pub use view::{Shape, View};
-pub use wire::{DATAGRAM_BYTES, NAME_BYTES, NOTE_BYTES, RECORD_BYTES};
+pub use settings::{Settings, MAX_MEMBERS};
+pub use signals::{Signals, Totals, ZoneSignal, MAX_CLASSES, MAX_ZONES};
+pub use view::{PartitionStatus, View};
+pub use wire::{MAX_DATAGRAM_BYTES, MAX_MESSAGE_BYTES, MAX_NAME_BYTES, MAX_RECORD_BYTES};
--- a/crates/gaugesaddle-membership/src/records.rs
+++ b/crates/gaugesaddle-membership/src/records.rs
@@ -1,68 +1,74 @@
-//! What each living proxy says of itself. The newest by boot and version stands; an older one never takes its place,
-//! and with its owner it goes. What it says is not read here.
+//! The newest record of each member. A record is an opaque payload that its owner publishes to all others. Records are
+//! ordered by version within one process of the owner; an older one never replaces a newer one. A record is removed when
+//! its owner is dead, departed, or another process.
 
-use crate::claim::Boot;
+use crate::member_state::Boot;
 use gaugesaddle_balancer::{Micros, Time};
 
-/// One proxy's word.
+/// A member's published record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Of which of its processes.
+    /// The process that published it.
     pub boot: Boot,
-    /// Newer ones are higher.
+    /// Higher versions of one process are newer.
     pub version: u32,
-    /// What it says.
+    /// The payload, at most [`crate::MAX_RECORD_BYTES`].
     pub body: Vec<u8>,
-    taken: Time,
-    old: Micros,
+    received_at: Time,
+    age_when_received: Micros,
 }
 
 impl Record {
-    /// How long ago it was said, at least: the last way here is not counted.
+    /// A lower bound of the time since it was published: the transit time of the last hop is not included.
     pub fn age(&self, now: Time) -> Micros {
-        Micros((now - self.taken).0.saturating_add(self.old.0))
+        Micros((now - self.received_at).0.saturating_add(self.age_when_received.0))
     }
 }
 
 #[derive(Clone, Debug, Default)]
 struct Slot {
     record: Option<Record>,
-    /// The newest that ever stood: it outlasts the record, or an old one could come in after it was dropped.
+    /// Process and version of the newest record so far. It outlasts the record: otherwise an older one could be inserted
+    /// after a removal.
     newest: Option<(Boot, u32)>,
 }
 
-/// A slot for each place of the told list, and no more.
+/// One slot for each configured member; the table does not grow.
 #[derive(Clone, Debug)]
 pub struct Records(Vec<Slot>);
 
 impl Records {
-    /// None yet of so many places.
-    pub fn new(places: usize) -> Records {
-        Records(vec![Slot::default(); places])
+    /// An empty table for `members` members.
+    pub fn new(members: usize) -> Records {
+        Records(vec![Slot::default(); members])
     }
 
-    /// Takes one in; `false` where it is not newer. Whether its boot is the present one, the caller has seen to.
-    pub fn take(&mut self, now: Time, place: u16, word: (Boot, u32), old: Micros, body: &[u8]) -> bool {
-        let Some(slot) = self.0.get_mut(usize::from(place)) else { return false };
-        let (boot, version) = word;
-        if slot.newest.is_some_and(|(b, v)| b == boot && v >= version) {
+    /// Inserts the record of process `boot` with `version`; `age` is its age on arrival. Returns `false` if it is not
+    /// newer, or if there is no such index. The caller checks that `boot` is the member's current process.
+    pub fn insert(
+        &mut self, now: Time, index: u16, (boot, version): (Boot, u32), age: Micros, body: &[u8],
+    ) -> bool {
+        let Some(slot) = self.0.get_mut(usize::from(index)) else { return false };
+        let is_older = |(newest_boot, newest_version)| newest_boot == boot && newest_version >= version;
+        if slot.newest.is_some_and(is_older) {
             return false;
         }
-        slot.newest = Some(word);
-        slot.record = Some(Record { boot, version, body: body.to_vec(), taken: now, old });
+        slot.newest = Some((boot, version));
+        slot.record =
+            Some(Record { boot, version, body: body.to_vec(), received_at: now, age_when_received: age });
         true
     }
 
-    /// Its owner is dead, gone or another process.
-    pub fn drop(&mut self, place: u16) {
-        if let Some(slot) = self.0.get_mut(usize::from(place)) {
+    /// Removes the record of a member that is dead, departed or another process.
+    pub fn remove(&mut self, index: u16) {
+        if let Some(slot) = self.0.get_mut(usize::from(index)) {
             slot.record = None;
         }
     }
 
-    /// The one of a place.
-    pub fn get(&self, place: u16) -> Option<&Record> {
-        self.0.get(usize::from(place))?.record.as_ref()
+    /// The record of a member.
+    pub fn get(&self, index: u16) -> Option<&Record> {
+        self.0.get(usize::from(index))?.record.as_ref()
     }
 }
 
--- a/crates/gaugesaddle-membership/src/replay.rs
+++ b/crates/gaugesaddle-membership/src/replay.rs
@@ -1,31 +1,31 @@
-//! Which datagrams of a process were here: each counts once, late ones too as long as they are not too late.
+//! Replay protection: each datagram of a process counts once. Reordered datagrams are accepted within a window.
 
-/// Datagrams behind the newest that may still come: what a network reorders within a second of the fastest sender.
-const BEHIND: u64 = 128;
+/// Counters behind the newest that are still accepted: what a network reorders within a second of the fastest sender.
+const WINDOW_SIZE: u64 = 128;
 
-/// What is known of one process's counters.
+/// The counters received from one process, as a sliding window (as in RFC 4303, section 3.4.3).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Window {
+pub struct ReplayWindow {
     newest: u64,
-    /// Bit n: the one n behind the newest was here.
-    seen: u128,
+    /// Bit n is set if the counter `newest - n` has been received.
+    received: u128,
 }
 
-impl Window {
-    /// Whether this one is new; from now on it is not.
-    pub fn fresh(&mut self, counter: u64) -> bool {
+impl ReplayWindow {
+    /// Records a counter. Returns `false` if it was recorded before or lies behind the window.
+    pub fn accept(&mut self, counter: u64) -> bool {
         if counter > self.newest {
-            let on = counter - self.newest;
-            self.seen = if on < BEHIND { self.seen << on } else { 0 };
-            self.seen |= 1;
+            let advance = counter - self.newest;
+            self.received = if advance < WINDOW_SIZE { self.received << advance } else { 0 };
+            self.received |= 1;
             self.newest = counter;
             return true;
         }
         let behind = self.newest - counter;
-        if behind >= BEHIND || self.seen >> behind & 1 == 1 {
+        if behind >= WINDOW_SIZE || self.received >> behind & 1 == 1 {
             return false;
         }
-        self.seen |= 1 << behind;
+        self.received |= 1 << behind;
         true
     }
 }
--- a/crates/gaugesaddle-membership/src/replay/tests.rs
+++ b/crates/gaugesaddle-membership/src/replay/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
 #[test]
-fn each_counts_once_in_any_order() {
-    let mut window = Window::default();
-    assert!([5, 3, 4, 9, 1].into_iter().all(|n| window.fresh(n)));
-    assert!(![5, 3, 4, 9, 1].into_iter().any(|n| window.fresh(n)));
-    assert!(window.fresh(9 + BEHIND - 1));
-    assert!(window.fresh(10) && !window.fresh(9), "9 was here, and is too late now");
-    assert!(window.fresh(10_000) && !window.fresh(10_000 - BEHIND));
-    assert!(window.fresh(u64::MAX) && !window.fresh(u64::MAX));
+fn each_counter_is_accepted_once_in_any_order() {
+    let mut window = ReplayWindow::default();
+    assert!([5, 3, 4, 9, 1].into_iter().all(|n| window.accept(n)));
+    assert!(![5, 3, 4, 9, 1].into_iter().any(|n| window.accept(n)));
+    assert!(window.accept(9 + WINDOW_SIZE - 1));
+    assert!(window.accept(10) && !window.accept(9), "9 was received, and is behind the window now");
+    assert!(window.accept(10_000) && !window.accept(10_000 - WINDOW_SIZE));
+    assert!(window.accept(u64::MAX) && !window.accept(u64::MAX));
 }
--- a/crates/gaugesaddle-membership/src/settings.rs
+++ b/crates/gaugesaddle-membership/src/settings.rs
@@ -1,79 +1,87 @@
-//! What an operator may set, with its reasons.
+//! Times and budgets of the protocol, with the reasons for their defaults.
 
 use gaugesaddle_balancer::{ConfigError, Micros};
 
-/// Places in a tier: what a datagram's two bytes and a table of this size can hold with room to spare.
-pub const MOST_PEERS: usize = 4096;
+/// Most members of a tier: indices fit two bytes, and every process has a table of this size.
+pub const MAX_MEMBERS: usize = 4096;
 
-/// The times and budgets of a tier. All proxies should have the same; they need not.
+/// Times and budgets. All proxies of a tier should have the same; the protocol does not depend on it. The comment of each
+/// field names its key in the operator's file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// One other proxy is asked each time that this has passed.
-    pub probe: Micros,
-    /// Without an answer for so long, others are asked to ask.
-    pub answer: Micros,
-    /// So many others.
-    pub indirect: u32,
-    /// A suspect has this time to object where several found it silent ...
-    pub suspect_least: Micros,
-    /// ... and this where only one did.
-    pub suspect_most: Micros,
-    /// The own record goes to each other proxy no more often than this.
-    pub publish: Micros,
-    /// What records and attempts at lost proxies may take together; questions and answers come on top, a flat rate.
+    /// Interval of the probes of live members (`probe_ms`).
+    pub probe_interval: Micros,
+    /// Wait for the direct acknowledgement, before other members are requested to probe (`answer_ms`).
+    pub ack_timeout: Micros,
+    /// Members that are requested to probe (`indirect`).
+    pub indirect_probes: u32,
+    /// Time-out of a suspicion that several members raised (`suspect_least_ms`).
+    pub min_suspicion: Micros,
+    /// Time-out of a suspicion that only one member raised (`suspect_most_ms`).
+    pub max_suspicion: Micros,
+    /// The local record is sent to each other member at most once in this time (`publish_ms`).
+    pub publish_interval: Micros,
+    /// Bytes a second for records, pending updates and probes of lost members together. Probes and acknowledgements of
+    /// live members come on top, at a constant rate.
     pub bytes_per_s: u32,
-    /// A lost proxy is tried again by each other one at least this often.
-    pub retry: Micros,
-    /// One that is dead or has left is forgotten after this time: it counts as never met.
-    pub forget: Micros,
+    /// Each lost member is probed at least once in this time (`retry_ms`).
+    pub reconnect_interval: Micros,
+    /// A dead or departed member is forgotten after this time and counts as unknown again (`forget_s`).
+    pub retention: Micros,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
-        // Five questions a second, a flat 0.5 kB: of 300 proxies half are killed at once and 95 in 100 of these deaths
-        // are known within 3 s (virtual time; with four a second it took 3.05 s). 100 ms are some twenty turns of a busy
-        // proxy. Three helpers: one of them is reached at 50% loss both ways more often than not. 0.8 s: at 300 proxies
-        // and 30% loss nearly nobody is held dead wrongly; 2.4 s where nobody else saw it, three times that. Half a
-        // second: what decides by records looks no more often. 12 kB: with the flat rate under 16 kB, a record of 40
-        // bytes reaches 299 others every two seconds. Ten minutes outlast a restart of a machine.
         Settings {
-            probe: Micros(200_000),
-            answer: Micros(100_000),
-            indirect: 3,
-            suspect_least: Micros(800_000),
-            suspect_most: Micros(2_400_000),
-            publish: Micros(500_000),
+            // Five probes a second, a constant 0.5 kB/s. Of 300 proxies half are killed at once: 95 in 100 of these
+            // deaths are known within 3 s (virtual time; with four probes a second it took 3.05 s).
+            probe_interval: Micros(200_000),
+            // Some twenty turns of a busy proxy.
+            ack_timeout: Micros(100_000),
+            // With 50% loss both ways one of three helpers succeeds more often than not.
+            indirect_probes: 3,
+            // With 300 proxies and 30% loss, hardly any live member is declared dead.
+            min_suspicion: Micros(800_000),
+            // Three times the minimum, where no other member confirms.
+            max_suspicion: Micros(2_400_000),
+            // Consumers of the records evaluate them no more often.
+            publish_interval: Micros(500_000),
+            // With the constant rate below 16 kB/s; a record of 40 bytes reaches 299 others every two seconds.
             bytes_per_s: 12_000,
-            retry: Micros(5_000_000),
-            forget: Micros(600_000_000),
+            reconnect_interval: Micros(5_000_000),
+            // Longer than the restart of a machine.
+            retention: Micros(600_000_000),
         }
     }
 }
 
 impl Settings {
-    /// The first one that is out of its range.
+    /// Checks all ranges.
+    ///
+    /// # Errors
+    /// The first field that is out of its range, by its key in the operator's file.
     pub fn check(&self) -> Result<(), ConfigError> {
-        let ms = |span: Micros, least: u64, most: u64| (least * 1000..=most * 1000).contains(&span.0);
-        let tests = [
-            (ms(self.probe, 50, 10_000), "probe_ms", "50 to 10000"),
+        let in_ms = |value: Micros, min: u64, max: u64| (min * 1000..=max * 1000).contains(&value.0);
+        let checks = [
+            (in_ms(self.probe_interval, 50, 10_000), "probe_ms", "50 to 10000"),
             (
-                ms(self.answer, 10, 5000) && self.answer < self.probe,
+                in_ms(self.ack_timeout, 10, 5000) && self.ack_timeout < self.probe_interval,
                 "answer_ms",
                 "10 to 5000, below probe_ms",
             ),
-            (self.indirect <= 8, "indirect", "0 to 8"),
-            (ms(self.suspect_least, 100, 60_000), "suspect_least_ms", "100 to 60000"),
+            (self.indirect_probes <= 8, "indirect", "0 to 8"),
+            (in_ms(self.min_suspicion, 100, 60_000), "suspect_least_ms", "100 to 60000"),
             (
-                ms(self.suspect_most, 100, 60_000) && self.suspect_least <= self.suspect_most,
+                in_ms(self.max_suspicion, 100, 60_000) && self.min_suspicion <= self.max_suspicion,
                 "suspect_most_ms",
                 "suspect_least_ms to 60000",
             ),
-            (ms(self.publish, 100, 60_000), "publish_ms", "100 to 60000"),
+            (in_ms(self.publish_interval, 100, 60_000), "publish_ms", "100 to 60000"),
             ((1000..=1_000_000).contains(&self.bytes_per_s), "bytes_per_s", "1000 to 1000000"),
-            (ms(self.retry, 250, 60_000), "retry_ms", "250 to 60000"),
-            (ms(self.forget, 10_000, 86_400_000), "forget_s", "10 to 86400"),
+            (in_ms(self.reconnect_interval, 250, 60_000), "retry_ms", "250 to 60000"),
+            (in_ms(self.retention, 10_000, 86_400_000), "forget_s", "10 to 86400"),
         ];
-        match tests.into_iter().find(|t| !t.0) {
+        match checks.into_iter().find(|(in_range, _, _)| !in_range) {
             Some((_, field, expected)) => Err(ConfigError { field, expected }),
             None => Ok(()),
         }
--- a/crates/gaugesaddle-membership/src/signals.rs
+++ b/crates/gaugesaddle-membership/src/signals.rs
@@ -1,145 +1,174 @@
-//! The record that a proxy publishes: what comes to it, what it holds and gives up, and what it finds of each zone's
-//! backends. Figures travel as logarithms in two bytes, right to a thousandth; classes and zones by their order in the
-//! settings, which all proxies share.
+//! The record that a proxy publishes: its arrivals, its requests in flight, and what it observes of the backends of each
+//! zone. Values are sent as logarithms in two bytes, exact to a thousandth; classes and zones are identified by their
+//! order in the settings, which all proxies share.
 
 use crate::records::Record;
-use crate::wire::RECORD_BYTES;
+use crate::wire::MAX_RECORD_BYTES;
 use gaugesaddle_balancer::{Micros, Time};
 
-/// The first byte of a record in this form.
-pub const FORM: u8 = 2;
-/// Classes that a record has room for.
-pub const MOST_CLASSES: usize = 16;
-/// Zones that a record has room for.
-pub const MOST_ZONES: usize = 8;
+/// Version of the format: the first byte of the record.
+pub const FORMAT_VERSION: u8 = 2;
+/// Most request classes in a record.
+pub const MAX_CLASSES: usize = 16;
+/// Most zones in a record.
+pub const MAX_ZONES: usize = 8;
 
-// form, two counts; held, given up and need; two bytes a class; four figures a zone.
-const _: () = assert!(3 + 6 + 2 * MOST_CLASSES + 8 * MOST_ZONES <= RECORD_BYTES);
+/// Format version, number of classes, number of zones.
+const HEADER_BYTES: usize = 3;
+// The header; in flight, rejected and demand; two bytes for each class; four values for each zone.
+const _: () = assert!(HEADER_BYTES + 6 + 2 * MAX_CLASSES + 8 * MAX_ZONES <= MAX_RECORD_BYTES);
 
-/// What one proxy finds of a zone's backends.
+/// Steps of the encoding for each doubling of a value.
+const STEPS_PER_DOUBLING: f64 = 1000.0;
+/// A higher demand is sent as this one: the highest code means that the demand is not known.
+const MAX_DEMAND_PER_S: f64 = 1e15;
+
+/// What one proxy observes of the backends of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ZoneSignal {
-    /// Backends of its list that may be sent to.
+    /// Backends that may receive requests.
     pub backends: f64,
-    /// Of these so many it finds ill.
-    pub ill: f64,
-    /// What those that are well can do, in requests a second.
-    pub can_per_s: f64,
-    /// So long some have been ill, in seconds; 0 where none is.
-    pub ill_for_s: f64,
+    /// Of these, unhealthy ones.
+    pub unhealthy: f64,
+    /// Capacity of the healthy ones, in requests per second.
+    pub capacity_per_s: f64,
+    /// For how long some have been unhealthy, in seconds; 0 if none is.
+    pub unhealthy_for_s: f64,
 }
 
-/// What one proxy says.
+/// The load signals of one proxy.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Signals {
-    /// Arrivals a second, by class.
-    pub arrivals: Vec<f64>,
-    /// Requests that are open.
-    pub held: f64,
-    /// Requests a second that it refuses or fails.
-    pub given_up: f64,
-    /// What its part goes by, in requests a second: it stands until it is off by more than chance. `None`: it does not
-    /// know yet.
-    pub need: Option<f64>,
+    /// Arrivals per second, by class.
+    pub arrivals_per_s: Vec<f64>,
+    /// Requests in flight.
+    pub in_flight: f64,
+    /// Requests per second that it rejects or fails.
+    pub rejected_per_s: f64,
+    /// The demand that its allocation is computed from, in requests per second. It changes only when it differs from the
+    /// arrivals by more than chance. `None` while it is not known.
+    pub demand_per_s: Option<f64>,
     /// By zone.
     pub zones: Vec<ZoneSignal>,
 }
 
-const STEPS: f64 = 1000.0;
-/// A need over this is told as this: the greatest code says that it is not known.
-const MOST_NEED: f64 = 1e15;
-
-fn put(out: &mut Vec<u8>, value: f64) {
-    let sound = if value.is_finite() { value.max(0.0) } else { 0.0 };
-    let code = ((1.0 + sound).log2() * STEPS).round().min(f64::from(u16::MAX)) as u16;
-    out.extend(code.to_be_bytes());
-}
-
-fn take(bytes: &mut &[u8]) -> Option<f64> {
-    let (head, rest) = bytes.split_at_checked(2)?;
-    *bytes = rest;
-    Some((f64::from(u16::from_be_bytes([head[0], head[1]])) / STEPS).exp2() - 1.0)
-}
-
 impl Signals {
-    /// As a record's body; classes and zones over the bound are left out.
+    /// Encodes a record. Classes beyond [`MAX_CLASSES`] and zones beyond [`MAX_ZONES`] are omitted.
     pub fn encode(&self) -> Vec<u8> {
-        let (classes, zones) = (self.arrivals.len().min(MOST_CLASSES), self.zones.len().min(MOST_ZONES));
-        let mut out = vec![FORM, classes as u8, zones as u8];
-        put(&mut out, self.held);
-        put(&mut out, self.given_up);
-        match self.need {
-            Some(need) => put(&mut out, need.min(MOST_NEED)),
+        let classes = self.arrivals_per_s.len().min(MAX_CLASSES);
+        let zones = self.zones.len().min(MAX_ZONES);
+        let mut out = vec![FORMAT_VERSION, classes as u8, zones as u8];
+        encode_value(&mut out, self.in_flight);
+        encode_value(&mut out, self.rejected_per_s);
+        match self.demand_per_s {
+            Some(demand) => encode_value(&mut out, demand.min(MAX_DEMAND_PER_S)),
             None => out.extend(u16::MAX.to_be_bytes()),
         }
-        self.arrivals[..classes].iter().for_each(|a| put(&mut out, *a));
-        for z in &self.zones[..zones] {
-            [z.backends, z.ill, z.can_per_s, z.ill_for_s].into_iter().for_each(|f| put(&mut out, f));
+        for rate in &self.arrivals_per_s[..classes] {
+            encode_value(&mut out, *rate);
+        }
+        for zone in &self.zones[..zones] {
+            encode_value(&mut out, zone.backends);
+            encode_value(&mut out, zone.unhealthy);
+            encode_value(&mut out, zone.capacity_per_s);
+            encode_value(&mut out, zone.unhealthy_for_s);
         }
         out
     }
 
-    /// From a record's body; `None` where it is of another form.
+    /// Decodes a record; `None` if it is truncated, too long or of another version.
     pub fn decode(body: &[u8]) -> Option<Signals> {
-        let (head, mut rest) = body.split_at_checked(3)?;
-        let (classes, zones) = (usize::from(head[1]), usize::from(head[2]));
-        if head[0] != FORM || classes > MOST_CLASSES || zones > MOST_ZONES {
+        let (header, mut rest) = body.split_at_checked(HEADER_BYTES)?;
+        let (classes, zones) = (usize::from(header[1]), usize::from(header[2]));
+        if header[0] != FORMAT_VERSION || classes > MAX_CLASSES || zones > MAX_ZONES {
             return None;
         }
-        let (held, given_up) = (take(&mut rest)?, take(&mut rest)?);
-        let need = take(&mut rest).map(|need| Some(need).filter(|n| *n <= 2.0 * MOST_NEED))?;
-        let arrivals = (0..classes).map(|_| take(&mut rest)).collect::<Option<_>>()?;
-        let mut zone = || {
-            Some(ZoneSignal {
-                backends: take(&mut rest)?,
-                ill: take(&mut rest)?,
-                can_per_s: take(&mut rest)?,
-                ill_for_s: take(&mut rest)?,
-            })
+        let mut signals = Signals {
+            in_flight: decode_value(&mut rest)?,
+            rejected_per_s: decode_value(&mut rest)?,
+            demand_per_s: Some(decode_value(&mut rest)?).filter(|demand| *demand <= 2.0 * MAX_DEMAND_PER_S),
+            arrivals_per_s: Vec::with_capacity(classes),
+            zones: Vec::with_capacity(zones),
         };
-        let zones = (0..zones).map(|_| zone()).collect::<Option<_>>()?;
-        rest.is_empty().then_some(Signals { arrivals, held, given_up, need, zones })
+        for _ in 0..classes {
+            signals.arrivals_per_s.push(decode_value(&mut rest)?);
+        }
+        for _ in 0..zones {
+            signals.zones.push(ZoneSignal {
+                backends: decode_value(&mut rest)?,
+                unhealthy: decode_value(&mut rest)?,
+                capacity_per_s: decode_value(&mut rest)?,
+                unhealthy_for_s: decode_value(&mut rest)?,
+            });
+        }
+        rest.is_empty().then_some(signals)
     }
 }
 
-/// The sum over the living, and how old it is.
+/// Two bytes: `log2(1 + value)` in steps. A value that is negative or not finite is sent as 0.
+fn encode_value(out: &mut Vec<u8>, value: f64) {
+    let valid = if value.is_finite() { value.max(0.0) } else { 0.0 };
+    let steps = ((1.0 + valid).log2() * STEPS_PER_DOUBLING).round();
+    let code = steps.min(f64::from(u16::MAX)) as u16;
+    out.extend(code.to_be_bytes());
+}
+
+fn decode_value(bytes: &mut &[u8]) -> Option<f64> {
+    let (head, rest) = bytes.split_at_checked(2)?;
+    *bytes = rest;
+    let code = u16::from_be_bytes([head[0], head[1]]);
+    Some((f64::from(code) / STEPS_PER_DOUBLING).exp2() - 1.0)
+}
+
+/// The sum of the signals of the live members, with the age of its inputs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Totals {
-    /// Living proxies.
-    pub living: usize,
-    /// Of these so many have a record that can be read.
-    pub told: usize,
-    /// Of these so many are older than was asked.
-    pub older: usize,
-    /// The oldest.
+    /// Live members.
+    pub live: usize,
+    /// Of these, members with a record that can be decoded.
+    pub reporting: usize,
+    /// Of these, members whose record is older than requested.
+    pub stale: usize,
+    /// Age of the oldest record.
     pub oldest: Micros,
-    /// Arrivals a second, by class.
-    pub arrivals: Vec<f64>,
-    /// Requests that are open.
-    pub held: f64,
-    /// Requests a second that are refused or failed.
-    pub given_up: f64,
+    /// Arrivals per second, by class.
+    pub arrivals_per_s: Vec<f64>,
+    /// Requests in flight.
+    pub in_flight: f64,
+    /// Requests per second that are rejected or failed.
+    pub rejected_per_s: f64,
 }
 
 impl Totals {
-    /// Adds up records of the living, with an eye on those older than `stale`.
-    pub fn of<'a>(now: Time, stale: Micros, records: impl Iterator<Item = Option<&'a Record>>) -> Totals {
+    /// Sums the records of the live members, one item for each, and counts those older than `stale_after`.
+    pub fn sum<'a>(
+        now: Time, stale_after: Micros, records: impl Iterator<Item = Option<&'a Record>>,
+    ) -> Totals {
         let mut totals = Totals::default();
         for record in records {
-            totals.living += 1;
-            let read = record.and_then(|r| Signals::decode(&r.body).map(|s| (r.age(now), s)));
-            let Some((age, signals)) = read else { continue };
-            totals.told += 1;
-            totals.older += usize::from(age > stale);
-            totals.oldest = totals.oldest.max(age);
-            totals.held += signals.held;
-            totals.given_up += signals.given_up;
-            let most = totals.arrivals.len().max(signals.arrivals.len());
-            totals.arrivals.resize(most, 0.0);
-            totals.arrivals.iter_mut().zip(&signals.arrivals).for_each(|(sum, a)| *sum += a);
+            totals.live += 1;
+            let Some(record) = record else { continue };
+            let Some(signals) = Signals::decode(&record.body) else { continue };
+            totals.add(record.age(now), stale_after, &signals);
         }
         totals
     }
+
+    fn add(&mut self, age: Micros, stale_after: Micros, signals: &Signals) {
+        self.reporting += 1;
+        if age > stale_after {
+            self.stale += 1;
+        }
+        self.oldest = self.oldest.max(age);
+        self.in_flight += signals.in_flight;
+        self.rejected_per_s += signals.rejected_per_s;
+        if self.arrivals_per_s.len() < signals.arrivals_per_s.len() {
+            self.arrivals_per_s.resize(signals.arrivals_per_s.len(), 0.0);
+        }
+        for (sum, rate) in self.arrivals_per_s.iter_mut().zip(&signals.arrivals_per_s) {
+            *sum += rate;
+        }
+    }
 }
 
 #[cfg(test)]
--- a/crates/gaugesaddle-membership/src/suspicion.rs
+++ b/crates/gaugesaddle-membership/src/suspicion.rs
@@ -1,59 +1,61 @@
-//! How long a suspect has to object: shorter, the more proxies found it silent by themselves (Lifeguard).
+//! The time-out of a suspicion (Lifeguard, section IV.B): the more members suspect independently, the shorter it gets.
 
 use crate::settings::Settings;
 use gaugesaddle_balancer::{Micros, Time};
 
-/// Others beside the first whose finding shortens the time; with them it is at its least.
-pub const CONFIRMERS: usize = 3;
+/// Confirmations, beside the first suspicion, that shorten the time-out to its minimum.
+pub const MAX_CONFIRMATIONS: usize = 3;
 
-/// A suspicion that runs.
+/// A suspicion that has not timed out yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Suspicion {
-    began: Time,
-    /// Who found it silent, each once; at most one more than [`CONFIRMERS`].
-    by: Vec<u16>,
+    started_at: Time,
+    /// The members that suspect, each once; at most `MAX_CONFIRMATIONS + 1`.
+    suspecters: Vec<u16>,
 }
 
 impl Suspicion {
-    /// One that begins.
-    pub fn new(now: Time, by: u16) -> Suspicion {
-        Suspicion { began: now, by: vec![by] }
+    /// A suspicion first raised by `suspecter`.
+    pub fn new(now: Time, suspecter: u16) -> Suspicion {
+        Suspicion { started_at: now, suspecters: vec![suspecter] }
     }
 
-    /// Another one found so too. `true` where that counts and is worth telling on.
-    pub fn confirmed(&mut self, by: u16) -> bool {
-        let counts = self.by.len() <= CONFIRMERS && !self.by.contains(&by);
-        if counts {
-            self.by.push(by);
+    /// Records that another member suspects as well. Returns `true` if this shortens the time-out and should be
+    /// disseminated.
+    pub fn confirm(&mut self, suspecter: u16) -> bool {
+        let is_new = !self.is_confirmed_by(suspecter);
+        if is_new {
+            self.suspecters.push(suspecter);
         }
-        counts
+        is_new
     }
 
-    /// When its time is out, with so many living proxies that could have confirmed it.
-    pub fn end(&self, settings: &Settings, others: usize) -> Time {
-        let most = CONFIRMERS.min(others);
-        let confirmed = (self.by.len() - 1).min(most);
-        let left = match most {
+    /// When it times out, given the number of live members that could have confirmed it. The time-out falls with the
+    /// logarithm of the confirmations, from `max_suspicion` to `min_suspicion`.
+    pub fn deadline(&self, settings: &Settings, other_members: usize) -> Time {
+        let expected = MAX_CONFIRMATIONS.min(other_members);
+        let confirmations = (self.suspecters.len() - 1).min(expected);
+        let remaining = match expected {
             0 => 0.0,
-            _ => 1.0 - ((confirmed + 1) as f64).ln() / ((most + 1) as f64).ln(),
+            _ => 1.0 - ((confirmations + 1) as f64).ln() / ((expected + 1) as f64).ln(),
         };
-        let more = (settings.suspect_most.0 - settings.suspect_least.0) as f64 * left;
-        self.began + settings.suspect_least + Micros(more as u64)
+        let range = (settings.max_suspicion.0 - settings.min_suspicion.0) as f64;
+        self.started_at + settings.min_suspicion + Micros((range * remaining) as u64)
     }
 
-    /// Whether this one found it silent, or nobody more is needed.
-    pub fn is_by(&self, place: u16) -> bool {
-        self.by.len() > CONFIRMERS || self.by.contains(&place)
+    /// Whether this member has confirmed it, or no further confirmation counts.
+    pub fn is_confirmed_by(&self, member: u16) -> bool {
+        self.suspecters.len() > MAX_CONFIRMATIONS || self.suspecters.contains(&member)
     }
 
-    /// When it began.
-    pub fn began(&self) -> Time {
-        self.began
+    /// When it started.
+    pub fn started_at(&self) -> Time {
+        self.started_at
     }
 
-    /// It begins anew: the suspect was heard, or this proxy slept.
-    pub fn put_off(&mut self, to: Time) {
-        self.began = self.began.max(to);
+    /// Restarts the time-out at `at`, if that is later: a datagram of the suspect arrived, or this process stalled.
+    pub fn postpone(&mut self, at: Time) {
+        self.started_at = self.started_at.max(at);
     }
 }
 
--- a/crates/gaugesaddle-membership/src/view.rs
+++ b/crates/gaugesaddle-membership/src/view.rs
@@ -1,75 +1,77 @@
-//! What one proxy sees of its tier, and how sure it may be.
+//! A summary of the membership at one moment, with measures of how far it can be trusted.
 
 use gaugesaddle_balancer::Micros;
 
-/// How what is seen relates to what was told and what was known.
+/// Whether this process may be on the smaller side of a partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shape {
-    /// More than half of the told tier lives.
-    Most,
-    /// Fewer were ever met than half of the told tier: it is small, or it is only just starting. Nobody is missing.
+pub enum PartitionStatus {
+    /// More than half of the configured members are live.
+    Majority,
+    /// At most half of the configured members are live, but more than half of the known ones: the tier is small or still
+    /// starting, and nobody is missing.
     Small,
-    /// Half or more of those that were met are lost, and none of them said that it leaves: this side may be the
-    /// smaller one of a torn tier, and the other side may decide otherwise.
-    Torn,
+    /// Half or more of the known members are dead, and none of these announced its departure: this process may be on the
+    /// smaller side of a partition, and the other side may decide differently.
+    Partitioned,
 }
 
-impl Shape {
-    /// As states and logs write it.
+impl PartitionStatus {
+    /// The name in log lines and in the published state; operators' tools read it.
     pub fn name(self) -> &'static str {
         match self {
-            Shape::Most => "most",
-            Shape::Small => "small",
-            Shape::Torn => "torn",
+            PartitionStatus::Majority => "most",
+            PartitionStatus::Small => "small",
+            PartitionStatus::Partitioned => "torn",
         }
     }
 }
 
-/// A moment's view. This proxy counts among the living.
+/// The membership at one moment. This process counts as a live member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct View {
-    /// Places of the told list.
-    pub told: usize,
-    /// Those that live, suspects too.
-    pub living: usize,
-    /// Of these those that somebody found silent.
+    /// Configured members.
+    pub configured: usize,
+    /// Live members, suspects included.
+    pub live: usize,
+    /// Suspects.
     pub suspect: usize,
-    /// Met, and dead.
+    /// Known members that are dead.
     pub dead: usize,
-    /// Said that they leave.
-    pub left: usize,
-    /// Never met.
-    pub unseen: usize,
-    /// So long nobody came to the living or went from them.
-    pub unchanged: Micros,
-    /// So long ago anybody last answered a question of this proxy's; what is much older than a few questions says that
-    /// nobody hears it.
-    pub answered: Micros,
-    /// So long ago this proxy last came back from a stall; what it holds is as old as that until it has asked anew.
-    pub awake: Micros,
-    /// How far it stretches its own waits, 1 to 4.
-    pub health: u32,
+    /// Members that announced their departure.
+    pub departed: usize,
+    /// Configured members that never acknowledged a probe.
+    pub unknown: usize,
+    /// Time since the set of live members last changed.
+    pub since_change: Micros,
+    /// Time since the last acknowledgement of any probe of this process. Much more than a few probe intervals means
+    /// that this process is isolated.
+    pub since_ack: Micros,
+    /// Time since this process last resumed after a stall, or since its start. What it knows is as old as that until it
+    /// has probed again.
+    pub since_stall: Micros,
+    /// Multiplier of this process's own time-outs, 1 (healthy) to 4.
+    pub health_multiplier: u32,
 }
 
 impl View {
-    /// More than half of the told places live.
-    pub fn most_of_told(&self) -> bool {
-        self.living * 2 > self.told
+    /// More than half of the configured members are live.
+    pub fn has_majority_of_configured(&self) -> bool {
+        self.live * 2 > self.configured
     }
 
-    /// More than half of those that were met and did not leave live.
-    pub fn most_of_known(&self) -> bool {
-        self.living > self.dead
+    /// More than half of the members that are known and did not depart are live.
+    pub fn has_majority_of_known(&self) -> bool {
+        self.live > self.dead
     }
 
-    /// A small tier from a torn one.
-    pub fn shape(&self) -> Shape {
-        if !self.most_of_known() {
-            Shape::Torn
-        } else if self.most_of_told() {
-            Shape::Most
+    /// Tells a small tier from a partitioned one.
+    pub fn partition_status(&self) -> PartitionStatus {
+        if !self.has_majority_of_known() {
+            PartitionStatus::Partitioned
+        } else if self.has_majority_of_configured() {
+            PartitionStatus::Majority
         } else {
-            Shape::Small
+            PartitionStatus::Small
         }
     }
 }
--- a/crates/gaugesaddle-membership/tests/golden_datagrams.rs
+++ b/crates/gaugesaddle-membership/tests/golden_datagrams.rs
@@ -1,7 +1,9 @@
 //! The failure: a renamed or moved field changes the datagrams between proxies of two builds.
+//!
+//! The labels are those of `data/datagrams.txt`, which is never edited.
 
-use gaugesaddle_membership::wire::{header, sections, Draft, Header, Section};
-use gaugesaddle_membership::{Boot, Claim, Seal, Signals, Standing, ZoneSignal};
+use gaugesaddle_membership::wire::{decode_header, decode_sections, DatagramBuilder, Header, Section};
+use gaugesaddle_membership::{Authenticator, Boot, MemberState, MemberStatus, Signals, ZoneSignal};
 
 const GOLDEN: &str = include_str!("data/datagrams.txt");
 
@@ -10,60 +12,64 @@
 }
 
 fn all_sections() -> Vec<(&'static str, Section)> {
-    let claim = |standing| Claim { boot: Boot(0x0900_0001), incarnation: 515, standing };
-    let rumor = |standing| Section::Rumor { subject: 7, by: 8, claim: claim(standing) };
+    let status = |state| MemberStatus { boot: Boot(0x0900_0001), incarnation: 515, state };
+    let update = |state| Section::Update { subject: 7, reporter: 8, status: status(state) };
     vec![
-        ("ping", Section::Ping { nonce: 0x0102_0304, claim: Some(claim(Standing::Suspect)) }),
-        ("ping without claim", Section::Ping { nonce: 1, claim: None }),
+        ("ping", Section::Ping { nonce: 0x0102_0304, status: Some(status(MemberState::Suspect)) }),
+        ("ping without claim", Section::Ping { nonce: 1, status: None }),
         ("ack", Section::Ack { nonce: 2 }),
-        ("ping request", Section::AskFor { target: 1, nonce: 3, claim: Some(claim(Standing::Alive)) }),
-        ("ping request receipt", Section::Receipt { nonce: 4 }),
-        ("indirect ping", Section::PingFor { origin: 5, nonce: 5, claim: None }),
-        ("indirect ack", Section::AckFor { origin: 6, nonce: 6 }),
-        ("forwarded ack", Section::Vouch { subject: 1, boot: Boot(3), incarnation: 4, nonce: 5 }),
-        ("alive", rumor(Standing::Alive)),
-        ("suspect", rumor(Standing::Suspect)),
-        ("dead", rumor(Standing::Dead)),
-        ("left", rumor(Standing::Left)),
+        (
+            "ping request",
+            Section::PingRequest { target: 1, nonce: 3, status: Some(status(MemberState::Alive)) },
+        ),
+        ("ping request receipt", Section::PingRequestReceipt { nonce: 4 }),
+        ("indirect ping", Section::IndirectPing { origin: 5, nonce: 5, status: None }),
+        ("indirect ack", Section::IndirectAck { origin: 6, nonce: 6 }),
+        ("forwarded ack", Section::ForwardedAck { subject: 1, boot: Boot(3), incarnation: 4, nonce: 5 }),
+        ("alive", update(MemberState::Alive)),
+        ("suspect", update(MemberState::Suspect)),
+        ("dead", update(MemberState::Dead)),
+        ("left", update(MemberState::Departed)),
         (
             "record",
             Section::Record { subject: 1, boot: Boot(1), version: 2, age_ms: 300, body: vec![1, 2, 3] },
         ),
-        ("record request", Section::Want { subject: 9 }),
-        ("note", Section::Note { body: vec![4, 5] }),
+        ("record request", Section::RecordRequest { subject: 9 }),
+        ("note", Section::Message { body: vec![4, 5] }),
         ("hello", Section::Hello { name: "p1".into(), zone: "a".into() }),
     ]
 }
 
-fn lines() -> Vec<String> {
+fn encoded_datagrams() -> Vec<String> {
     let head = Header { to: 3, from: 4, boot: Boot(5), incarnation: 6, counter: 7 };
-    let mut lines: Vec<String> = all_sections()
+    let mut encoded: Vec<String> = all_sections()
         .into_iter()
         .map(|(name, section)| {
-            let mut draft = Draft::new(head, 0);
-            assert!(draft.push(&section), "{name} fits");
-            let bytes = draft.finish();
-            assert_eq!(header(&bytes), Ok(head), "{name}");
-            assert_eq!(sections(&bytes), Ok(vec![section]), "{name}");
+            let mut datagram = DatagramBuilder::new(head, 0);
+            assert!(datagram.push(&section), "{name} fits");
+            let bytes = datagram.finish();
+            assert_eq!(decode_header(&bytes), Ok(head), "{name}");
+            assert_eq!(decode_sections(&bytes), Ok(vec![section]), "{name}");
             format!("{name}: {}", hex(&bytes))
         })
         .collect();
-    let seal = Seal::keyed(&[7; 32]).expect("a key of 32 bytes");
-    lines.push(format!("tagged: {}", hex(&seal.close(Draft::new(head, 16).finish()))));
-    let zone = ZoneSignal { backends: 12.0, ill: 3.0, can_per_s: 400.0, ill_for_s: 2.5 };
+    let auth = Authenticator::from_secret(&[7; 32]).expect("a key of 32 bytes");
+    encoded.push(format!("tagged: {}", hex(&auth.sign(DatagramBuilder::new(head, 16).finish()))));
+    let zone = ZoneSignal { backends: 12.0, unhealthy: 3.0, capacity_per_s: 400.0, unhealthy_for_s: 2.5 };
     let signals = Signals {
-        arrivals: vec![10.0, 0.0, 350.5],
-        held: 17.0,
-        given_up: 0.25,
-        need: Some(360.5),
+        arrivals_per_s: vec![10.0, 0.0, 350.5],
+        in_flight: 17.0,
+        rejected_per_s: 0.25,
+        demand_per_s: Some(360.5),
         zones: vec![zone, ZoneSignal::default()],
     };
-    lines.push(format!("signals: {}", hex(&signals.encode())));
-    lines.push(format!("signals without need: {}", hex(&Signals { need: None, ..signals }.encode())));
-    lines
+    encoded.push(format!("signals: {}", hex(&signals.encode())));
+    encoded
+        .push(format!("signals without need: {}", hex(&Signals { demand_per_s: None, ..signals }.encode())));
+    encoded
 }
 
 #[test]
 fn datagrams_of_every_section_keep_their_bytes() {
-    assert_eq!(lines().join("\n") + "\n", GOLDEN);
+    assert_eq!(encoded_datagrams().join("\n") + "\n", GOLDEN);
 }
--- a/crates/gaugesaddle-membership/tests/model.rs
+++ b/crates/gaugesaddle-membership/tests/model.rs
@@ -1,25 +1,31 @@
-//! The core of the membership under every order of messages, by a model checker: three processes, messages lost and
-//! doubled, wrong suspicions, one crash and return, one partition and its heal. Nobody who lives is dead for good, and
-//! no boot goes back.
+//! The core rules of the membership, checked by a model checker under every order of messages: three processes, messages
+//! lost and duplicated, wrong suspicions, one crash with a restart, one partition that heals.
 //!
-//! Bound: up to [`ASKS`] questions and [`TELLS`] rumours at any moment, [`FLYING`] messages under way, one lost, one
-//! doubled, one wrong suspicion and burial, one crash with a return, one partition of one place from the others.
-//! "For good" is judged from each state reached: the network heals, all under way arrives, each asks each thrice; then
-//! all must hold one another alive with their present processes.
+//! Bounds: [`MAX_PROBES`] probes and [`MAX_UPDATES`] disseminated updates in a run, [`MAX_IN_TRANSIT`] messages in transit,
+//! one message lost, one duplicated, one wrong suspicion that may end in a wrong declaration of death, one crash with a
+//! restart, one partition of one process from the others.
+//!
+//! Convergence is checked from every reachable state: the network heals, everything in transit arrives, each process
+//! probes each other one three times; then each must know every other running process as alive.
 
-use gaugesaddle_membership::{Boot, Claim, Heard, Held, Own, Standing};
+use gaugesaddle_membership::{Boot, KnownMember, LocalMember, MemberState, MemberStatus, UpdateResult};
 use stateright::{Checker, Model, Property};
 
-const N: usize = 3;
-const ASKS: u8 = 2;
-const TELLS: u8 = 1;
-const FLYING: usize = 2;
+const PROCESSES: usize = 3;
+const MAX_PROBES: u8 = 2;
+const MAX_UPDATES: u8 = 1;
+const MAX_IN_TRANSIT: usize = 2;
+/// Probes of each process to each other one until all must have converged.
+const PROBES_TO_CONVERGE: usize = 3;
+
+/// A status as numbers, which have the order that the model checker needs: boot, incarnation, state.
+type PackedStatus = (u32, u32, u8);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Body {
-    Ping(u8, Option<(u32, u32, u8)>),
-    Ack(u8),
-    Rumor(u8, (u32, u32, u8)),
+    Ping { nonce: u8, status: Option<PackedStatus> },
+    Ack { nonce: u8 },
+    Update { subject: u8, status: PackedStatus },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -33,152 +39,172 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
-    own: Own,
-    held: [Held; N],
-    open: [Option<u8>; N],
-    /// The latest process that it met at each place.
-    met: [u32; N],
+    local: LocalMember,
+    known: [KnownMember; PROCESSES],
+    open_probes: [Option<u8>; PROCESSES],
+    /// The newest process that it verified at each index.
+    newest_verified: [u32; PROCESSES],
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    running: [Option<Process>; N],
+    running: [Option<Process>; PROCESSES],
     starts: u32,
-    flying: Vec<Message>,
+    in_transit: Vec<Message>,
     nonces: u8,
-    asks: u8,
-    tells: u8,
-    lost: bool,
-    doubled: bool,
-    suspected: bool,
-    crashed: bool,
-    cut: Option<u8>,
-    healed: bool,
-    back: bool,
+    probes: u8,
+    updates: u8,
+    has_lost: bool,
+    has_duplicated: bool,
+    has_suspected: bool,
+    has_crashed: bool,
+    /// The process that is partitioned from the others.
+    partitioned: Option<u8>,
+    has_healed: bool,
+    /// A process has accepted an older process of another one.
+    went_back: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    Ask(u8, u8),
-    Tell(u8, u8, u8),
+    Probe { from: u8, to: u8 },
+    SendUpdate { from: u8, to: u8, subject: u8 },
     Deliver(usize),
-    Double(usize),
+    Duplicate(usize),
     Lose(usize),
-    Suspect(u8, u8),
-    Bury(u8, u8),
+    Suspect { by: u8, subject: u8 },
+    DeclareDead { by: u8, subject: u8 },
     Crash(u8),
     Start(u8),
-    Cut(u8),
+    Partition(u8),
     Heal,
 }
 
-fn pack(claim: Claim) -> (u32, u32, u8) {
-    (claim.boot.0, claim.incarnation, claim.standing as u8)
+fn pack(status: MemberStatus) -> PackedStatus {
+    (status.boot.0, status.incarnation, status.state as u8)
+}
+
+fn unpack((boot, incarnation, state): PackedStatus) -> MemberStatus {
+    let states = [
+        MemberState::Unknown,
+        MemberState::Alive,
+        MemberState::Suspect,
+        MemberState::Dead,
+        MemberState::Departed,
+    ];
+    MemberStatus { boot: Boot(boot), incarnation, state: states[usize::from(state)] }
 }
 
-fn unpack((boot, incarnation, standing): (u32, u32, u8)) -> Claim {
-    let all = [Standing::Unseen, Standing::Alive, Standing::Suspect, Standing::Dead, Standing::Left];
-    Claim { boot: Boot(boot), incarnation, standing: all[usize::from(standing)] }
+impl Process {
+    /// As `membership/receive.rs` does it. Returns the reply.
+    fn receive(&mut self, message: &Message, went_back: &mut bool) -> Option<Body> {
+        let from = usize::from(message.from);
+        let boot = Boot(message.boot);
+        let mut reply = None;
+        match &message.body {
+            Body::Ack { nonce } if self.open_probes[from] == Some(*nonce) => {
+                self.open_probes[from] = None;
+                if self.known[from].apply_ack(boot, message.incarnation) == UpdateResult::Applied {
+                    *went_back |= message.boot < self.newest_verified[from];
+                    self.newest_verified[from] = self.newest_verified[from].max(message.boot);
+                }
+            }
+            Body::Ping { nonce, status } => {
+                if let Some(status) = status {
+                    self.local.refute(unpack(*status));
+                }
+                reply = Some(Body::Ack { nonce: *nonce });
+            }
+            Body::Ack { .. } | Body::Update { .. } => {}
+        }
+        if self.known[from].boot() != Some(boot) {
+            return reply; // not verified
+        }
+        let alive = MemberStatus { boot, incarnation: message.incarnation, state: MemberState::Alive };
+        self.known[from].apply(alive);
+        if let Body::Update { subject, status } = message.body {
+            if subject == message.to {
+                self.local.refute(unpack(status));
+            } else {
+                self.known[usize::from(subject)].apply(unpack(status));
+            }
+        }
+        reply
+    }
 }
 
 impl World {
-    fn start(&mut self, place: u8) {
+    fn start(&mut self, index: u8) {
         self.starts += 1;
-        // In the order of starts, for the judge alone: the core does not compare boots.
-        let own = Own::new(Boot(self.starts));
-        let process = Process { own, held: Default::default(), open: [None; N], met: [0; N] };
-        self.running[usize::from(place)] = Some(process);
+        // Boots rise with the starts, for the check alone: the core rules do not compare them.
+        let process = Process {
+            local: LocalMember::new(Boot(self.starts)),
+            known: Default::default(),
+            open_probes: [None; PROCESSES],
+            newest_verified: [0; PROCESSES],
+        };
+        self.running[usize::from(index)] = Some(process);
     }
 
     fn send(&mut self, from: u8, to: u8, body: Body) {
-        let own = self.running[usize::from(from)].as_ref().expect("runs").own;
-        let cut = self.cut.is_some_and(|c| (c == from) != (c == to));
-        if !cut {
-            self.flying.push(Message { from, to, boot: own.boot.0, incarnation: own.incarnation, body });
-            self.flying.sort();
+        let local = self.running[usize::from(from)].as_ref().expect("it runs").local;
+        if self.partitioned.is_some_and(|p| (p == from) != (p == to)) {
+            return;
         }
+        let (boot, incarnation) = (local.boot.0, local.incarnation);
+        self.in_transit.push(Message { from, to, boot, incarnation, body });
+        self.in_transit.sort();
     }
 
-    fn ask(&mut self, from: u8, to: u8) {
+    fn probe(&mut self, from: u8, to: u8) {
         self.nonces += 1;
         let nonce = self.nonces;
-        let process = self.running[usize::from(from)].as_mut().expect("runs");
-        process.open[usize::from(to)] = Some(nonce);
-        let claim = process.held[usize::from(to)].claim().map(pack);
-        self.send(from, to, Body::Ping(nonce, claim));
+        let process = self.running[usize::from(from)].as_mut().expect("it runs");
+        process.open_probes[usize::from(to)] = Some(nonce);
+        let status = process.known[usize::from(to)].status().map(pack);
+        self.send(from, to, Body::Ping { nonce, status });
     }
 
-    /// As `hearing.rs` does it.
-    fn deliver(&mut self, m: Message) {
-        let (to, from) = (usize::from(m.to), usize::from(m.from));
-        let mut reply = None;
-        {
-            let Some(process) = self.running[to].as_mut() else { return };
-            let boot = Boot(m.boot);
-            if let Body::Ack(nonce) = m.body {
-                if process.open[from] == Some(nonce) {
-                    process.open[from] = None;
-                    if process.held[from].prove(boot, m.incarnation) == Heard::News {
-                        self.back |= m.boot < process.met[from];
-                        process.met[from] = process.met[from].max(m.boot);
-                    }
-                }
-            }
-            if let Body::Ping(nonce, claim) = m.body {
-                if let Some(claim) = claim {
-                    process.own.accused(unpack(claim));
-                }
-                reply = Some(Body::Ack(nonce));
-            }
-            if process.held[from].boot() == Some(boot) {
-                let (incarnation, standing) = (m.incarnation, Standing::Alive);
-                process.held[from].hear(Claim { boot, incarnation, standing });
-                if let Body::Rumor(subject, claim) = m.body {
-                    if subject == m.to {
-                        process.own.accused(unpack(claim));
-                    } else {
-                        process.held[usize::from(subject)].hear(unpack(claim));
-                    }
-                }
-            }
+    fn deliver(&mut self, message: Message) {
+        let Some(process) = self.running[usize::from(message.to)].as_mut() else { return };
+        if let Some(reply) = process.receive(&message, &mut self.went_back) {
+            self.send(message.to, message.from, reply);
         }
-        if let Some(body) = reply {
-            self.send(m.to, m.from, body);
+    }
+
+    fn deliver_all(&mut self) {
+        while !self.in_transit.is_empty() {
+            let message = self.in_transit.remove(0);
+            self.deliver(message);
         }
     }
 
-    fn settle(&self) -> World {
-        let mut w = self.clone();
-        w.cut = None;
-        let arrive = |w: &mut World| {
-            while !w.flying.is_empty() {
-                let m = w.flying.remove(0);
-                w.deliver(m);
-            }
-        };
-        arrive(&mut w);
-        for _ in 0..3 {
-            for i in 0..N as u8 {
-                for j in 0..N as u8 {
-                    if i != j && w.running[usize::from(i)].is_some() {
-                        w.ask(i, j);
-                        arrive(&mut w);
+    /// The state after the partition has healed and each process has probed each other one.
+    fn converge(&self) -> World {
+        let mut world = self.clone();
+        world.partitioned = None;
+        world.deliver_all();
+        for _ in 0..PROBES_TO_CONVERGE {
+            for from in 0..PROCESSES as u8 {
+                for to in 0..PROCESSES as u8 {
+                    if from != to && world.running[usize::from(from)].is_some() {
+                        world.probe(from, to);
+                        world.deliver_all();
                     }
                 }
             }
         }
-        w
+        world
     }
 
-    fn agrees(&self) -> bool {
-        (0..N).all(|i| {
+    /// Whether each running process knows each other one as alive.
+    fn has_converged(&self) -> bool {
+        (0..PROCESSES).all(|i| {
             let Some(process) = &self.running[i] else { return true };
-            (0..N).filter(|j| *j != i).all(|j| match &self.running[j] {
-                Some(other) => {
-                    let held = process.held[j];
-                    held.boot() == Some(other.own.boot) && held.standing() == Standing::Alive
-                }
-                None => true,
+            (0..PROCESSES).filter(|j| *j != i).all(|j| {
+                let Some(other) = &self.running[j] else { return true };
+                let known = process.known[j];
+                known.boot() == Some(other.local.boot) && known.state() == MemberState::Alive
             })
         })
     }
@@ -191,152 +217,156 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let mut w = World {
+        let mut just_started = World {
             running: [None, None, None],
             starts: 0,
-            flying: Vec::new(),
+            in_transit: Vec::new(),
             nonces: 0,
-            asks: 0,
-            tells: 0,
-            lost: false,
-            doubled: false,
-            suspected: false,
-            crashed: false,
-            cut: None,
-            healed: false,
-            back: false,
+            probes: 0,
+            updates: 0,
+            has_lost: false,
+            has_duplicated: false,
+            has_suspected: false,
+            has_crashed: false,
+            partitioned: None,
+            has_healed: false,
+            went_back: false,
         };
-        (0..N as u8).for_each(|p| w.start(p));
-        let fresh = w.clone();
-        // Those that know one another already, and those that have just started.
-        let mut settled = w.settle();
-        (settled.nonces, settled.cut) = (0, None);
-        vec![settled, fresh]
+        (0..PROCESSES as u8).for_each(|index| just_started.start(index));
+        let mut converged = just_started.converge();
+        converged.nonces = 0;
+        vec![converged, just_started]
     }
 
-    fn actions(&self, w: &World, actions: &mut Vec<Step>) {
-        let runs = |p: u8| w.running[usize::from(p)].is_some();
-        let room = w.flying.len() < FLYING;
-        for i in 0..N as u8 {
-            if !runs(i) {
+    fn actions(&self, world: &World, actions: &mut Vec<Step>) {
+        let may_send = world.in_transit.len() < MAX_IN_TRANSIT;
+        for i in 0..PROCESSES as u8 {
+            let Some(process) = &world.running[usize::from(i)] else {
                 actions.push(Step::Start(i));
                 continue;
-            }
-            if !w.crashed {
+            };
+            if !world.has_crashed {
                 actions.push(Step::Crash(i));
             }
-            let process = w.running[usize::from(i)].as_ref().expect("runs");
-            for j in (0..N as u8).filter(|j| *j != i) {
-                let standing = process.held[usize::from(j)].standing();
-                if room && w.asks < ASKS {
-                    actions.push(Step::Ask(i, j));
+            for j in (0..PROCESSES as u8).filter(|j| *j != i) {
+                let state = process.known[usize::from(j)].state();
+                if may_send && world.probes < MAX_PROBES {
+                    actions.push(Step::Probe { from: i, to: j });
                 }
-                if standing == Standing::Alive && !w.suspected {
-                    actions.push(Step::Suspect(i, j));
+                if state == MemberState::Alive && !world.has_suspected {
+                    actions.push(Step::Suspect { by: i, subject: j });
                 }
-                if standing == Standing::Suspect {
-                    actions.push(Step::Bury(i, j));
+                if state == MemberState::Suspect {
+                    actions.push(Step::DeclareDead { by: i, subject: j });
                 }
                 let third = 3 - i - j;
-                let worth = process.held[usize::from(third)]
-                    .claim()
-                    .is_some_and(|c| c.standing != Standing::Alive || c.incarnation > 0);
-                if room && w.tells < TELLS && worth {
-                    actions.push(Step::Tell(i, j, third));
+                let has_update = process.known[usize::from(third)]
+                    .status()
+                    .is_some_and(|status| status.state != MemberState::Alive || status.incarnation > 0);
+                if may_send && world.updates < MAX_UPDATES && has_update {
+                    actions.push(Step::SendUpdate { from: i, to: j, subject: third });
                 }
             }
         }
-        for m in 0..w.flying.len() {
-            actions.push(Step::Deliver(m));
-            if !w.lost {
-                actions.push(Step::Lose(m));
+        for message in 0..world.in_transit.len() {
+            actions.push(Step::Deliver(message));
+            if !world.has_lost {
+                actions.push(Step::Lose(message));
             }
-            if !w.doubled && room {
-                actions.push(Step::Double(m));
+            if !world.has_duplicated && may_send {
+                actions.push(Step::Duplicate(message));
             }
         }
-        if w.cut.is_some() {
+        if world.partitioned.is_some() {
             actions.push(Step::Heal);
-        } else if !w.healed {
-            (0..N as u8).for_each(|p| actions.push(Step::Cut(p)));
+        } else if !world.has_healed {
+            (0..PROCESSES as u8).for_each(|index| actions.push(Step::Partition(index)));
         }
     }
 
     fn next_state(&self, last: &World, step: Step) -> Option<World> {
-        let mut w = last.clone();
+        let mut world = last.clone();
         match step {
-            Step::Ask(i, j) => {
-                w.asks += 1;
-                w.ask(i, j);
+            Step::Probe { from, to } => {
+                world.probes += 1;
+                world.probe(from, to);
             }
-            Step::Tell(i, j, k) => {
-                w.tells += 1;
-                let claim = w.running[usize::from(i)].as_ref()?.held[usize::from(k)].claim()?;
-                w.send(i, j, Body::Rumor(k, pack(claim)));
+            Step::SendUpdate { from, to, subject } => {
+                world.updates += 1;
+                let process = world.running[usize::from(from)].as_ref()?;
+                let status = pack(process.known[usize::from(subject)].status()?);
+                world.send(from, to, Body::Update { subject, status });
             }
-            Step::Deliver(m) => {
-                let m = w.flying.remove(m);
-                w.deliver(m);
+            Step::Deliver(message) => {
+                let message = world.in_transit.remove(message);
+                world.deliver(message);
             }
-            Step::Double(m) => {
-                w.doubled = true;
-                let m = w.flying[m].clone();
-                w.deliver(m);
+            Step::Duplicate(message) => {
+                world.has_duplicated = true;
+                let message = world.in_transit[message].clone();
+                world.deliver(message);
             }
-            Step::Lose(m) => {
-                w.lost = true;
-                w.flying.remove(m);
+            Step::Lose(message) => {
+                world.has_lost = true;
+                world.in_transit.remove(message);
             }
-            Step::Suspect(i, j) => {
-                w.suspected = true;
-                w.running[usize::from(i)].as_mut()?.held[usize::from(j)].judge(Standing::Suspect)?;
+            Step::Suspect { by, subject } => {
+                world.has_suspected = true;
+                let process = world.running[usize::from(by)].as_mut()?;
+                process.known[usize::from(subject)].declare(MemberState::Suspect)?;
             }
-            Step::Bury(i, j) => {
-                w.running[usize::from(i)].as_mut()?.held[usize::from(j)].judge(Standing::Dead)?;
+            Step::DeclareDead { by, subject } => {
+                let process = world.running[usize::from(by)].as_mut()?;
+                process.known[usize::from(subject)].declare(MemberState::Dead)?;
             }
-            Step::Crash(i) => {
-                w.crashed = true;
-                w.running[usize::from(i)] = None;
+            Step::Crash(index) => {
+                world.has_crashed = true;
+                world.running[usize::from(index)] = None;
             }
-            Step::Start(i) => w.start(i),
-            Step::Cut(i) => {
-                w.cut = Some(i);
-                // What is under way across the cut is lost.
-                w.flying.retain(|m| (m.from == i) == (m.to == i));
+            Step::Start(index) => world.start(index),
+            Step::Partition(index) => {
+                world.partitioned = Some(index);
+                // Messages in transit between the two sides are lost.
+                world.in_transit.retain(|message| (message.from == index) == (message.to == index));
             }
             Step::Heal => {
-                w.cut = None;
-                w.healed = true;
+                world.partitioned = None;
+                world.has_healed = true;
             }
         }
-        (w.flying.len() <= FLYING + 1).then_some(w)
+        (world.in_transit.len() <= MAX_IN_TRANSIT + 1).then_some(world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("no boot goes back", |_, w: &World| !w.back),
-            Property::<Self>::always("nobody dead for good that lives", |_, w: &World| w.settle().agrees()),
-            Property::<Self>::sometimes("a wrong burial", |_, w: &World| {
-                w.running
-                    .iter()
-                    .flatten()
-                    .any(|p| (0..N).any(|j| p.held[j].standing() == Standing::Dead && w.running[j].is_some()))
+            Property::<Self>::always("no former process comes back", |_, world: &World| !world.went_back),
+            Property::<Self>::always("running processes converge to alive", |_, world: &World| {
+                world.converge().has_converged()
+            }),
+            Property::<Self>::sometimes("a running process is declared dead", |_, world: &World| {
+                let is_wrong = |process: &Process, j: usize| {
+                    process.known[j].state() == MemberState::Dead && world.running[j].is_some()
+                };
+                world.running.iter().flatten().any(|process| (0..PROCESSES).any(|j| is_wrong(process, j)))
             }),
-            Property::<Self>::sometimes("a return is met", |_, w: &World| {
-                w.running.iter().flatten().any(|p| p.met.iter().any(|b| *b > N as u32))
+            Property::<Self>::sometimes("a restarted process is verified", |_, world: &World| {
+                let first_starts = PROCESSES as u32;
+                let has_verified =
+                    |process: &Process| process.newest_verified.iter().any(|boot| *boot > first_starts);
+                world.running.iter().flatten().any(has_verified)
             }),
         ]
     }
 }
 
 #[test]
-fn nobody_who_lives_is_dead_for_good_and_no_boot_goes_back() {
+fn running_processes_converge_to_alive_and_no_former_process_comes_back() {
     let checker = Tier.checker().threads(2).spawn_bfs().join();
-    println!("{} states, {} unlike", checker.state_count(), checker.unique_state_count());
+    println!("{} states, {} unique", checker.state_count(), checker.unique_state_count());
     checker.assert_properties();
     assert!(
         checker.unique_state_count() > 1_000_000,
-        "the bound left too little: {}",
+        "the bounds left too few states: {}",
         checker.unique_state_count()
     );
 }
--- a/crates/gaugesaddle-proxy-simulation/src/strange.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/strange.rs
@@ -2,9 +2,10 @@
 //! and sections that nobody would put together. What may come of them is checked after each.
 
 use gaugesaddle_balancer::{Micros, Time};
-use gaugesaddle_membership::wire::{Draft, Header, Section, EVERYBODY};
+use gaugesaddle_membership::wire::{DatagramBuilder, Header, Section, BROADCAST};
 use gaugesaddle_membership::{
-    Boot, Claim, Counts, Output, Peers, Seal, Settings, Standing, Told, DATAGRAM_BYTES,
+    Authenticator, Boot, Counters, MemberState, MemberStatus, Membership, Output, Settings, TierConfig,
+    MAX_DATAGRAM_BYTES,
 };
 use gaugesaddle_testbed::dice::Dice;
 use std::net::SocketAddr;
@@ -22,13 +23,13 @@
     /// Datagrams that they brought about.
     pub answered: u64,
     /// As the proxy with the key counted them.
-    pub counts: Counts,
+    pub counts: Counters,
 }
 
 struct Pair {
     /// The one that is tried, at place 0, and a good one at place 1.
-    tried: Peers,
-    good: Peers,
+    tried: Membership,
+    good: Membership,
     now: Time,
     kept: Vec<Vec<u8>>,
 }
@@ -38,25 +39,25 @@
 }
 
 impl Pair {
-    fn new(seal: &Seal, seed: u64) -> Result<Pair, String> {
-        let told = |own: u16| Told {
+    fn new(auth: &Authenticator, seed: u64) -> Result<Pair, String> {
+        let config = |own: u16| TierConfig {
             addresses: (0..PLACES).map(address).collect(),
-            own,
-            all: None,
+            own_index: own,
+            broadcast_address: None,
             name: format!("p{own}"),
             zone: "z".into(),
         };
         let now = Time(1_000_000);
         let peers = |own: u16| {
             let boot = Boot(100 + u32::from(own));
-            Peers::new(Settings::default(), seal.clone(), told(own), boot, seed + u64::from(own), now)
+            Membership::new(Settings::default(), auth.clone(), config(own), boot, seed + u64::from(own), now)
         };
         let [tried, good] = [peers(0), peers(1)].map(|p| p.map_err(|e| e.to_string()));
         let mut pair = Pair { tried: tried?, good: good?, now, kept: Vec::new() };
         for _ in 0..200 {
             pair.exchange();
         }
-        match pair.tried.living_boot(1) {
+        match pair.tried.live_boot(1) {
             Some(_) => Ok(pair),
             None => Err("two good ones did not meet".into()),
         }
@@ -93,52 +94,53 @@
     }
 }
 
-fn claim(dice: &mut Dice) -> Claim {
-    let all = [Standing::Alive, Standing::Suspect, Standing::Dead, Standing::Left];
+fn status(dice: &mut Dice) -> MemberStatus {
+    let all = [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Departed];
     let incarnation = if dice.chance(0.1) { 1 << 30 } else { dice.below(5) as u32 };
-    Claim { boot: Boot(1 + dice.below(300) as u32), incarnation, standing: all[dice.below(4)] }
+    MemberStatus { boot: Boot(1 + dice.below(300) as u32), incarnation, state: all[dice.below(4)] }
 }
 
 fn section(dice: &mut Dice) -> Section {
-    let place = |dice: &mut Dice| if dice.chance(0.1) { EVERYBODY } else { dice.below(PLACES + 2) as u16 };
+    let place = |dice: &mut Dice| if dice.chance(0.1) { BROADCAST } else { dice.below(PLACES + 2) as u16 };
     let nonce = dice.below(1 << 20) as u32;
-    let held = dice.chance(0.5).then(|| claim(dice));
+    let known = dice.chance(0.5).then(|| status(dice));
     let boot = Boot(1 + dice.below(300) as u32);
     let subject = place(dice);
     match dice.below(11) {
-        0 => Section::Ping { nonce, claim: held },
+        0 => Section::Ping { nonce, status: known },
         1 => Section::Ack { nonce },
-        2 => Section::AskFor { target: subject, nonce, claim: held },
-        3 => Section::Receipt { nonce },
-        4 => Section::PingFor { origin: subject, nonce, claim: held },
-        5 => Section::AckFor { origin: subject, nonce },
-        6 => Section::Vouch { subject, boot, incarnation: dice.below(9) as u32, nonce },
-        7 => Section::Rumor { subject, by: place(dice), claim: claim(dice) },
+        2 => Section::PingRequest { target: subject, nonce, status: known },
+        3 => Section::PingRequestReceipt { nonce },
+        4 => Section::IndirectPing { origin: subject, nonce, status: known },
+        5 => Section::IndirectAck { origin: subject, nonce },
+        6 => Section::ForwardedAck { subject, boot, incarnation: dice.below(9) as u32, nonce },
+        7 => Section::Update { subject, reporter: place(dice), status: status(dice) },
         8 => {
             let body = (0..dice.below(121)).map(|_| dice.below(256) as u8).collect();
             Section::Record { subject, boot, version: nonce, age_ms: dice.below(1 << 16) as u16, body }
         }
-        9 => Section::Want { subject },
+        9 => Section::RecordRequest { subject },
         _ => Section::Hello { name: "x".repeat(dice.below(33)), zone: String::new() },
     }
 }
 
 /// A datagram of good form from a place, made up.
 fn made_up(dice: &mut Dice, from: u16) -> Vec<u8> {
-    let to = if dice.chance(0.1) { EVERYBODY } else { dice.below(3) as u16 };
+    let to = if dice.chance(0.1) { BROADCAST } else { dice.below(3) as u16 };
     let (boot, counter) = (Boot(1 + dice.below(300) as u32), dice.whole() >> dice.below(64));
-    let mut draft = Draft::new(Header { to, from, boot, incarnation: dice.below(4) as u32, counter }, 0);
+    let mut datagram =
+        DatagramBuilder::new(Header { to, from, boot, incarnation: dice.below(4) as u32, counter }, 0);
     for _ in 0..dice.below(20) {
-        draft.push(&section(dice));
+        datagram.push(&section(dice));
     }
-    draft.finish()
+    datagram.finish()
 }
 
 fn changed(dice: &mut Dice, good: &[u8]) -> Vec<u8> {
     let mut bytes = good.to_vec();
     match dice.below(4) {
         0 => bytes.truncate(dice.below(bytes.len())),
-        1 => bytes.extend((0..dice.below(DATAGRAM_BYTES)).map(|_| dice.below(256) as u8)),
+        1 => bytes.extend((0..dice.below(MAX_DATAGRAM_BYTES)).map(|_| dice.below(256) as u8)),
         _ => {
             for _ in 0..1 + dice.below(4) {
                 let at = dice.below(bytes.len());
@@ -155,8 +157,8 @@
 /// In words, the first thing that must not come of them.
 pub fn strange(count: u64, seed: u64) -> Result<Strange, String> {
     let mut dice = Dice::new(seed, "strange datagrams");
-    let seal = Seal::keyed(&[3; 40]).ok_or("no key")?;
-    let (mut keyed, mut open) = (Pair::new(&seal, seed)?, Pair::new(&Seal::open(), seed)?);
+    let auth = Authenticator::from_secret(&[3; 40]).map_err(|e| e.to_string())?;
+    let (mut keyed, mut open) = (Pair::new(&auth, seed)?, Pair::new(&Authenticator::disabled(), seed)?);
     let (mut told, mut out) = (Strange::default(), Vec::new());
     while told.tried < count {
         let with_key = told.tried % 2 == 0;
@@ -171,8 +173,8 @@
             }
             _ => pair.kept[dice.below(pair.kept.len())].clone(),
         };
-        let before = pair.tried.all(pair.now);
-        let came = pair.tried.counts().came;
+        let before = pair.tried.members(pair.now);
+        let received = pair.tried.counters().received;
         pair.tried.datagram(pair.now, address(from), &bytes, &mut out);
         told.tried += 1;
         let sent = out.iter().filter(|o| matches!(o, Output::Send { .. })).count();
@@ -181,17 +183,17 @@
         if sent > MOST_OUT {
             return what("too many answers");
         }
-        if out.iter().any(|o| matches!(o, Output::Send { bytes, .. } if bytes.len() > DATAGRAM_BYTES)) {
+        if out.iter().any(|o| matches!(o, Output::Send { bytes, .. } if bytes.len() > MAX_DATAGRAM_BYTES)) {
             return what("too long an answer");
         }
-        if pair.tried.counts().came != came + 1 {
+        if pair.tried.counters().received != received + 1 {
             return what("not counted");
         }
         // With a key nothing of this is a peer's word: nobody stands otherwise than before.
-        let stands = |all: &[gaugesaddle_membership::PeerView]| -> Vec<_> {
-            all.iter().map(|p| (p.standing, p.boot, p.incarnation, p.name.clone(), p.record_age)).collect()
+        let stands = |all: &[gaugesaddle_membership::MemberView]| -> Vec<_> {
+            all.iter().map(|p| (p.state, p.boot, p.incarnation, p.name.clone(), p.record_age)).collect()
         };
-        if with_key && stands(&before) != stands(&pair.tried.all(pair.now)) {
+        if with_key && stands(&before) != stands(&pair.tried.members(pair.now)) {
             return what("believed");
         }
         out.clear();
@@ -202,10 +204,10 @@
     for (name, pair) in [("with a key", &mut keyed), ("without", &mut open)] {
         // Whatever was said of it meanwhile: the good one is met again.
         (0..1500).for_each(|_| pair.exchange());
-        if pair.tried.living_boot(1) != Some(pair.good.own().boot) {
+        if pair.tried.live_boot(1) != Some(pair.good.local_member().boot) {
             return Err(format!("{name}: the good one is not held alive afterwards"));
         }
     }
-    told.counts = keyed.tried.counts();
+    told.counts = keyed.tried.counters();
     Ok(told)
 }
--- a/crates/gaugesaddle-proxy-simulation/src/tier.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/tier.rs
@@ -8,7 +8,7 @@
 //! to that. Bounds: events by the script's end, datagrams for a paused process as a socket's buffer holds them.
 
 use gaugesaddle_balancer::Time;
-use gaugesaddle_membership::{Boot, Output, Peers, Seal, Settings, Signals, Told};
+use gaugesaddle_membership::{Authenticator, Boot, Membership, Output, Settings, Signals, TierConfig};
 pub use gaugesaddle_testbed::datagrams::{Links, Poor};
 use gaugesaddle_testbed::dice::{mix, Dice};
 pub use gaugesaddle_testbed::tier::Fact;
@@ -485,7 +485,7 @@
 }
 
 struct KnownProcess {
-    peers: Peers,
+    peers: Membership,
     publish: u64,
     next: u64,
     outputs: Vec<Output>,
@@ -506,17 +506,21 @@
 
 impl Kind for Known {
     fn start(&self, places: usize, place: usize, boot: u32, seed: u64, now: u64) -> Box<dyn Process> {
-        let told = Told {
+        let config = TierConfig {
             addresses: (0..places).map(address).collect(),
-            own: place as u16,
-            all: None,
+            own_index: place as u16,
+            broadcast_address: None,
             name: format!("p{place}"),
             zone: format!("z{}", place % 3),
         };
-        let seal = if self.keyed { Seal::keyed(&[1; 32]).unwrap_or(Seal::open()) } else { Seal::open() };
-        let peers = Peers::new(self.settings.clone(), seal, told, Boot(boot), seed, Time(now));
+        let auth = if self.keyed {
+            Authenticator::from_secret(&[1; 32]).unwrap_or(Authenticator::disabled())
+        } else {
+            Authenticator::disabled()
+        };
+        let peers = Membership::new(self.settings.clone(), auth, config, Boot(boot), seed, Time(now));
         let peers = peers.expect("a sound tier");
-        let publish = self.settings.publish.0;
+        let publish = self.settings.publish_interval.0;
         let log = vec![format!("peers: this is {place} of {places}, boot {boot:08x}, at {}", address(place))];
         Box::new(KnownProcess { peers, publish, next: now, outputs: Vec::new(), log })
     }
@@ -527,8 +531,8 @@
         for output in self.outputs.drain(..) {
             match output {
                 Output::Send { to, bytes } => out.push((place(to), bytes)),
-                Output::Noted { .. } => {} // nobody here has a host that takes notes
-                Output::Moved(transition) => self.log.push(format!("peers: {transition}")),
+                Output::MessageReceived { .. } => {} // no host here handles messages
+                Output::StateChanged(transition) => self.log.push(format!("peers: {transition}")),
                 _ => {}
             }
         }
@@ -544,9 +548,13 @@
     fn turn(&mut self, now: u64, out: &mut Sent) {
         if now >= self.next {
             self.next = now + self.publish;
-            let zone =
-                gaugesaddle_membership::ZoneSignal { backends: 10.0, can_per_s: 300.0, ..Default::default() };
-            let signals = Signals { arrivals: vec![10.0; 3], zones: vec![zone; 3], ..Signals::default() };
+            let zone = gaugesaddle_membership::ZoneSignal {
+                backends: 10.0,
+                capacity_per_s: 300.0,
+                ..Default::default()
+            };
+            let signals =
+                Signals { arrivals_per_s: vec![10.0; 3], zones: vec![zone; 3], ..Signals::default() };
             self.peers.publish(Time(now), &signals.encode());
         }
         self.peers.turn(Time(now), &mut self.outputs);
@@ -563,7 +571,7 @@
     }
 
     fn sees(&self, place: usize) -> Option<u32> {
-        self.peers.living_boot(place as u16).map(|b| b.0)
+        self.peers.live_boot(place as u16).map(|b| b.0)
     }
 
     fn log(&mut self) -> Vec<String> {
--- a/crates/gaugesaddle-proxy-simulation/tests/strange.rs
+++ b/crates/gaugesaddle-proxy-simulation/tests/strange.rs
@@ -8,6 +8,9 @@
         let told = strange(6000, seed).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
         assert_eq!(told.tried, 6000);
         let c = told.counts;
-        assert!(c.garbled > 100 && c.foreign > 100 && c.forged > 100 && c.replayed > 50, "{c:?}");
+        assert!(
+            c.malformed > 100 && c.misaddressed > 100 && c.unauthenticated > 100 && c.replayed > 50,
+            "{c:?}"
+        );
     }
 }
--- a/crates/gaugesaddle-proxy-simulation/tests/tier.rs
+++ b/crates/gaugesaddle-proxy-simulation/tests/tier.rs
@@ -158,7 +158,7 @@
 impl Process for BelievesAll {
     fn datagram(&mut self, now: u64, from: usize, bytes: &[u8], out: &mut Sent) {
         self.0.datagram(now, from, bytes, out);
-        let Ok(header) = wire::header(bytes) else { return };
+        let Ok(header) = wire::decode_header(bytes) else { return };
         let boot = header.boot.0;
         if self.1[from].replace(boot) != Some(boot) {
             self.2.push(format!("peers: {from} is alive after x, boot {boot:08x}, incarnation 0: it wrote"));
--- a/crates/gaugesaddle/src/failover.rs
+++ b/crates/gaugesaddle/src/failover.rs
@@ -130,16 +130,17 @@
 
     fn voices(&self, now: Time, living: &[u16]) -> Vec<Voice> {
         let records = self.tier.records(now, living);
-        let needs: Vec<Option<f64>> = records.iter().map(|r| r.signals.need).collect();
+        let needs: Vec<Option<f64>> = records.iter().map(|r| r.signals.demand_per_s).collect();
         let parts = parts(&Law::default(), &needs);
         let voice = |(r, part): (Said, f64)| {
-            let Signals { arrivals, zones, .. } = r.signals;
-            let find = |z: ZoneSignal| Find { backends: z.backends, ill: z.ill, can_per_s: z.can_per_s };
+            let Signals { arrivals_per_s, zones, .. } = r.signals;
+            let find =
+                |z: ZoneSignal| Find { backends: z.backends, ill: z.unhealthy, can_per_s: z.capacity_per_s };
             Some(Voice {
                 place: r.place,
                 zone: self.names.iter().position(|n| *n == r.zone)?,
                 part,
-                needs: arrivals,
+                needs: arrivals_per_s,
                 finds: zones.into_iter().map(find).collect(),
                 age: r.age,
             })
--- a/crates/gaugesaddle/src/peers/mod.rs
+++ b/crates/gaugesaddle/src/peers/mod.rs
@@ -7,7 +7,10 @@
 use crate::clock::Clock;
 use crate::registry::{PeerRow, PeersView, Totalled};
 use gaugesaddle_balancer::{Micros, Time};
-use gaugesaddle_membership::{Boot, Counts, Output, Seal, Shape, Signals, Told, Totals, DATAGRAM_BYTES};
+use gaugesaddle_membership::{
+    Authenticator, Boot, Counters, Membership, Output, PartitionStatus, Signals, TierConfig, Totals,
+    MAX_DATAGRAM_BYTES,
+};
 use rand_core::{OsRng, TryRngCore};
 use settings::PeersError;
 use socket2::{Domain, Socket, Type};
@@ -84,7 +87,7 @@
 pub struct Tier {
     clock: Clock,
     listen: SocketAddr,
-    peers: RefCell<gaugesaddle_membership::Peers>,
+    peers: RefCell<Membership>,
     publish: Micros,
     /// What is published next.
     record: RefCell<Vec<u8>>,
@@ -129,11 +132,13 @@
         let place =
             place.ok_or_else(|| key("peers.addresses", "expected a list with this proxy's own address"))?;
         let secret = section.secret()?;
-        let seal = match &secret {
-            Some(secret) => Seal::keyed(secret).ok_or_else(|| key("peers.key", "expected a longer key"))?,
-            None => Seal::open(),
+        let auth = match &secret {
+            Some(secret) => {
+                Authenticator::from_secret(secret).map_err(|_| key("peers.key", "expected a longer key"))?
+            }
+            None => Authenticator::disabled(),
         };
-        if !seal.is_keyed() && !listen.ip().is_loopback() {
+        if !auth.is_keyed() && !listen.ip().is_loopback() {
             return Err(key(
                 "peers.key",
                 "missing, expected a key where peers.listen is no loopback address",
@@ -142,16 +147,16 @@
         // As it is written here and there; a name that can't travel is none.
         let sound =
             |n: String| Some(n).filter(|n| n.bytes().all(|b| b.is_ascii_graphic())).unwrap_or_default();
-        let cut = |n: String| n.chars().take(gaugesaddle_membership::NAME_BYTES).collect::<String>();
+        let cut = |n: String| n.chars().take(gaugesaddle_membership::MAX_NAME_BYTES).collect::<String>();
         let (name, zone) = (cut(sound(own.name)), cut(sound(own.zone)));
-        let told = Told { addresses, own: place as u16, all, name, zone };
+        let config = TierConfig { addresses, own_index: place as u16, broadcast_address: all, name, zone };
         let drawn = || {
             OsRng.try_next_u64().map_err(|e| key("peers.enabled", &format!("expected random numbers: {e}")))
         };
         let boot = Boot((drawn()? as u32).max(1));
         let settings = section.settings();
-        let publish = settings.publish;
-        let peers = gaugesaddle_membership::Peers::new(settings, seal, told, boot, drawn()?, clock.now());
+        let publish = settings.publish_interval;
+        let peers = Membership::new(settings, auth, config, boot, drawn()?, clock.now());
         let peers = peers.map_err(|e| key("peers.addresses", &e.to_string()))?;
         let (record, socket, unsent) = (RefCell::default(), RefCell::default(), Cell::default());
         let (peers, classes, listeners) = (RefCell::new(peers), classes.to_vec(), RefCell::default());
@@ -180,13 +185,15 @@
         };
         let socket = Rc::new(socket);
         *self.socket.borrow_mut() = Some(socket.clone());
-        let (places, boot) =
-            (self.peers.borrow().view(self.clock.now()).told, self.peers.borrow().own().boot.0);
-        let place = self.peers.borrow().place();
+        let (places, boot) = (
+            self.peers.borrow().view(self.clock.now()).configured,
+            self.peers.borrow().local_member().boot.0,
+        );
+        let place = self.peers.borrow().own_index();
         tracing::info!("peers: this is {place} of {places}, boot {boot:08x}, at {}", self.listen);
         let (mut out, mut publish) = (Vec::new(), self.clock.now());
         // A byte more than is allowed: what is longer shows as such.
-        let mut buffer = [0; DATAGRAM_BYTES + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let wake = self.peers.borrow().wake().min(publish);
             tokio::select! {
@@ -246,7 +253,7 @@
 
     /// This proxy's place.
     pub fn place(&self) -> u16 {
-        self.peers.borrow().place()
+        self.peers.borrow().own_index()
     }
 
     /// What these say of themselves, as far as it has come.
@@ -265,7 +272,7 @@
     pub fn held(&self) -> Option<(u16, u16, u32)> {
         self.socket.borrow().as_ref()?;
         let peers = self.peers.borrow();
-        Some((peers.place(), peers.view(self.clock.now()).told as u16, peers.own().boot.0))
+        Some((peers.own_index(), peers.view(self.clock.now()).configured as u16, peers.local_member().boot.0))
     }
 
     /// Says these to other hosts, as far as they live; any may get lost.
@@ -274,7 +281,7 @@
         let (now, mut out) = (self.clock.now(), Vec::new());
         let mut peers = self.peers.borrow_mut();
         for (place, body) in notes {
-            peers.note(now, place, &body, &mut out);
+            peers.send_message(now, place, &body, &mut out);
         }
         drop(peers);
         self.carry_out(&socket, &mut out);
@@ -292,21 +299,21 @@
     fn carry_out(&self, socket: &UdpSocket, out: &mut Vec<Output>) {
         for output in out.drain(..) {
             match output {
-                Output::Noted { from, body } => self.noted(from, &body),
+                Output::MessageReceived { from, body } => self.noted(from, &body),
                 Output::Send { to, bytes } => {
                     if socket.try_send_to(&bytes, to).is_err() {
                         self.unsent.set(self.unsent.get() + 1); // as good as lost on its way
                     }
                 }
-                Output::Moved(transition) => tracing::info!("peers: {transition}"),
-                Output::Contested { place } => {
-                    tracing::warn!("peers: two processes claim place {place}");
+                Output::StateChanged(transition) => tracing::info!("peers: {transition}"),
+                Output::IndexConflict { index } => {
+                    tracing::warn!("peers: two processes claim place {index}");
                 }
-                Output::Namesake { places } => {
-                    tracing::warn!("peers: {} and {} have one name", places.0, places.1);
+                Output::NameConflict { indices } => {
+                    tracing::warn!("peers: {} and {} have one name", indices.0, indices.1);
                 }
-                Output::Stalled { span } => {
-                    tracing::warn!("peers: this process slept for {:.1} s", span.secs());
+                Output::Stalled { duration } => {
+                    tracing::warn!("peers: this process slept for {:.1} s", duration.secs());
                 }
             }
         }
@@ -334,17 +341,17 @@
     /// Who lives, in the order of places.
     pub fn living(&self, now: Time) -> Living {
         let peers = self.peers.borrow();
-        let (places, view) = (peers.living(), peers.view(now));
-        let own = places.iter().position(|p| *p == peers.place()).unwrap_or(0);
+        let (places, view) = (peers.live_members(), peers.view(now));
+        let own = places.iter().position(|p| *p == peers.own_index()).unwrap_or(0);
         // Who has not the address yet hears nobody, and would take itself for the only one.
-        let awake = if self.socket.borrow().is_some() { view.awake } else { Micros(0) };
-        Living { told: view.told, awake, still: view.unchanged, own, places }
+        let awake = if self.socket.borrow().is_some() { view.since_stall } else { Micros(0) };
+        Living { told: view.configured, awake, still: view.since_change, own, places }
     }
 
     /// What comes to each of these, in requests a second; `None`: not told yet.
     pub fn needs(&self, places: &[u16]) -> Vec<Option<f64>> {
         let peers = self.peers.borrow();
-        places.iter().map(|p| Signals::decode(&peers.record(*p)?.body)?.need).collect()
+        places.iter().map(|p| Signals::decode(&peers.record(*p)?.body)?.demand_per_s).collect()
     }
 
     /// What can be read of the tier.
@@ -352,61 +359,66 @@
         let peers = self.peers.borrow();
         let view = peers.view(now);
         let stale = Micros(self.publish.0 * OLD);
-        let totals = Totals::of(now, stale, peers.living().into_iter().map(|p| peers.record(p)));
-        let c: Counts = peers.counts();
-        let row = |p: gaugesaddle_membership::PeerView| PeerRow {
-            place: p.place,
+        let totals = Totals::sum(now, stale, peers.live_members().into_iter().map(|p| peers.record(p)));
+        let c: Counters = peers.counters();
+        let row = |p: gaugesaddle_membership::MemberView| PeerRow {
+            place: p.index,
             address: p.address.to_string(),
             name: p.name,
             zone: p.zone,
-            own: p.place == peers.place(),
-            state: p.standing.name().into(),
-            since_us: p.since.0,
+            own: p.index == peers.own_index(),
+            state: p.state.name().into(),
+            since_us: p.state_since.0,
             boot: p.boot.map(|b| format!("{:08x}", b.0)),
             incarnation: p.incarnation,
-            heard_us: p.heard.map(|a| a.0),
+            heard_us: p.since_received.map(|a| a.0),
             record_age_us: p.record_age.map(|a| a.0),
-            contested: p.contested,
+            contested: p.in_conflict,
         };
         PeersView {
-            place: peers.place(),
-            boot: format!("{:08x}", peers.own().boot.0),
-            told: view.told,
-            living: view.living,
+            place: peers.own_index(),
+            boot: format!("{:08x}", peers.local_member().boot.0),
+            told: view.configured,
+            living: view.live,
             suspect: view.suspect,
             dead: view.dead,
-            left: view.left,
-            unseen: view.unseen,
-            shape: view.shape().name().into(),
-            more_than_half: view.shape() == Shape::Most,
-            unchanged_us: view.unchanged.0,
-            answered_us: view.answered.0,
-            awake_us: view.awake.0,
-            health: view.health,
+            left: view.departed,
+            unseen: view.unknown,
+            shape: view.partition_status().name().into(),
+            more_than_half: view.partition_status() == PartitionStatus::Majority,
+            unchanged_us: view.since_change.0,
+            answered_us: view.since_ack.0,
+            awake_us: view.since_stall.0,
+            health: view.health_multiplier,
             totals: Totalled {
-                told: totals.told,
-                older: totals.older,
+                told: totals.reporting,
+                older: totals.stale,
                 older_than_us: stale.0,
                 oldest_us: totals.oldest.0,
-                arrivals_per_s: self.classes.iter().cloned().zip(totals.arrivals.iter().copied()).collect(),
-                held: totals.held,
-                given_up_per_s: totals.given_up,
+                arrivals_per_s: self
+                    .classes
+                    .iter()
+                    .cloned()
+                    .zip(totals.arrivals_per_s.iter().copied())
+                    .collect(),
+                held: totals.in_flight,
+                given_up_per_s: totals.rejected_per_s,
             },
             sent: c.sent,
             sent_bytes: c.sent_bytes,
             unsent: self.unsent.get(),
-            came: c.came,
-            garbled: c.garbled,
-            foreign: c.foreign,
-            forged: c.forged,
+            came: c.received,
+            garbled: c.malformed,
+            foreign: c.misaddressed,
+            forged: c.unauthenticated,
             replayed: c.replayed,
-            unproven: c.unproven,
-            over: c.over,
-            asked: c.asked,
-            silent: c.silent,
-            refuted: c.refuted,
+            unproven: c.unverified,
+            over: c.rate_limited,
+            asked: c.probes,
+            silent: c.failed_probes,
+            refuted: c.refutations,
             stalls: c.stalls,
-            peers: peers.all(now).into_iter().map(row).collect(),
+            peers: peers.members(now).into_iter().map(row).collect(),
         }
     }
 }
--- a/crates/gaugesaddle/src/peers/settings.rs
+++ b/crates/gaugesaddle/src/peers/settings.rs
@@ -1,7 +1,7 @@
 //! `[peers]` of the operator's file: the tier that this proxy belongs to, and what it may cost.
 
 use gaugesaddle_balancer::Micros;
-use gaugesaddle_membership::{Settings, LEAST_KEY_BYTES, MOST_PEERS};
+use gaugesaddle_membership::{Settings, MAX_MEMBERS, MIN_KEY_BYTES};
 use serde::Deserialize;
 use std::collections::HashSet;
 use std::io::Read;
@@ -59,15 +59,15 @@
             own: None,
             all: None,
             key: None,
-            probe_ms: ms(s.probe),
-            answer_ms: ms(s.answer),
-            indirect: s.indirect,
-            suspect_least_ms: ms(s.suspect_least),
-            suspect_most_ms: ms(s.suspect_most),
-            publish_ms: ms(s.publish),
+            probe_ms: ms(s.probe_interval),
+            answer_ms: ms(s.ack_timeout),
+            indirect: s.indirect_probes,
+            suspect_least_ms: ms(s.min_suspicion),
+            suspect_most_ms: ms(s.max_suspicion),
+            publish_ms: ms(s.publish_interval),
             bytes_per_s: s.bytes_per_s,
-            retry_ms: ms(s.retry),
-            forget_s: ms(s.forget) / 1000,
+            retry_ms: ms(s.reconnect_interval),
+            forget_s: ms(s.retention) / 1000,
         }
     }
 }
@@ -77,15 +77,15 @@
     pub fn settings(&self) -> Settings {
         let ms = |value: u32| Micros(u64::from(value) * 1000);
         Settings {
-            probe: ms(self.probe_ms),
-            answer: ms(self.answer_ms),
-            indirect: self.indirect,
-            suspect_least: ms(self.suspect_least_ms),
-            suspect_most: ms(self.suspect_most_ms),
-            publish: ms(self.publish_ms),
+            probe_interval: ms(self.probe_ms),
+            ack_timeout: ms(self.answer_ms),
+            indirect_probes: self.indirect,
+            min_suspicion: ms(self.suspect_least_ms),
+            max_suspicion: ms(self.suspect_most_ms),
+            publish_interval: ms(self.publish_ms),
             bytes_per_s: self.bytes_per_s,
-            retry: ms(self.retry_ms),
-            forget: Micros(u64::from(self.forget_s) * 1_000_000),
+            reconnect_interval: ms(self.retry_ms),
+            retention: Micros(u64::from(self.forget_s) * 1_000_000),
         }
     }
 
@@ -98,10 +98,10 @@
         if let Some(key) = self.key.as_ref().filter(|k| !k.is_absolute()) {
             return flaw("key", format!("expected an absolute path, got {key:?}"));
         }
-        if self.addresses.len() > MOST_PEERS {
+        if self.addresses.len() > MAX_MEMBERS {
             return flaw(
                 "addresses",
-                format!("expected up to {MOST_PEERS} addresses, got {}", self.addresses.len()),
+                format!("expected up to {MAX_MEMBERS} addresses, got {}", self.addresses.len()),
             );
         }
         let mut seen = HashSet::new();
@@ -163,7 +163,7 @@
         mode: u32,
     },
     /// It is too short to be a secret, or too long to be a key.
-    #[error("peers.key: expected {LEAST_KEY_BYTES} to {MOST_KEY_BYTES} bytes, got {bytes} in {}", path.display())]
+    #[error("peers.key: expected {MIN_KEY_BYTES} to {MOST_KEY_BYTES} bytes, got {bytes} in {}", path.display())]
     Length {
         /// Which.
         path: PathBuf,
@@ -183,7 +183,7 @@
     let mut secret = Vec::new();
     file.take(MOST_KEY_BYTES + 1).read_to_end(&mut secret).map_err(unread)?;
     let bytes = secret.len() as u64;
-    match (LEAST_KEY_BYTES as u64..=MOST_KEY_BYTES).contains(&bytes) {
+    match (MIN_KEY_BYTES as u64..=MOST_KEY_BYTES).contains(&bytes) {
         true => Ok(secret),
         false => Err(PeersError::Length { path: path.into(), bytes }),
     }
--- a/crates/gaugesaddle/src/peers/watch.rs
+++ b/crates/gaugesaddle/src/peers/watch.rs
@@ -50,18 +50,24 @@
             *since = if found.ill > 0 { since.or(Some(now)) } else { None };
             ZoneSignal {
                 backends: f64::from(found.backends),
-                ill: f64::from(found.ill),
+                unhealthy: f64::from(found.ill),
                 // Before any was served nothing is known of it.
-                can_per_s: if found.able.is_finite() { found.able } else { 0.0 },
-                ill_for_s: since.map_or(0.0, |at| (now - at).secs()),
+                capacity_per_s: if found.able.is_finite() { found.able } else { 0.0 },
+                unhealthy_for_s: since.map_or(0.0, |at| (now - at).secs()),
             }
         };
         let zones = self.zones.iter().zip(&mut self.ill_since).map(zone).collect();
         let came = self.arrivals.iter().fold(0, |sum: u32, r| sum.saturating_add(r.count));
-        let need = self.need.look(came, secs);
-        let arrivals = self.arrivals.iter_mut().map(|r| r.look(secs)).collect();
-        let given_up = self.given_up.look(secs);
-        Signals { arrivals, held: self.registry.open() as f64, given_up, need, zones }
+        let demand_per_s = self.need.look(came, secs);
+        let arrivals_per_s = self.arrivals.iter_mut().map(|r| r.look(secs)).collect();
+        let rejected_per_s = self.given_up.look(secs);
+        Signals {
+            arrivals_per_s,
+            in_flight: self.registry.open() as f64,
+            rejected_per_s,
+            demand_per_s,
+            zones,
+        }
     }
 }
 
--- a/crates/gaugesaddle/tests/shares.rs
+++ b/crates/gaugesaddle/tests/shares.rs
@@ -97,7 +97,7 @@
     let serve = || {
         honest.iter().for_each(|p| assert_eq!(ask(tier.proxy(*p), &request("read", 7000)).status(), 200));
     };
-    liar.say(Signals { need: Some(1e6), ..Signals::default() }.encode());
+    liar.say(Signals { demand_per_s: Some(1e6), ..Signals::default() }.encode());
     let (floor, bound) = (0.1 / 6.0, 0.9 * 3.0 / 6.0);
     until("all believe it", || {
         serve();
@@ -109,7 +109,8 @@
     let taken = 1.0 - views().iter().map(|v| v.part).sum::<f64>();
     assert!(taken <= bound + floor + 0.02, "no more than three times the even part: {taken}");
     (0..5).for_each(|_| serve());
-    for nonsense in [vec![0xff; 120], vec![], Signals { need: Some(f64::NAN), ..Signals::default() }.encode()]
+    for nonsense in
+        [vec![0xff; 120], vec![], Signals { demand_per_s: Some(f64::NAN), ..Signals::default() }.encode()]
     {
         liar.say(nonsense);
         until("nothing was said", || {
--- a/crates/gaugesaddle/tests/tier/mod.rs
+++ b/crates/gaugesaddle/tests/tier/mod.rs
@@ -5,7 +5,7 @@
 
 use gaugesaddle::registry::{PeerRow, PeersView, Snapshot};
 use gaugesaddle_balancer::{Micros, Time};
-use gaugesaddle_membership::{Boot, Output, Peers, Seal, Settings, Told};
+use gaugesaddle_membership::{Authenticator, Boot, Membership, Output, Settings, TierConfig};
 use gaugesaddle_testbed::datagrams::Datagrams;
 use gaugesaddle_testbed::lease::Lease;
 use gaugesaddle_testbed::scripted::*;
@@ -246,17 +246,17 @@
         let (body, stop) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicBool::new(false)));
         let socket = UdpSocket::bind(tier.listens[place]).unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
-        let told = Told {
+        let config = TierConfig {
             addresses: tier.ways.addresses().to_vec(),
-            own: place as u16,
-            all: None,
+            own_index: place as u16,
+            broadcast_address: None,
             name: format!("p{place}"),
             zone: String::new(),
         };
-        let seal = Seal::keyed(&[7; 48]).unwrap();
+        let auth = Authenticator::from_secret(&[7; 48]).unwrap();
         let begun = Instant::now();
         let now = move || Time(1_000_000 + begun.elapsed().as_micros() as u64);
-        let mut peers = Peers::new(Settings::default(), seal, told, Boot(77), 7, now()).unwrap();
+        let mut peers = Membership::new(Settings::default(), auth, config, Boot(77), 7, now()).unwrap();
         let (says, stopped) = (body.clone(), stop.clone());
         let thread = std::thread::spawn(move || {
             let (mut out, mut buffer, mut published) = (Vec::new(), [0; 2048], now());
