--- a/crates/gaugesaddle/src/failover.rs
+++ b/crates/gaugesaddle/src/failover.rs
@@ -138,20 +138,20 @@
 
     fn voices(&self, now: Time, living: &[u16]) -> Vec<ProxyReport> {
         let records = self.tier.records(now, living);
-        let needs: Vec<Option<f64>> = records.iter().map(|r| r.signals.need).collect();
+        let needs: Vec<Option<f64>> = records.iter().map(|r| r.signals.demand_per_s).collect();
         let parts = parts(&Law::default(), &needs);
         let voice = |(r, part): (Said, f64)| {
-            let Signals { arrivals, zones, .. } = r.signals;
+            let Signals { arrivals_per_s, zones, .. } = r.signals;
             let find = |z: ZoneSignal| ZoneObservation {
                 backends: z.backends,
-                unhealthy: z.ill,
-                capacity_per_s: z.can_per_s,
+                unhealthy: z.unhealthy,
+                capacity_per_s: z.capacity_per_s,
             };
             Some(ProxyReport {
                 member: r.place,
                 zone: self.names.iter().position(|n| *n == r.zone)?,
                 allocation: part,
-                demand_per_s: arrivals,
+                demand_per_s: arrivals_per_s,
                 observations: zones.into_iter().map(find).collect(),
                 age: r.age,
             })
@@ -182,7 +182,7 @@
             if cut {
                 tracing::warn!("zones: cut off from {}, which most see: not ready", names.join(", "));
             } else {
-                tracing::info!("zones: sees what most see again: ready")
+                tracing::info!("zones: sees what most see again: ready");
             }
         }
         cut.then(|| names.join(", "))
--- a/crates/gaugesaddle/src/region/mod.rs
+++ b/crates/gaugesaddle/src/region/mod.rs
@@ -549,8 +549,8 @@
             HopRequest { class: leaving.class.0, remaining: left, via: leaving.hop, open_fraction: open };
         let (link, Hop { via, remaining }) = {
             let mut links = regions.links.borrow_mut();
-            let tried = links.iter_mut().enumerate().filter(|(i, _)| regions.peers[*i].is_some());
-            tried.filter_map(|(i, l)| l.start_hop(now, request).ok().map(|hop| (i, hop))).next()?
+            let mut tried = links.iter_mut().enumerate().filter(|(i, _)| regions.peers[*i].is_some());
+            tried.find_map(|(i, l)| l.start_hop(now, request).ok().map(|hop| (i, hop)))?
         };
         // What was taken here is given back by the end of the hop, whatever ends it.
         let mut out = Out { regions: regions.clone(), link, ended: false };
