--- a/crates/gaugesaddle-federation/src/rate_limit.rs
+++ b/crates/gaugesaddle-federation/src/rate_limit.rs
@@ -7,7 +7,7 @@
 /// Window of all rates.
 pub(crate) const SECOND: Micros = Micros(1_000_000);
 
-/// A log of the sends of the last window. It has at most `limit` entries where a send is recorded only when some remain.
+/// A log of the sends of the last window, so at most as many as are made in one.
 #[derive(Clone, Debug)]
 pub(crate) struct SlidingWindow {
     length: Micros,
@@ -26,10 +26,7 @@
 
     /// Sends within the window that ends now.
     pub(crate) fn used(&mut self, now: Time) -> u32 {
-        // The window is open at its end: two sends a full length apart are never in one window.
-        while self.sent_at.front().is_some_and(|sent_at| now - *sent_at >= self.length) {
-            self.sent_at.pop_front();
-        }
+        self.drop_expired(now);
         self.sent_at.len() as u32
     }
 
@@ -40,8 +37,17 @@
     }
 
     pub(crate) fn record(&mut self, now: Time) {
+        // Here too: the log of a class is looked up only by classes of lower priority weights, and there may be none.
+        self.drop_expired(now);
         self.sent_at.push_back(now);
     }
+
+    fn drop_expired(&mut self, now: Time) {
+        // The window is open at its end: two sends a full length apart are never in one window.
+        while self.sent_at.front().is_some_and(|sent_at| now - *sent_at >= self.length) {
+            self.sent_at.pop_front();
+        }
+    }
 }
 
 /// Turns: slots of the common clock, one proxy after the other.
@@ -140,3 +146,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
