--- a/crates/gaugesaddle-membership/src/health.rs
+++ b/crates/gaugesaddle-membership/src/health.rs
@@ -1,5 +1,5 @@
-//! Local health multiplier (Lifeguard, section IV.A): a process that is slow itself, or whose datagrams get lost, probes
-//! less often and waits longer before it suspects others.
+//! Local health multiplier (Lifeguard, section IV.A): a process that is slow itself, or whose datagrams get lost,
+//! probes less often and waits longer before it suspects others.
 
 use gaugesaddle_balancer::Micros;
 
--- a/crates/gaugesaddle-membership/src/lib.rs
+++ b/crates/gaugesaddle-membership/src/lib.rs
@@ -7,10 +7,11 @@
 //!
 //! # Types
 //!
-//! - [`Membership`] is one process's view of the tier. It owns the table of members, their records, the queue of updates
-//!   and all schedules. It is created from a [`TierConfig`], [`Settings`] and an [`Authenticator`].
-//! - [`KnownMember`] and [`LocalMember`] are the core rules: how updates and acknowledgements change the [`MemberState`]
-//!   of another member, and how this process refutes a wrong one. `tests/model.rs` checks them with a model checker.
+//! - [`Membership`] is one process's view of the tier. It owns the table of members, their records, the queue of
+//!   updates and all schedules. It is created from a [`TierConfig`], [`Settings`] and an [`Authenticator`].
+//! - [`KnownMember`] and [`LocalMember`] are the core rules: how updates and acknowledgements change the
+//!   [`MemberState`] of another member, and how this process refutes a wrong one. `tests/model.rs` checks them with a
+//!   model checker.
 //! - [`View`] summarizes the membership; [`PartitionStatus`] tells a small tier from a partitioned one.
 //! - [`Record`] is what a member publishes, opaque to the protocol; [`Signals`] is its content, and [`Totals`] the sum
 //!   over the live members with the age of its inputs.
@@ -62,31 +63,31 @@
 //! # Guarantees
 //!
 //! - Nothing that arrives makes it panic.
-//! - A former process never becomes live again, whatever is delayed, duplicated or replayed: another process counts only
-//!   after it has acknowledged a new probe.
+//! - A former process never becomes live again, whatever is delayed, duplicated or replayed: another process counts
+//!   only after it has acknowledged a new probe.
 //! - A record is never replaced by an older one.
 //!
-//! **During a partition** each side declares the other dead and continues; [`View::partition_status`] tells that this may
-//! be the smaller side. After the partition has healed, every process refutes what was disseminated about it, and both
-//! sides converge to the same statuses. Nothing waits for agreement. If only some links are broken, a process that any
-//! member reaches is probed through that member.
+//! **During a partition** each side declares the other dead and continues; [`View::partition_status`] tells that this
+//! may be the smaller side. After the partition has healed, every process refutes what was disseminated about it, and
+//! both sides converge to the same statuses. Nothing waits for agreement. If only some links are broken, a process that
+//! any member reaches is probed through that member.
 //!
 //! **After a stall** of the own process its time-outs are postponed by the stall, so it declares nobody dead because of
-//! it, and what was received meanwhile counts as old as the stall. [`View::since_stall`] tells how long ago that was. If
-//! the others declared it dead, it refutes that.
+//! it, and what was received meanwhile counts as old as the stall. [`View::since_stall`] tells how long ago that was.
+//! If the others declared it dead, it refutes that.
 //!
 //! # Bounds
 //!
 //! One table entry for each configured member, at most [`MAX_MEMBERS`]: one status, one record of at most
-//! [`MAX_RECORD_BYTES`], one pending update and three open probes. Datagrams have at most [`MAX_DATAGRAM_BYTES`]. Probes
-//! and acknowledgements of live members are sent at a constant rate, everything else within [`Settings::bytes_per_s`],
-//! and replies within a token bucket.
+//! [`MAX_RECORD_BYTES`], one pending update and three open probes. Datagrams have at most [`MAX_DATAGRAM_BYTES`].
+//! Probes and acknowledgements of live members are sent at a constant rate, everything else within
+//! [`Settings::bytes_per_s`], and replies within a token bucket.
 //!
 //! Times are those of the host's monotonic clock; clocks of two machines are never compared.
 //!
-//! Not covered: tiers whose members have the addresses in a different order, records that exceed one datagram, encryption
-//! (the tag only excludes strangers), and which of two live processes at one index is the right one (they are reported
-//! by [`Output::IndexConflict`]).
+//! Not covered: tiers whose members have the addresses in a different order, records that exceed one datagram,
+//! encryption (the tag only excludes strangers), and which of two live processes at one index is the right one (they
+//! are reported by [`Output::IndexConflict`]).
 
 mod auth;
 mod config;
--- a/crates/gaugesaddle-membership/src/member.rs
+++ b/crates/gaugesaddle-membership/src/member.rs
@@ -76,7 +76,8 @@
         self.open_probes.push(OpenProbe { nonce, with_hello });
     }
 
-    /// Closes the probe with this nonce. Returns `false` if none is open: the acknowledgement is late, replayed or forged.
+    /// Closes the probe with this nonce. Returns `false` if none is open: the acknowledgement is late, replayed or
+    /// forged.
     pub fn close_probe(&mut self, nonce: u32) -> bool {
         let Some(at) = self.open_probes.iter().position(|probe| probe.nonce == nonce) else { return false };
         let probe = self.open_probes.remove(at);
--- a/crates/gaugesaddle-membership/src/membership.rs
+++ b/crates/gaugesaddle-membership/src/membership.rs
@@ -28,8 +28,8 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
 
-/// A turn that is late by more than this means that the process was stopped or starved. It is ten times the delay of three
-/// late timers on a busy core.
+/// A turn that is late by more than this means that the process was stopped or starved. It is ten times the delay of
+/// three late timers on a busy core.
 const STALL_THRESHOLD: Micros = Micros(300_000);
 /// Interval of the search for dead members to forget.
 const EXPIRY_INTERVAL: Micros = Micros(1_000_000);
@@ -223,8 +223,8 @@
         }
     }
 
-    /// Detects that this process was stopped or starved since the turn that was due. Its time-outs are then postponed by
-    /// the stall: what others sent meanwhile has not been read yet.
+    /// Detects that this process was stopped or starved since the turn that was due. Its time-outs are then postponed
+    /// by the stall: what others sent meanwhile has not been read yet.
     fn detect_stall(&mut self, now: Time, out: &mut Vec<Output>) {
         if !self.started || now - self.turn_due <= STALL_THRESHOLD {
             return;
--- a/crates/gaugesaddle-membership/src/membership/probe.rs
+++ b/crates/gaugesaddle-membership/src/membership/probe.rs
@@ -44,9 +44,9 @@
         self.send(target, datagram, out);
     }
 
-    /// Probes outside of the cycle: a process that is not verified, or a member that may refute its status. At most once
-    /// in the acknowledgement time-out. If an earlier probe is still open, another member is requested to probe as well:
-    /// one direction of the direct path may be broken.
+    /// Probes outside of the cycle: a process that is not verified, or a member that may refute its status. At most
+    /// once in the acknowledgement time-out. If an earlier probe is still open, another member is requested to probe as
+    /// well: one direction of the direct path may be broken.
     pub(super) fn probe_out_of_turn(&mut self, now: Time, index: u16, out: &mut Vec<Output>) {
         let member = self.member(index);
         if member.last_probed.is_some_and(|at| now - at < self.settings.ack_timeout) {
@@ -127,7 +127,8 @@
     }
 
     /// The live member that was neither received from nor probed for longest, if its record is overdue. Every second
-    /// probe goes to it: a process that missed the update about a death would otherwise detect it only in its own cycle.
+    /// probe goes to it: a process that missed the update about a death would otherwise detect it only in its own
+    /// cycle.
     fn longest_unheard(&self, now: Time) -> Option<u16> {
         let last_contact = |index: &u16| {
             let member = self.member(*index);
@@ -166,8 +167,8 @@
         }
     }
 
-    /// Whether a process at this index needs a probe so that it learns its status and can refute it. A departed member is
-    /// not probed for that.
+    /// Whether a process at this index needs a probe so that it learns its status and can refute it. A departed member
+    /// is not probed for that.
     pub(super) fn should_notify(&self, index: u16) -> bool {
         matches!(self.state(index), MemberState::Suspect | MemberState::Dead)
     }
--- a/crates/gaugesaddle-membership/src/membership/transition.rs
+++ b/crates/gaugesaddle-membership/src/membership/transition.rs
@@ -71,8 +71,8 @@
         self.updates.add(own_index, self.local.status(), own_index);
     }
 
-    /// Another member believes that another process is live at this index. Soon after a start that is the former process,
-    /// later a rival.
+    /// Another member believes that another process is live at this index. Soon after a start that is the former
+    /// process, later a rival.
     fn rival_sighted(&mut self, now: Time, out: &mut Vec<Output>) {
         let recent = self.rival.filter(|rival| now - rival.last < CONFLICT_WINDOW);
         let first = recent.map_or(now, |rival| rival.first);
--- a/crates/gaugesaddle-membership/src/records.rs
+++ b/crates/gaugesaddle-membership/src/records.rs
@@ -1,6 +1,6 @@
 //! The newest record of each member. A record is an opaque payload that its owner publishes to all others. Records are
-//! ordered by version within one process of the owner; an older one never replaces a newer one. A record is removed when
-//! its owner is dead, departed, or another process.
+//! ordered by version within one process of the owner; an older one never replaces a newer one. A record is removed
+//! when its owner is dead, departed, or another process.
 
 use crate::member_state::Boot;
 use gaugesaddle_balancer::{Micros, Time};
@@ -28,8 +28,8 @@
 #[derive(Clone, Debug, Default)]
 struct Slot {
     record: Option<Record>,
-    /// Process and version of the newest record so far. It outlasts the record: otherwise an older one could be inserted
-    /// after a removal.
+    /// Process and version of the newest record so far. It outlasts the record: otherwise an older one could be
+    /// inserted after a removal.
     newest: Option<(Boot, u32)>,
 }
 
--- a/crates/gaugesaddle-membership/src/settings.rs
+++ b/crates/gaugesaddle-membership/src/settings.rs
@@ -5,8 +5,8 @@
 /// Most members of a tier: indices fit two bytes, and every process has a table of this size.
 pub const MAX_MEMBERS: usize = 4096;
 
-/// Times and budgets. All proxies of a tier should have the same; the protocol does not depend on it. The comment of each
-/// field names its key in the operator's file.
+/// Times and budgets. All proxies of a tier should have the same; the protocol does not depend on it. The comment of
+/// each field names its key in the operator's file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Interval of the probes of live members (`probe_ms`).
@@ -21,8 +21,8 @@
     pub max_suspicion: Micros,
     /// The local record is sent to each other member at most once in this time (`publish_ms`).
     pub publish_interval: Micros,
-    /// Bytes a second for records, pending updates and probes of lost members together. Probes and acknowledgements of
-    /// live members come on top, at a constant rate.
+    /// Bytes per second for records, messages, pending updates and probes of lost members together. Probes and
+    /// acknowledgements of live members come on top, at a constant rate.
     pub bytes_per_s: u32,
     /// Each lost member is probed at least once in this time (`retry_ms`).
     pub reconnect_interval: Micros,
--- a/crates/gaugesaddle-membership/src/signals.rs
+++ b/crates/gaugesaddle-membership/src/signals.rs
@@ -1,6 +1,6 @@
-//! The record that a proxy publishes: its arrivals, its requests in flight, and what it observes of the backends of each
-//! zone. Values are sent as logarithms in two bytes, exact to a thousandth; classes and zones are identified by their
-//! order in the settings, which all proxies share.
+//! The record that a proxy publishes: its arrivals, its requests in flight, and what it observes of the backends of
+//! each zone. Values are sent as logarithms in two bytes, exact to a thousandth; classes and zones are identified by
+//! their order in the settings, which all proxies share.
 
 use crate::records::Record;
 use crate::wire::MAX_RECORD_BYTES;
@@ -45,8 +45,8 @@
     pub in_flight: f64,
     /// Requests per second that it rejects or fails.
     pub rejected_per_s: f64,
-    /// The demand that its allocation is computed from, in requests per second. It changes only when it differs from the
-    /// arrivals by more than chance. `None` while it is not known.
+    /// The demand that its allocation is computed from, in requests per second. It changes only when it differs from
+    /// the arrivals by more than chance. `None` while it is not known.
     pub demand_per_s: Option<f64>,
     /// By zone.
     pub zones: Vec<ZoneSignal>,
--- a/crates/gaugesaddle-membership/src/view.rs
+++ b/crates/gaugesaddle-membership/src/view.rs
@@ -7,11 +7,11 @@
 pub enum PartitionStatus {
     /// More than half of the configured members are live.
     Majority,
-    /// At most half of the configured members are live, but more than half of the known ones: the tier is small or still
-    /// starting, and nobody is missing.
+    /// At most half of the configured members are live, but more than half of the known ones: the tier is small or
+    /// still starting, and nobody is missing.
     Small,
-    /// Half or more of the known members are dead, and none of these announced its departure: this process may be on the
-    /// smaller side of a partition, and the other side may decide differently.
+    /// Half or more of the known members are dead, and none of these announced its departure: this process may be on
+    /// the smaller side of a partition, and the other side may decide differently.
     Partitioned,
 }
 
--- a/crates/gaugesaddle-membership/src/wire.rs
+++ b/crates/gaugesaddle-membership/src/wire.rs
@@ -5,8 +5,8 @@
 //! sections  kind 1, then a body that is fixed by the kind; records, messages and names with one byte of length
 //! tag       16 bytes, if there is a key; over all bytes before it
 //! ```
-//! Numbers are big-endian. `to` and `from` are indices in [`crate::TierConfig::addresses`]; `to` is [`BROADCAST`] if the
-//! datagram is for all members. `tests/golden_datagrams.rs` holds the bytes of every section.
+//! Numbers are big-endian. `to` and `from` are indices in [`crate::TierConfig::addresses`]; `to` is [`BROADCAST`] if
+//! the datagram is for all members. `tests/golden_datagrams.rs` holds the bytes of every section.
 
 mod decode;
 mod encode;
--- a/crates/gaugesaddle-membership/tests/model.rs
+++ b/crates/gaugesaddle-membership/tests/model.rs
@@ -1,9 +1,9 @@
-//! The core rules of the membership, checked by a model checker under every order of messages: three processes, messages
-//! lost and duplicated, wrong suspicions, one crash with a restart, one partition that heals.
+//! The core rules of the membership, checked by a model checker under every order of messages: three processes,
+//! messages lost and duplicated, wrong suspicions, one crash with a restart, one partition that heals.
 //!
-//! Bounds: [`MAX_PROBES`] probes and [`MAX_UPDATES`] disseminated updates in a run, [`MAX_IN_TRANSIT`] messages in transit,
-//! one message lost, one duplicated, one wrong suspicion that may end in a wrong declaration of death, one crash with a
-//! restart, one partition of one process from the others.
+//! Bounds: [`MAX_PROBES`] probes and [`MAX_UPDATES`] disseminated updates in a run, [`MAX_IN_TRANSIT`] messages in
+//! transit, one message lost, one duplicated, one wrong suspicion that may end in a wrong declaration of death, one
+//! crash with a restart, one partition of one process from the others.
 //!
 //! Convergence is checked from every reachable state: the network heals, everything in transit arrives, each process
 //! probes each other one three times; then each must know every other running process as alive.
--- a/crates/gaugesaddle/src/app.rs
+++ b/crates/gaugesaddle/src/app.rs
@@ -206,7 +206,7 @@
         tokio::task::spawn_local(regions.clone().serve(server.clone(), gateway));
     }
     let tier = operator.peers.enabled.then(|| {
-        let own = peers::Own {
+        let own = peers::LocalProxy {
             name: config.name.clone(),
             zone: server.rules.names.zone().into(),
             position: config.module.position,
--- a/crates/gaugesaddle/src/error.rs
+++ b/crates/gaugesaddle/src/error.rs
@@ -71,7 +71,7 @@
     Keys(#[from] crate::region::KeyError),
     /// The tier of proxies.
     #[error(transparent)]
-    Peers(#[from] crate::peers::settings::PeersError),
+    Peers(#[from] crate::peers::PeersError),
     /// An address or a path can't be listened on.
     #[error("{key}: expected {expected}, got {at}: {source}")]
     Listen {
--- a/crates/gaugesaddle/src/failover.rs
+++ b/crates/gaugesaddle/src/failover.rs
@@ -1,7 +1,7 @@
 //! Zones judged and decided in common, in the running proxy: the file beside the driver. What the others say is the tier's
 //! to carry, what follows is `gaugesaddle_failover`'s. Begun: what is decided is shown, and moves no traffic yet.
 
-use crate::peers::{Listener, Living, Said, Tier};
+use crate::peers::{LiveMembers, MemberReport, MessageHandler, Tier};
 use crate::registry::{Registry, ZoneRow, ZonesView};
 use crate::seam::Subsystem;
 use gaugesaddle_allocation::{parts, Law, AWAKE};
@@ -81,8 +81,8 @@
     }
 }
 
-impl Listener for Zones {
-    fn noted(&self, now: Time, from: u16, body: &[u8], answers: &mut Vec<(u16, Vec<u8>)>) {
+impl MessageHandler for Zones {
+    fn handle_message(&self, now: Time, from: u16, body: &[u8], answers: &mut Vec<(u16, Vec<u8>)>) {
         self.step(|council, seen| council.hear(now, from, body, seen, answers));
     }
 }
@@ -117,9 +117,9 @@
         if names.len() > MOST_ZONES {
             return None;
         }
-        let council = RefCell::new(Council::new(tier.place(), names.len(), NOISE, seed));
+        let council = RefCell::new(Council::new(tier.own_index(), names.len(), NOISE, seed));
         let zones = Rc::new(Zones { council, looked: RefCell::default() });
-        tier.listen_to(zones.clone());
+        tier.add_handler(zones.clone());
         let worth: Vec<f64> = classes.iter().map(|c| c.worth).collect();
         let mut order: Vec<usize> = (0..worth.len()).collect();
         order.sort_by(|a, b| worth[*b].total_cmp(&worth[*a]).then(a.cmp(b)));
@@ -129,15 +129,15 @@
     }
 
     fn voices(&self, now: Time, living: &[u16]) -> Vec<Voice> {
-        let records = self.tier.records(now, living);
+        let records = self.tier.reports(now, living);
         let needs: Vec<Option<f64>> = records.iter().map(|r| r.signals.demand_per_s).collect();
         let parts = parts(&Law::default(), &needs);
-        let voice = |(r, part): (Said, f64)| {
+        let voice = |(r, part): (MemberReport, f64)| {
             let Signals { arrivals_per_s, zones, .. } = r.signals;
             let find =
                 |z: ZoneSignal| Find { backends: z.backends, ill: z.unhealthy, can_per_s: z.capacity_per_s };
             Some(Voice {
-                place: r.place,
+                place: r.index,
                 zone: self.names.iter().position(|n| *n == r.zone)?,
                 part,
                 needs: arrivals_per_s,
@@ -156,12 +156,12 @@
         let needs: Vec<Vec<f64>> = judged.zones.iter().map(|z| z.needs.clone()).collect();
         let target = f64::from(self.settings.target_percent) / 100.0;
         let plan = plan(target, &needs, &can?, &self.worth);
-        Decision::of(Number::default(), self.tier.place(), &plan, &trust, &self.order)
+        Decision::of(Number::default(), self.tier.own_index(), &plan, &trust, &self.order)
     }
 
     /// Whether most find this proxy blind to what they see. It serves on, and asks for no more clients.
     fn look_at_self(&mut self, now: Time, judged: &Judgement) -> Option<String> {
-        let place = self.tier.place();
+        let place = self.tier.own_index();
         let is_cut = judged.cut.contains(&place);
         self.cut = if is_cut { self.cut.or(Some(now)) } else { None };
         let cut = self.cut.is_some_and(|since| now - since >= CUT_AFTER);
@@ -213,7 +213,8 @@
             return;
         }
         self.next = now + LOOK;
-        let Living { told, awake, places, .. } = self.tier.living(now);
+        let LiveMembers { configured: told, since_stall: awake, indices: places, .. } =
+            self.tier.live_members(now);
         let (most, awake) = (places.len() * 2 > told, awake >= AWAKE);
         let voices = self.voices(now, &places);
         *self.zones.looked.borrow_mut() = Looked { living: places, most, awake };
@@ -225,7 +226,7 @@
         let should = self.should(&judged);
         let mut notes = Vec::new();
         self.zones.step(|council, seen| council.look(now, seen, should.as_ref(), &mut notes));
-        self.tier.note(notes);
+        self.tier.send_messages(notes);
         let cut = self.look_at_self(now, &judged);
         *self.registry.zones.borrow_mut() = Some(self.view(now, &judged, cut));
     }
--- a/crates/gaugesaddle/src/peers/watch.rs
+++ b/crates/gaugesaddle/src/peers/watch.rs
@@ -1,4 +1,5 @@
-//! What this proxy tells the others of itself: counted by the seam, looked at in the module, published by the tier.
+//! Measures the signals of this proxy and publishes them: rates from counters of the extension point, the health of
+//! each zone from the balancer.
 
 use super::Tier;
 use crate::exchange::Arrived;
@@ -9,91 +10,116 @@
 use gaugesaddle_membership::{Signals, ZoneSignal};
 use std::rc::Rc;
 
-/// What is counted between looks, and its rate.
+/// Shortest time between two measurements, in seconds: a rate is never divided by zero.
+const MIN_PERIOD_S: f64 = 1e-3;
+
+/// A counter and its smoothed rate.
 #[derive(Clone, Copy, Default)]
-struct Counted {
+struct RateCounter {
+    /// Events since the last measurement.
     count: u32,
     rate: Rate,
 }
 
-impl Counted {
-    fn look(&mut self, secs: f64) -> f64 {
-        self.rate.look(std::mem::take(&mut self.count), secs)
+impl RateCounter {
+    fn increment(&mut self) {
+        self.count = self.count.saturating_add(1);
+    }
+
+    /// The rate per second, `period_s` after the last measurement.
+    fn measure(&mut self, period_s: f64) -> f64 {
+        self.rate.look(std::mem::take(&mut self.count), period_s)
     }
 }
 
+/// A zone and since when it has unhealthy backends.
+struct ZoneHealth {
+    id: ZoneId,
+    unhealthy_since: Option<Time>,
+}
+
+/// Publishes the signals of this proxy once in each publish interval.
 pub struct PeerWatch {
     tier: Rc<Tier>,
     registry: Rc<Registry>,
-    /// By number in the settings.
-    zones: Vec<ZoneId>,
-    /// Since when some backends of the zone have been ill.
-    ill_since: Vec<Option<Time>>,
-    arrivals: Vec<Counted>,
-    given_up: Counted,
-    need: Need,
-    looked: Option<Time>,
+    /// In the order of the settings.
+    zones: Vec<ZoneHealth>,
+    /// By class.
+    arrivals: Vec<RateCounter>,
+    rejected: RateCounter,
+    demand: Need,
+    last_measured: Option<Time>,
     next: Time,
 }
 
 impl PeerWatch {
     pub fn new(tier: Rc<Tier>, registry: Rc<Registry>, zones: Vec<ZoneId>, classes: usize) -> PeerWatch {
-        let (ill_since, arrivals) = (vec![None; zones.len()], vec![Counted::default(); classes]);
-        let (given_up, need, looked, next) = (Counted::default(), Need::default(), None, Time(0));
-        PeerWatch { tier, registry, zones, ill_since, arrivals, given_up, need, looked, next }
+        let zones = zones.into_iter().map(|id| ZoneHealth { id, unhealthy_since: None }).collect();
+        PeerWatch {
+            tier,
+            registry,
+            zones,
+            arrivals: vec![RateCounter::default(); classes],
+            rejected: RateCounter::default(),
+            demand: Need::default(),
+            last_measured: None,
+            next: Time(0),
+        }
     }
 
-    fn signals(&mut self, now: Time, secs: f64, module: &Balancer) -> Signals {
-        let seen = module.zones();
-        let zone = |(id, since): (&ZoneId, &mut Option<Time>)| {
-            let found = seen.get(id).copied().unwrap_or_default();
-            *since = if found.ill > 0 { since.or(Some(now)) } else { None };
-            ZoneSignal {
+    fn measure(&mut self, now: Time, period_s: f64, balancer: &Balancer) -> Signals {
+        // Before the counters are reset by their own measurement.
+        let arrived = self.arrivals.iter().fold(0, |sum: u32, class| sum.saturating_add(class.count));
+        Signals {
+            demand_per_s: self.demand.look(arrived, period_s),
+            arrivals_per_s: self.arrivals.iter_mut().map(|class| class.measure(period_s)).collect(),
+            in_flight: self.registry.open() as f64,
+            rejected_per_s: self.rejected.measure(period_s),
+            zones: self.measure_zones(now, balancer),
+        }
+    }
+
+    fn measure_zones(&mut self, now: Time, balancer: &Balancer) -> Vec<ZoneSignal> {
+        let observed = balancer.zones();
+        let mut signals = Vec::with_capacity(self.zones.len());
+        for zone in &mut self.zones {
+            let found = observed.get(&zone.id).copied().unwrap_or_default();
+            zone.unhealthy_since = if found.ill > 0 { zone.unhealthy_since.or(Some(now)) } else { None };
+            signals.push(ZoneSignal {
                 backends: f64::from(found.backends),
                 unhealthy: f64::from(found.ill),
-                // Before any was served nothing is known of it.
+                // Before the first request is served, the capacity is not known.
                 capacity_per_s: if found.able.is_finite() { found.able } else { 0.0 },
-                unhealthy_for_s: since.map_or(0.0, |at| (now - at).secs()),
-            }
-        };
-        let zones = self.zones.iter().zip(&mut self.ill_since).map(zone).collect();
-        let came = self.arrivals.iter().fold(0, |sum: u32, r| sum.saturating_add(r.count));
-        let demand_per_s = self.need.look(came, secs);
-        let arrivals_per_s = self.arrivals.iter_mut().map(|r| r.look(secs)).collect();
-        let rejected_per_s = self.given_up.look(secs);
-        Signals {
-            arrivals_per_s,
-            in_flight: self.registry.open() as f64,
-            rejected_per_s,
-            demand_per_s,
-            zones,
+                unhealthy_for_s: zone.unhealthy_since.map_or(0.0, |since| (now - since).secs()),
+            });
         }
+        signals
     }
 }
 
 impl Subsystem for PeerWatch {
-    fn turn(&mut self, now: Time, module: &Balancer, _: &mut Vec<Event>) {
+    fn turn(&mut self, now: Time, balancer: &Balancer, _: &mut Vec<Event>) {
         if now < self.next {
             return;
         }
-        self.next = now + self.tier.every();
-        // The first look only begins to count.
-        if let Some(last) = self.looked.replace(now) {
-            let secs = (now - last).secs().max(1e-3);
-            let signals = self.signals(now, secs, module);
+        self.next = now + self.tier.publish_interval;
+        // The first turn only starts the period.
+        if let Some(last) = self.last_measured.replace(now) {
+            let period_s = (now - last).secs().max(MIN_PERIOD_S);
+            let signals = self.measure(now, period_s, balancer);
             self.tier.publish(signals.encode());
         }
     }
 
     fn arrived(&mut self, _: Time, new: &Arrived, _: &mut Arrival) {
-        if let Some(rate) = self.arrivals.get_mut(new.class.0) {
-            rate.count = rate.count.saturating_add(1);
+        if let Some(class) = self.arrivals.get_mut(new.class.0) {
+            class.increment();
         }
     }
 
     fn answered(&mut self, _: ClassId, end: End) {
         if end.gave_up() {
-            self.given_up.count = self.given_up.count.saturating_add(1);
+            self.rejected.increment();
         }
     }
 
--- a/crates/gaugesaddle/src/peers/watch/tests.rs
+++ b/crates/gaugesaddle/src/peers/watch/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 #[test]
-fn a_rate_follows_a_jump_and_smooths_chance() {
-    let mut rate = Counted { count: 5, rate: Rate::default() };
-    assert_eq!(rate.look(0.5), 10.0);
+fn a_rate_follows_a_step_and_smooths_noise() {
+    let mut rate = RateCounter { count: 5, rate: Rate::default() };
+    assert_eq!(rate.measure(0.5), 10.0);
     let after: Vec<f64> = (0..8)
         .map(|_| {
             rate.count = 10;
-            rate.look(0.5)
+            rate.measure(0.5)
         })
         .collect();
     assert_eq!(after[0], 12.5);
--- a/crates/gaugesaddle/src/region/mod.rs
+++ b/crates/gaugesaddle/src/region/mod.rs
@@ -10,7 +10,7 @@
 use crate::clock::Clock;
 use crate::error::Error;
 use crate::exchange::{Ended, Local};
-use crate::peers::{Listener, Tier};
+use crate::peers::{LocalIdentity, MessageHandler, Tier};
 use crate::registry::{OtherView, RegionView, Registry};
 use crate::seam::{Leaving, Subsystem};
 use crate::server::Server;
@@ -217,7 +217,8 @@
     pub fn lend(&self, now: Time, tier: &Tier, living: &[u16]) {
         let mut loans = self.loans.borrow_mut();
         if loans.is_none() {
-            let Some((place, places, boot)) = tier.held() else { return };
+            let Some(identity) = tier.bound_identity() else { return };
+            let LocalIdentity { index: place, members: places, boot } = identity;
             let terms = |other: &settings::Other| gaugesaddle_allocation::Terms {
                 whole: other.take.per_s,
                 places,
@@ -244,7 +245,7 @@
             .collect();
         let mut letters = Vec::new();
         loans.look(now, &needs, living, &mut letters);
-        tier.note(letters);
+        tier.send_messages(letters);
     }
 
     /// What is lent of what may come from a region, where that is done.
@@ -344,8 +345,8 @@
     }
 }
 
-impl Listener for Regions {
-    fn noted(&self, now: Time, from: u16, body: &[u8], answers: &mut Vec<(u16, Vec<u8>)>) {
+impl MessageHandler for Regions {
+    fn handle_message(&self, now: Time, from: u16, body: &[u8], answers: &mut Vec<(u16, Vec<u8>)>) {
         if let Some((loans, _)) = self.loans.borrow_mut().as_mut() {
             loans.hear(now, from, body, answers);
         }
--- a/crates/gaugesaddle/src/shares.rs
+++ b/crates/gaugesaddle/src/shares.rs
@@ -1,7 +1,7 @@
 //! This proxy's part of what all of them may do, by need, in the running proxy: the file beside the driver. Who lives and
 //! what each gets is the tier's to say, what follows is `gaugesaddle_allocation`'; here the module is told.
 
-use crate::peers::{Living, Tier};
+use crate::peers::{LiveMembers, Tier};
 use crate::region::Regions;
 use crate::registry::{LentView, Registry, SharesView, SoftView};
 use crate::seam::Subsystem;
@@ -95,7 +95,7 @@
     ) -> ShareWatch {
         if let Some(regions) = &regions {
             regions.begin_lending();
-            tier.listen_to(regions.clone());
+            tier.add_handler(regions.clone());
         }
         let (dealer, begin) = (Dealer::new(settings.dealing()), Time(0));
         ShareWatch { tier, registry, regions, dealer, next: begin, lend: begin }
@@ -134,8 +134,9 @@
             return;
         }
         self.next = now + LOOK;
-        let Living { told, awake, still, own, places } = self.tier.living(now);
-        let (needs, living) = (self.tier.needs(&places), places.len());
+        let LiveMembers { configured: told, since_stall: awake, since_change: still, own, indices: places } =
+            self.tier.live_members(now);
+        let (needs, living) = (self.tier.demands(&places), places.len());
         let seen = Seen { told, awake, still, own, places: &places, needs: &needs };
         let listed = module.listed();
         let ready = listed.len();
