--- a/crates/gaugesaddle/src/failover.rs
+++ b/crates/gaugesaddle/src/failover.rs
@@ -1,7 +1,7 @@
 //! Zones judged and decided in common, in the running proxy: the file beside the driver. What the others say is the tier's
 //! to carry, what follows is `gaugesaddle_failover`'s. Begun: what is decided is shown, and moves no traffic yet.
 
-use crate::peers::{Listener, Living, Said, Tier};
+use crate::peers::{LiveMembers, MemberReport, MessageHandler, Tier};
 use crate::registry::{Registry, ZoneRow, ZonesView};
 use crate::seam::Subsystem;
 use gaugesaddle_allocation::{parts, Law, AWAKE};
@@ -83,8 +83,8 @@
     }
 }
 
-impl Listener for Zones {
-    fn noted(&self, now: Time, from: u16, body: &[u8], answers: &mut Vec<(u16, Vec<u8>)>) {
+impl MessageHandler for Zones {
+    fn handle_message(&self, now: Time, from: u16, body: &[u8], answers: &mut Vec<(u16, Vec<u8>)>) {
         let mut out = Vec::new();
         self.step(|council, seen| council.receive(now, from, body, seen, &mut out));
         answers.extend(out.into_iter().map(|Outgoing { to, bytes }| (to, bytes)));
@@ -125,9 +125,9 @@
         if names.len() > MAX_ZONES {
             return None;
         }
-        let council = RefCell::new(DecisionReplica::new(tier.place(), names.len(), NOISE, seed));
+        let council = RefCell::new(DecisionReplica::new(tier.own_index(), names.len(), NOISE, seed));
         let zones = Rc::new(Zones { council, looked: RefCell::default() });
-        tier.listen_to(zones.clone());
+        tier.add_handler(zones.clone());
         let worth: Vec<f64> = classes.iter().map(|c| c.worth).collect();
         let mut order: Vec<usize> = (0..worth.len()).collect();
         order.sort_by(|a, b| worth[*b].total_cmp(&worth[*a]).then(a.cmp(b)));
@@ -137,10 +137,10 @@
     }
 
     fn voices(&self, now: Time, living: &[u16]) -> Vec<ProxyReport> {
-        let records = self.tier.records(now, living);
+        let records = self.tier.reports(now, living);
         let needs: Vec<Option<f64>> = records.iter().map(|r| r.signals.demand_per_s).collect();
         let parts = parts(&Law::default(), &needs);
-        let voice = |(r, part): (Said, f64)| {
+        let voice = |(r, part): (MemberReport, f64)| {
             let Signals { arrivals_per_s, zones, .. } = r.signals;
             let find = |z: ZoneSignal| ZoneObservation {
                 backends: z.backends,
@@ -148,7 +148,7 @@
                 capacity_per_s: z.capacity_per_s,
             };
             Some(ProxyReport {
-                member: r.place,
+                member: r.index,
                 zone: self.names.iter().position(|n| *n == r.zone)?,
                 allocation: part,
                 demand_per_s: arrivals_per_s,
@@ -167,12 +167,13 @@
         let needs: Vec<Vec<f64>> = judged.zones.iter().map(|z| z.demand_per_s.clone()).collect();
         let target = f64::from(self.settings.target_percent) / 100.0;
         let plan = plan(target, &needs, &can?, &self.worth);
-        Decision::from_plan(DecisionVersion::default(), self.tier.place(), &plan, &trust, &self.order).ok()
+        Decision::from_plan(DecisionVersion::default(), self.tier.own_index(), &plan, &trust, &self.order)
+            .ok()
     }
 
     /// Whether most find this proxy blind to what they see. It serves on, and asks for no more clients.
     fn look_at_self(&mut self, now: Time, judged: &Assessment) -> Option<String> {
-        let place = self.tier.place();
+        let place = self.tier.own_index();
         let is_cut = judged.partitioned.contains(&place);
         self.cut = if is_cut { self.cut.or(Some(now)) } else { None };
         let cut = self.cut.is_some_and(|since| now - since >= CUT_AFTER);
@@ -225,7 +226,8 @@
             return;
         }
         self.next = now + LOOK;
-        let Living { told, awake, places, .. } = self.tier.living(now);
+        let LiveMembers { configured: told, since_stall: awake, indices: places, .. } =
+            self.tier.live_members(now);
         let (most, awake) = (places.len() * 2 > told, awake >= AWAKE);
         let voices = self.voices(now, &places);
         *self.zones.looked.borrow_mut() = Looked { living: places, most, awake };
@@ -237,7 +239,7 @@
         let should = self.should(&judged);
         let mut notes = Vec::new();
         self.zones.step(|council, seen| council.tick(now, seen, should.as_ref(), &mut notes));
-        self.tier.note(notes.into_iter().map(|Outgoing { to, bytes }| (to, bytes)));
+        self.tier.send_messages(notes.into_iter().map(|Outgoing { to, bytes }| (to, bytes)));
         let cut = self.look_at_self(now, &judged);
         *self.registry.zones.borrow_mut() = Some(self.view(now, &judged, cut));
     }
