--- a/crates/gaugesaddle/src/lib.rs
+++ b/crates/gaugesaddle/src/lib.rs
@@ -31,6 +31,7 @@
 mod seam;
 mod server;
 mod shares;
+mod snapshot;
 pub mod state;
 mod storm;
 pub mod table;
