--- a/crates/gaugesaddle-control/tests/golden_commands.rs
+++ b/crates/gaugesaddle-control/tests/golden_commands.rs
@@ -2,7 +2,7 @@
 
 use gaugesaddle_control::operator_client::{report_json, report_text};
 use gaugesaddle_protocol::StatusReport;
-use std::collections::BTreeSet;
+use gaugesaddle_testbed::program;
 use std::process::{Command, Output};
 
 fn run(arguments: &[&str]) -> Output {
@@ -13,17 +13,6 @@
         .expect("the program runs")
 }
 
-/// Long options, value names and subcommands that a help text names.
-fn interface(help: &str) -> String {
-    let is_part = |c: char| c.is_ascii_alphanumeric() || "-<>_".contains(c);
-    let words = help.split(|c| !is_part(c)).filter(|word| {
-        word.starts_with("--") && word.len() > 2 || word.starts_with('<') && word.ends_with('>')
-    });
-    let commands = help.lines().skip_while(|line| *line != "Commands:").skip(1);
-    let commands = commands.take_while(|line| !line.is_empty()).filter_map(|l| l.split_whitespace().next());
-    words.chain(commands).collect::<BTreeSet<_>>().into_iter().collect::<Vec<_>>().join(" ")
-}
-
 #[test]
 fn options_and_value_names_equal_golden_file() {
     let mut lines = Vec::new();
@@ -31,7 +20,7 @@
         let arguments: Vec<&str> = [command, "--help"].into_iter().filter(|a| !a.is_empty()).collect();
         let output = run(&arguments);
         assert_eq!(output.status.code(), Some(0), "{command}");
-        lines.push(format!("{command}: {}", interface(&String::from_utf8_lossy(&output.stdout))));
+        lines.push(format!("{command}: {}", program::interface(&String::from_utf8_lossy(&output.stdout))));
     }
     assert_eq!(lines.join("\n") + "\n", include_str!("data/commands.txt"));
 }
--- a/crates/gaugesaddle-edge/src/lib.rs
+++ b/crates/gaugesaddle-edge/src/lib.rs
@@ -11,7 +11,7 @@
 //! ```
 //!
 //! This crate is the host: sockets, timers, headers. What is decided stands in crates without I/O, and here in
-//! [`retry`](self), the rule that says whether another backend may get a request:
+//! `retry`, the rule that says whether another backend may get a request:
 //!
 //! - `gaugesaddle-inference` chooses a backend and splits streams into events;
 //! - `gaugesaddle-distribution` follows the control plane;
--- a/crates/gaugesaddle-edge/src/load_reporter.rs
+++ b/crates/gaugesaddle-edge/src/load_reporter.rs
@@ -67,10 +67,7 @@
 async fn report(state: &EdgeState, caller: Option<Caller>, proxy: u64) -> Option<Caller> {
     let ip = state.follower.borrow().choose(state.now())?;
     let address = state.boot.control_process(ip);
-    let mut caller = match caller.filter(|caller| caller.address() == address) {
-        Some(caller) => caller,
-        None => Caller::open(address, CONNECT_TIMEOUT).await.ok()?,
-    };
+    let mut caller = Caller::reuse_or_open(caller, address, CONNECT_TIMEOUT).await.ok()?;
     let reported_at = state.now();
     let loads = state.load_view.borrow_mut().report(reported_at);
     match caller.call(&Request::Load { proxy, loads }, ANSWER_TIMEOUT).await.ok()? {
--- a/crates/gaugesaddle-edge/src/quota_client.rs
+++ b/crates/gaugesaddle-edge/src/quota_client.rs
@@ -40,10 +40,7 @@
 ) -> Option<Caller> {
     let leader = state.follower.borrow().leader()?;
     let address = state.boot.control_process(leader);
-    let mut caller = match caller.filter(|caller| caller.address() == address) {
-        Some(caller) => caller,
-        None => Caller::open(address, CONNECT_TIMEOUT).await.ok()?,
-    };
+    let mut caller = Caller::reuse_or_open(caller, address, CONNECT_TIMEOUT).await.ok()?;
     match caller.call(request, ANSWER_TIMEOUT).await.ok()? {
         Reply::Quota { grants } => {
             state.allowance.borrow_mut().record_grants(called_at, &grants);
--- a/crates/gaugesaddle-testbed/src/program.rs
+++ b/crates/gaugesaddle-testbed/src/program.rs
@@ -1,5 +1,6 @@
 //! Where the built programs are.
 
+use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
@@ -46,3 +47,14 @@
     }
     Ok(path(name))
 }
+
+/// Long options, value names and subcommands that a help text names.
+pub fn interface(help: &str) -> String {
+    let is_part = |c: char| c.is_ascii_alphanumeric() || "-<>_=".contains(c);
+    let words = help.split(|c| !is_part(c)).filter(|word| {
+        word.starts_with("--") && word.len() > 2 || word.starts_with('<') && word.ends_with('>')
+    });
+    let commands = help.lines().skip_while(|line| *line != "Commands:").skip(1);
+    let commands = commands.take_while(|line| !line.is_empty()).filter_map(|l| l.split_whitespace().next());
+    words.chain(commands).collect::<BTreeSet<_>>().into_iter().collect::<Vec<_>>().join(" ")
+}
--- a/crates/gaugesaddle-transport/src/caller.rs
+++ b/crates/gaugesaddle-transport/src/caller.rs
@@ -23,9 +23,17 @@
         Ok(Caller { address, link })
     }
 
-    /// Address of the control process.
-    pub fn address(&self) -> SocketAddrV4 {
-        self.address
+    /// An earlier caller if it is connected to that address, else a new one.
+    ///
+    /// # Errors
+    /// As [`Caller::open`].
+    pub async fn reuse_or_open(
+        earlier: Option<Caller>, address: SocketAddrV4, timeout: Duration,
+    ) -> Result<Caller, LinkError> {
+        match earlier.filter(|caller| caller.address == address) {
+            Some(caller) => Ok(caller),
+            None => Caller::open(address, timeout).await,
+        }
     }
 
     /// Sends one request and receives its reply.
--- a/crates/gaugesaddle/tests/golden_commands.rs
+++ b/crates/gaugesaddle/tests/golden_commands.rs
@@ -2,7 +2,6 @@
 
 use gaugesaddle::registry::Snapshot;
 use gaugesaddle_testbed::program;
-use std::collections::BTreeSet;
 use std::process::Command;
 
 /// Every field that a state has, each with a value of its own.
@@ -14,17 +13,6 @@
     assert_eq!(serde_json::to_string_pretty(&snapshot).expect("it is written") + "\n", STATE);
 }
 
-/// Long options, value names and subcommands that a help text names.
-fn interface(help: &str) -> String {
-    let is_part = |c: char| c.is_ascii_alphanumeric() || "-<>_=".contains(c);
-    let words = help.split(|c| !is_part(c)).filter(|word| {
-        word.starts_with("--") && word.len() > 2 || word.starts_with('<') && word.ends_with('>')
-    });
-    let commands = help.lines().skip_while(|line| *line != "Commands:").skip(1);
-    let commands = commands.take_while(|line| !line.is_empty()).filter_map(|l| l.split_whitespace().next());
-    words.chain(commands).collect::<BTreeSet<_>>().into_iter().collect::<Vec<_>>().join(" ")
-}
-
 fn run(arguments: &[&str]) -> std::process::Output {
     Command::new(program::path("gaugesaddle"))
         .args(arguments)
@@ -42,7 +30,7 @@
         let arguments: Vec<&str> = [command, "--help"].into_iter().filter(|a| !a.is_empty()).collect();
         let output = run(&arguments);
         assert_eq!(output.status.code(), Some(0), "{command}");
-        lines.push(format!("{command}: {}", interface(&String::from_utf8_lossy(&output.stdout))));
+        lines.push(format!("{command}: {}", program::interface(&String::from_utf8_lossy(&output.stdout))));
     }
     assert_eq!(lines.join("\n") + "\n", include_str!("data/commands.txt"));
 }
