--- a/crates/gaugesaddle-federation/src/lib.rs
+++ b/crates/gaugesaddle-federation/src/lib.rs
@@ -10,6 +10,7 @@
 //!   flight, and by class. A gateway has one for each sender.
 //! - [`Via`] lists the regions that a request came through; [`Via::next_hop`] prevents loops.
 //! - [`RemoteOutcome`] is what a gateway reports of a request, [`client_answer`] what its client may be answered then.
+//! - [`RemoteClock`] gives a deadline by a gateway's own clock, [`remaining_at_gateway`] is its check there.
 //! - [`EndpointSelector`] chooses among the connections to a region's gateways.
 //! - [`credentials`] decides whether replaced certificates and keys may be taken into use.
 //!
@@ -54,6 +55,7 @@
 //!
 //! - No request is in a region twice, and none makes more hops than its first region allowed.
 //! - Each hop has a strictly shorter deadline than the one before it.
+//! - A gateway accepts no request that it reads after the sender's deadline, however long it waited to be read.
 //! - All proxies together exceed a budget in no window of a second, while their allocations add up to it.
 //! - A request that may have been executed elsewhere is answered as retryable only where a retry is harmless.
 //! - Nothing panics on outside input. Every function of time takes `now`; time that goes back counts as standing still.
@@ -70,6 +72,7 @@
 mod endpoints;
 mod link;
 mod rate_limit;
+mod remote_clock;
 mod remote_outcome;
 mod round_trip;
 mod spillover;
@@ -80,6 +83,7 @@
 pub use budget::{Budget, BudgetExceeded, BudgetLimits, ClassLimits, Usage};
 pub use endpoints::{EndpointSelector, Unavailable, MAX_CONNECTIONS, MIN_CONNECTIONS};
 pub use link::{Hop, HopRequest, HopResult, Link, LinkCounters, LinkError, LinkSettings, LinkUsage};
+pub use remote_clock::{remaining_at_gateway, ClockSample, DeadlineError, RemoteClock, RemoteTime};
 pub use remote_outcome::{client_answer, outcome_of_rejection, ClientAnswer, RemoteOutcome, Transmission};
 pub use round_trip::{remaining_after_hop, RoundTripEstimator};
 pub use spillover::{
--- a/crates/gaugesaddle-testbed/src/authority.rs
+++ b/crates/gaugesaddle-testbed/src/authority.rs
@@ -120,24 +120,68 @@
     Arc::new(config)
 }
 
-/// Asks a gateway as a peer with those keys; an error where it does not answer at all.
+/// The header with a gateway's clock, in microseconds.
+const GATEWAY_CLOCK: &str = "region-clock-us";
+/// The header with a request's deadline by that clock, in microseconds.
+pub const GATEWAY_DEADLINE: &str = "region-deadline-us";
+/// The deadline of requests to which a test gives none, from when the clock was read.
+const GATEWAY_DEADLINE_US: u64 = 30_000_000;
+
+/// A connection to a gateway, as a peer has it.
+pub struct GatewayConnection {
+    sender: hyper::client::conn::http2::SendRequest<Full<Bytes>>,
+    driving: tokio::task::JoinHandle<Result<(), hyper::Error>>,
+}
+
+impl Drop for GatewayConnection {
+    fn drop(&mut self) {
+        self.driving.abort();
+    }
+}
+
+impl GatewayConnection {
+    /// Connects with those keys to the gateway of that name.
+    pub async fn open(config: Arc<rustls::ClientConfig>, to: SocketAddr, name: &str) -> io::Result<Self> {
+        let stream = tokio::net::TcpStream::connect(to).await?;
+        let name = ServerName::try_from(name.to_string()).map_err(io::Error::other)?;
+        let stream = tokio_rustls::TlsConnector::from(config).connect(name, stream).await?;
+        let http = hyper::client::conn::http2::Builder::new(TokioExecutor::new());
+        let (sender, connection) = http.handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
+        Ok(GatewayConnection { sender, driving: tokio::spawn(connection) })
+    }
+
+    /// The gateway's clock, in microseconds.
+    pub async fn clock(&mut self) -> io::Result<u64> {
+        let request = Request::builder().method("OPTIONS").uri("https://gateway/").header(GATEWAY_CLOCK, "0");
+        let request = request.body(Full::default()).map_err(io::Error::other)?;
+        let answer = self.send(request).await?;
+        let reading = answer.headers().get(GATEWAY_CLOCK).and_then(|value| value.to_str().ok()?.parse().ok());
+        reading.ok_or_else(|| io::Error::other("expected the gateway's clock"))
+    }
+
+    /// Sends a request as it is and reads the answer.
+    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> io::Result<Response<Bytes>> {
+        let answer = self.sender.send_request(request).await.map_err(io::Error::other)?;
+        let (head, body) = answer.into_parts();
+        let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
+        Ok(Response::from_parts(head, body))
+    }
+}
+
+/// Asks a gateway as a peer with those keys, with a deadline where a request has none; an error where it does not answer at
+/// all.
 pub async fn ask_gateway(
     config: Arc<rustls::ClientConfig>, to: SocketAddr, name: &str, requests: Vec<Request<Full<Bytes>>>,
 ) -> io::Result<Vec<Response<Bytes>>> {
-    let stream = tokio::net::TcpStream::connect(to).await?;
-    let name = ServerName::try_from(name.to_string()).map_err(io::Error::other)?;
-    let stream = tokio_rustls::TlsConnector::from(config).connect(name, stream).await?;
-    let http = hyper::client::conn::http2::Builder::new(TokioExecutor::new());
-    let (mut sender, connection) = http.handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
-    let driving = tokio::spawn(connection);
+    let mut gateway = GatewayConnection::open(config, to, name).await?;
     let mut answers = Vec::new();
-    for request in requests {
-        let answer = sender.send_request(request).await.map_err(io::Error::other)?;
-        let (head, body) = answer.into_parts();
-        let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
-        answers.push(Response::from_parts(head, body));
+    for mut request in requests {
+        if !request.headers().contains_key(GATEWAY_DEADLINE) {
+            let deadline = gateway.clock().await? + GATEWAY_DEADLINE_US;
+            request.headers_mut().insert(GATEWAY_DEADLINE, deadline.into());
+        }
+        answers.push(gateway.send(request).await?);
     }
-    driving.abort();
     Ok(answers)
 }
 
--- a/crates/gaugesaddle/src/region/client.rs
+++ b/crates/gaugesaddle/src/region/client.rs
@@ -1,16 +1,19 @@
 //! The link to another region: a few long HTTP/2 connections over mutual TLS, and one hop to one end.
 
-use super::{FATE, FULL, PATH, TOOK};
+use super::{CLOCK, DEADLINE, FATE, FULL, PATH, TOOK};
 use crate::clock::Clock;
 use crate::exchange::{Call, BODY_BYTES, TIME_LEFT};
 use bytes::Bytes;
 use gaugesaddle_balancer::{Micros, Time};
-use gaugesaddle_federation::{EndpointSelector, HopResult, RemoteOutcome, Transmission, Unavailable, Via};
+use gaugesaddle_federation::{
+    ClockSample, EndpointSelector, HopResult, RemoteClock, RemoteOutcome, RemoteTime, Transmission,
+    Unavailable, Via,
+};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::client::conn::http2::{self, SendRequest};
 use hyper::header::{HeaderValue, RETRY_AFTER};
-use hyper::{Request, Response, Uri};
+use hyper::{Method, Request, Response, Uri};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use rustls::pki_types::ServerName;
 use rustls::ClientConfig;
@@ -29,6 +32,9 @@
 /// A connection that can't be had is known within this time where nobody is there; one that hangs takes longer, and is not
 /// followed by another.
 const QUICK: Micros = Micros(50_000);
+/// A request that was not sent, since the gateway closed the connection, uses up to so many: one that was idle when keys
+/// changed, and two that the gateway made with keys that changed again meanwhile.
+const MAX_CONNECTIONS_TRIED: u32 = 3;
 /// A connection that answers no ping for so long is dead, however alive it looks: pinged each second.
 const PING: Duration = Duration::from_secs(1);
 const PING_PATIENCE: Duration = Duration::from_millis(1_500);
@@ -56,9 +62,20 @@
     pub generation: u64,
 }
 
+/// A connection to a gateway, with what is known of that gateway's clock.
+#[derive(Clone)]
 struct Held {
     sender: Sender,
     generation: u64,
+    remote_clock: Rc<Cell<RemoteClock>>,
+}
+
+/// What a request carries beside what its client sent.
+struct HopHeaders<'a> {
+    via: &'a Via,
+    remaining: Micros,
+    /// Its deadline by the local clock.
+    deadline: Time,
 }
 
 /// The way to one gateway.
@@ -99,22 +116,57 @@
         Some(Peer { clock, name, host: certificate_name.into(), ways, gates: RefCell::new(gates), keys })
     }
 
-    /// A connection with the present keys; those with earlier ones end by themselves once what is on them has ended.
-    /// Tells also whether it was made for this request.
-    async fn sender(&self, way: usize) -> Result<(Sender, bool), Lost> {
+    /// A connection with the present keys, over which a deadline can be given; those with earlier keys end by themselves once
+    /// what is on them has ended. One that the gateway closes at once is returned all the same: it sends nothing.
+    async fn connection(&self, way: usize) -> Result<Held, Lost> {
         let way = &self.ways[way];
         let mut held = way.held.lock().await;
         let keys = self.keys.borrow().clone();
-        if let Some(held) = &*held {
-            if held.generation == keys.generation && !held.sender.is_closed() {
-                return Ok((held.sender.clone(), false));
+        let kept = held.take().filter(|h| h.generation == keys.generation && !h.sender.is_closed());
+        if let Some(mut kept) = kept {
+            if kept.remote_clock.get().is_current(self.clock.now()) || self.read_clock(&mut kept).await {
+                *held = Some(kept.clone());
+                return Ok(kept);
             }
         }
-        *held = None;
         let sender = tokio::time::timeout(DIAL, self.dial(way.address, &keys)).await.ok().flatten();
         let sender = sender.ok_or(Lost { begun: false })?;
-        *held = Some(Held { sender: sender.clone(), generation: keys.generation });
-        Ok((sender, true))
+        let mut fresh = Held { sender, generation: keys.generation, remote_clock: Rc::default() };
+        if self.read_clock(&mut fresh).await {
+            *held = Some(fresh.clone());
+        } else if !fresh.sender.is_closed() {
+            tracing::warn!("region {}: {}: the gateway does not report its clock", self.host, way.address);
+            return Err(Lost { begun: false });
+        }
+        Ok(fresh)
+    }
+
+    /// Reads the gateway's clock; whether that succeeded.
+    async fn read_clock(&self, held: &mut Held) -> bool {
+        let mut request = Request::new(Full::new(Bytes::new()));
+        *request.method_mut() = Method::OPTIONS;
+        *request.uri_mut() = uri(&self.host, "/");
+        request.headers_mut().insert(CLOCK, HeaderValue::from_static("0"));
+        let sent_at = self.clock.now();
+        let sender = &mut held.sender;
+        let exchange = async {
+            sender.ready().await.ok()?;
+            sender.send_request(request).await.ok()
+        };
+        let answer = tokio::time::timeout(DIAL, exchange).await.ok().flatten();
+        answer
+            .is_some_and(|answer| self.record_clock(&held.remote_clock, sent_at, answer.headers().get(CLOCK)))
+    }
+
+    /// Takes the reading of a gateway's answer into account, where it has one.
+    fn record_clock(&self, clock: &Cell<RemoteClock>, sent_at: Time, reading: Option<&HeaderValue>) -> bool {
+        let Some(reading) = reading.and_then(|value| RemoteTime::parse(value.as_bytes())) else {
+            return false;
+        };
+        let mut known = clock.get();
+        known.record(ClockSample { sent_at, received_at: self.clock.now(), reading });
+        clock.set(known);
+        true
     }
 
     async fn dial(&self, address: SocketAddr, keys: &Keys) -> Option<Sender> {
@@ -167,8 +219,8 @@
             };
             tried |= 1 << way;
             let begun = Cell::new(false);
-            let left = Micros(told.0.saturating_sub((now - began).0));
-            let asked = self.ask(way, request(&self.host, call, body.clone(), path, left), &begun);
+            let headers = HopHeaders { via: path, remaining: told, deadline: until };
+            let asked = self.ask(way, (call, &body), &headers, began, &begun);
             let ended = tokio::time::timeout_at(self.clock.instant(until), asked).await;
             let mut answer = match ended {
                 Ok(Ok(answer)) => answer,
@@ -187,6 +239,7 @@
             let fate = RemoteOutcome::from_header(
                 headers.remove(FATE).as_ref().map(hyper::http::HeaderValue::as_bytes),
             );
+            headers.remove(CLOCK);
             if headers.remove(FULL).is_some() && fate == RemoteOutcome::NotExecuted {
                 let now = self.clock.now();
                 self.gates.borrow_mut().mark_unavailable(now, way, Unavailable::Full);
@@ -211,31 +264,43 @@
         }
     }
 
+    /// Sends a request, whose remaining time counts from `began`, over one connection, and reads the whole answer.
     async fn ask(
-        &self, way: usize, request: Request<Full<Bytes>>, begun: &Cell<bool>,
+        &self, way: usize, (call, body): (&Call, &Bytes), headers: &HopHeaders<'_>, began: Time,
+        begun: &Cell<bool>,
     ) -> Result<Response<Bytes>, Lost> {
+        let mut attempts = 0;
         loop {
-            let (mut sender, fresh) = self.sender(way).await?;
-            let sent = match sender.ready().await {
-                Ok(()) => {
+            attempts += 1;
+            let mut held = self.connection(way).await?;
+            let ready = held.sender.ready().await;
+            // Only now: a connection may have had to come up.
+            let now = self.clock.now();
+            let remaining = Micros(headers.remaining.0.saturating_sub((now - began).0));
+            let deadline = held.remote_clock.get().deadline(now, headers.deadline);
+            let sent = match (ready, deadline) {
+                (Ok(()), Some(deadline)) => {
                     begun.set(true);
-                    sender.try_send_request(request.clone()).await.map_err(|mut e| {
+                    let request = request(&self.host, call, body.clone(), headers.via, remaining, deadline);
+                    held.sender.try_send_request(request).await.map_err(|mut e| {
                         // It was given back unsent, or refused by the other side before it was looked at.
                         Lost { begun: e.take_message().is_none() && !is_refused(e.error()) }
                     })
                 }
-                Err(_) => Err(Lost { begun: false }),
+                // Closed, or the deadline was over before the gateway accepted the connection.
+                _ => Err(Lost { begun: false }),
             };
             let answer = match sent {
                 Ok(answer) => answer,
                 // The other side closed it for its own reasons, new keys say, before this request: another will do.
-                Err(Lost { begun: false }) if !fresh => {
+                Err(Lost { begun: false }) if attempts < MAX_CONNECTIONS_TRIED => {
                     begun.set(false);
                     continue;
                 }
                 Err(lost) => return Err(lost),
             };
             let (mut head, body): (_, Incoming) = answer.into_parts();
+            self.record_clock(&held.remote_clock, now, head.headers.get(CLOCK));
             // Broken in the middle it must not look whole; it has run all the same.
             let body = Limited::new(body, ANSWER_BYTES).collect().await.map_err(|_| Lost { begun: true })?;
             gaugesaddle_http_connection::strip_connection_headers(&mut head.headers);
@@ -256,12 +321,16 @@
     false
 }
 
-fn request(host: &str, call: &Call, body: Bytes, path: &Via, told: Micros) -> Request<Full<Bytes>> {
+fn uri(host: &str, path: &str) -> Uri {
+    Uri::builder().scheme("https").authority(host).path_and_query(path).build().unwrap_or_default()
+}
+
+fn request(
+    host: &str, call: &Call, body: Bytes, path: &Via, told: Micros, deadline: RemoteTime,
+) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = call.head.method().clone();
-    let place = call.head.uri().path_and_query().map_or("/", |p| p.as_str());
-    *request.uri_mut() =
-        Uri::builder().scheme("https").authority(host).path_and_query(place).build().unwrap_or_default();
+    *request.uri_mut() = uri(host, call.head.uri().path_and_query().map_or("/", |p| p.as_str()));
     *request.headers_mut() = call.head.headers().clone();
     let headers = request.headers_mut();
     headers.insert(TIME_LEFT, HeaderValue::from(told.0 / 1000));
@@ -270,6 +339,8 @@
     headers.remove(FULL);
     headers.remove(TOOK);
     headers.remove(PATH);
+    headers.remove(CLOCK);
+    headers.insert(DEADLINE, HeaderValue::from(deadline.header_value()));
     if let Ok(path) = HeaderValue::from_str(&path.header_value()) {
         headers.insert(PATH, path);
     }
--- a/crates/gaugesaddle/src/region/front.rs
+++ b/crates/gaugesaddle/src/region/front.rs
@@ -2,19 +2,22 @@
 //! requests goes to the same driver and module as a client's.
 
 use super::client::Here;
-use super::{tls, Regions, FATE, FULL, PATH, TOOK};
+use super::{tls, Regions, CLOCK, DEADLINE, FATE, FULL, PATH, TOOK};
 use crate::body::{CallBody, Download};
 use crate::clock::duration;
 use crate::exchange::{Answer, BODY_BYTES};
 use crate::server::{plain, Server};
 use gaugesaddle_balancer::{Effect, Time};
-use gaugesaddle_federation::{outcome_of_rejection, RemoteOutcome, Via};
+use gaugesaddle_federation::{
+    outcome_of_rejection, remaining_at_gateway, DeadlineError, RemoteOutcome, RemoteTime, Via,
+};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, RETRY_AFTER};
+use hyper::http::request::Parts;
 use hyper::server::conn::http2;
 use hyper::service::service_fn;
-use hyper::{Request, Response, StatusCode};
+use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -97,9 +100,10 @@
         tracing::warn!("region.listen: a peer whose certificate is that of no region");
         return regions.front.stranger();
     };
+    let peer = Peer { sender, accepted_at: server.clock.now() };
     let service = service_fn(|request| {
         let (regions, server) = (regions.clone(), server.clone());
-        async move { Ok::<_, Infallible>(answer(&regions, &server, sender, request).await) }
+        async move { Ok::<_, Infallible>(answer(&regions, &server, peer, request).await) }
     });
     let mut http = http2::Builder::new(Here);
     http.timer(TokioTimer::new())
@@ -118,12 +122,55 @@
     let _ = tokio::time::timeout(drain, connection).await;
 }
 
+/// The other end of a connection.
+#[derive(Clone, Copy)]
+struct Peer {
+    /// Index of its region.
+    sender: usize,
+    accepted_at: Time,
+}
+
+impl Peer {
+    /// The clock that is reported to it.
+    fn reported_clock(self, now: Time) -> RemoteTime {
+        RemoteTime(now - self.accepted_at)
+    }
+}
+
+/// Whether a request asks for the clock only.
+fn asks_for_clock(head: &Parts) -> bool {
+    head.method == Method::OPTIONS && head.headers.contains_key(CLOCK) && !head.headers.contains_key(PATH)
+}
+
+/// The deadline that a request carries, by the clock that this gateway reports on its connection.
+fn deadline_of(head: &Parts) -> Option<RemoteTime> {
+    let mut values = head.headers.get_all(DEADLINE).iter();
+    match (values.next(), values.next()) {
+        (Some(value), None) => RemoteTime::parse(value.as_bytes()),
+        _ => None,
+    }
+}
+
 /// One request of another region's.
 async fn answer(
-    regions: &Rc<Regions>, server: &Server, sender: usize, request: Request<Incoming>,
+    regions: &Rc<Regions>, server: &Server, peer: Peer, request: Request<Incoming>,
+) -> Response<Download> {
+    let (head, body) = request.into_parts();
+    let mut answer = if asks_for_clock(&head) {
+        plain(StatusCode::NO_CONTENT, "")
+    } else {
+        answer_hop(regions, server, peer, head, body).await
+    };
+    let reading = peer.reported_clock(server.clock.now());
+    answer.headers_mut().insert(CLOCK, HeaderValue::from(reading.header_value()));
+    answer
+}
+
+async fn answer_hop(
+    regions: &Rc<Regions>, server: &Server, peer: Peer, head: Parts, body: Incoming,
 ) -> Response<Download> {
     let came = server.clock.now();
-    let mut answer = match take(regions, server, sender, request).await {
+    let mut answer = match take(regions, server, peer, head, body).await {
         Ok(answer) => answer,
         Err(Turned(status, text, after_s)) => {
             let mut answer = plain(status, text);
@@ -148,13 +195,13 @@
 struct Turned(StatusCode, &'static str, Option<u64>);
 
 async fn take(
-    regions: &Rc<Regions>, server: &Server, sender: usize, request: Request<Incoming>,
+    regions: &Rc<Regions>, server: &Server, peer: Peer, mut head: Parts, body: Incoming,
 ) -> Result<Response<Download>, Turned> {
+    let sender = peer.sender;
     let barred = |text| {
         regions.front.barred.set(regions.front.barred.get() + 1);
         Turned(StatusCode::BAD_REQUEST, text, None)
     };
-    let (mut head, body) = request.into_parts();
     let other = &regions.settings.other[sender].name;
     let mut paths = head.headers.get_all(PATH).iter();
     let path = match (paths.next().and_then(|v| v.to_str().ok()), paths.next()) {
@@ -162,13 +209,27 @@
         _ => return Err(barred("expected one Region-Path")),
     };
     path.check_entry(&regions.settings.name).map_err(|_| barred("it has been here"))?;
+    let deadline = deadline_of(&head);
     head.headers.remove(PATH);
+    head.headers.remove(DEADLINE);
     let busy = |text| Turned(StatusCode::SERVICE_UNAVAILABLE, text, Some(1));
     if !server.registry.serves_here() {
         return Err(busy("not ready"));
     }
     let length = body.size_hint().exact();
-    let form = server.rules.read(&head, length).map_err(|wrong| barred(wrong.1))?;
+    let mut form = server.rules.read(&head, length).map_err(|wrong| barred(wrong.1))?;
+    // It may have stood in the socket of a stopped process: nothing runs for a client that was answered.
+    let remaining = |reported| {
+        let now = peer.reported_clock(server.clock.now());
+        remaining_at_gateway(now, reported, deadline).map_err(|e| match e {
+            DeadlineError::Missing => barred("expected Region-Deadline-Us"),
+            DeadlineError::Passed => {
+                regions.inbound.borrow_mut()[sender].refused += 1;
+                Turned(StatusCode::SERVICE_UNAVAILABLE, "its deadline had passed", None)
+            }
+        })
+    };
+    form.time_left = remaining(form.time_left)?;
     let now = server.clock.now();
     let class = form.class;
     if !regions.let_in(now, sender, class) {
@@ -179,6 +240,7 @@
     let body =
         body.ok().and_then(std::result::Result::ok).ok_or_else(|| barred("the body did not come whole"))?;
     let body = CallBody::Whole(body.to_bytes());
+    form.time_left = remaining(form.time_left)?;
     let effect = server.rules.classes.get(class.0).map_or(Effect::Unsafe, |c| c.effect);
     let source = sender as u64;
     let carried = server.carry(form, head, body, source, Some(path)).await;
--- a/crates/gaugesaddle/src/region/mod.rs
+++ b/crates/gaugesaddle/src/region/mod.rs
@@ -44,6 +44,11 @@
 /// How long the gateway had it, in microseconds.
 const TOOK: HeaderName = HeaderName::from_static("region-took-us");
 
+/// In an answer the gateway's clock since it accepted the connection, in microseconds; in a request for nothing but that.
+const CLOCK: HeaderName = HeaderName::from_static("region-clock-us");
+/// The latest time by that clock at which a request may be passed on to a backend.
+const DEADLINE: HeaderName = HeaderName::from_static("region-deadline-us");
+
 /// The fleet is looked at this often: a few times in the shortest of the rule's times.
 const LOOK: Micros = Micros(50_000);
 /// Files of keys are looked at this often.
--- a/crates/gaugesaddle/tests/region.rs
+++ b/crates/gaugesaddle/tests/region.rs
@@ -366,6 +366,106 @@
     }
 }
 
+/// A request may stand in the socket of a stopped gateway until its client was answered, and a reset of its stream need not
+/// come with it: when the gateway wakes, no backend gets it.
+#[test]
+fn a_gateway_that_wakes_refuses_what_it_reads_after_the_deadline() {
+    let south = Backend::start(|_| ok("south"));
+    let two = pair("wakes", &[], &[south.address; 3], WIDE);
+    until("the south is ready", || two.south.proxy.ready() == 200);
+    let config = client_config(Some(&two.authority.issue("north")), &two.authority.pem);
+    let answer = block_on(async {
+        let mut gateway = GatewayConnection::open(config, two.gates[1], "south").await.unwrap();
+        let deadline = gateway.clock().await.unwrap() + 300_000;
+        two.south.proxy.signal("-STOP");
+        let mut request = hop("vote", Some("north;left=0"), "7000");
+        request.headers_mut().insert(GATEWAY_DEADLINE, deadline.into());
+        let proxy = &two.south.proxy;
+        let (answer, ()) = tokio::join!(gateway.send(request), async {
+            tokio::time::sleep(Duration::from_millis(400)).await; // past the deadline
+            proxy.signal("-CONT");
+        });
+        answer.unwrap()
+    });
+    assert_eq!(
+        (answer.status().as_u16(), answer.headers()["region-fate"].to_str().unwrap()),
+        (503, "not-run")
+    );
+    assert!(south.requests().is_empty(), "passed on after its client was answered");
+}
+
+/// The same from end to end, over the sender that ships.
+#[test]
+fn what_stood_in_the_socket_of_a_stopped_gateway_reaches_no_backend() {
+    let south = Backend::start(|_| ok("south"));
+    let two = pair("stood", &[], &[south.address; 3], WIDE);
+    until("the north spills", || two.north.is("spilling"));
+    // Both connections are up, and the gateway's clock known: what follows is sent at once.
+    for _ in 0..2 {
+        assert_eq!(ask(&two.north.proxy, &request("vote", 7000)).status(), 200);
+    }
+    two.south.proxy.signal("-STOP");
+    // All at once: the first failure makes the north wait before it sends more.
+    let address = two.north.proxy.address;
+    let asked = ["vote", "pay", "read"].map(|class| {
+        std::thread::spawn(move || {
+            let mut client = Client::open(address);
+            client.send(&request(class, 2000));
+            client.answer().map(|a| a.status())
+        })
+    });
+    let statuses: Vec<_> = asked.into_iter().map(|thread| thread.join().unwrap()).collect();
+    assert_eq!(statuses, [Some(502), Some(502), Some(503)], "sent, and not answered in time");
+    two.south.proxy.signal("-CONT");
+    until("another is served", || ask(&two.north.proxy, &request("vote", 7000)).status() == 200);
+    // What woke with the gateway would have been passed on before that.
+    let is_late = |left: &str| left.parse::<u64>().unwrap() < 2000;
+    let late = south.requests().iter().filter(|m| m.header("x-time-left-ms").is_some_and(is_late)).count();
+    assert_eq!(late, 0, "passed on after their clients were answered");
+}
+
+#[test]
+fn a_request_without_a_deadline_by_the_gateways_clock_is_refused_as_not_executed() {
+    let south = Backend::start(|_| ok("south"));
+    let two = pair("deadline", &[], &[south.address; 3], WIDE);
+    until("the south is ready", || two.south.proxy.ready() == 200);
+    let north = two.authority.issue("north");
+    let with = |deadline: &str| {
+        let mut request = hop("vote", Some("north;left=0"), "7000");
+        request.headers_mut().insert("region-deadline-us", deadline.parse().unwrap());
+        request
+    };
+    let mut twice = with("99000000");
+    twice.headers_mut().append("region-deadline-us", "99000000".parse().unwrap());
+    let requests = vec![
+        with(""),
+        with("soon"),
+        with("-1"),
+        with("18446744073709551616"),
+        twice,
+        with("1"),
+        with("99000000"),
+    ];
+    let answers = block_on(async {
+        let config = client_config(Some(&north), &two.authority.pem);
+        tokio::time::timeout(LONG, ask_gateway(config, two.gates[1], "south", requests))
+            .await
+            .expect("an end")
+    });
+    let answers = answers.expect("answers");
+    let told: Vec<_> = answers
+        .iter()
+        .map(|a| (a.status().as_u16(), a.headers()["region-fate"].to_str().unwrap().to_string()))
+        .collect();
+    let unreadable = (400, "not-run".to_string());
+    let passed = (503, "not-run".to_string());
+    assert_eq!(told[..5], vec![unreadable; 5]);
+    assert_eq!(told[5..], [passed, (200, "ran".into())]);
+    assert!(answers.iter().all(|a| a.headers().contains_key("region-clock-us")));
+    assert_eq!(south.requests().len(), 1, "only the sound one reached a backend");
+    assert!(south.requests()[0].header("region-deadline-us").is_none(), "between gateways only");
+}
+
 #[test]
 fn a_client_that_leaves_takes_its_request_back_from_the_other_region() {
     let held = Backend::start(|_| Reply::Silence);
