--- a/crates/gaugesaddle-allocation/src/dealer.rs
+++ b/crates/gaugesaddle-allocation/src/dealer.rs
@@ -135,8 +135,8 @@
         let told = row.into_iter().map(|l| Use {
             backend: listed[l.server].0,
             weight: l.weight,
-            part: l.part,
-            before: l.before,
+            fraction: l.part,
+            preceding: l.before,
             users: l.users,
         });
         self.uses = told.collect();
--- a/crates/gaugesaddle-allocation/src/dealer/tests.rs
+++ b/crates/gaugesaddle-allocation/src/dealer/tests.rs
@@ -28,7 +28,7 @@
     }
     for (id, _, _) in listed(60) {
         let of = all.iter().flat_map(super::Dealer::uses).filter(|u| u.backend == id);
-        assert!((of.map(|u| u.part).sum::<f64>() - 1.0).abs() < 1e-9);
+        assert!((of.map(|u| u.fraction).sum::<f64>() - 1.0).abs() < 1e-9);
     }
     let Look::ByNeed(tier) = look(&mut all[4], 60 * S, 60 * S, 4, &needs) else { panic!("it knows") };
     assert!((1.5..1.7).contains(&tier.weight), "0.1 and 0.9 of five in three: {tier:?}");
--- a/crates/gaugesaddle-allocation/tests/turns.rs
+++ b/crates/gaugesaddle-allocation/tests/turns.rs
@@ -54,11 +54,11 @@
 /// Lets time pass for a module, which then takes its new rooms, by backend.
 fn rooms(proxy: &mut Proxy, at: u64) -> Vec<(BackendId, f64)> {
     proxy.asked += 1;
-    let gone = Event::ClientGone { request: RequestId(proxy.asked) };
+    let gone = Event::ClientDisconnected { request: RequestId(proxy.asked) };
     proxy.module.handle(Time(at), gone, &mut Vec::new());
     let used = |id: BackendId| proxy.dealer.uses().iter().any(|u| u.backend == id);
     let limits = proxy.module.limits();
-    limits.into_iter().filter(|l| used(l.backend)).map(|l| (l.backend, f64::from(l.room))).collect()
+    limits.into_iter().filter(|l| used(l.backend)).map(|l| (l.backend, f64::from(l.slots))).collect()
 }
 
 fn sums_hold(all: &mut [Proxy], living: &[u16], at: u64, took: &mut [f64]) {
@@ -102,7 +102,7 @@
     look(&mut all, START, &living, &needs);
     let mut took = vec![0.0; 60];
     sums_hold(&mut all, &living, START + TURN, &mut took);
-    let gone = Backend { id: BackendId(7 * 977 + 5), state: BackendState::Gone, ..Backend::default() };
+    let gone = Backend { id: BackendId(7 * 977 + 5), state: BackendState::Departed, ..Backend::default() };
     for place in &living {
         let news = Event::Members { update: ListUpdate::Changes, backends: vec![gone.clone()] };
         all[usize::from(*place)].module.handle(Time(START + TURN), news, &mut Vec::new());
--- a/crates/gaugesaddle-balancer/src/interface/config.rs
+++ b/crates/gaugesaddle-balancer/src/interface/config.rs
@@ -17,10 +17,10 @@
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request over its tenant's quota, as a fraction of its class's worth.
-    pub over_quota_worth: f64,
+    /// Weight of a request over its tenant's quota, as a fraction of its class's priority weight.
+    pub over_quota_weight_fraction: f64,
     /// Weight of the total traffic in the operator's goal.
-    pub goal_whole: f64,
+    pub goal_total: f64,
     /// Weight of the worst-served class in the operator's goal.
     pub goal_worst_class: f64,
     /// Cost to the goal when every request crosses zones once.
@@ -34,14 +34,14 @@
     /// Attempts may be cancelled.
     pub cancel: bool,
     /// Two attempts of one request may be in flight at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// The shortest time between two timers.
     pub tick: Micros,
     /// Fraction of its capacity that a backend has at least when it starts.
-    pub cold_from: f64,
-    /// Longest slow start: a backend is warm after this time.
-    pub ramp: Micros,
-    /// A cold backend that gets more than this multiple of its current capacity ...
+    pub initial_capacity: f64,
+    /// Longest slow start: a backend has its full capacity after this time.
+    pub slow_start: Micros,
+    /// A backend in slow start that gets more than this multiple of its current capacity ...
     pub fall_multiple: f64,
     /// ... over this time fails.
     pub fall_window: Micros,
@@ -53,25 +53,25 @@
 /// constant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitBounds {
-    /// Limits are learned; else each is the constant of four, no less than `least` and no more than `most`.
+    /// Limits are learned; else each is the constant of four, no less than `min` and no more than `max`.
     pub learned: bool,
     /// Minimum of a learned limit.
-    pub least: f64,
+    pub min: f64,
     /// Maximum of a learned limit.
-    pub most: f64,
+    pub max: f64,
 }
 
 impl LimitBounds {
     /// The limit, clamped to these bounds.
     pub fn clamp(&self, limit: f64) -> f64 {
-        limit.clamp(self.least, self.most)
+        limit.clamp(self.min, self.max)
     }
 }
 
 impl Default for LimitBounds {
     /// At least one request, since nothing is learned without; at most a thousand cores.
     fn default() -> LimitBounds {
-        LimitBounds { learned: false, least: 1.0, most: 1000.0 }
+        LimitBounds { learned: false, min: 1.0, max: 1000.0 }
     }
 }
 
@@ -84,25 +84,25 @@
             zone: ZoneId(0),
             zones: 1,
             classes: vec![Class {
-                aim: Micros(500_000),
-                aim_stretch: 0.0,
+                latency_objective: Micros(500_000),
+                objective_stretch: 0.0,
                 effect: Effect::Free,
-                worth: 1.0,
-                late_worth: 0.0,
+                priority_weight: 1.0,
+                late_weight_fraction: 0.0,
             }],
             tenants: Vec::new(),
-            over_quota_worth: 0.1,
-            goal_whole: 1.0,
+            over_quota_weight_fraction: 0.1,
+            goal_total: 1.0,
             goal_worst_class: 0.0,
             cross_zone_cost: 0.0,
             discovery: Discovery::Push,
             live_weights: false,
             max_attempts: 3,
             cancel: true,
-            second_copies: true,
+            hedging: true,
             tick: Micros(5_000),
-            cold_from: 0.3,
-            ramp: Micros(10_000_000),
+            initial_capacity: 0.3,
+            slow_start: Micros(10_000_000),
             fall_multiple: 3.0,
             fall_window: Micros(2_000_000),
             limits: LimitBounds::default(),
@@ -114,7 +114,7 @@
     /// # Errors
     /// The first field that is out of its range.
     pub fn validate(&self) -> Result<(), ConfigError> {
-        let part = |x: f64| (0.0..=1.0).contains(&x);
+        let fraction = |x: f64| (0.0..=1.0).contains(&x);
         let above_zero = |x: f64| x > 0.0 && x.is_finite();
         let classes = &self.classes;
         let tests = [
@@ -122,21 +122,33 @@
             (self.position < self.proxies, "position", "less than proxies"),
             (self.zones > 0, "zones", "at least 1"),
             (!classes.is_empty(), "classes", "at least one class"),
-            (classes.iter().all(|c| c.aim.0 > 0), "aim", "a time above 0"),
-            (classes.iter().all(|c| c.aim_stretch >= 0.0), "aim_stretch", "at least 0"),
-            (classes.iter().all(|c| above_zero(c.worth)), "worth", "a finite number above 0"),
-            (classes.iter().all(|c| part(c.late_worth)), "late_worth", "a part from 0 to 1"),
+            (classes.iter().all(|c| c.latency_objective.0 > 0), "latency_objective", "a time above 0"),
+            (classes.iter().all(|c| c.objective_stretch >= 0.0), "objective_stretch", "at least 0"),
+            (
+                classes.iter().all(|c| above_zero(c.priority_weight)),
+                "priority_weight",
+                "a finite number above 0",
+            ),
+            (
+                classes.iter().all(|c| fraction(c.late_weight_fraction)),
+                "late_weight_fraction",
+                "a fraction from 0 to 1",
+            ),
             (self.tenants.iter().all(|t| above_zero(t.quota_per_s)), "quota_per_s", "a finite rate above 0"),
-            (part(self.over_quota_worth), "over_quota_worth", "a part from 0 to 1"),
-            (part(self.goal_whole), "goal_whole", "a part from 0 to 1"),
-            (part(self.goal_worst_class), "goal_worst_class", "a part from 0 to 1"),
+            (
+                fraction(self.over_quota_weight_fraction),
+                "over_quota_weight_fraction",
+                "a fraction from 0 to 1",
+            ),
+            (fraction(self.goal_total), "goal_total", "a fraction from 0 to 1"),
+            (fraction(self.goal_worst_class), "goal_worst_class", "a fraction from 0 to 1"),
             (self.cross_zone_cost >= 0.0, "cross_zone_cost", "at least 0"),
             (self.max_attempts > 0, "max_attempts", "at least 1"),
             (self.tick.0 > 0, "tick", "a time above 0"),
-            (part(self.cold_from), "cold_from", "a part from 0 to 1"),
+            (fraction(self.initial_capacity), "initial_capacity", "a fraction from 0 to 1"),
             (above_zero(self.fall_multiple), "fall_multiple", "a finite number above 0"),
-            (above_zero(self.limits.least), "limits.least", "a finite number above 0"),
-            (self.limits.most >= self.limits.least, "limits.most", "no less than limits.least"),
+            (above_zero(self.limits.min), "limits.min", "a finite number above 0"),
+            (self.limits.max >= self.limits.min, "limits.max", "no less than limits.min"),
         ];
         let failed = tests.into_iter().find(|t| !t.0);
         failed.map_or(Ok(()), |(_, field, expected)| Err(ConfigError { field, expected }))
@@ -146,16 +158,16 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Latency objective: an answer within this time earns the full worth.
-    pub aim: Micros,
+    /// Latency objective: an answer within this time earns the full weight.
+    pub latency_objective: Micros,
     /// The objective grows by this multiple of the request's work hint.
-    pub aim_stretch: f64,
+    pub objective_stretch: f64,
     /// What a second run would do.
     pub effect: Effect,
-    /// Priority weight: the worth of a request.
-    pub worth: f64,
-    /// Fraction of the worth after the objective.
-    pub late_worth: f64,
+    /// Priority weight: what a served request earns.
+    pub priority_weight: f64,
+    /// Fraction of the weight that an answer after the objective earns.
+    pub late_weight_fraction: f64,
 }
 
 /// What running a request twice does.
@@ -183,7 +195,7 @@
 /// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests per second, over all proxies, that earn the full worth.
+    /// Requests per second, over all proxies, that earn the full weight.
     pub quota_per_s: f64,
 }
 
--- a/crates/gaugesaddle-balancer/src/interface/event.rs
+++ b/crates/gaugesaddle-balancer/src/interface/event.rs
@@ -31,7 +31,7 @@
     Draining,
     /// None: it has departed.
     #[default]
-    Gone,
+    Departed,
 }
 
 /// The kind of an update of the list.
@@ -85,38 +85,37 @@
     /// Its tenant, if any.
     pub tenant: Option<TenantId>,
     /// Time until the client gives up.
-    pub time_left: Micros,
+    pub remaining: Micros,
     /// The expected work, as time on a standard core.
     pub work_hint: Option<Micros>,
     /// The client marks it as a retry.
     pub repeat: bool,
     /// Its source did not wait for the retry time that it was given.
-    pub out_of_turn: bool,
+    pub retried_early: bool,
     /// It comes from another region that cannot serve it.
-    pub foreign: bool,
+    pub from_other_region: bool,
 }
 
 /// Which requests may be handed to another region; the last offer is in force.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Offer {
     /// Number of requests of each class; empty: none.
-    pub room: Vec<u32>,
+    pub capacity: Vec<u32>,
     /// Duration of the hop, without serving.
-    pub trip: Micros,
-    /// Of each class the part that need not be tried here first, 0 to 1: so much of it the fleet here can't
-    /// serve.
-    pub at_once: Vec<f64>,
+    pub hop_duration: Micros,
+    /// Of each class the fraction that need not be attempted here first, 0 to 1: what the fleet here cannot serve.
+    pub direct_fraction: Vec<f64>,
 }
 
 impl Offer {
     /// The number of requests of the class.
-    pub fn room(&self, class: usize) -> u32 {
-        self.room.get(class).copied().unwrap_or(0)
+    pub fn capacity(&self, class: usize) -> u32 {
+        self.capacity.get(class).copied().unwrap_or(0)
     }
 }
 
-/// The proxies that share the traffic, as they are seen now. Told nothing, a proxy goes by the told number
-/// and an even part. What may never be exceeded by all together goes by the told number in any case.
+/// The proxies that share the traffic, as they are seen now. Without it, a proxy assumes the configured number
+/// and an even fraction. What all together may never exceed is divided by the configured number in any case.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tier {
     /// How many are live, this one included.
@@ -129,7 +128,7 @@
 
 impl Tier {
     /// This proxy's fraction of all traffic.
-    pub fn share(&self) -> f64 {
+    pub fn traffic_fraction(&self) -> f64 {
         self.weight / f64::from(self.proxies)
     }
 
@@ -147,9 +146,9 @@
     /// Its weight in this proxy's traffic, relative to the mean of those of its kind that this one uses.
     pub weight: f64,
     /// This proxy's fraction of the backend's limit.
-    pub part: f64,
+    pub fraction: f64,
     /// Sum of the fractions of the users before this one, in an order that all share: rotation goes by it.
-    pub before: f64,
+    pub preceding: f64,
     /// How many use it.
     pub users: u32,
 }
@@ -157,15 +156,18 @@
 impl Use {
     /// Whether the values are in their ranges; others are ignored.
     pub(crate) fn is_valid(&self) -> bool {
-        let part = |x: f64| (0.0..=1.001).contains(&x);
-        part(self.part) && part(self.before) && (0.0..=1e6).contains(&self.weight) && self.users > 0
+        let is_fraction = |x: f64| (0.0..=1.001).contains(&x);
+        is_fraction(self.fraction)
+            && is_fraction(self.preceding)
+            && (0.0..=1e6).contains(&self.weight)
+            && self.users > 0
     }
 
     /// The offset that rounds its fraction of the limit: the users' slots add up to the limit, and rotate.
     pub(crate) fn coin(&self, limit: f64, turn: u64) -> f64 {
         let users = u64::from(self.users);
         let step = (self.backend.0.wrapping_add(turn) % users) as f64 + 0.5;
-        (self.before * limit + step / users as f64).fract()
+        (self.preceding * limit + step / users as f64).fract()
     }
 }
 
@@ -173,9 +175,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pressure {
     /// Requests per second that this proxy may admit; `None`: no storm, no limit.
-    pub let_in_per_s: Option<f64>,
+    pub admit_per_s: Option<f64>,
     /// Second attempts may be sent while one is in flight.
-    pub copies: bool,
+    pub hedging: bool,
     /// Retries for each new request of the class.
     pub retry_ratio: f64,
 }
@@ -192,7 +194,7 @@
     /// Time since the dispatch.
     pub latency: Micros,
     /// The request has had its final answer; the module gives none.
-    pub settled: bool,
+    pub answered: bool,
 }
 
 /// What the host reports to the module.
@@ -225,7 +227,7 @@
     /// All backends assigned to this proxy; none: it chooses them by the number of proxies.
     Uses(Vec<Use>),
     /// The client disconnected; no answer is due.
-    ClientGone {
+    ClientDisconnected {
         /// The request.
         request: RequestId,
     },
--- a/crates/gaugesaddle-balancer/src/interface/view.rs
+++ b/crates/gaugesaddle-balancer/src/interface/view.rs
@@ -10,7 +10,7 @@
     /// Higher concurrency did not raise latency: a step up.
     Flat,
     /// Higher concurrency raised latency: a step down.
-    Crowded,
+    Congested,
     /// The operator's minimum or maximum.
     Bound,
     /// It is not learned.
@@ -23,7 +23,7 @@
         match self {
             LimitReason::Start => "start",
             LimitReason::Flat => "flat",
-            LimitReason::Crowded => "crowded",
+            LimitReason::Congested => "crowded",
             LimitReason::Bound => "bound",
             LimitReason::Constant => "constant",
         }
@@ -38,22 +38,22 @@
     /// Requests in flight of all proxies together, as this one knows it.
     pub limit: f64,
     /// Limit of this proxy.
-    pub room: u32,
+    pub slots: u32,
     /// Requests of this proxy in flight.
-    pub held: u32,
+    pub in_flight: u32,
     /// Latency of its recent answers, and unloaded latency of the same requests, in seconds.
     pub latency: Option<(f64, f64)>,
     /// Why the limit moved last.
-    pub why: LimitReason,
+    pub reason: LimitReason,
 }
 
 /// Capacity of the backends in use, and demand, in requests per second of this proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Capacity {
     /// Capacity; infinite before any request was served.
-    pub able: f64,
+    pub capacity_per_s: f64,
     /// Demand of each class.
-    pub demand: Vec<f64>,
+    pub demand_per_s: Vec<f64>,
 }
 
 /// The backends of one zone, as this proxy uses them.
@@ -62,9 +62,9 @@
     /// Those that it uses.
     pub backends: u32,
     /// Of these, how many are unhealthy.
-    pub ill: u32,
+    pub unhealthy: u32,
     /// Capacity of the others for this proxy, in requests per second; infinite before any was served.
-    pub able: f64,
+    pub capacity_per_s: f64,
 }
 
 /// Why a request was given up.
@@ -72,17 +72,17 @@
 pub enum GivenUp {
     /// Load shedding did not admit it.
     Shed,
-    /// Only cold backends were left for it, beyond their capacity.
-    Cold,
+    /// Only backends in slow start remained for it, beyond their capacity.
+    SlowStart,
     /// It was queued until it could no longer be served in time.
-    Held,
+    Queued,
     /// Its attempts ended without an answer and none may follow.
-    Spent,
+    Exhausted,
 }
 
 /// The state of a proxy.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Standing {
+pub struct BalancerStatus {
     /// Requests per second that were admitted.
     pub rate: f64,
     /// Requests per second that arrived.
@@ -92,25 +92,27 @@
     /// Limit of the attempts in flight.
     pub pool: f64,
     /// Attempts in flight.
-    pub out: usize,
+    pub in_flight: usize,
     /// Queued requests.
-    pub held: usize,
+    pub queued: usize,
     /// Backends in use.
     pub ready: f64,
     /// The fraction of the traffic that has a backend, 0 to slightly above 1.
-    pub pull: f64,
+    pub routed_fraction: f64,
     /// Requests given up so far, by [`GivenUp`].
     pub given_up: [u64; 4],
 }
 
-impl std::fmt::Display for Standing {
+impl std::fmt::Display for BalancerStatus {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Standing { rate, arrivals, admit, pool, out, held, ready, pull, .. } = self;
-        let [shed, cold, late, spent] = self.given_up;
+        let BalancerStatus { rate, arrivals, admit, pool, in_flight, queued, ready, routed_fraction, .. } =
+            self;
+        let [shed, slow_start, late, exhausted] = self.given_up;
+        // The keys are read by operators' tools.
         write!(
             f,
-            "rate={rate:.1} arrivals={arrivals:.1} admit={admit:.2} pool={pool:.2} out={out} held={held} \
-             ready={ready:.0} pull={pull:.2} shed={shed} cold={cold} late={late} spent={spent}"
+            "rate={rate:.1} arrivals={arrivals:.1} admit={admit:.2} pool={pool:.2} out={in_flight} held={queued} \
+             ready={ready:.0} pull={routed_fraction:.2} shed={shed} cold={slow_start} late={late} spent={exhausted}"
         )
     }
 }
--- a/crates/gaugesaddle-balancer/src/lib.rs
+++ b/crates/gaugesaddle-balancer/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`Event`] and [`Action`]: its interface. The host reports events in order, with the time at which they happened,
 //!   and carries out the actions that [`Balancer::handle`] appends. It has neither clock nor network nor threads.
 //! - [`Config`]: what a proxy is given at its start; [`settings`] reads it from a document.
-//! - [`halb_shares`]: the split of the traffic over kinds; [`subset`]: which backends a proxy uses.
+//! - [`halb_fractions`]: the split of the traffic over kinds; [`subset`]: which backends a proxy uses.
 //!
 //! ```
 //! use gaugesaddle_balancer::*;
@@ -65,7 +65,7 @@
 pub mod subset;
 
 pub use interface::*;
-pub use logic::halb_shares;
+pub use logic::halb_fractions;
 pub use mix::mix;
 pub use state::Balancer;
 
--- a/crates/gaugesaddle-balancer/src/limits.rs
+++ b/crates/gaugesaddle-balancer/src/limits.rs
@@ -23,7 +23,7 @@
 const TURN_FACTORS: [f64; 3] = [0.5, 1.0, 2.0];
 /// Length of a turn in shortest latency objectives, and its bounds in seconds. One core with eight requests
 /// for the shortest turn and four for the rest of 1.5 s has under five in the mean: it is not overloaded.
-const TURN_AIMS: f64 = 1.4;
+const TURN_OBJECTIVES: f64 = 1.4;
 const TURN_S: (f64, f64) = (0.35, 2.0);
 /// Fraction of a turn until the requests of the turn before have ended.
 const SETTLING: f64 = 0.3;
@@ -81,8 +81,8 @@
 
 /// The length of a turn; the same at all proxies, since they have the same classes.
 pub(crate) fn turn_length(cfg: &Config) -> Micros {
-    let aim = cfg.classes.iter().map(|c| c.aim.secs()).fold(f64::MAX, f64::min);
-    Micros::from_secs((aim * TURN_AIMS).clamp(TURN_S.0, TURN_S.1))
+    let shortest = cfg.classes.iter().map(|c| c.latency_objective.secs()).fold(f64::MAX, f64::min);
+    Micros::from_secs((shortest * TURN_OBJECTIVES).clamp(TURN_S.0, TURN_S.1))
 }
 
 /// A backend's turn: its number, its limit, and whether the requests of the turn before have ended.
@@ -261,13 +261,12 @@
                 let worked_on = more * (less / more).powf(growth.clamp(0.0, 1.0)) * HEADROOM;
                 let limit = if worked_on < MIN_MEASURABLE * BASE_LIMIT { BASE_LIMIT } else { worked_on };
                 self.limit = limit.clamp(self.limit / STEP, self.limit * STEP);
-                self.reason = if self.limit < before { LimitReason::Crowded } else { self.reason };
+                self.reason = if self.limit < before { LimitReason::Congested } else { self.reason };
             }
             _ => {}
         }
         // The lowest limit holds unless the operator's maximum is below it.
-        self.limit =
-            self.limit.clamp(BASE_LIMIT.max(bounds.least).min(bounds.most), bounds.most.max(BASE_LIMIT));
+        self.limit = self.limit.clamp(BASE_LIMIT.max(bounds.min).min(bounds.max), bounds.max.max(BASE_LIMIT));
         let memory = if (self.limit - before).abs() > 0.02 * before { MOVED_MEMORY } else { MEMORY };
         self.groups.iter_mut().for_each(|g| g.decay(memory));
     }
--- a/crates/gaugesaddle-balancer/src/limits/tests.rs
+++ b/crates/gaugesaddle-balancer/src/limits/tests.rs
@@ -70,14 +70,14 @@
                 self.search.look(&self.bounds);
             }
             self.most = self.most.max(self.search.limit(Turn::Even));
-            assert!(self.search.limit(Turn::Even) <= self.bounds.most.max(BASE_LIMIT));
-            assert!(self.search.limit(Turn::Even) >= BASE_LIMIT.min(self.bounds.most));
+            assert!(self.search.limit(Turn::Even) <= self.bounds.max.max(BASE_LIMIT));
+            assert!(self.search.limit(Turn::Even) >= BASE_LIMIT.min(self.bounds.max));
         }
         self.search.limit(Turn::Even)
     }
 }
 
-const LEARNED: LimitBounds = LimitBounds { learned: true, least: 1.0, most: 1000.0 };
+const LEARNED: LimitBounds = LimitBounds { learned: true, min: 1.0, max: 1000.0 };
 
 #[test]
 fn limit_never_rises_for_one_cpu_bound_core() {
@@ -130,10 +130,10 @@
 
 #[test]
 fn operator_bounds_are_respected() {
-    let bounds = LimitBounds { learned: true, least: 1.0, most: 6.0 };
+    let bounds = LimitBounds { learned: true, min: 1.0, max: 6.0 };
     let end = Run::new(1, bounds).play(Model { cores: 64.0, work: 0.1, wait: 0.0, demand: 1000.0 }, 60);
     assert!((5.0..=6.0).contains(&end), "{end}");
-    let bounds = LimitBounds { learned: true, least: 10.0, most: 50.0 };
+    let bounds = LimitBounds { learned: true, min: 10.0, max: 50.0 };
     let end = Run::new(1, bounds).play(Model { cores: 1.0, work: 0.1, wait: 0.0, demand: 1000.0 }, 60);
     assert!((10.0..=50.0).contains(&end), "{end}");
 }
--- a/crates/gaugesaddle-balancer/src/logic.rs
+++ b/crates/gaugesaddle-balancer/src/logic.rs
@@ -12,10 +12,10 @@
 mod outcomes;
 mod traffic;
 
-pub use halb::halb_shares;
+pub use halb::halb_fractions;
 
 use crate::interface::*;
-use crate::records::{BackendRecord, Sent, Subscription};
+use crate::records::{AttemptRecord, BackendRecord, Subscription};
 use crate::state::Balancer;
 
 /// Ticks between two checks of a queued request.
@@ -36,7 +36,7 @@
             Event::Request(arrival) => self.request(now, arrival),
             Event::StreamStarted { request, attempt } => {
                 if let Some(r) = self.requests.get_mut(&request) {
-                    r.streaming |= r.sent.get(attempt.0 as usize).is_some_and(|s| s.out);
+                    r.streaming |= r.sent.get(attempt.0 as usize).is_some_and(|s| s.in_flight);
                 }
             }
             Event::AttemptEnded(end) => self.ended(now, end),
@@ -52,7 +52,7 @@
                 self.uses = valid.map(|u| (u.backend, u)).collect();
                 self.choose();
             }
-            Event::ClientGone { request } => self.close(request, None),
+            Event::ClientDisconnected { request } => self.close(request, None),
             Event::Timer { token } if token != TimerToken(self.timer.0) => return,
             Event::Timer { .. } => self.timer.1 = None,
         }
@@ -88,8 +88,8 @@
             }
             _ => {}
         }
-        if self.take_list(update, list) {
-            self.backends.retain(|_, p| p.entry.state != BackendState::Gone || p.out > 0);
+        if self.apply_list(update, list) {
+            self.backends.retain(|_, p| p.entry.state != BackendState::Departed || p.in_flight > 0);
             self.choose();
             self.solve(now);
         }
@@ -105,30 +105,36 @@
             }
         }
         self.wake_by(self.subscription.retry_at.unwrap_or(self.due));
-        self.mark_unresponsive(now);
+        self.detect_unresponsive(now);
         let (mut over, mut leaving) = (Vec::new(), Vec::new());
-        let by = now + self.offer.trip + self.cfg.tick.times(2.0 * QUEUE_TICKS);
+        let by = now + self.offer.hop_duration + self.cfg.tick.times(2.0 * QUEUE_TICKS);
         for (&id, r) in self.requests.iter().filter(|(_, r)| !r.streaming) {
             let usual = self.usual(r.class);
-            let late_pays = self.cfg.classes[r.class].late_worth > 0.0 && !r.sent.is_empty();
-            let last_start = if late_pays { r.deadline } else { r.aim };
+            let late_pays = self.cfg.classes[r.class].late_weight_fraction > 0.0 && !r.sent.is_empty();
+            let last_start = if late_pays { r.deadline } else { r.objective_at };
             let failed = |p: &BackendRecord| p.unresponsive || p.ejected.is_some();
-            let lost = |s: &Sent| s.out && self.backends.get(&s.to.id).is_none_or(failed);
+            let lost = |s: &AttemptRecord| s.in_flight && self.backends.get(&s.backend.id).is_none_or(failed);
             let lost = matches!(&r.sent[..], [only] if lost(only));
-            let recheck = if r.out() { r.deadline } else { now + self.cfg.tick.times(QUEUE_TICKS) };
+            let recheck =
+                if r.has_attempt_in_flight() { r.deadline } else { now + self.cfg.tick.times(QUEUE_TICKS) };
             self.due = self.due.min(recheck).min(Time(r.deadline.0.saturating_sub(self.cfg.tick.0)));
-            let repeat = !self.pressure.copies && r.value < LOW && r.sent.is_empty();
-            let too_long = repeat && (now - r.came).secs() >= STORM_QUEUE_S;
-            if now + self.cfg.tick >= r.deadline || (!r.out() && (now + usual >= last_start || too_long)) {
+            let repeat = !self.pressure.hedging && r.value < LOW && r.sent.is_empty();
+            let too_long = repeat && (now - r.arrived_at).secs() >= STORM_QUEUE_S;
+            if now + self.cfg.tick >= r.deadline
+                || (!r.has_attempt_in_flight() && (now + usual >= last_start || too_long))
+            {
                 // The deadline's own tick would be too late to answer. A queued request that can no longer
                 // be served in time is refused while a retry elsewhere is still harmless.
                 over.push(id);
-            } else if self.offer.room(r.class) > 0 && !r.out() && by + usual >= r.aim {
+            } else if self.offer.capacity(r.class) > 0
+                && !r.has_attempt_in_flight()
+                && by + usual >= r.objective_at
+            {
                 leaving.push((r.class, r.value, id)); // later the hop would take too long
-            } else if lost && now + usual < r.aim && self.classes[r.class].extra >= 1.0 {
+            } else if lost && now + usual < r.objective_at && self.classes[r.class].extra >= 1.0 {
                 // Age alone is no reason: second attempts of heavy requests would overload every backend.
-                if self.cfg.second_copies {
-                    if self.pressure.copies && self.may_send(now, r) && !self.queue.contains(&id) {
+                if self.cfg.hedging {
+                    if self.pressure.hedging && self.may_send(now, r) && !self.queue.contains(&id) {
                         self.queue.push(id);
                     }
                 } else if self.cfg.cancel && self.cfg.classes[r.class].effect != Effect::Unsafe {
@@ -144,6 +150,6 @@
                 self.leave(now, id);
             }
         }
-        over.into_iter().for_each(|id| self.give_up(now, id, GivenUp::Held));
+        over.into_iter().for_each(|id| self.give_up(now, id, GivenUp::Queued));
     }
 }
--- a/crates/gaugesaddle-balancer/src/logic/admission.rs
+++ b/crates/gaugesaddle-balancer/src/logic/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: whether a request is let in, and what each class is worth to the goal.
+//! Admission: whether a request is admitted, and what each class contributes to the goal.
 
 use super::{LOW, QUEUE_TICKS};
 use crate::estimates::{Bucket, KIND_SAMPLES};
@@ -35,46 +35,51 @@
             s.demand += (f64::from(i == new.class.0) - s.demand) / KIND_SAMPLES;
         }
         let tenant = new.tenant.and_then(|t| self.cfg.tenants.get(t.0).zip(self.buckets.get_mut(t.0)));
-        let share = self.tier.share();
+        let share = self.tier.traffic_fraction();
         let over_quota = tenant.is_some_and(|(t, bucket)| !bucket.take(now, t.quota_per_s * share));
-        let aim = c.aim.0 + new.work_hint.unwrap_or_default().times(c.aim_stretch).0;
-        let (aim, deadline) = (now + Micros(aim).min(new.time_left), now + new.time_left);
-        // A client's retry has mostly the late worth left, and serving it before a new request would make
+        let objective =
+            c.latency_objective.0 + new.work_hint.unwrap_or_default().times(c.objective_stretch).0;
+        let (objective_at, deadline) = (now + Micros(objective).min(new.remaining), now + new.remaining);
+        // A client's retry has mostly the weight of a late answer left, and serving it before a new request would make
         // both late, all through a retry storm.
-        let again = if new.repeat { c.late_worth.max(LATE_FLOOR) } else { 1.0 };
-        let turn = if new.out_of_turn { OUT_OF_TURN } else { 1.0 };
-        let turn = turn * if new.foreign { FOREIGN } else { 1.0 };
-        let value = again * turn * if over_quota { self.cfg.over_quota_worth } else { 1.0 };
-        let (class, came, streaming, sent) = (new.class.0, now, false, Vec::new());
-        self.requests.insert(new.request, Request { class, came, aim, deadline, value, streaming, sent });
+        let again = if new.repeat { c.late_weight_fraction.max(LATE_FLOOR) } else { 1.0 };
+        let turn = if new.retried_early { OUT_OF_TURN } else { 1.0 };
+        let turn = turn * if new.from_other_region { FOREIGN } else { 1.0 };
+        let value = again * turn * if over_quota { self.cfg.over_quota_weight_fraction } else { 1.0 };
+        let (class, arrived_at, streaming, sent) = (new.class.0, now, false, Vec::new());
+        self.requests.insert(
+            new.request,
+            Request { class, arrived_at, objective_at, deadline, value, streaming, sent },
+        );
         self.low += (f64::from(value < LOW) - self.low) / KIND_SAMPLES;
         // No draw without an offer: where there is no other region no other draw changes.
-        let part = self.offer.at_once.get(class).copied().unwrap_or(0.0);
+        let part = self.offer.direct_fraction.get(class).copied().unwrap_or(0.0);
         if part > 0.0 && self.rng.unit() < part && self.leave(now, new.request) {
             return;
         }
         // HALB's rate is that of admitted requests: what is shed reaches no backend.
-        let storm = self.pressure.let_in_per_s;
-        let admitted = self.admitted(class, value) && storm.is_none_or(|rate| self.let_in.take(now, rate));
+        let storm = self.pressure.admit_per_s;
+        let admitted =
+            self.admitted(class, value) && storm.is_none_or(|rate| self.storm_admission.take(now, rate));
         self.rate.add(now, f64::from(admitted));
-        // Where cold backends are limited to less than their fractions, the rest of the traffic has no
+        // Where backends in slow start are limited to less than their fractions, the rest of the traffic has no
         // backend.
-        let pull: f64 = self.kinds.values().map(|k| k.pull).sum();
+        let pull: f64 = self.kinds.values().map(|k| k.routed_fraction).sum();
         if !admitted {
             return self.give_up(now, new.request, GivenUp::Shed);
         }
         if pull > 0.0 && self.rng.unit() > pull {
-            return self.give_up(now, new.request, GivenUp::Cold);
+            return self.give_up(now, new.request, GivenUp::SlowStart);
         }
         self.queue.push(new.request);
-        self.wake_by(now + self.cfg.tick.times(QUEUE_TICKS).min(new.time_left));
+        self.wake_by(now + self.cfg.tick.times(QUEUE_TICKS).min(new.remaining));
     }
 
-    /// Load shedding: classes are admitted by density of worth, the one at the margin by chance.
+    /// Load shedding: classes are admitted by weight per unit of work, the one at the margin by chance.
     fn admitted(&mut self, class: usize, value: f64) -> bool {
         // In a retry storm the storm's rate limit applies if it is lower than the learned fraction.
         let part = |rate: f64| rate / self.arrivals.per_s().unwrap_or(rate).max(1e-9);
-        let admit = self.admit.min(self.pressure.let_in_per_s.map_or(1.0, part));
+        let admit = self.admit.min(self.pressure.admit_per_s.map_or(1.0, part));
         if admit >= 1.0 {
             return true;
         }
@@ -93,20 +98,20 @@
 
     /// Applies a retry storm's limits. Its bucket starts empty: earlier requests are in flight.
     pub(super) fn set_pressure(&mut self, now: Time, pressure: Pressure) {
-        if self.pressure.let_in_per_s.is_none() {
-            self.let_in = Bucket::empty(now);
+        if self.pressure.admit_per_s.is_none() {
+            self.storm_admission = Bucket::empty(now);
         }
         self.pressure = pressure;
     }
 
     /// The latency up to which an attempt's answer is brisk.
     pub(super) fn brisk(&self, backend: BackendId, class: usize) -> Micros {
-        let aim = self.cfg.classes[class].aim.secs();
+        let objective = self.cfg.classes[class].latency_objective.secs();
         let kind = self.backends.get(&backend).and_then(|p| self.kinds.get(&p.entry.kind));
-        // Not known yet: no more than what a request usually takes, nor than the part of an aim for the rest.
-        let usual = || self.usual(class).secs().min(aim * BRISK);
+        // Not known yet: no more than what a request usually takes, nor than the fraction of an objective for the rest.
+        let usual = || self.usual(class).secs().min(objective * BRISK);
         let unloaded = kind.and_then(|k| k.unloaded.get(class)).unwrap_or_else(usual);
-        Micros::from_secs(unloaded + (aim - unloaded).max(0.0) * BRISK)
+        Micros::from_secs(unloaded + (objective - unloaded).max(0.0) * BRISK)
     }
 
     /// Adjusts the admitted fraction after an answer: many proxies cannot bound a backend's load otherwise.
@@ -120,16 +125,16 @@
         self.admit = (self.admit * change).clamp(MIN_ADMIT, 1.0);
     }
 
-    /// For each class the worth to the goal of serving one request, per unit of work.
+    /// For each class the contribution to the goal of serving one request, per unit of work.
     pub(super) fn densities(&self) -> Vec<f64> {
         let share = |i: usize| self.classes[i].demand.max(1e-3);
         let served = |i: usize| self.classes[i].in_time / share(i);
         let classes = self.cfg.classes.iter().enumerate();
-        let mean: f64 = classes.clone().map(|(i, c)| c.worth * share(i)).sum();
+        let mean: f64 = classes.clone().map(|(i, c)| c.priority_weight * share(i)).sum();
         let worst = (0..self.classes.len()).map(served).fold(f64::MAX, f64::min);
         let density = |(i, c): (usize, &Class)| {
             let lowest = if served(i) <= worst + 0.02 { self.cfg.goal_worst_class / share(i) } else { 0.0 };
-            (self.cfg.goal_whole * c.worth / mean + lowest) / self.work(i)
+            (self.cfg.goal_total * c.priority_weight / mean + lowest) / self.work(i)
         };
         classes.map(density).collect()
     }
--- a/crates/gaugesaddle-balancer/src/logic/completion.rs
+++ b/crates/gaugesaddle-balancer/src/logic/completion.rs
@@ -11,12 +11,12 @@
         let Some(r) = self.requests.get(&id) else { return false };
         let free = self.cfg.classes[r.class].effect == Effect::Free;
         let unseen = free || r.sent.iter().all(|s| s.never_ran);
-        let in_time = now + self.offer.trip + self.usual(r.class) < r.aim;
-        let Some(room) = self.offer.room.get_mut(r.class).filter(|n| **n > 0) else { return false };
+        let in_time = now + self.offer.hop_duration + self.usual(r.class) < r.objective_at;
+        let Some(capacity) = self.offer.capacity.get_mut(r.class).filter(|n| **n > 0) else { return false };
         if r.streaming || !unseen || !in_time {
             return false;
         }
-        *room -= 1;
+        *capacity -= 1;
         self.close(id, None); // attempts of a free request in flight are cancelled first
         self.actions.push(Action::Leave { request: id });
         true
@@ -44,7 +44,7 @@
                 s.in_time += (f64::from(good && i == r.class) - s.in_time) / KIND_SAMPLES;
             }
         }
-        for (no, _) in r.sent.iter().enumerate().filter(|(_, s)| s.out && self.cfg.cancel) {
+        for (no, _) in r.sent.iter().enumerate().filter(|(_, s)| s.in_flight && self.cfg.cancel) {
             self.actions.push(Action::Cancel { request: id, attempt: AttemptNo(no as u32) });
         }
     }
--- a/crates/gaugesaddle-balancer/src/logic/halb.rs
+++ b/crates/gaugesaddle-balancer/src/logic/halb.rs
@@ -2,7 +2,7 @@
 
 /// HALB: the clamped M/G/1/PS optimum. For kinds of (ready count, speed of one backend) and the arrival
 /// rate, the fraction of the traffic for each kind; all zero when no backend is ready.
-pub fn halb_shares(kinds: &[(f64, f64)], rate: Option<f64>) -> Vec<f64> {
+pub fn halb_fractions(kinds: &[(f64, f64)], rate: Option<f64>) -> Vec<f64> {
     let split = |on: &dyn Fn(&(f64, f64)) -> bool| -> Vec<f64> {
         let total: f64 = kinds.iter().filter(|k| on(k)).map(|k| k.0).sum();
         kinds.iter().map(|k| if on(k) && total > 0.0 { k.0 / total } else { 0.0 }).collect()
--- a/crates/gaugesaddle-balancer/src/logic/outcomes.rs
+++ b/crates/gaugesaddle-balancer/src/logic/outcomes.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::*;
 use crate::limits::turn;
-use crate::records::Flight;
+use crate::records::InFlightAttempt;
 use crate::state::Balancer;
 
 /// Error fraction above which a backend is ejected: two errors close together reach it.
@@ -20,10 +20,10 @@
     pub(super) fn ended(&mut self, now: Time, mut end: AttemptEnd) {
         let id = end.request;
         let Some(flight) = self.attempts.remove(&(id, end.attempt)) else { return };
-        let Flight { backend, class, late, .. } = flight;
-        self.load_mean.at(now, self.out as f64);
-        self.out -= 1;
-        if end.outcome == Outcome::Cancelled && end.latency > self.cfg.classes[class].aim {
+        let InFlightAttempt { backend, class, late, .. } = flight;
+        self.load_mean.at(now, self.in_flight as f64);
+        self.in_flight -= 1;
+        if end.outcome == Outcome::Cancelled && end.latency > self.cfg.classes[class].latency_objective {
             // Its client left after the objective: counts against the backend like a time-out.
             end.outcome = Outcome::TimedOut;
         }
@@ -36,24 +36,24 @@
         self.learn(now, &flight, &end);
         let Some(r) = self.requests.get_mut(&id) else { return };
         if let Some(s) = r.sent.get_mut(end.attempt.0 as usize) {
-            (s.out, s.never_ran) = (false, end.outcome.never_ran());
+            (s.in_flight, s.never_ran) = (false, end.outcome.never_ran());
         }
-        if end.settled || end.outcome == Outcome::Ok {
-            let in_time = end.outcome == Outcome::Ok && now <= r.aim;
+        if end.answered || end.outcome == Outcome::Ok {
+            let in_time = end.outcome == Outcome::Ok && now <= r.objective_at;
             self.close(id, Some(in_time));
-        } else if !r.out() && !self.queue.contains(&id) {
+        } else if !r.has_attempt_in_flight() && !self.queue.contains(&id) {
             self.queue.push(id); // `pump` sends it again or gives it up
         }
     }
 
     /// Updates the estimates of the backend, its kind and its class by an outcome.
-    fn learn(&mut self, now: Time, flight: &Flight, end: &AttemptEnd) {
-        let Flight { backend: id, class, sent, .. } = *flight;
+    fn learn(&mut self, now: Time, flight: &InFlightAttempt, end: &AttemptEnd) {
+        let InFlightAttempt { backend: id, class, sent_at: sent, .. } = *flight;
         self.record_load(now, id);
         let took = end.latency.secs().max(1e-6);
         let usual = self.classes[class].latency.get().unwrap_or(took);
         let Some(p) = self.backends.get_mut(&id) else { return };
-        p.out = p.out.saturating_sub(1);
+        p.in_flight = p.in_flight.saturating_sub(1);
         let kind = p.entry.kind;
         if flight.first {
             self.kinds.entry(kind).or_default().unloaded.first_ended(class);
@@ -75,7 +75,7 @@
                     let relative = took / (usual * p.limiter.relative()).max(1e-9);
                     k.search.answered(settled.then_some(turn), relative);
                 }
-                self.served(kind, class, end.latency);
+                self.record_served(kind, class, end.latency);
             }
             Outcome::Cancelled | Outcome::NeverSent => {}
             // A time-out does not count where the backend answered since: the request may just be heavy.
@@ -105,13 +105,13 @@
     }
 
     /// Marks the backends without an answer for much longer than usual as unresponsive.
-    pub(super) fn mark_unresponsive(&mut self, now: Time) {
+    pub(super) fn detect_unresponsive(&mut self, now: Time) {
         let before = std::mem::take(&mut self.unresponsive);
         for id in &before {
             self.backends.get_mut(id).into_iter().for_each(|p| p.unresponsive = false);
         }
         let mut attempts = std::mem::take(&mut self.attempts);
-        for Flight { backend, class, sent, late, .. } in attempts.values_mut() {
+        for InFlightAttempt { backend, class, sent_at: sent, late, .. } in attempts.values_mut() {
             // Lateness counts when the time is up: an overloaded backend answers only much later.
             let limit = *sent + self.brisk(*backend, *class);
             if !*late && now >= limit {
--- a/crates/gaugesaddle-balancer/src/logic/traffic.rs
+++ b/crates/gaugesaddle-balancer/src/logic/traffic.rs
@@ -1,9 +1,9 @@
 //! Traffic split: readiness and limit of every backend, and its fraction of this proxy's traffic.
 
-use super::halb_shares;
+use super::halb_fractions;
 use crate::interface::*;
 use crate::limits::{turn, BASE_LIMIT};
-use crate::records::{warm_fraction, BackendRecord, Kind};
+use crate::records::{capacity_fraction, BackendRecord, Kind};
 use crate::state::Balancer;
 use crate::subset;
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
 const MIN_OPEN: f64 = 2.0;
 /// Fraction of the longest slow start that a backend likely needs: that one is the bound over all kinds.
 const LIKELY_SLOW_START: f64 = 0.7;
-/// Standard deviations by which the total traffic to a cold backend stays below its limit.
+/// Standard deviations by which the total traffic to a backend in slow start stays below its limit.
 const FALL_SPREADS: f64 = 3.0;
 
 /// Where list weights are live, the fraction of its kind's even slice for a congested backend: all of it up
@@ -104,7 +104,7 @@
                 }
             };
             p.ready = health
-                * warm_fraction(&self.cfg, now, &p.entry, LIKELY_SLOW_START)
+                * capacity_fraction(&self.cfg, now, &p.entry, LIKELY_SLOW_START)
                 * uncongested(&self.cfg, &p.entry, k.idle_weight);
             k.ready += p.ready;
             k.own += if p.used { p.ready * p.weight() } else { 0.0 };
@@ -113,11 +113,11 @@
             self.learn_limits(now);
         }
         self.rate.add(now, 0.0);
-        let rate = self.rate.per_s().map(|r| r / self.tier.share());
+        let rate = self.rate.per_s().map(|r| r / self.tier.traffic_fraction());
         self.estimate_speeds(passed, rate);
         let table: Vec<(f64, f64)> = self.kinds.values().map(|k| (k.ready, k.speed)).collect();
-        let shares = halb_shares(&table, rate.filter(|_| self.overall.count > 0.0));
-        self.kinds.values_mut().zip(shares).for_each(|(k, share)| k.share = share);
+        let shares = halb_fractions(&table, rate.filter(|_| self.overall.count > 0.0));
+        self.kinds.values_mut().zip(shares).for_each(|(k, share)| k.traffic_fraction = share);
         self.allot(now);
     }
 
@@ -129,10 +129,12 @@
         let epoch = now.0 / Micros::from_secs(TURN_EPOCH_S).0;
         let users = self.users();
         // The fraction of a kind of which this proxy uses no backend goes to the others.
-        let used: f64 = self.kinds.values().filter(|k| k.own > 0.0).map(|k| k.share).sum();
+        let used: f64 = self.kinds.values().filter(|k| k.own > 0.0).map(|k| k.traffic_fraction).sum();
         let part = |kinds: &BTreeMap<KindId, Kind>, p: &BackendRecord| {
             let ready = p.ready * p.weight();
-            kinds.get(&p.entry.kind).map_or(0.0, |k| k.share / used.max(1e-9) * ready / k.own.max(1e-9))
+            kinds
+                .get(&p.entry.kind)
+                .map_or(0.0, |k| k.traffic_fraction / used.max(1e-9) * ready / k.own.max(1e-9))
         };
         let mut due: BTreeMap<ZoneId, f64> = BTreeMap::new();
         let ready = self.backends.values().filter(|p| p.used && p.ready > 0.0);
@@ -141,14 +143,16 @@
         let biased = self.cfg.cross_zone_cost > 0.0 && self.cfg.proxies % self.cfg.zones == 0;
         let rich: f64 = due.values().map(|d| (d * zones - 1.0).max(0.0)).sum();
         let own = due.get(&self.cfg.zone).copied().unwrap_or(0.0);
-        let (mut mine, mut warm) = (0.0, BTreeMap::<KindId, (f64, f64)>::new());
+        let (mut mine, mut warmed_up) = (0.0, BTreeMap::<KindId, (f64, f64)>::new());
         self.kinds
             .values_mut()
-            .for_each(|k| (k.pull, k.cumulative) = (0.0, Vec::with_capacity(k.cumulative.len())));
+            .for_each(|k| (k.routed_fraction, k.cumulative) = (0.0, Vec::with_capacity(k.cumulative.len())));
         let length = self.turn;
-        let cold: Vec<f64> = self.backends.values().map(|p| self.fall_fraction(now, p)).collect();
+        let fall_fractions: Vec<f64> = self.backends.values().map(|p| self.fall_fraction(now, p)).collect();
         let (round, many) = (u64::from(self.tier.position) / self.groups, self.many());
-        for ((&id, p), most) in self.backends.iter_mut().zip(cold).filter(|(p, _)| p.1.used) {
+        for ((&id, p), fall_fraction) in
+            self.backends.iter_mut().zip(fall_fractions).filter(|(p, _)| p.1.used)
+        {
             let here = due.get(&p.entry.zone).map_or(0.0, |d| d.max(1e-9));
             let far = (1.0 - own * zones).max(0.0) * (here * zones - 1.0).max(0.0) / rich.max(1e-9);
             let near = if p.entry.zone == self.cfg.zone { (own * zones).min(1.0) } else { far };
@@ -158,7 +162,7 @@
             let place = id.0.wrapping_add(round).wrapping_add(epoch);
             let even = ((place % users.ceil() as u64) as f64 + 0.5) / users.ceil();
             let search = self.kinds.get(&p.entry.kind).map(|k| &k.search).filter(|_| self.cfg.limits.learned);
-            let own_part = p.assigned.map_or(self.tier.weight / users, |u| u.part);
+            let own_part = p.assigned.map_or(self.tier.weight / users, |u| u.fraction);
             // The pool is computed for the mean of all turns.
             let (all, mean) = search.map_or((BASE_LIMIT, BASE_LIMIT), |s| {
                 (p.limiter.own(s.limit(turn(now, id, length).1)), p.limiter.own(s.found()))
@@ -169,24 +173,24 @@
             p.fraction = (0.5 + 0.5 * bias) * own_part * p.ready;
             p.slots = p.slots_for(p.limit, !many);
             if p.ready > 0.5 {
-                let all = warm.entry(p.entry.kind).or_default();
+                let all = warmed_up.entry(p.entry.kind).or_default();
                 *all = (all.0 + 1.0, all.1 + p.limit);
             }
             // The small constant lets others take the overflow where all backends with a fraction are full.
-            p.pull = (part(&self.kinds, p) * bias + p.ready * 1e-6).min(most);
+            p.traffic_fraction = (part(&self.kinds, p) * bias + p.ready * 1e-6).min(fall_fraction);
             if p.ready > 0.0 {
                 let k = self.kinds.entry(p.entry.kind).or_default();
-                k.pull += p.pull;
-                k.cumulative.push((id, k.pull));
+                k.routed_fraction += p.traffic_fraction;
+                k.cumulative.push((id, k.routed_fraction));
             }
         }
         self.mean_limit = mine;
         // Without a turn of its own, one attempt is let through: else it is refused while backends idle.
-        self.turnless =
+        self.without_slots =
             !self.backends.values().any(|p| p.used && p.ready > 0.0 && p.slots_for(p.limit, false) > 0.0);
         self.open = (MIN_OPEN / mine.max(1e-9)).max(1.0);
         self.pool = mine + POOL_SPREAD * mine.sqrt() + 1.0;
-        warm.into_iter().for_each(|(kind, (count, sum))| {
+        warmed_up.into_iter().for_each(|(kind, (count, sum))| {
             self.kinds.entry(kind).or_default().limit = sum / count;
         });
     }
@@ -195,7 +199,7 @@
     fn learn_limits(&mut self, now: Time) {
         for (&id, p) in &mut self.backends {
             let k = self.kinds.entry(p.entry.kind).or_default();
-            p.record_load(now, turn(now, id, self.turn), self.tier.share(), &mut k.search);
+            p.record_load(now, turn(now, id, self.turn), self.tier.traffic_fraction(), &mut k.search);
         }
         let mut moved = Vec::new();
         for (kind, k) in &mut self.kinds {
@@ -213,7 +217,7 @@
     pub(super) fn record_load(&mut self, now: Time, id: BackendId) {
         let Some(p) = self.backends.get_mut(&id).filter(|_| self.cfg.limits.learned) else { return };
         let k = self.kinds.entry(p.entry.kind).or_default();
-        p.record_load(now, turn(now, id, self.turn), self.tier.share(), &mut k.search);
+        p.record_load(now, turn(now, id, self.turn), self.tier.traffic_fraction(), &mut k.search);
     }
 
     /// The largest traffic fraction whose random count stays below the fall limit (see `FALL_SPREADS`).
--- a/crates/gaugesaddle-balancer/src/records.rs
+++ b/crates/gaugesaddle-balancer/src/records.rs
@@ -16,17 +16,17 @@
     /// Requests per second that one backend could serve.
     pub speed: f64,
     /// Fraction of all proxies' traffic.
-    pub share: f64,
+    pub traffic_fraction: f64,
     /// Latency of each class on an unloaded backend.
     pub unloaded: Unloaded,
-    /// Mean limit of its warm backends, for all proxies together.
+    /// Mean limit of its backends after slow start, for all proxies together.
     pub limit: f64,
     /// The search for the limit of its backends.
     pub search: Search,
     /// Highest list weight of its backends: that of an idle one.
     pub idle_weight: f64,
     /// Fraction of this proxy's traffic.
-    pub pull: f64,
+    pub routed_fraction: f64,
     /// Its usable backends, each with the sum of its pull and those before it.
     pub cumulative: Vec<(BackendId, f64)>,
 }
@@ -34,7 +34,7 @@
 impl Kind {
     /// One of the usable backends by their pull; `part` is uniform in [0, 1).
     pub fn pick(&self, part: f64) -> Option<BackendId> {
-        let at = self.cumulative.partition_point(|l| l.1 <= part * self.pull);
+        let at = self.cumulative.partition_point(|l| l.1 <= part * self.routed_fraction);
         self.cumulative.get(at).or(self.cumulative.last()).map(|l| l.0)
     }
 }
@@ -54,17 +54,17 @@
     /// Whether this proxy uses it, and its assignment, where the host gave one.
     pub used: bool,
     pub assigned: Option<Use>,
-    /// From 0 (send nothing) to 1 (healthy and warm).
+    /// From 0 (send nothing) to 1 (healthy, with its full capacity).
     pub ready: f64,
     /// Its fraction of this proxy's traffic.
-    pub pull: f64,
+    pub traffic_fraction: f64,
     /// How many attempts of this proxy it may have in flight, as of the last solve; this proxy's fraction of
     /// its limit, and the offset that rounds it.
     pub slots: f64,
     pub fraction: f64,
     pub coin: f64,
     /// Attempts of this proxy in flight.
-    pub out: u32,
+    pub in_flight: u32,
     /// Fraction of errors (exponential moving average).
     pub errors: f64,
     /// Its latency relative to that expected of its kind and the class.
@@ -80,7 +80,7 @@
     /// Connections failed repeatedly: its process is gone, and one at that address later is another.
     pub absent: bool,
     /// Work sent within the fall window, by time.
-    pub spent: Vec<(Time, f64)>,
+    pub recent_work: Vec<(Time, f64)>,
     /// Its own limit relative to its kind's.
     pub limiter: Limiter,
     /// Limit of all proxies together, as this proxy knows it.
@@ -112,7 +112,7 @@
 
     /// To be called before its requests in flight change, and periodically: records them in the search.
     pub fn record_load(&mut self, now: Time, turn: (u64, Turn, bool), share: f64, search: &mut Search) {
-        if let Some((turn, area, secs)) = self.limiter.pass(now, turn, self.out) {
+        if let Some((turn, area, secs)) = self.limiter.pass(now, turn, self.in_flight) {
             search.record_load(turn, area / share, secs);
         }
     }
@@ -131,21 +131,21 @@
 }
 
 /// An attempt of a request.
-pub(crate) struct Sent {
-    pub to: Backend,
-    pub at: Time,
+pub(crate) struct AttemptRecord {
+    pub backend: Backend,
+    pub sent_at: Time,
     /// It is in flight.
-    pub out: bool,
+    pub in_flight: bool,
     /// Its outcome proves that it did not run.
     pub never_ran: bool,
 }
 
 /// An attempt in flight.
 #[derive(Clone, Copy)]
-pub(crate) struct Flight {
+pub(crate) struct InFlightAttempt {
     pub backend: BackendId,
     pub class: usize,
-    pub sent: Time,
+    pub sent_at: Time,
     /// It has been counted as late.
     pub late: bool,
     /// Its backend had no other request in flight when it was sent.
@@ -157,28 +157,28 @@
 /// A request without a final answer.
 pub(crate) struct Request {
     pub class: usize,
-    pub came: Time,
-    pub aim: Time,
+    pub arrived_at: Time,
+    pub objective_at: Time,
     pub deadline: Time,
     /// Its value relative to a first attempt within quota.
     pub value: f64,
     pub streaming: bool,
-    pub sent: Vec<Sent>,
+    pub sent: Vec<AttemptRecord>,
 }
 
 impl Request {
     /// Whether an attempt is in flight.
-    pub fn out(&self) -> bool {
-        self.sent.iter().any(|s| s.out)
+    pub fn has_attempt_in_flight(&self) -> bool {
+        self.sent.iter().any(|s| s.in_flight)
     }
 }
 
-/// The fraction of its capacity that a backend in slow start has, if it needs the fraction `ramp` of the
-/// longest one.
-pub(crate) fn warm_fraction(cfg: &Config, now: Time, entry: &Backend, ramp: f64) -> f64 {
-    let ramp = (cfg.ramp.secs() * ramp).max(1e-6);
-    let age = entry.booted.map_or(f64::MAX, |boot| (now - boot).secs() / ramp);
-    cfg.cold_from + (1.0 - cfg.cold_from) * age.min(1.0)
+/// The fraction of its capacity that a backend in slow start has, if it needs the fraction `duration` of
+/// the longest one.
+pub(crate) fn capacity_fraction(cfg: &Config, now: Time, entry: &Backend, duration: f64) -> f64 {
+    let duration_s = (cfg.slow_start.secs() * duration).max(1e-6);
+    let age = entry.booted.map_or(f64::MAX, |boot| (now - boot).secs() / duration_s);
+    cfg.initial_capacity + (1.0 - cfg.initial_capacity) * age.min(1.0)
 }
 
 /// The next subscription to the list of backends.
--- a/crates/gaugesaddle-balancer/src/settings.rs
+++ b/crates/gaugesaddle-balancer/src/settings.rs
@@ -192,18 +192,18 @@
         zones: names.zones.len() as u32,
         classes,
         tenants,
-        over_quota_worth: root.get("over_share_worth").real()?,
-        goal_whole: goal.get("whole").real()?,
+        over_quota_weight_fraction: root.get("over_share_worth").real()?,
+        goal_total: goal.get("whole").real()?,
         goal_worst_class: goal.get("worst_class").real()?,
         cross_zone_cost: root.get("costs").get("cross_zone").real()?,
         discovery,
         live_weights: root.get("weight_source").text().is_ok_and(|w| w == "live"),
         max_attempts: limits.get("max_attempts").count()?,
         cancel: limits.get("cancel").flag()?,
-        second_copies: limits.get("parallel_tries").flag()?,
+        hedging: limits.get("parallel_tries").flag()?,
         tick: root.get("granularity_us").micros()?,
-        cold_from: rules.get("cold_from").real()?,
-        ramp: rules.get("ramp_time_us").micros()?,
+        initial_capacity: rules.get("cold_from").real()?,
+        slow_start: rules.get("ramp_time_us").micros()?,
         fall_multiple: rules.get("fall_multiple").real()?,
         fall_window: rules.get("tip_after_us").micros()?,
         limits: LimitBounds::default(), // the operator's file has them
@@ -220,16 +220,16 @@
     names.classes.push(name.text()?.into());
     let effect = read_effect(class)?;
     let stretch = class.get("aim_stretch");
-    let (aim, deadline) = (class.get("aim_us"), class.get("deadline_us"));
-    if aim.micros()? > deadline.micros()? {
-        return aim.want(None, "no more than deadline_us");
+    let (objective, deadline) = (class.get("aim_us"), class.get("deadline_us"));
+    if objective.micros()? > deadline.micros()? {
+        return objective.want(None, "no more than deadline_us");
     }
     Ok(Class {
-        aim: aim.micros()?,
-        aim_stretch: if stretch.value.is_some() { stretch.real()? } else { 0.0 },
+        latency_objective: objective.micros()?,
+        objective_stretch: if stretch.value.is_some() { stretch.real()? } else { 0.0 },
         effect,
-        worth: class.get("gain").real()?,
-        late_worth: class.get("late_worth").real()?,
+        priority_weight: class.get("gain").real()?,
+        late_weight_fraction: class.get("late_worth").real()?,
     })
 }
 
--- a/crates/gaugesaddle-balancer/src/state.rs
+++ b/crates/gaugesaddle-balancer/src/state.rs
@@ -32,16 +32,16 @@
     /// Fraction of the traffic that is admitted, and fraction of the arrivals that has a low value.
     pub(crate) admit: f64,
     pub(crate) low: f64,
-    pub(crate) attempts: BTreeMap<(RequestId, AttemptNo), Flight>,
+    pub(crate) attempts: BTreeMap<(RequestId, AttemptNo), InFlightAttempt>,
     /// Attempts of this proxy in flight, and their limit.
-    pub(crate) out: usize,
+    pub(crate) in_flight: usize,
     pub(crate) pool: f64,
     /// Limit of the mean number in flight.
     pub(crate) mean_limit: f64,
     /// Factor of the limits that slots are computed by, so that `MIN_OPEN` are open at least.
     pub(crate) open: f64,
     /// No backend has a slot for this proxy in the current rotation.
-    pub(crate) turnless: bool,
+    pub(crate) without_slots: bool,
     pub(crate) load_mean: Level,
     /// Number of groups of backends; see [`crate::subset`].
     pub(crate) groups: u64,
@@ -53,7 +53,7 @@
     pub(crate) rate: Rate,
     /// Requests that arrived, admitted or not, and the tokens of a storm's rate limit.
     pub(crate) arrivals: Rate,
-    pub(crate) let_in: Bucket,
+    pub(crate) storm_admission: Bucket,
     pub(crate) pressure: Pressure,
     pub(crate) offer: Offer,
     /// The proxies that share the traffic; by the settings until the host reports them.
@@ -95,11 +95,11 @@
             admit: 1.0,
             low: 0.0,
             attempts: BTreeMap::new(),
-            out: 0,
+            in_flight: 0,
             pool: 0.0,
             mean_limit: 0.0,
             open: 1.0,
-            turnless: false,
+            without_slots: false,
             load_mean: Level::default(),
             groups: 1,
             used: Vec::new(),
@@ -107,14 +107,14 @@
             unresponsive: Vec::new(),
             rate: Rate::default(),
             arrivals: Rate::default(),
-            let_in: Bucket::default(),
-            pressure: Pressure { let_in_per_s: None, copies: true, retry_ratio: RETRY_RATIO },
+            storm_admission: Bucket::default(),
+            pressure: Pressure { admit_per_s: None, hedging: true, retry_ratio: RETRY_RATIO },
             offer: Offer::default(),
             tier: Tier { proxies: cfg.proxies, position: cfg.position, weight: 1.0 },
             uses: BTreeMap::new(),
             turn: turn_length(&cfg),
             // An answer is known to be late only after an objective: estimates move no faster.
-            period: cfg.classes.iter().map(|c| c.aim).min().unwrap_or_default(),
+            period: cfg.classes.iter().map(|c| c.latency_objective).min().unwrap_or_default(),
             solved: Time(0),
             due: Time(0),
             timer: (0, None),
@@ -142,7 +142,7 @@
     /// Usual latency of a served request of the class; a quarter of its objective before any was served.
     pub(crate) fn usual(&self, class: usize) -> Micros {
         let known = self.classes[class].latency.get();
-        known.map_or(self.cfg.classes[class].aim.times(0.25), Micros::from_secs)
+        known.map_or(self.cfg.classes[class].latency_objective.times(0.25), Micros::from_secs)
     }
 
     /// A class's work relative to the mean, estimated by latency.
@@ -151,16 +151,16 @@
     }
 
     /// The current state, for operators.
-    pub fn standing(&self) -> Standing {
-        Standing {
+    pub fn status(&self) -> BalancerStatus {
+        BalancerStatus {
             rate: self.rate.per_s().unwrap_or(0.0),
             arrivals: self.arrivals.per_s().unwrap_or(0.0),
             admit: self.admit,
             pool: self.pool,
-            out: self.out,
-            held: self.queue.len(),
+            in_flight: self.in_flight,
+            queued: self.queue.len(),
             ready: self.ready,
-            pull: self.kinds.values().map(|k| k.pull).sum(),
+            routed_fraction: self.kinds.values().map(|k| k.routed_fraction).sum(),
             given_up: self.given_up,
         }
     }
@@ -171,7 +171,10 @@
         let hold: f64 = self.backends.values().filter(|p| p.is_healthy()).map(|p| p.limit * p.fraction).sum();
         let able = self.rate_of(hold);
         let arrivals = self.arrivals.per_s().unwrap_or(0.0);
-        Capacity { able, demand: self.classes.iter().map(|c| c.demand * arrivals).collect() }
+        Capacity {
+            capacity_per_s: able,
+            demand_per_s: self.classes.iter().map(|c| c.demand * arrivals).collect(),
+        }
     }
 
     /// The backends that are listed ready, by id: those that may be assigned to proxies.
@@ -195,23 +198,23 @@
         for p in self.backends.values().filter(|p| p.used && p.entry.state == BackendState::Ready) {
             let (zone, hold) = zones.entry(p.entry.zone).or_default();
             zone.backends += 1;
-            zone.ill += u32::from(!p.is_healthy());
+            zone.unhealthy += u32::from(!p.is_healthy());
             *hold += if p.is_healthy() { p.limit * p.fraction } else { 0.0 };
         }
-        let able = |(id, (zone, hold))| (id, ZoneCapacity { able: self.rate_of(hold), ..zone });
+        let able = |(id, (zone, hold))| (id, ZoneCapacity { capacity_per_s: self.rate_of(hold), ..zone });
         zones.into_iter().map(able).collect()
     }
 
     /// The limit of each backend.
     pub fn limits(&self) -> Vec<LimitView> {
-        let at_bound = |limit: f64| limit <= self.cfg.limits.least || limit >= self.cfg.limits.most;
+        let at_bound = |limit: f64| limit <= self.cfg.limits.min || limit >= self.cfg.limits.max;
         let view = |(id, p): (&BackendId, &BackendRecord)| LimitView {
             backend: *id,
             limit: p.limit,
-            room: p.slots as u32,
-            held: p.out,
+            slots: p.slots as u32,
+            in_flight: p.in_flight,
             latency: p.limiter.latencies(),
-            why: match self.kinds.get(&p.entry.kind) {
+            reason: match self.kinds.get(&p.entry.kind) {
                 Some(_) if self.cfg.limits.learned && at_bound(p.limit) => LimitReason::Bound,
                 Some(k) if self.cfg.limits.learned => k.search.reason,
                 _ => LimitReason::Constant,
@@ -228,27 +231,28 @@
         }
     }
 
-    /// Work that all proxies together may send to a cold backend in a fall window; infinite once it is warm.
+    /// Work that all proxies together may send to a backend in slow start in a fall window; infinite after it.
     pub(crate) fn fall_limit(&self, now: Time, p: &BackendRecord) -> f64 {
-        let warm = warm_fraction(&self.cfg, now, &p.entry, 1.0);
-        if warm >= 1.0 {
+        let capacity = capacity_fraction(&self.cfg, now, &p.entry, 1.0);
+        if capacity >= 1.0 {
             return f64::INFINITY;
         }
-        let fair = self.rate.per_s().unwrap_or(1.0) / self.tier.share() / self.backends.len() as f64;
+        let fair =
+            self.rate.per_s().unwrap_or(1.0) / self.tier.traffic_fraction() / self.backends.len() as f64;
         // With few ready backends the flow overshoots; a backend within its limit is no faster than this.
         let hold = |k: &Kind| if k.limit > 0.0 { k.limit } else { BASE_LIMIT };
         let known = |k: &Kind| k.latency.get().map(|t| k.speed.min((1.0 + hold(k)) / t));
         let speed = self.kinds.get(&p.entry.kind).and_then(known).unwrap_or(fair);
-        self.cfg.fall_multiple * warm * speed * self.cfg.fall_window.secs()
+        self.cfg.fall_multiple * capacity * speed * self.cfg.fall_window.secs()
     }
 
     /// Applies an update of the list to the records; whether anything but weights changed.
-    pub(crate) fn take_list(&mut self, update: ListUpdate, list: Vec<Backend>) -> bool {
+    pub(crate) fn apply_list(&mut self, update: ListUpdate, list: Vec<Backend>) -> bool {
         let mut changed = false;
         if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
             let named: BTreeSet<BackendId> = list.iter().map(|b| b.id).collect();
             for p in self.backends.values_mut().filter(|p| !named.contains(&p.entry.id)) {
-                (p.entry.state, changed) = (BackendState::Gone, true);
+                (p.entry.state, changed) = (BackendState::Departed, true);
             }
         }
         for entry in list {
@@ -256,9 +260,9 @@
             if p.entry.booted != entry.booted {
                 // A restarted process shares only the address with the old one.
                 *p = BackendRecord {
-                    out: p.out,
+                    in_flight: p.in_flight,
                     used: p.used,
-                    spent: std::mem::take(&mut p.spent),
+                    recent_work: std::mem::take(&mut p.recent_work),
                     ..BackendRecord::default()
                 };
             }
@@ -273,7 +277,7 @@
     /// mean.
     pub(crate) fn estimate_speeds(&mut self, passed: f64, rate: Option<f64>) {
         for k in self.kinds.values_mut() {
-            let flow = if k.ready > 0.0 { rate.unwrap_or(0.0) * k.share / k.ready } else { 0.0 };
+            let flow = if k.ready > 0.0 { rate.unwrap_or(0.0) * k.traffic_fraction / k.ready } else { 0.0 };
             // Smoothed, since the flow is this proxy's own estimate: unsmoothed, a kind with a large fraction
             // looks ever faster, and proxies oscillate together.
             let speed = k.latency.get().map_or(0.0, |t| 1.0 / t + flow);
@@ -287,7 +291,7 @@
     }
 
     /// Records a served request's latency.
-    pub(crate) fn served(&mut self, kind: KindId, class: usize, latency: Micros) {
+    pub(crate) fn record_served(&mut self, kind: KindId, class: usize, latency: Micros) {
         // Served requests only: errors, time-outs and refusals stay out of the speeds.
         let secs = latency.secs().max(1e-6);
         self.classes[class].latency.add(secs, KIND_SAMPLES);
--- a/crates/gaugesaddle-balancer/tests/cold.rs
+++ b/crates/gaugesaddle-balancer/tests/cold.rs
@@ -28,9 +28,9 @@
         let cfg = |position| Config {
             proxies,
             position,
-            cold_from: 0.1,
+            initial_capacity: 0.1,
             fall_multiple: 1.5,
-            ramp: Micros(15_000_000),
+            slow_start: Micros(15_000_000),
             fall_window: Micros(2_000_000),
             classes: vec![class(Effect::Free)],
             ..Config::example()
@@ -79,7 +79,7 @@
         let now = self.now();
         let leaving = 1 + self.list.len() / 2;
         self.list[0].booted = Some(now);
-        self.list[1..leaving].iter_mut().for_each(|b| b.state = BackendState::Gone);
+        self.list[1..leaving].iter_mut().for_each(|b| b.state = BackendState::Departed);
         let changes = self.list[..leaving].to_vec();
         self.hosts.iter_mut().for_each(|h| h.members(ListUpdate::Changes, changes.clone()));
     }
@@ -103,8 +103,8 @@
         let booted = self.list[0].booted.expect("a cold one");
         let cfg = &self.hosts[0].cfg;
         let allowed = |at: Time| {
-            let warm =
-                cfg.cold_from + (1.0 - cfg.cold_from) * ((at - booted).secs() / cfg.ramp.secs()).min(1.0);
+            let warm = cfg.initial_capacity
+                + (1.0 - cfg.initial_capacity) * ((at - booted).secs() / cfg.slow_start.secs()).min(1.0);
             cfg.fall_multiple * warm * SERVES * cfg.fall_window.secs()
         };
         let windows = self.sent.iter().enumerate().map(|(i, at)| {
--- a/crates/gaugesaddle-balancer/tests/common/mod.rs
+++ b/crates/gaugesaddle-balancer/tests/common/mod.rs
@@ -56,7 +56,13 @@
 }
 
 pub fn class(effect: Effect) -> Class {
-    Class { aim: Micros(400_000), aim_stretch: 0.0, effect, worth: 1.0, late_worth: 0.0 }
+    Class {
+        latency_objective: Micros(400_000),
+        objective_stretch: 0.0,
+        effect,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.0,
+    }
 }
 
 impl Host {
@@ -95,7 +101,7 @@
                 let b = self.list.get(&backend).expect("a listed backend");
                 assert_eq!(b.state, BackendState::Ready, "sent to a backend that drains or is gone");
                 assert!(r.tries.len() < self.cfg.max_attempts as usize, "too many attempts");
-                assert!(self.cfg.second_copies || r.tries.iter().all(|t| t.outcome.is_some()), "two at once");
+                assert!(self.cfg.hedging || r.tries.iter().all(|t| t.outcome.is_some()), "two at once");
                 for t in r.tries.iter().filter(|t| t.may_have_run()) {
                     match self.cfg.classes[r.class].effect {
                         Effect::Free => {}
@@ -154,7 +160,7 @@
 
     pub fn members(&mut self, update: ListUpdate, backends: Vec<Backend>) {
         if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
-            self.list.values_mut().for_each(|b| b.state = BackendState::Gone);
+            self.list.values_mut().for_each(|b| b.state = BackendState::Departed);
         }
         for b in &backends {
             self.list.insert(b.id, b.clone());
@@ -176,11 +182,11 @@
             request: id,
             class: ClassId(class),
             tenant,
-            time_left: Micros(left),
+            remaining: Micros(left),
             work_hint: None,
             repeat: self.repeat,
-            out_of_turn: false,
-            foreign: false,
+            retried_early: false,
+            from_other_region: false,
         }));
         id
     }
@@ -194,9 +200,9 @@
     pub fn nonsense(&mut self, request: RequestId, attempt: AttemptNo, token: TimerToken) {
         let (outcome, latency) = (Outcome::Error, Micros(5));
         self.event(Event::Timer { token });
-        self.event(Event::ClientGone { request });
+        self.event(Event::ClientDisconnected { request });
         self.event(Event::StreamStarted { request, attempt });
-        self.event(Event::AttemptEnded(AttemptEnd { request, attempt, outcome, latency, settled: false }));
+        self.event(Event::AttemptEnded(AttemptEnd { request, attempt, outcome, latency, answered: false }));
     }
 
     /// Ends an attempt that is out.
@@ -211,7 +217,13 @@
         }
         let settled = r.answer.is_some();
         let attempt = AttemptNo(no as u32);
-        self.event(Event::AttemptEnded(AttemptEnd { request: id, attempt, outcome, latency, settled }));
+        self.event(Event::AttemptEnded(AttemptEnd {
+            request: id,
+            attempt,
+            outcome,
+            latency,
+            answered: settled,
+        }));
     }
 
     pub fn start_stream(&mut self, id: RequestId, no: usize) {
--- a/crates/gaugesaddle-balancer/tests/failures.rs
+++ b/crates/gaugesaddle-balancer/tests/failures.rs
@@ -40,13 +40,13 @@
     assert_eq!(bad(|c| c.proxies = 0), Some("proxies"));
     assert_eq!(bad(|c| c.zones = 0), Some("zones"));
     assert_eq!(bad(|c| c.classes.clear()), Some("classes"));
-    assert_eq!(bad(|c| c.classes[0].aim = Micros(0)), Some("aim"));
-    assert_eq!(bad(|c| c.classes[0].worth = f64::NAN), Some("worth"));
-    assert_eq!(bad(|c| c.classes[0].late_worth = 1.5), Some("late_worth"));
+    assert_eq!(bad(|c| c.classes[0].latency_objective = Micros(0)), Some("aim"));
+    assert_eq!(bad(|c| c.classes[0].priority_weight = f64::NAN), Some("worth"));
+    assert_eq!(bad(|c| c.classes[0].late_weight_fraction = 1.5), Some("late_worth"));
     assert_eq!(bad(|c| c.tenants.push(Tenant { quota_per_s: -1.0 })), Some("quota_per_s"));
     assert_eq!(bad(|c| c.max_attempts = 0), Some("max_attempts"));
     assert_eq!(bad(|c| c.tick = Micros(0)), Some("tick"));
-    assert_eq!(bad(|c| c.cold_from = -0.1), Some("cold_from"));
+    assert_eq!(bad(|c| c.initial_capacity = -0.1), Some("cold_from"));
     assert_eq!(bad(|c| c.fall_multiple = f64::INFINITY), Some("fall_multiple"));
     assert_eq!(bad(|_| ()), None);
 }
@@ -170,7 +170,7 @@
 
 #[test]
 fn lost_attempt_is_cancelled_first_without_second_copies() {
-    let cfg = Config { second_copies: false, ..config(vec![class(Effect::Free)]) };
+    let cfg = Config { hedging: false, ..config(vec![class(Effect::Free)]) };
     let mut host = host(cfg, fleet(6));
     serve(&mut host, 100, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
@@ -253,7 +253,7 @@
 
 #[test]
 fn cold_backend_gets_less_than_its_budget() {
-    let cfg = Config { proxies: 1, cold_from: 0.1, fall_multiple: 2.0, ..Config::example() };
+    let cfg = Config { proxies: 1, initial_capacity: 0.1, fall_multiple: 2.0, ..Config::example() };
     let mut host = host(cfg, fleet(3));
     serve(&mut host, 200, 0, |_| 20_000);
     let cold = Backend { booted: Some(host.now), ..backend(9, 0, 0) };
@@ -266,7 +266,7 @@
 
 #[test]
 fn burst_does_not_exceed_cold_backend_budget() {
-    let cfg = Config { proxies: 3, cold_from: 0.1, fall_multiple: 2.0, ..Config::example() };
+    let cfg = Config { proxies: 3, initial_capacity: 0.1, fall_multiple: 2.0, ..Config::example() };
     let mut host = host(cfg, fleet(12));
     serve(&mut host, 100, 0, |_| 20_000);
     let booted = Some(host.now);
@@ -315,7 +315,7 @@
 
 #[test]
 fn densest_worth_is_served_under_overload() {
-    let rich = Class { worth: 8.0, ..class(Effect::Free) };
+    let rich = Class { priority_weight: 8.0, ..class(Effect::Free) };
     let mut host = host(Config { proxies: 1, ..config(vec![class(Effect::Free), rich]) }, fleet(1));
     let ids: Vec<RequestId> = (0..60).map(|n| host.arrive(n % 2, 900_000)).collect();
     for _ in 0..6 {
@@ -596,7 +596,7 @@
     let ill = host.sent_to(id)[0];
     host.advance(450_000);
     host.requests.get_mut(&id).unwrap().answer = Some("left");
-    host.event(Event::ClientGone { request: id });
+    host.event(Event::ClientDisconnected { request: id });
     host.advance(20_000);
     assert!(!serve(&mut host, 30, 0, |_| 5_000).contains(&ill), "it still gets its slice");
 }
@@ -621,7 +621,13 @@
     // Incident ic093af: live weights were low on all warm backends, so the cold one got more of the draw than
     // they.
     let ramp = Micros(1_000_000_000);
-    let cfg = Config { proxies: 126, live_weights: true, cold_from: 0.1, ramp, ..Config::example() };
+    let cfg = Config {
+        proxies: 126,
+        live_weights: true,
+        initial_capacity: 0.1,
+        slow_start: ramp,
+        ..Config::example()
+    };
     let mut host = host(Config { fall_multiple: 2.0, ..cfg }, fleet(36));
     serve(&mut host, 60, 0, |_| 30_000);
     let mut list: Vec<Backend> = (0..36).map(|i| Backend { weight: 0.02, ..backend(i, 0, 0) }).collect();
@@ -635,7 +641,11 @@
 }
 
 fn storm(let_in_per_s: Option<f64>) -> Event {
-    Event::Pressure(Pressure { let_in_per_s, copies: let_in_per_s.is_none(), retry_ratio: 0.02 })
+    Event::Pressure(Pressure {
+        admit_per_s: let_in_per_s,
+        hedging: let_in_per_s.is_none(),
+        retry_ratio: 0.02,
+    })
 }
 
 #[test]
@@ -683,7 +693,7 @@
 /// only at the next solve, which an objective of seconds delays for as long.
 #[test]
 fn backend_that_responds_again_gets_queued_requests() {
-    let slow = Class { aim: Micros(5_000_000), ..class(Effect::Free) };
+    let slow = Class { latency_objective: Micros(5_000_000), ..class(Effect::Free) };
     let mut host = host(config(vec![slow]), fleet(1));
     serve(&mut host, 40, 0, |_| 5_000);
     let first = host.arrive(0, 7_000_000);
--- a/crates/gaugesaddle-balancer/tests/invariants.rs
+++ b/crates/gaugesaddle-balancer/tests/invariants.rs
@@ -34,7 +34,7 @@
     let state = prop_oneof![
         3 => Just(BackendState::Ready),
         1 => Just(BackendState::Draining),
-        1 => Just(BackendState::Gone)
+        1 => Just(BackendState::Departed)
     ];
     let update = prop_oneof![Just(ListUpdate::Full), Just(ListUpdate::Cached), Just(ListUpdate::Lost)];
     prop_oneof![
@@ -54,15 +54,15 @@
     let mut cfg = Config::example();
     cfg.classes = vec![
         class(Effect::Free),
-        Class { late_worth: 0.3, worth: 5.0, ..class(Effect::Unsafe) },
+        Class { late_weight_fraction: 0.3, priority_weight: 5.0, ..class(Effect::Unsafe) },
         class(Effect::Keyed(KeyScope::Zone, window)),
         class(Effect::Keyed(KeyScope::Cell, window)),
         class(Effect::Keyed(KeyScope::All, window)),
-        Class { aim: Micros(100_000), ..class(Effect::Free) },
+        Class { latency_objective: Micros(100_000), ..class(Effect::Free) },
     ];
     cfg.tenants = vec![Tenant { quota_per_s: 20.0 }, Tenant { quota_per_s: 5.0 }];
     cfg.goal_worst_class = 0.3;
-    cfg.second_copies = bits & 1 == 0;
+    cfg.hedging = bits & 1 == 0;
     cfg.live_weights = bits & 2 == 0;
     cfg.proxies = if bits & 1 == 0 { 3 } else { 400 };
     cfg.cancel = bits & 4 == 0;
@@ -100,7 +100,7 @@
                     host.requests.iter().filter(|(_, r)| r.answer.is_none()).map(|(id, _)| *id).collect();
                 if let Some(id) = nth(&open, n) {
                     host.requests.get_mut(&id).unwrap().answer = Some("left");
-                    host.event(Event::ClientGone { request: id });
+                    host.event(Event::ClientDisconnected { request: id });
                 }
             }
             Step::Pass(span) => host.advance(span),
--- a/crates/gaugesaddle-balancer/tests/leaving.rs
+++ b/crates/gaugesaddle-balancer/tests/leaving.rs
@@ -12,7 +12,7 @@
 
 /// A host with votes (worth 8, keyed), reads (free) and payments (unsafe), and so many backends.
 fn host(backends: u32) -> Host {
-    let vote = Class { worth: 8.0, ..class(keyed()) };
+    let vote = Class { priority_weight: 8.0, ..class(keyed()) };
     let classes = vec![vote, class(Effect::Free), class(Effect::Unsafe)];
     let mut host = Host::new(Config { classes, proxies: 1, ..Config::example() }, 5);
     host.members(ListUpdate::Full, (0..backends).map(|i| backend(i, 0, 0)).collect());
@@ -20,7 +20,8 @@
 }
 
 fn offer(host: &mut Host, room: [u32; 3], at_once: f64) {
-    let offer = Offer { room: room.to_vec(), trip: Micros(40 * MS), at_once: vec![at_once; 3] };
+    let offer =
+        Offer { capacity: room.to_vec(), hop_duration: Micros(40 * MS), direct_fraction: vec![at_once; 3] };
     host.event(Event::Offer(offer));
 }
 
@@ -139,11 +140,11 @@
         request: RequestId(request),
         class: ClassId(0),
         tenant: None,
-        time_left: Micros(900_000),
+        remaining: Micros(900_000),
         work_hint: None,
         repeat: false,
-        out_of_turn: false,
-        foreign: true,
+        retried_early: false,
+        from_other_region: true,
     };
     let sent = |request: u64, host: &mut Host| {
         let mut actions = Vec::new();
@@ -160,7 +161,7 @@
 #[test]
 fn capacity_counts_healthy_backends_only() {
     let mut host = host(4);
-    assert_eq!(host.balancer.capacity().able, f64::INFINITY, "nothing was served yet");
+    assert_eq!(host.balancer.capacity().capacity_per_s, f64::INFINITY, "nothing was served yet");
     for _ in 0..60 {
         let id = host.arrive(0, 900_000);
         host.advance(20 * MS);
@@ -168,17 +169,17 @@
     }
     let all = host.balancer.capacity();
     // Four backends of four places each, 20 ms an answer.
-    assert!((600.0..=1000.0).contains(&all.able), "{all:?}");
-    assert!(all.demand[0] > 15.0 && all.demand[2] < 1.0, "{all:?}");
+    assert!((600.0..=1000.0).contains(&all.capacity_per_s), "{all:?}");
+    assert!(all.demand_per_s[0] > 15.0 && all.demand_per_s[2] < 1.0, "{all:?}");
     for _ in 0..40 {
         let id = host.arrive(0, 900_000);
         (0..5).for_each(|no| host.end(id, no, Outcome::ConnectFailed));
         host.advance(5 * MS);
     }
-    assert_eq!(host.balancer.capacity().able, 0.0, "all of them refused");
+    assert_eq!(host.balancer.capacity().capacity_per_s, 0.0, "all of them refused");
     host.advance(8_000 * MS);
     let id = host.arrive(0, 900_000);
-    assert_eq!(host.balancer.capacity().able, 0.0, "the end of a term alone proves nothing");
+    assert_eq!(host.balancer.capacity().capacity_per_s, 0.0, "the end of a term alone proves nothing");
     host.end(id, 0, Outcome::Ok);
-    assert!(host.balancer.capacity().able > 0.0, "a good answer does");
+    assert!(host.balancer.capacity().capacity_per_s > 0.0, "a good answer does");
 }
--- a/crates/gaugesaddle-inference/src/chooser.rs
+++ b/crates/gaugesaddle-inference/src/chooser.rs
@@ -3,7 +3,7 @@
 use crate::settings::ChooserSettings;
 use crate::speed_class::{work_tokens, BackendSize, CacheState, Members, SpeedClass, OVERHEAD_TOKENS};
 use crate::{affinity, latency_bands, Prompt, Rate};
-use gaugesaddle_balancer::halb_shares;
+use gaugesaddle_balancer::halb_fractions;
 use rand_core::RngCore;
 use std::collections::BTreeMap;
 
@@ -179,7 +179,7 @@
             1.0 / latency_s + rate_per_server
         };
         let table: Vec<(f64, f64)> = classes.iter().map(|class| (servers(class), speed(class))).collect();
-        halb_shares(&table, Some(rate_per_s))
+        halb_fractions(&table, Some(rate_per_s))
     }
 
     /// The latency that a class counts with. Its backlog counts only as far as it delays the response beyond the objective:
--- a/crates/gaugesaddle-maintenance/src/maintenance.rs
+++ b/crates/gaugesaddle-maintenance/src/maintenance.rs
@@ -137,7 +137,7 @@
         self.remember(entry.id);
         if let Some(Exclusion::Ended { since, .. }) = self.exclusions.get(&entry.id) {
             let started_since = entry.booted.is_some_and(|booted| booted >= *since);
-            if entry.state == BackendState::Gone || started_since {
+            if entry.state == BackendState::Departed || started_since {
                 self.exclusions.remove(&entry.id);
             }
         }
--- a/crates/gaugesaddle-maintenance/tests/properties.rs
+++ b/crates/gaugesaddle-maintenance/tests/properties.rs
@@ -14,7 +14,7 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let state =
-        prop_oneof![Just(BackendState::Ready), Just(BackendState::Draining), Just(BackendState::Gone)];
+        prop_oneof![Just(BackendState::Ready), Just(BackendState::Draining), Just(BackendState::Departed)];
     let command = prop_oneof![Just(MaintenanceCommand::Exclude), Just(MaintenanceCommand::Include)];
     prop_oneof![
         (0..6u64, state, proptest::option::of(0..200u64)).prop_map(|(id, s, b)| Step::Told(id, s, b)),
--- a/crates/gaugesaddle-overload/src/controller.rs
+++ b/crates/gaugesaddle-overload/src/controller.rs
@@ -198,6 +198,6 @@
     fn pressure(&self) -> Pressure {
         let damped = self.state().is_damping();
         let retry_ratio = if damped { STORM_RETRY_RATIO } else { RETRY_RATIO };
-        Pressure { let_in_per_s: self.admitted_per_s(), copies: !damped, retry_ratio }
+        Pressure { admit_per_s: self.admitted_per_s(), hedging: !damped, retry_ratio }
     }
 }
--- a/crates/gaugesaddle-proxy-simulation/src/host.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/host.rs
@@ -74,7 +74,7 @@
     }
 
     pub fn arrived(&mut self, now: Time, arrival: Arrival) {
-        let (id, deadline) = (arrival.request, now + arrival.time_left);
+        let (id, deadline) = (arrival.request, now + arrival.remaining);
         self.deadlines.insert((deadline, id));
         self.open.insert(id, Open { deadline, answered: false, out: BTreeMap::new(), count: 0 });
         self.events.push(Event::Request(arrival));
@@ -90,7 +90,13 @@
             asks.push(Ask::Answer { request, status: 200 });
         }
         let (latency, settled) = (now - sent, r.answered);
-        self.events.push(Event::AttemptEnded(AttemptEnd { request, attempt, outcome, latency, settled }));
+        self.events.push(Event::AttemptEnded(AttemptEnd {
+            request,
+            attempt,
+            outcome,
+            latency,
+            answered: settled,
+        }));
         self.over.push(request);
     }
 
@@ -103,7 +109,7 @@
             for (attempt, sent) in std::mem::take(&mut r.out) {
                 let (outcome, latency) = (Outcome::TimedOut, now - sent);
                 asks.push(Ask::Stop { request, attempt });
-                let end = AttemptEnd { request, attempt, outcome, latency, settled };
+                let end = AttemptEnd { request, attempt, outcome, latency, answered: settled };
                 self.events.push(Event::AttemptEnded(end));
             }
             self.over.push(request);
@@ -122,7 +128,7 @@
         let mut actions = Vec::new();
         for mut event in std::mem::take(&mut self.events) {
             if let Event::Request(new) = &mut event {
-                new.time_left = self.open.get(&new.request).map_or(Micros(0), |r| r.deadline - now);
+                new.remaining = self.open.get(&new.request).map_or(Micros(0), |r| r.deadline - now);
             }
             self.balancer.handle(now, event, &mut actions);
             for action in actions.drain(..) {
@@ -146,7 +152,7 @@
                 r.count += 1;
                 if r.answered || r.deadline <= now {
                     let (outcome, latency, settled) = (Outcome::NeverSent, Micros(0), r.answered);
-                    let end = AttemptEnd { request, attempt, outcome, latency, settled };
+                    let end = AttemptEnd { request, attempt, outcome, latency, answered: settled };
                     return self.events.push(Event::AttemptEnded(end));
                 }
                 r.out.insert(attempt, now);
@@ -159,7 +165,7 @@
                 let Some(sent) = r.out.remove(&attempt) else { return };
                 asks.push(Ask::Stop { request, attempt });
                 let (outcome, latency, settled) = (Outcome::Cancelled, now - sent, r.answered);
-                let end = AttemptEnd { request, attempt, outcome, latency, settled };
+                let end = AttemptEnd { request, attempt, outcome, latency, answered: settled };
                 self.events.push(Event::AttemptEnded(end));
                 self.over.push(request);
             }
--- a/crates/gaugesaddle-proxy-simulation/src/world.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/world.rs
@@ -390,7 +390,7 @@
             id: BackendId(mix(7, node as u64)),
             zone: ZoneId(number(&hall(node % self.s.halls))),
             kind: KindId(number(&n.kind.name)),
-            state: [BackendState::Ready, BackendState::Draining, BackendState::Gone][standing as usize],
+            state: [BackendState::Ready, BackendState::Draining, BackendState::Departed][standing as usize],
             booted: (n.booted > 0).then_some(Time(n.booted)),
             weight: 1.0,
             ..Backend::default()
@@ -440,11 +440,11 @@
             request: id,
             class: ClassId(ask.class),
             tenant: None,
-            time_left: Micros(ask.patience_us),
+            remaining: Micros(ask.patience_us),
             work_hint: None,
             repeat: number > 0 && self.s.clients.mark_retries,
-            out_of_turn: false,
-            foreign: false,
+            retried_early: false,
+            from_other_region: false,
         };
         self.places[proxy].came += 1;
         self.hosts[proxy].arrived(Time(self.now), arrival);
--- a/crates/gaugesaddle-proxy-simulation/tests/world.rs
+++ b/crates/gaugesaddle-proxy-simulation/tests/world.rs
@@ -4,7 +4,7 @@
 use gaugesaddle_proxy_simulation::{simulate, ModelError, Policy};
 use gaugesaddle_testbed::{Scenario, What};
 
-const MODULE: Policy = Policy::Module(LimitBounds { learned: true, least: 1.0, most: 1000.0 });
+const MODULE: Policy = Policy::Module(LimitBounds { learned: true, min: 1.0, max: 1000.0 });
 
 fn short() -> Scenario {
     Scenario { seconds: 3.0, ..Scenario::default() }
--- a/crates/gaugesaddle-simulator-host/src/wire.rs
+++ b/crates/gaugesaddle-simulator-host/src/wire.rs
@@ -171,7 +171,7 @@
     let state = match text(4, "IN, LAME or OUT")? {
         "IN" => BackendState::Ready,
         "LAME" => BackendState::Draining,
-        "OUT" => BackendState::Gone,
+        "OUT" => BackendState::Departed,
         _ => return Err(bad("IN, LAME or OUT")),
     };
     let booted = match &row[6] {
@@ -213,9 +213,9 @@
                 request: f.request(1)?,
                 work_hint: f.values[2].as_u64().filter(|_| flags & 1 == 1).map(Micros),
                 repeat: flags & 2 == 2,
-                out_of_turn: false,
-                foreign: false,
-                time_left: Micros(f.whole(3, "the time left in microseconds")?),
+                retried_early: false,
+                from_other_region: false,
+                remaining: Micros(f.whole(3, "the time left in microseconds")?),
                 tenant: match &f.values[5] {
                     Value::String(name) => {
                         Some(names.tenant(name).ok_or_else(|| f.bad(5, "a known tenant"))?)
@@ -236,10 +236,10 @@
                 attempt: AttemptNo(f.whole(2, "an attempt")? as u32),
                 outcome: f.outcome(4)?,
                 latency: Micros(f.whole(5, "a time in microseconds")?),
-                settled: f.flag(6, "true or false")?,
+                answered: f.flag(6, "true or false")?,
             })
         }
-        "VANISHED" => Event::ClientGone { request: f.request(1)? },
+        "VANISHED" => Event::ClientDisconnected { request: f.request(1)? },
         "TIMEOUT_FIRED" => Event::Timer { token: TimerToken(f.whole(1, "a token")?) },
         _ => return Ok(None), // MEMO and STATUS_BACK: the module tells no peer and probes nothing
     }))
--- a/crates/gaugesaddle/src/backend_set.rs
+++ b/crates/gaugesaddle/src/backend_set.rs
@@ -31,7 +31,7 @@
     /// Takes an entry of the list; returns it as the balancer is to see it.
     pub fn update(&mut self, entry: &Backend) -> Backend {
         self.maintenance.observe(entry);
-        if entry.state == BackendState::Gone {
+        if entry.state == BackendState::Departed {
             self.listed.remove(&entry.id);
         } else {
             self.listed.insert(entry.id, entry.clone());
--- a/crates/gaugesaddle/src/discovery.rs
+++ b/crates/gaugesaddle/src/discovery.rs
@@ -93,7 +93,7 @@
     let state = match status.text()? {
         "ready" => BackendState::Ready,
         "draining" => BackendState::Draining,
-        "gone" => BackendState::Gone,
+        "gone" => BackendState::Departed,
         _ => return status.want(None, "ready, draining or gone"),
     };
     let started =
--- a/crates/gaugesaddle/src/driver.rs
+++ b/crates/gaugesaddle/src/driver.rs
@@ -247,7 +247,7 @@
                 for view in self.balancer.limits() {
                     self.registry.backend(view.backend).iter().for_each(|row| row.limited(view));
                 }
-                let standing = self.balancer.standing();
+                let standing = self.balancer.status();
                 if standing.arrivals >= 0.1 {
                     tracing::info!("standing: {standing}"); // what a fleet is counted by
                 }
@@ -300,7 +300,7 @@
                             .drain()
                             .for_each(|(_, out)| _ = out.end(Outcome::Cancelled, self.clock.now()));
                     } else {
-                        self.events.push(Event::ClientGone { request });
+                        self.events.push(Event::ClientDisconnected { request });
                     }
                     self.count(class, End::Left);
                     self.forget(request);
@@ -322,16 +322,16 @@
             request: new.id,
             class: new.class,
             tenant: new.tenant,
-            time_left: new.deadline - now,
+            remaining: new.deadline - now,
             work_hint: new.work_hint,
             repeat: new.repeat,
-            out_of_turn: false,
-            foreign: new.hop.is_some(),
+            retried_early: false,
+            from_other_region: new.hop.is_some(),
         };
         for subsystem in &mut self.subsystems {
             subsystem.arrived(now, &new, &mut told);
         }
-        let out_of_turn = told.out_of_turn;
+        let out_of_turn = told.retried_early;
         if self.requests.len() >= self.open_cap {
             self.count(new.class, End::RefusedOpenCap);
             let refusal = self.refusal(now, new.source, out_of_turn, true);
@@ -342,7 +342,7 @@
         self.deadlines.insert((new.deadline, new.id));
         let (attempts, reply) = (HashMap::new(), Some(new.reply));
         let stretch = self.config.classes.get(new.class.0).map_or(Micros(0), |c| {
-            Micros(c.aim.0 + new.work_hint.unwrap_or_default().times(c.aim_stretch).0)
+            Micros(c.latency_objective.0 + new.work_hint.unwrap_or_default().times(c.objective_stretch).0)
         });
         let (class, aim, deadline) = (new.class, new.came + stretch, new.deadline);
         let source = (new.source, out_of_turn);
@@ -386,7 +386,13 @@
         }
         let settled = self.requests.get(&request).is_none_or(|r| r.reply.is_none());
         let (outcome, latency) = (ended.outcome, now - sent);
-        self.events.push(Event::AttemptEnded(AttemptEnd { request, attempt, outcome, latency, settled }));
+        self.events.push(Event::AttemptEnded(AttemptEnd {
+            request,
+            attempt,
+            outcome,
+            latency,
+            answered: settled,
+        }));
         self.forget(request);
     }
 
@@ -461,7 +467,7 @@
             } else {
                 upstream.shut();
             }
-            if target.backend.state != BackendState::Gone {
+            if target.backend.state != BackendState::Departed {
                 self.backends.insert(id, upstream);
             }
         }
@@ -520,7 +526,7 @@
             for (attempt, out) in r.attempts.drain() {
                 let outcome = Outcome::TimedOut;
                 let latency = now - out.end(outcome, now);
-                let end = AttemptEnd { request, attempt, outcome, latency, settled };
+                let end = AttemptEnd { request, attempt, outcome, latency, answered: settled };
                 self.events.push(Event::AttemptEnded(end));
             }
             if !settled {
@@ -537,7 +543,7 @@
             self.overdue.pop_front();
             if self.requests.get(&request).is_some_and(|r| r.reply.is_some()) {
                 tracing::error!("request {} had no answer at its deadline", request.0);
-                self.events.push(Event::ClientGone { request });
+                self.events.push(Event::ClientDisconnected { request });
                 self.answer(request, Answer::Failed, End::FailedUnanswered);
             }
         }
@@ -557,7 +563,7 @@
         for mut event in std::mem::take(&mut self.events) {
             if let Event::Request(new) = &mut event {
                 // Counted from the turn: the wait for it must not put off the module's idea of the deadline.
-                new.time_left = self.requests.get(&new.request).map_or(Micros(0), |r| r.deadline - now);
+                new.remaining = self.requests.get(&new.request).map_or(Micros(0), |r| r.deadline - now);
             }
             let mut actions = std::mem::take(&mut self.actions);
             let handled = catch_unwind(AssertUnwindSafe(|| self.balancer.handle(now, event, &mut actions)));
@@ -616,7 +622,7 @@
                 let Some(out) = r.attempts.remove(&attempt) else { return };
                 let sent = r.end(out, Outcome::Cancelled, now);
                 let (outcome, latency, settled) = (Outcome::Cancelled, now - sent, r.reply.is_none());
-                let end = AttemptEnd { request, attempt, outcome, latency, settled };
+                let end = AttemptEnd { request, attempt, outcome, latency, answered: settled };
                 self.events.push(Event::AttemptEnded(end));
                 self.forget(request);
             }
@@ -670,7 +676,7 @@
         let Some(upstream) = upstream else {
             // Answered meanwhile, or no such backend any more.
             let (outcome, latency, settled) = (Outcome::NeverSent, Micros(0), r.reply.is_none());
-            let end = AttemptEnd { request, attempt, outcome, latency, settled };
+            let end = AttemptEnd { request, attempt, outcome, latency, answered: settled };
             self.events.push(Event::AttemptEnded(end));
             return;
         };
--- a/crates/gaugesaddle/src/driver/tests.rs
+++ b/crates/gaugesaddle/src/driver/tests.rs
@@ -63,7 +63,7 @@
     driver.dispatch(clock.now(), id, BackendId(7));
     let Some(Event::AttemptEnded(end)) = driver.events.last() else { panic!("an outcome") };
     let expected = (AttemptNo(1), Outcome::NeverSent, true);
-    assert_eq!((end.attempt, end.outcome, end.settled), expected);
+    assert_eq!((end.attempt, end.outcome, end.answered), expected);
     driver.drop_over();
     assert!(driver.requests.is_empty() && driver.deadlines.is_empty());
 }
--- a/crates/gaugesaddle/src/failover.rs
+++ b/crates/gaugesaddle/src/failover.rs
@@ -128,7 +128,7 @@
         let council = RefCell::new(DecisionReplica::new(tier.own_index(), names.len(), NOISE, seed));
         let zones = Rc::new(Zones { council, looked: RefCell::default() });
         tier.add_handler(zones.clone());
-        let worth: Vec<f64> = classes.iter().map(|c| c.worth).collect();
+        let worth: Vec<f64> = classes.iter().map(|c| c.priority_weight).collect();
         let mut order: Vec<usize> = (0..worth.len()).collect();
         order.sort_by(|a, b| worth[*b].total_cmp(&worth[*a]).then(a.cmp(b)));
         let ladders = vec![EscalationPolicy::new(EscalationLevels::default()); names.len()];
--- a/crates/gaugesaddle/src/operator.rs
+++ b/crates/gaugesaddle/src/operator.rs
@@ -65,8 +65,8 @@
     pub fn bounds(self) -> gaugesaddle_balancer::LimitBounds {
         gaugesaddle_balancer::LimitBounds {
             learned: self.learned,
-            least: f64::from(self.least_per_backend),
-            most: f64::from(self.most_per_backend),
+            min: f64::from(self.least_per_backend),
+            max: f64::from(self.most_per_backend),
         }
     }
 }
--- a/crates/gaugesaddle/src/peers/watch.rs
+++ b/crates/gaugesaddle/src/peers/watch.rs
@@ -84,12 +84,13 @@
         let mut signals = Vec::with_capacity(self.zones.len());
         for zone in &mut self.zones {
             let found = observed.get(&zone.id).copied().unwrap_or_default();
-            zone.unhealthy_since = if found.ill > 0 { zone.unhealthy_since.or(Some(now)) } else { None };
+            zone.unhealthy_since =
+                if found.unhealthy > 0 { zone.unhealthy_since.or(Some(now)) } else { None };
             signals.push(ZoneSignal {
                 backends: f64::from(found.backends),
-                unhealthy: f64::from(found.ill),
+                unhealthy: f64::from(found.unhealthy),
                 // Before the first request is served, the capacity is not known.
-                capacity_per_s: if found.able.is_finite() { found.able } else { 0.0 },
+                capacity_per_s: if found.capacity_per_s.is_finite() { found.capacity_per_s } else { 0.0 },
                 unhealthy_for_s: zone.unhealthy_since.map_or(0.0, |since| (now - since).secs()),
             });
         }
--- a/crates/gaugesaddle/src/region/mod.rs
+++ b/crates/gaugesaddle/src/region/mod.rs
@@ -133,7 +133,8 @@
 
 fn limits(allowed: &Allowance, own: &Own) -> BudgetLimits {
     let names = own.names.iter().map(|name| allowed.classes.get(name).copied());
-    let limits = |(per_s, class): (Option<u32>, &Class)| ClassLimits { per_s, priority_weight: class.worth };
+    let limits =
+        |(per_s, class): (Option<u32>, &Class)| ClassLimits { per_s, priority_weight: class.priority_weight };
     BudgetLimits {
         per_s: allowed.per_s,
         burst: allowed.burst(),
@@ -418,7 +419,7 @@
             offered: false,
             most_at_once: classes.iter().map(most).collect(),
             at_once: vec![0.0; classes.len()],
-            worth: classes.iter().map(|c| c.worth).collect(),
+            worth: classes.iter().map(|c| c.priority_weight).collect(),
             tick,
         }
     }
@@ -428,9 +429,9 @@
     fn shortfall(&mut self, seen: &gaugesaddle_balancer::Capacity, exercise: f64) {
         let mut order: Vec<usize> = (0..self.worth.len()).collect();
         order.sort_by(|a, b| self.worth[*b].total_cmp(&self.worth[*a]));
-        let mut able = seen.able;
+        let mut able = seen.capacity_per_s;
         for class in order {
-            let demand = seen.demand.get(class).copied().unwrap_or(0.0);
+            let demand = seen.demand_per_s.get(class).copied().unwrap_or(0.0);
             let covered = if demand > 0.0 { (able / demand).clamp(0.0, 1.0) } else { f64::from(able > 0.0) };
             able = (able - demand).max(0.0);
             self.at_once[class] = (1.0 - covered).max(exercise).min(self.most_at_once[class]);
@@ -439,9 +440,9 @@
 
     fn look(&mut self, now: Time, module: &Balancer, open: f64) -> f64 {
         let seen = module.capacity();
-        let demand: f64 = seen.demand.iter().sum();
+        let demand: f64 = seen.demand_per_s.iter().sum();
         // Before any was served nothing speaks against the fleet.
-        let able = if seen.able.is_finite() { seen.able } else { demand };
+        let able = if seen.capacity_per_s.is_finite() { seen.capacity_per_s } else { demand };
         let fleet = FleetCapacity { capacity_per_s: able, demand_per_s: demand };
         if let Some(Transition { from, to, coverage }) = self.spill.observe(now, fleet) {
             tracing::info!(
@@ -455,7 +456,8 @@
         let now_open = self.spill.open_fraction(now, switch.switch());
         if now_open > 0.0 || open > 0.0 {
             self.shortfall(&seen, exercise);
-            let wants: Vec<f64> = self.at_once.iter().zip(&seen.demand).map(|(part, d)| part * d).collect();
+            let wants: Vec<f64> =
+                self.at_once.iter().zip(&seen.demand_per_s).map(|(part, d)| part * d).collect();
             for link in self.regions.links.borrow_mut().iter_mut() {
                 link.expect_demand(wants.iter().copied());
             }
@@ -543,7 +545,7 @@
         let at_once = self.at_once.iter().map(|part| (part * open).clamp(0.0, 1.0)).collect();
         // Told anew each tick, like or not: the module has used some of the last one.
         self.offered = true;
-        events.push(Event::Offer(Offer { room: rooms, trip, at_once }));
+        events.push(Event::Offer(Offer { capacity: rooms, hop_duration: trip, direct_fraction: at_once }));
     }
 
     fn place(&mut self, now: Time, leaving: Leaving) -> Option<Local<Ended>> {
--- a/crates/gaugesaddle/src/registry.rs
+++ b/crates/gaugesaddle/src/registry.rs
@@ -280,7 +280,7 @@
         self.list.set((index.or(self.list.get().0), Some(now)));
         let mut rows = self.backends.borrow_mut();
         if whole {
-            rows.values().for_each(|row| row.state.set(BackendState::Gone));
+            rows.values().for_each(|row| row.state.set(BackendState::Departed));
         }
         for target in targets {
             match rows.get(&target.backend.id) {
@@ -288,13 +288,13 @@
                     row.state.set(target.backend.state);
                     *row.target.borrow_mut() = target.clone();
                 }
-                None if target.backend.state == BackendState::Gone => {}
+                None if target.backend.state == BackendState::Departed => {}
                 None => {
                     rows.insert(target.backend.id, Rc::new(BackendRow::new(target.clone())));
                 }
             }
         }
-        rows.retain(|_, row| row.state.get() != BackendState::Gone || row.in_flight.get() > 0);
+        rows.retain(|_, row| row.state.get() != BackendState::Departed || row.in_flight.get() > 0);
     }
 
     pub(crate) fn backend(&self, id: BackendId) -> Option<Rc<BackendRow>> {
@@ -306,7 +306,7 @@
         // Rows of backends that left while an attempt was out go once it has ended.
         self.backends
             .borrow_mut()
-            .retain(|_, r| r.state.get() != BackendState::Gone || r.in_flight.get() > 0);
+            .retain(|_, r| r.state.get() != BackendState::Departed || r.in_flight.get() > 0);
         let classes = self.classes.iter().map(|(name, row)| {
             let end = |e: End| row.ends[e as usize].get();
             ClassState {
@@ -382,7 +382,7 @@
             state: match self.state.get() {
                 BackendState::Ready => "ready",
                 BackendState::Draining => "draining",
-                BackendState::Gone => "gone",
+                BackendState::Departed => "gone",
             }
             .into(),
             booted_us: target.backend.booted.map(|t| t.0),
@@ -397,11 +397,11 @@
             latency_p99_us: quantile(0.99),
             limit: self.limit.get().map(|v| LimitState {
                 limit: v.limit,
-                room: v.room,
-                held: v.held,
+                room: v.slots,
+                held: v.in_flight,
                 recent_us: v.latency.map(|l| (l.0 * 1e6) as u64),
                 unloaded_us: v.latency.map(|l| (l.1 * 1e6) as u64),
-                why: v.why.name().into(),
+                why: v.reason.name().into(),
             }),
         }
     }
--- a/crates/gaugesaddle/src/registry/tests.rs
+++ b/crates/gaugesaddle/src/registry/tests.rs
@@ -28,7 +28,12 @@
     assert_eq!(names(), ["b1", "b3"], "b2 left, b1 has an attempt out");
     row.ended(Outcome::Ok, Micros(1000));
     assert_eq!(names(), ["b3"]);
-    registry.list(Time(4), Some(3), false, &[target(3, BackendState::Gone), target(4, BackendState::Gone)]);
+    registry.list(
+        Time(4),
+        Some(3),
+        false,
+        &[target(3, BackendState::Departed), target(4, BackendState::Departed)],
+    );
     assert!(names().is_empty());
 }
 
--- a/crates/gaugesaddle/src/shares.rs
+++ b/crates/gaugesaddle/src/shares.rs
@@ -6,7 +6,7 @@
 use crate::registry::{LentView, Registry, SharesView, SoftView};
 use crate::seam::Subsystem;
 use gaugesaddle_allocation::{Crowd, Dealer, Dealing, Law, LoanView, Look, Seen};
-use gaugesaddle_balancer::{Balancer, Event, ListUpdate, Micros, Standing, Time};
+use gaugesaddle_balancer::{Balancer, BalancerStatus, Event, ListUpdate, Micros, Time};
 use gaugesaddle_federation::{EvenAllocation, WeightedAllocation};
 use serde::Deserialize;
 use std::rc::Rc;
@@ -116,13 +116,13 @@
 }
 
 /// What goes by this part, as the module stands.
-fn soft(part: f64, by: &str, used: usize, listed: usize, s: &Standing) -> Vec<SoftView> {
+fn soft(part: f64, by: &str, used: usize, listed: usize, s: &BalancerStatus) -> Vec<SoftView> {
     let view = |name: &str, whole, own, used| SoftView { name: name.into(), whole, own, used, by: by.into() };
     let whole = |own: f64| own / part.max(1e-6);
     // Before the backends have been dealt out the module uses those of its own way.
     let uses = if used > 0 { used as f64 } else { s.ready };
     vec![
-        view("attempts out", whole(s.pool), s.pool, s.out as f64),
+        view("attempts out", whole(s.pool), s.pool, s.in_flight as f64),
         view("requests a second", whole(s.arrivals), s.arrivals, s.rate),
         view("backends", listed as f64, uses, s.ready),
     ]
@@ -155,7 +155,7 @@
                 self.regions
                     .iter()
                     .for_each(|r| r.deal(WeightedAllocation { preceding: before, fraction: part, even }));
-                ("by need", tier.share())
+                ("by need", tier.traffic_fraction())
             }
         };
         if now >= self.lend {
@@ -165,7 +165,7 @@
         }
         let by = if state == "by need" { "need, of the living" } else { "the told number" };
         let dealt = self.dealer.uses().len();
-        let soft = soft(part, by, dealt, ready, &module.standing());
+        let soft = soft(part, by, dealt, ready, &module.status());
         *self.registry.shares.borrow_mut() = Some(SharesView {
             state: state.into(),
             told,
--- a/crates/gaugesaddle/src/storm.rs
+++ b/crates/gaugesaddle/src/storm.rs
@@ -51,7 +51,7 @@
     }
 
     fn arrived(&mut self, now: Time, new: &Arrived, told: &mut Arrival) {
-        (told.repeat, told.out_of_turn) = self.storm.arrived(now, new.repeat, new.key, new.source);
+        (told.repeat, told.retried_early) = self.storm.arrived(now, new.repeat, new.key, new.source);
     }
 
     fn began(&mut self, first: bool) {
