--- /dev/null
+++ b/crates/gaugesaddle-allocation/src/allocator.rs
@@ -0,0 +1,164 @@
+//! One proxy's fraction of the soft quantities and the backends that it uses, derived from its view of the tier.
+
+use crate::{allocate_by_demand, assign, AllocationLimits, BackendKey, Member, SmoothedValue, SubsetSize};
+use gaugesaddle_balancer::{mix, BackendId, KindId, Micros, Tier, Time, Use, ZoneId};
+
+/// Until a proxy has been up for this long it does not know which others are live: the configured number of proxies stands,
+/// or what it knew last.
+pub const DISCOVERY_TIME: Micros = Micros(2_000_000);
+/// A proxy that has just started knows nothing but the configured number, which may be ten times the live ones. It accepts its
+/// view once no other was discovered for this long: by then it has probed some thirty, each of which has had time to answer,
+/// and of 300 that start at once 95 in 100 are discovered within 0.11 s and the last within 0.56 s (`docs/design/peers.md`).
+/// Where about as many are live as configured it waits: no demand has been reported yet, and the balancer assumes equal
+/// fractions anyway.
+const STABLE_TIME: Micros = Micros(300_000);
+/// The weight reported to the balancer moves in steps: a smaller change would make it choose its backends anew for nothing.
+const WEIGHT_STEP: f64 = 0.02;
+/// Minimum and maximum of that weight: beyond the limits of every tier that can be configured.
+const WEIGHT_RANGE: (f64, f64) = (0.02, 100.0);
+
+/// How fractions are allocated.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct AllocatorSettings {
+    /// How demands become fractions.
+    pub limits: AllocationLimits,
+    /// A fraction whose target differs by less than this fraction of it stays.
+    pub min_change: f64,
+    /// Time constant of a fraction on its way to its target: two thirds of the way take this long.
+    pub smoothing: Micros,
+    /// How many proxies use a backend.
+    pub subset: SubsetSize,
+}
+
+impl Default for AllocatorSettings {
+    fn default() -> AllocatorSettings {
+        // A tenth is chance among some hundred requests; two seconds are several observations, and less than a change of
+        // load lasts.
+        AllocatorSettings {
+            limits: AllocationLimits::default(),
+            min_change: 0.1,
+            smoothing: Micros(2_000_000),
+            subset: SubsetSize::default(),
+        }
+    }
+}
+
+/// The tier as one proxy sees it: the live members, this one among them, in an order that all share.
+#[derive(Clone, Copy, Debug)]
+pub struct TierView<'a> {
+    /// Number of configured members.
+    pub configured: usize,
+    /// Time since this process started.
+    pub uptime: Micros,
+    /// Time since a member became live or ceased to be.
+    pub unchanged_for: Micros,
+    /// Position of this proxy among the live members.
+    pub own: usize,
+    /// Indices of the live members in the configuration.
+    pub indices: &'a [u16],
+    /// Demand of each, in requests per second; `None` where it has not reported yet.
+    pub demands: &'a [Option<f64>],
+}
+
+/// A backend that is listed ready.
+pub type Listed = (BackendId, KindId, ZoneId);
+
+/// What an observation of the tier led to.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Allocation {
+    /// The live members are not known yet: what was reported last stands, with this weight.
+    Provisional(f64),
+    /// To be reported to the balancer, with [`Allocator::uses`].
+    ByDemand(Tier),
+}
+
+/// Derives one proxy's allocation from its view of the tier and of the list of backends.
+#[derive(Clone, Debug)]
+pub struct Allocator {
+    settings: AllocatorSettings,
+    weight: Option<SmoothedValue>,
+    members: Vec<Member>,
+    listed: Vec<Listed>,
+    uses: Vec<Use>,
+    range: (f64, f64),
+}
+
+impl Allocator {
+    /// One that has observed nothing yet.
+    pub fn new(settings: AllocatorSettings) -> Allocator {
+        Allocator {
+            settings,
+            weight: None,
+            members: Vec::new(),
+            listed: Vec::new(),
+            uses: Vec::new(),
+            range: (0.0, 0.0),
+        }
+    }
+
+    /// The backends that this proxy uses, as of the last [`Allocation::ByDemand`].
+    pub fn uses(&self) -> &[Use] {
+        &self.uses
+    }
+
+    /// The sum of the fractions of the members before it, and its own, as of then: integers are divided by it.
+    pub fn range(&self) -> (f64, f64) {
+        self.range
+    }
+
+    /// Number of backends that were listed then.
+    pub fn listed(&self) -> usize {
+        self.listed.len()
+    }
+
+    fn knows_tier(&self, view: &TierView) -> bool {
+        let fewer = (view.indices.len() as f64) < (1.0 - self.settings.min_change) * view.configured as f64;
+        let stable = view.uptime.min(view.unchanged_for) >= STABLE_TIME;
+        let early = fewer && self.weight.is_none() && stable;
+        let consistent = view.own < view.indices.len() && view.indices.len() == view.demands.len();
+        consistent && (early || view.uptime >= DISCOVERY_TIME)
+    }
+
+    /// Takes the present view of the tier and the listed backends.
+    pub fn observe(&mut self, now: Time, view: &TierView, listed: Vec<Listed>) -> Allocation {
+        if !self.knows_tier(view) {
+            return Allocation::Provisional(self.weight.map_or(1.0, |weight| weight.value(now)));
+        }
+        let fractions = allocate_by_demand(&self.settings.limits, view.demands);
+        let own = fractions[view.own];
+        self.range = (fractions[..view.own].iter().sum(), own);
+        let AllocatorSettings { min_change, smoothing, .. } = self.settings;
+        let weight = self.weight.get_or_insert(SmoothedValue::new(now, 1.0, min_change, smoothing));
+        weight.set_target(now, own * fractions.len() as f64);
+        let rounded = (weight.value(now) / WEIGHT_STEP).round() * WEIGHT_STEP;
+        let weight = rounded.clamp(WEIGHT_RANGE.0, WEIGHT_RANGE.1);
+        let member =
+            |(index, fraction): (&u16, &f64)| Member { hash_key: u64::from(*index), fraction: *fraction };
+        let members = view.indices.iter().zip(&fractions).map(member).collect();
+        self.reassign(members, view.own, listed);
+        Allocation::ByDemand(Tier { proxies: fractions.len() as u32, position: view.own as u32, weight })
+    }
+
+    /// Assigns the backends anew where anything has changed.
+    fn reassign(&mut self, members: Vec<Member>, own: usize, listed: Vec<Listed>) {
+        if members == self.members && listed == self.listed {
+            return;
+        }
+        let key = |(id, kind, zone): &Listed| BackendKey { hash_key: mix(id.0), kind: kind.0, zone: zone.0 };
+        let backends: Vec<BackendKey> = listed.iter().map(key).collect();
+        let assignments = assign(&members, &backends, &self.settings.subset);
+        let of_this_proxy = assignments.into_iter().nth(own).unwrap_or_default();
+        let uses = of_this_proxy.into_iter().map(|assignment| Use {
+            backend: listed[assignment.backend].0,
+            weight: assignment.weight,
+            fraction: assignment.fraction,
+            preceding: assignment.preceding,
+            users: assignment.users,
+        });
+        self.uses = uses.collect();
+        (self.members, self.listed) = (members, listed);
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/gaugesaddle-allocation/src/need/tests.rs
+++ b/crates/gaugesaddle-allocation/src/demand/tests.rs
@@ -7,51 +7,51 @@
 
 #[test]
 fn parts_follow_needs_from_a_floor_up_to_a_bound() {
-    let law = Law::default();
+    let law = AllocationLimits::default();
     let close = |a: f64, b: f64| (a - b).abs() < 1e-9;
-    assert!(parts(&law, &[]).is_empty());
-    assert_eq!(parts(&law, &[Some(3.0)]), [1.0]);
-    let even = parts(&law, &[None, None, Some(0.0), Some(f64::NAN)]);
+    assert!(allocate_by_demand(&law, &[]).is_empty());
+    assert_eq!(allocate_by_demand(&law, &[Some(3.0)]), [1.0]);
+    let even = allocate_by_demand(&law, &[None, None, Some(0.0), Some(f64::NAN)]);
     assert!(even.iter().all(|p| close(*p, 0.25)), "{even:?}");
-    let uneven = parts(&law, &all(&[1.0, 5.0, 2.0]));
+    let uneven = allocate_by_demand(&law, &all(&[1.0, 5.0, 2.0]));
     assert!(close(uneven[1], 0.1 / 3.0 + 0.9 * 5.0 / 8.0), "{uneven:?}");
-    let newcomer = parts(&law, &[Some(10.0), Some(20.0), None]);
+    let newcomer = allocate_by_demand(&law, &[Some(10.0), Some(20.0), None]);
     assert!(close(newcomer[2], 1.0 / 3.0), "the mean: {newcomer:?}");
     let mut needs = vec![1.0; 30];
     needs[7] = 1e300;
-    let liar = parts(&law, &all(&needs));
+    let liar = allocate_by_demand(&law, &all(&needs));
     assert!(close(liar[7], 0.1 / 30.0 + 0.9 * 8.0 / 30.0), "{}", liar[7]);
     assert!(liar[0] > 0.75 / 30.0, "what the others keep: {}", liar[0] * 30.0);
 }
 
 #[test]
 fn a_need_stands_in_chance_and_follows_what_is_more() {
-    let mut need = Need::default();
-    assert!((1..7).all(|_| need.look(5, 0.5).is_none()), "it has just come");
-    assert_eq!(need.look(5, 0.5), Some(10.0));
-    let mut told = |came: u32| need.look(came, 0.5).expect("it knows");
+    let mut need = DemandEstimator::default();
+    assert!((1..7).all(|_| need.record(5, 0.5).is_none()), "it has just come");
+    assert_eq!(need.record(5, 0.5), Some(10.0));
+    let mut told = |came: u32| need.record(came, 0.5).expect("it knows");
     assert!([7, 3, 6, 4, 5, 8, 2, 5].into_iter().all(|came| told(came) == 10.0), "so many are chance");
     let more: Vec<f64> = (0..10).map(|_| told(25)).collect();
     assert!(more[3] > 30.0 && more[9] > 40.0, "{more:?}");
     assert!(more.windows(2).all(|w| w[0] <= w[1]));
     let idle: Vec<f64> = (0..30).map(|_| told(0)).collect();
     assert!(idle[29] < 2.5, "{idle:?}");
-    assert!(need.look(u32::MAX, 0.0).is_some_and(f64::is_finite));
+    assert!(need.record(u32::MAX, 0.0).is_some_and(f64::is_finite));
 }
 
 #[test]
 fn a_glide_ignores_noise_and_arrives() {
-    let mut part = Glide::new(Time(0), 0.1, 0.1, Micros(1_000_000));
-    part.aim(Time(0), 0.105);
-    assert_eq!(part.get(Time(60_000_000)), 0.1);
-    part.aim(Time(1_000_000), 0.2);
-    assert!(part.get(Time(1_000_000)) < 0.1001);
-    let third = part.get(Time(2_000_000));
+    let mut part = SmoothedValue::new(Time(0), 0.1, 0.1, Micros(1_000_000));
+    part.set_target(Time(0), 0.105);
+    assert_eq!(part.value(Time(60_000_000)), 0.1);
+    part.set_target(Time(1_000_000), 0.2);
+    assert!(part.value(Time(1_000_000)) < 0.1001);
+    let third = part.value(Time(2_000_000));
     assert!((0.16..0.17).contains(&third), "{third}");
-    assert!(part.get(Time(20_000_000)) > 0.1999);
+    assert!(part.value(Time(20_000_000)) > 0.1999);
     // An earlier moment than the last changes nothing.
-    part.aim(Time(500_000), 0.2);
-    assert!(part.get(Time(1_000_000)) < 0.1001);
+    part.set_target(Time(500_000), 0.2);
+    assert!(part.value(Time(1_000_000)) < 0.1001);
 }
 
 /// The same, by the plainest way: cut what is over, deal it out again, until nothing is over.
@@ -76,20 +76,20 @@
     fn whatever_is_said_the_parts_sum_to_the_whole_within_floor_and_bound(
         needs in prop::collection::vec(prop::option::of(prop::num::f64::ANY), 1..300)
     ) {
-        let law = Law::default();
-        let parts = parts(&law, &needs);
+        let law = AllocationLimits::default();
+        let parts = allocate_by_demand(&law, &needs);
         let n = needs.len() as f64;
         prop_assert!((parts.iter().sum::<f64>() - 1.0).abs() < 1e-9);
         prop_assert!(parts.iter().all(|p| *p >= law.floor / n - 1e-12));
-        let most = law.floor / n + (1.0 - law.floor) * (law.most / n).min(1.0);
+        let most = law.floor / n + (1.0 - law.floor) * (law.max_multiple / n).min(1.0);
         prop_assert!(parts.iter().all(|p| *p <= most + 1e-9));
     }
 
     #[test]
     fn parts_are_those_of_the_plain_way(needs in prop::collection::vec(0.01f64..100.0, 9..200)) {
-        let law = Law { floor: 0.0, ..Law::default() };
-        let expected = reference(&needs, law.most / needs.len() as f64);
-        let got = parts(&law, &all(&needs));
+        let law = AllocationLimits { floor: 0.0, ..AllocationLimits::default() };
+        let expected = reference(&needs, law.max_multiple / needs.len() as f64);
+        let got = allocate_by_demand(&law, &all(&needs));
         for (got, expected) in got.iter().zip(&expected) {
             prop_assert!((got - expected).abs() < 1e-6, "{got} for {expected}");
         }
@@ -103,7 +103,7 @@
         let at = at % needs.len();
         let mut other = needs.clone();
         other[at] = new;
-        let (one, two) = (parts(&Law::default(), &all(&needs)), parts(&Law::default(), &all(&other)));
+        let (one, two) = (allocate_by_demand(&AllocationLimits::default(), &all(&needs)), allocate_by_demand(&AllocationLimits::default(), &all(&other)));
         let own = (one[at] - two[at]).abs();
         let moved: f64 = (0..needs.len()).filter(|i| *i != at).map(|i| (one[i] - two[i]).abs()).sum();
         prop_assert!(moved <= own + 1e-9, "{moved} for {own}");
--- a/crates/gaugesaddle-allocation/src/loans/tests.rs
+++ b/crates/gaugesaddle-allocation/src/lease_manager/tests.rs
@@ -3,13 +3,19 @@
 
 const S: u64 = 1_000_000;
 
-fn terms(whole: u32, places: u16) -> Terms {
-    Terms { whole, places, kept_percent: 25, term: Micros(4 * S), rest: Micros(S) }
+fn terms(whole: u32, places: u16) -> ReservationTerms {
+    ReservationTerms {
+        total: whole,
+        members: places,
+        reserved_percent: 25,
+        lease_duration: Micros(4 * S),
+        grace_period: Micros(S),
+    }
 }
 
 /// Proxies that hear one another at once, with looks each half second.
 struct Tier {
-    all: Vec<Option<Loans>>,
+    all: Vec<Option<LeaseManager>>,
     whole: u32,
     now: u64,
     boots: u32,
@@ -17,7 +23,8 @@
 
 impl Tier {
     fn new(whole: u32, places: u16) -> Tier {
-        let one = |p| Loans::new(&[terms(whole, places)], p, 1 + u32::from(p), Time(0)).expect("sound");
+        let one =
+            |p| LeaseManager::new(&[terms(whole, places)], p, 1 + u32::from(p), Time(0)).expect("sound");
         Tier { all: (0..places).map(|p| Some(one(p))).collect(), whole, now: 0, boots: 100 }
     }
 
@@ -33,14 +40,14 @@
             let mut letters = Vec::new();
             let sees: Vec<u16> = living.iter().copied().filter(|p| passes(place, *p)).collect();
             let one = self.all[usize::from(place)].as_mut().expect("it lives");
-            one.look(now, &[needs[usize::from(place)]], &sees, &mut letters);
+            one.observe(now, &[needs[usize::from(place)]], &sees, &mut letters);
             for (to, bytes) in letters {
                 let mut answers = Vec::new();
                 let there = self.all[usize::from(to)].as_mut().filter(|_| passes(place, to));
-                there.into_iter().for_each(|t| t.hear(now, place, &bytes, &mut answers));
+                there.into_iter().for_each(|t| t.handle(now, place, &bytes, &mut answers));
                 for (_, bytes) in answers.into_iter().filter(|_| passes(to, place)) {
                     let back = self.all[usize::from(place)].as_mut().expect("it lives");
-                    back.hear(now, to, &bytes, &mut Vec::new());
+                    back.handle(now, to, &bytes, &mut Vec::new());
                 }
             }
         }
@@ -93,33 +100,33 @@
     (0..14).for_each(|_| tier.look(&[0.0, 70.0, 0.0], |_, _| true));
     assert_eq!(tier.usable(1), 52, "its own, and all that the third may lend");
     let boot = tier.boots;
-    tier.all[0] = Some(Loans::new(&[terms(90, 3)], 0, boot, Time(tier.now)).expect("sound"));
+    tier.all[0] = Some(LeaseManager::new(&[terms(90, 3)], 0, boot, Time(tier.now)).expect("sound"));
     (0..24).for_each(|_| tier.look(&[0.0, 70.0, 0.0], |_, _| true));
     assert!(tier.usable(1) >= 68, "{}", tier.usable(1));
 }
 
 #[test]
 fn words_come_through_and_nonsense_does_not() {
-    let id = LoanId { boot: 7, number: 9 };
+    let id = LeaseId { boot: 7, number: 9 };
     for word in [
-        Word::Ask { id, units: 5 },
-        Word::Grant { id, round: 6, units: 0 },
-        Word::Return { id },
-        Word::Renew { id, round: 2 },
+        LeaseMessage::Request { id, units: 5 },
+        LeaseMessage::Grant { id, sequence: 6, units: 0 },
+        LeaseMessage::Release { id },
+        LeaseMessage::Renew { id, sequence: 2 },
     ] {
         assert_eq!(decode(&encode(3, &word)), Some((3, word)));
     }
-    let mut one = Loans::new(&[terms(10, 2)], 0, 1, Time(0)).expect("sound");
+    let mut one = LeaseManager::new(&[terms(10, 2)], 0, 1, Time(0)).expect("sound");
     let mut out = Vec::new();
     for bytes in
         [&[][..], &[0; 17], &[0; 18], &[9; 18], &[0, 3, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1]]
     {
-        one.hear(Time(9 * S), 1, bytes, &mut out);
+        one.handle(Time(9 * S), 1, bytes, &mut out);
     }
-    one.look(Time(9 * S), &[f64::NAN], &[0, 1], &mut out);
+    one.observe(Time(9 * S), &[f64::NAN], &[0, 1], &mut out);
     assert!(out.is_empty(), "{out:?}");
     assert_eq!((one.usable(0, Time(9 * S)), one.usable(1, Time(9 * S))), (5, 0));
-    assert!(Loans::new(&[terms(10, 2); 17], 0, 1, Time(0)).is_err());
+    assert!(LeaseManager::new(&[terms(10, 2); 17], 0, 1, Time(0)).is_err());
 }
 
 proptest! {
@@ -142,7 +149,7 @@
                 3 => tier.all[at] = None,
                 _ => {
                     tier.boots += 1;
-                    let one = Loans::new(&[terms(whole, places)], at as u16, tier.boots, Time(tier.now));
+                    let one = LeaseManager::new(&[terms(whole, places)], at as u16, tier.boots, Time(tier.now));
                     tier.all[at] = Some(one.expect("sound"));
                 }
             }
--- a/crates/gaugesaddle-allocation/src/lib.rs
+++ b/crates/gaugesaddle-allocation/src/lib.rs
@@ -1,34 +1,51 @@
-//! What all proxies together may do, dealt out among those that live by what each needs. No I/O, clock or threads.
+//! Divides what all proxies together may do among those that are live, by the demand of each. No I/O, clock or threads.
 //!
-//! Two sorts of quantity, each with its own law:
+//! Two kinds of quantity, each divided in its own way:
 //!
-//! - [`parts`] is the soft law, for what should sum to the whole and is better a little off than idle: every proxy
-//!   computes the same parts from the same view. [`Glide`] moves a part, so that it does not chase noise.
-//! - [`uses`] says which backends each proxy uses, by its part: the more traffic, the more backends.
-//! - [`Need`] is what a proxy tells the others to go by, [`Dealer`] what it makes of what they tell it.
-//! - [`Escrow`] is the hard law, for what the sum may never exceed: each place is entitled to an even part, and lends
-//!   what it does not need for a time; [`Loans`] asks and lends by need. What is lent is nobody's but the borrower's
-//!   until the time is surely over.
+//! - A *soft* quantity should sum to its total, and is better a little off than unused. [`allocate_by_demand`] gives every
+//!   proxy the same fractions from the same view. [`SmoothedValue`] moves a fraction slowly, so that it does not follow noise.
+//! - A *hard* quantity may never exceed its total. A [`Reservation`] gives each member an equal entitlement, and leases of
+//!   what others do not need; a [`LeaseManager`] requests and grants leases by demand. What is leased is usable by nobody but
+//!   the borrower until the lease has ended by any clock.
 //!
-//! **Under partition** soft parts follow each side's view, and sum to the whole on each side. Hard ones stay what they
-//! were: loans run out, entitlements stay with their places.
+//! Around them: [`assign`] chooses the backends that each proxy uses, more of them for one with more traffic;
+//! [`DemandEstimator`] is the demand that a proxy reports, and [`Allocator`] what it derives from the reports of all.
 //!
-//! **A paused process** finds its loans run out by its own clock when it wakes, and may use none of them.
+//! # Example
 //!
-//! **Bounds.** A hard quantity has [`MOST_LOANS`] loans given and as many taken at a process.
+//! Three proxies, one of which has not reported its demand yet:
 //!
-//! Times are of the host's monotonic clock, and only spans of two machines are compared, with a margin for clocks of
-//! unlike rates. Not covered: two living processes of one place (both would hold its entitlement), and a process that is
-//! stopped between the look at its part and the use of it.
+//! ```rust
+//! use gaugesaddle_allocation::{allocate_by_demand, AllocationLimits};
+//!
+//! let fractions = allocate_by_demand(&AllocationLimits::default(), &[Some(10.0), Some(30.0), None]);
+//! assert!((fractions.iter().sum::<f64>() - 1.0).abs() < 1e-9);
+//! assert!(fractions[0] < fractions[2] && fractions[2] < fractions[1], "it counts as the mean of the others");
+//! ```
+//!
+//! # Guarantees
+//!
+//! - *Under partition* the fractions of a soft quantity follow each side's view, and sum to its total on each side. A hard
+//!   quantity never exceeds its total: leases expire, and entitlements stay with their members.
+//! - *A paused process* finds its leases expired by its own clock when it wakes, and may use none of them.
+//! - Nothing panics on outside input; every function of time takes `now`.
+//!
+//! # Bounds
+//!
+//! [`MAX_LEASES`] leases granted and as many borrowed of each of at most [`MAX_QUANTITIES`] hard quantities.
+//!
+//! Times are of the host's steady clock, and only durations of two machines are compared, with a margin for clocks of
+//! different rates. Not covered: two live processes of one member (both would use its entitlement), and a process that is
+//! stopped between reading its fraction and using it.
 
-mod dealer;
-mod escrow;
-mod loans;
-mod need;
+mod allocator;
+mod demand;
+mod lease_manager;
+mod reservation;
 mod subset;
 
-pub use dealer::{Dealer, Dealing, Listed, Look, Seen, AWAKE};
-pub use escrow::{Escrow, Loan, LoanId, Terms, Word, MOST_LOANS};
-pub use loans::{Letter, LoanView, Loans, MOST_QUANTITIES, WORD_BYTES};
-pub use need::{parts, Glide, Law, Need, Rate};
-pub use subset::{uses, Crowd, Link, Member, Server};
+pub use allocator::{Allocation, Allocator, AllocatorSettings, Listed, TierView, DISCOVERY_TIME};
+pub use demand::{allocate_by_demand, AllocationLimits, DemandEstimator, RateEstimator, SmoothedValue};
+pub use lease_manager::{LeaseManager, LeaseView, PeerMessage, MAX_QUANTITIES, MESSAGE_BYTES};
+pub use reservation::{Lease, LeaseId, LeaseMessage, Reservation, ReservationTerms, MAX_LEASES};
+pub use subset::{assign, Assignment, BackendKey, Member, SubsetSize};
--- a/crates/gaugesaddle-allocation/tests/model.rs
+++ b/crates/gaugesaddle-allocation/tests/model.rs
@@ -5,7 +5,7 @@
 //! Bound: [`END`] ticks of time, [`FLYING`] words under way; two questions with one of: a word lost, a word doubled, a crash,
 //! a pause; or one question with any three of them. Each process uses all that it may at every tick.
 
-use gaugesaddle_allocation::{Escrow, Terms, Word};
+use gaugesaddle_allocation::{LeaseMessage, Reservation, ReservationTerms};
 use gaugesaddle_balancer::{Micros, Time};
 use stateright::{Checker, Model, Property};
 
@@ -20,11 +20,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     now: u64,
-    running: [Option<Escrow>; N],
+    running: [Option<Reservation>; N],
     paused: Option<usize>,
     /// What each used at this tick and the one before: a use lasts for a rest.
     used: [[u32; 2]; N],
-    flying: Vec<(u16, u16, Word)>,
+    flying: Vec<(u16, u16, LeaseMessage)>,
     starts: u32,
     asks: u8,
     lost: bool,
@@ -48,9 +48,15 @@
     Resume,
 }
 
-fn terms() -> Terms {
+fn terms() -> ReservationTerms {
     let (term, rest) = (Micros(TERM * TICK), Micros(REST * TICK));
-    Terms { whole: WHOLE, places: N as u16, kept_percent: 0, term, rest }
+    ReservationTerms {
+        total: WHOLE,
+        members: N as u16,
+        reserved_percent: 0,
+        lease_duration: term,
+        grace_period: rest,
+    }
 }
 
 impl World {
@@ -75,14 +81,14 @@
         self.use_all();
     }
 
-    fn deliver(&mut self, (from, to, word): (u16, u16, Word)) {
+    fn deliver(&mut self, (from, to, word): (u16, u16, LeaseMessage)) {
         let now = self.time();
         // What comes to a paused process waits, as in a socket; here it is as good as lost, or late by a copy.
         if self.paused == Some(usize::from(to)) {
             return;
         }
         if let Some(process) = &mut self.running[usize::from(to)] {
-            if let Some(answer) = process.hear(now, from, word, WHOLE) {
+            if let Some(answer) = process.handle(now, from, word, WHOLE) {
                 self.flying.push((to, from, answer));
                 self.flying.sort();
             }
@@ -110,16 +116,16 @@
 
     fn start(&mut self, i: usize) {
         self.starts += 1;
-        self.running[i] = Some(Escrow::new(terms(), i as u16, self.starts, self.time()).expect("sound"));
+        self.running[i] = Some(Reservation::new(terms(), i as u16, self.starts, self.time()).expect("sound"));
     }
 }
 
-struct Loans {
+struct LeaseModel {
     asks: u8,
     faults: usize,
 }
 
-impl Model for Loans {
+impl Model for LeaseModel {
     type State = World;
     type Action = Step;
 
@@ -192,7 +198,7 @@
             Step::Tick => w.tick(),
             Step::Ask(i, j) => {
                 w.asks += 1;
-                let word = w.running[usize::from(i)].as_mut()?.ask(now, j, 1)?;
+                let word = w.running[usize::from(i)].as_mut()?.request(now, j, 1)?;
                 w.flying.push((i, j, word));
                 w.flying.sort();
             }
@@ -203,7 +209,7 @@
                 w.flying.sort();
             }
             Step::GiveBack(i, j) => {
-                let word = w.running[usize::from(i)].as_mut()?.give_back(now, j)?;
+                let word = w.running[usize::from(i)].as_mut()?.release(now, j)?;
                 w.flying.push((i, j, word));
                 w.flying.sort();
             }
@@ -242,9 +248,9 @@
             Property::<Self>::always("never more than the whole", |_, w: &World| w.in_use() <= WHOLE),
             Property::<Self>::always("all of it usable again", |_, w: &World| w.settled() == WHOLE),
             // Alone its first term ends three ticks after it was asked for.
-            Property::<Self>::sometimes("a renewed loan is used", |m: &Loans, w: &World| {
-                let mut loans = w.running.iter().flatten().flat_map(|e| e.loans(w.time()));
-                m.asks < 2 || loans.any(|l| l.renewed > 0 && l.until > Time((TERM + REST + 6) * TICK))
+            Property::<Self>::sometimes("a renewed loan is used", |m: &LeaseModel, w: &World| {
+                let mut loans = w.running.iter().flatten().flat_map(|e| e.leases(w.time()));
+                m.asks < 2 || loans.any(|l| l.renewals > 0 && l.until > Time((TERM + REST + 6) * TICK))
             }),
             Property::<Self>::sometimes("a loan is used", |_, w: &World| (0..N).any(|i| w.usable(i) > 1)),
         ]
@@ -255,7 +261,7 @@
 fn the_parts_in_use_never_sum_to_more_than_the_whole() {
     for (asks, faults) in [(2, 1), (1, 3)] {
         // Depth first: the states that are still to be looked at need the memory, not those that were.
-        let checker = Loans { asks, faults }.checker().threads(2).spawn_dfs().join();
+        let checker = LeaseModel { asks, faults }.checker().threads(2).spawn_dfs().join();
         println!("{} states, {} unlike", checker.state_count(), checker.unique_state_count());
         checker.assert_properties();
         assert!(checker.unique_state_count() > 100_000, "the bound left too little");
--- a/crates/gaugesaddle-allocation/tests/turns.rs
+++ b/crates/gaugesaddle-allocation/tests/turns.rs
@@ -1,7 +1,7 @@
 //! Many decision modules that are told who uses what: in every turn the rooms that they take of a backend add up to what it
 //! may hold, and over many turns each has its part.
 
-use gaugesaddle_allocation::{Dealer, Dealing, Look, Seen};
+use gaugesaddle_allocation::{Allocation, Allocator, AllocatorSettings, TierView};
 use gaugesaddle_balancer::*;
 
 const S: u64 = 1_000_000;
@@ -13,7 +13,7 @@
 
 struct Proxy {
     module: Balancer,
-    dealer: Dealer,
+    dealer: Allocator,
     asked: u64,
 }
 
@@ -32,7 +32,7 @@
         let list = (0..backends).map(backend).collect();
         let news = Event::Members { update: ListUpdate::Full, backends: list };
         module.handle(Time(START), news, &mut Vec::new());
-        Proxy { module, dealer: Dealer::new(Dealing::default()), asked: 0 }
+        Proxy { module, dealer: Allocator::new(AllocatorSettings::default()), asked: 0 }
     };
     (0..count).map(one).collect()
 }
@@ -41,10 +41,18 @@
 fn look(all: &mut [Proxy], at: u64, living: &[u16], needs: &[Option<f64>]) {
     for (own, place) in living.iter().enumerate() {
         let proxy = &mut all[usize::from(*place)];
-        let seen =
-            Seen { told: living.len(), awake: Micros(9 * S), still: Micros(S), own, places: living, needs };
+        let seen = TierView {
+            configured: living.len(),
+            uptime: Micros(9 * S),
+            unchanged_for: Micros(S),
+            own,
+            indices: living,
+            demands: needs,
+        };
         let listed = proxy.module.listed();
-        let Look::ByNeed(tier) = proxy.dealer.look(Time(at), &seen, listed) else { panic!("it knows") };
+        let Allocation::ByDemand(tier) = proxy.dealer.observe(Time(at), &seen, listed) else {
+            panic!("it knows")
+        };
         for event in [Event::Tier(tier), Event::Uses(proxy.dealer.uses().to_vec())] {
             proxy.module.handle(Time(at), event, &mut Vec::new());
         }
@@ -87,7 +95,7 @@
     for turn in 1..=turns {
         sums_hold(&mut all, &living, START + turn * TURN, &mut took);
     }
-    let parts = gaugesaddle_allocation::parts(&Dealing::default().law, &needs);
+    let parts = gaugesaddle_allocation::allocate_by_demand(&AllocatorSettings::default().limits, &needs);
     for (took, part) in took.iter().zip(parts) {
         let due = part * HOLD * backends as f64 * turns as f64;
         assert!((took / due - 1.0).abs() < 0.1, "{took} taken where {due} are due");
--- a/crates/gaugesaddle-proxy-simulation/src/world.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/world.rs
@@ -1,7 +1,7 @@
 //! The world in virtual time: a heap of moments, machines, clients and the news of the list.
 
 use crate::host::{Ask, Host};
-use gaugesaddle_allocation::{Dealer, Dealing, Look, Need, Seen};
+use gaugesaddle_allocation::{Allocation, Allocator, AllocatorSettings, DemandEstimator, TierView};
 use gaugesaddle_balancer::settings::{self, number, Key};
 use gaugesaddle_balancer::{
     Arrival, AttemptNo, Backend, BackendId, BackendState, ClassId, ConfigError, Event, KindId, LimitBounds,
@@ -142,8 +142,8 @@
     /// Since when it runs, or has not.
     since: u64,
     up: bool,
-    dealer: Dealer,
-    need: Need,
+    dealer: Allocator,
+    need: DemandEstimator,
     came: u32,
     /// What it told at its last two looks: others may have the older one yet.
     told: [Option<f64>; 2],
@@ -151,8 +151,8 @@
 
 impl Place {
     fn new() -> Place {
-        let dealer = Dealer::new(Dealing::default());
-        Place { since: 0, up: true, dealer, need: Need::default(), came: 0, told: [None; 2] }
+        let dealer = Allocator::new(AllocatorSettings::default());
+        Place { since: 0, up: true, dealer, need: DemandEstimator::default(), came: 0, told: [None; 2] }
     }
 
     /// Whether others hold that it lives.
@@ -320,7 +320,7 @@
             return;
         }
         let own = &mut self.places[proxy];
-        let need = own.need.look(std::mem::take(&mut own.came), LOOK_US as f64 / 1e6);
+        let need = own.need.record(std::mem::take(&mut own.came), LOOK_US as f64 / 1e6);
         own.told = [need, own.told[0]];
         let (now, since) = (self.now, own.since.max(START));
         let known = (0..self.places.len()).filter(|p| *p == proxy || self.places[*p].held_alive(now));
@@ -334,9 +334,16 @@
         // Of who comes and goes later it learns late, but nobody is met by and by here.
         let awake = Micros(now - since);
         let told = self.places.len();
-        let seen = Seen { told, awake, still: awake, own: position, places: &living, needs: &needs };
+        let seen = TierView {
+            configured: told,
+            uptime: awake,
+            unchanged_for: awake,
+            own: position,
+            indices: &living,
+            demands: &needs,
+        };
         let (dealer, host) = (&mut self.places[proxy].dealer, &mut self.hosts[proxy]);
-        if let Look::ByNeed(tier) = dealer.look(Time(now), &seen, host.balancer.listed()) {
+        if let Allocation::ByDemand(tier) = dealer.observe(Time(now), &seen, host.balancer.listed()) {
             host.told([Event::Tier(tier), Event::Uses(dealer.uses().to_vec())]);
             self.plan_turn(proxy);
         }
--- a/crates/gaugesaddle/src/failover.rs
+++ b/crates/gaugesaddle/src/failover.rs
@@ -4,7 +4,7 @@
 use crate::peers::{LiveMembers, MemberReport, MessageHandler, Tier};
 use crate::registry::{Registry, ZoneRow, ZonesView};
 use crate::seam::Subsystem;
-use gaugesaddle_allocation::{parts, Law, AWAKE};
+use gaugesaddle_allocation::{allocate_by_demand, AllocationLimits, DISCOVERY_TIME};
 use gaugesaddle_balancer::{Balancer, Class, Event, Micros, Time};
 use gaugesaddle_failover::{
     evaluate, plan, Assessment, Decision, DecisionReplica, DecisionVersion, EscalationLevels,
@@ -139,7 +139,7 @@
     fn voices(&self, now: Time, living: &[u16]) -> Vec<ProxyReport> {
         let records = self.tier.reports(now, living);
         let needs: Vec<Option<f64>> = records.iter().map(|r| r.signals.demand_per_s).collect();
-        let parts = parts(&Law::default(), &needs);
+        let parts = allocate_by_demand(&AllocationLimits::default(), &needs);
         let voice = |(r, part): (MemberReport, f64)| {
             let Signals { arrivals_per_s, zones, .. } = r.signals;
             let find = |z: ZoneSignal| ZoneObservation {
@@ -228,7 +228,7 @@
         self.next = now + LOOK;
         let LiveMembers { configured: told, since_stall: awake, indices: places, .. } =
             self.tier.live_members(now);
-        let (most, awake) = (places.len() * 2 > told, awake >= AWAKE);
+        let (most, awake) = (places.len() * 2 > told, awake >= DISCOVERY_TIME);
         let voices = self.voices(now, &places);
         *self.zones.looked.borrow_mut() = Looked { living: places, most, awake };
         let judged = evaluate(&EvaluatorSettings::default(), self.names.len(), self.worth.len(), &voices);
--- a/crates/gaugesaddle/src/peers/watch.rs
+++ b/crates/gaugesaddle/src/peers/watch.rs
@@ -5,7 +5,7 @@
 use crate::exchange::Arrived;
 use crate::registry::{End, Registry};
 use crate::seam::Subsystem;
-use gaugesaddle_allocation::{Need, Rate};
+use gaugesaddle_allocation::{DemandEstimator, RateEstimator};
 use gaugesaddle_balancer::{Arrival, Balancer, ClassId, Event, Time, ZoneId};
 use gaugesaddle_membership::{Signals, ZoneSignal};
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 struct RateCounter {
     /// Events since the last measurement.
     count: u32,
-    rate: Rate,
+    rate: RateEstimator,
 }
 
 impl RateCounter {
@@ -28,7 +28,7 @@
 
     /// The rate per second, `period_s` after the last measurement.
     fn measure(&mut self, period_s: f64) -> f64 {
-        self.rate.look(std::mem::take(&mut self.count), period_s)
+        self.rate.record(std::mem::take(&mut self.count), period_s)
     }
 }
 
@@ -47,7 +47,7 @@
     /// By class.
     arrivals: Vec<RateCounter>,
     rejected: RateCounter,
-    demand: Need,
+    demand: DemandEstimator,
     last_measured: Option<Time>,
     next: Time,
 }
@@ -61,7 +61,7 @@
             zones,
             arrivals: vec![RateCounter::default(); classes],
             rejected: RateCounter::default(),
-            demand: Need::default(),
+            demand: DemandEstimator::default(),
             last_measured: None,
             next: Time(0),
         }
@@ -71,7 +71,7 @@
         // Before the counters are reset by their own measurement.
         let arrived = self.arrivals.iter().fold(0, |sum: u32, class| sum.saturating_add(class.count));
         Signals {
-            demand_per_s: self.demand.look(arrived, period_s),
+            demand_per_s: self.demand.record(arrived, period_s),
             arrivals_per_s: self.arrivals.iter_mut().map(|class| class.measure(period_s)).collect(),
             in_flight: self.registry.open() as f64,
             rejected_per_s: self.rejected.measure(period_s),
--- a/crates/gaugesaddle/src/peers/watch/tests.rs
+++ b/crates/gaugesaddle/src/peers/watch/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_rate_follows_a_step_and_smooths_noise() {
-    let mut rate = RateCounter { count: 5, rate: Rate::default() };
+    let mut rate = RateCounter { count: 5, rate: RateEstimator::default() };
     assert_eq!(rate.measure(0.5), 10.0);
     let after: Vec<f64> = (0..8)
         .map(|_| {
--- a/crates/gaugesaddle/src/region/mod.rs
+++ b/crates/gaugesaddle/src/region/mod.rs
@@ -15,7 +15,7 @@
 use crate::seam::{Leaving, Subsystem};
 use crate::server::Server;
 use client::{Keys, Peer};
-use gaugesaddle_allocation::{LoanView, Loans};
+use gaugesaddle_allocation::{LeaseManager, LeaseView};
 use gaugesaddle_balancer::{Balancer, Class, ClassId, Effect, Event, Micros, Offer, Time};
 use gaugesaddle_federation::credentials::Expiry;
 use gaugesaddle_federation::{
@@ -100,7 +100,7 @@
     inbound: RefCell<Vec<Inbound>>,
     /// Where proxies lend one another what may come in a second, by number of the other region; with when it was last
     /// looked at.
-    loans: RefCell<Option<(Loans, Time)>>,
+    loans: RefCell<Option<(LeaseManager, Time)>>,
     /// They do, or will once this process has its place.
     lending: Cell<bool>,
     identity: RefCell<tls::Identity>,
@@ -229,15 +229,15 @@
         if loans.is_none() {
             let Some(identity) = tier.bound_identity() else { return };
             let LocalIdentity { index: place, members: places, boot } = identity;
-            let terms = |other: &settings::Other| gaugesaddle_allocation::Terms {
-                whole: other.take.per_s,
-                places,
-                kept_percent: KEPT_PERCENT,
-                term: LOAN,
-                rest: REST,
+            let terms = |other: &settings::Other| gaugesaddle_allocation::ReservationTerms {
+                total: other.take.per_s,
+                members: places,
+                reserved_percent: KEPT_PERCENT,
+                lease_duration: LOAN,
+                grace_period: REST,
             };
             let terms: Vec<_> = self.settings.other.iter().map(terms).collect();
-            match Loans::new(&terms, place, boot, now) {
+            match LeaseManager::new(&terms, place, boot, now) {
                 Ok(new) => *loans = Some((new, now)),
                 Err(e) => return tracing::error!("region: nothing is lent: {e}"),
             }
@@ -254,12 +254,12 @@
             })
             .collect();
         let mut letters = Vec::new();
-        loans.look(now, &needs, living, &mut letters);
+        loans.observe(now, &needs, living, &mut letters);
         tier.send_messages(letters);
     }
 
     /// What is lent of what may come from a region, where that is done.
-    pub fn lent(&self, now: Time) -> Vec<(String, LoanView)> {
+    pub fn lent(&self, now: Time) -> Vec<(String, LeaseView)> {
         let loans = self.loans.borrow();
         let Some((loans, _)) = loans.as_ref() else { return Vec::new() };
         let others = self.settings.other.iter().enumerate();
@@ -358,7 +358,7 @@
 impl MessageHandler for Regions {
     fn handle_message(&self, now: Time, from: u16, body: &[u8], answers: &mut Vec<(u16, Vec<u8>)>) {
         if let Some((loans, _)) = self.loans.borrow_mut().as_mut() {
-            loans.hear(now, from, body, answers);
+            loans.handle(now, from, body, answers);
         }
     }
 }
--- a/crates/gaugesaddle/src/shares.rs
+++ b/crates/gaugesaddle/src/shares.rs
@@ -5,7 +5,9 @@
 use crate::region::Regions;
 use crate::registry::{LentView, Registry, SharesView, SoftView};
 use crate::seam::Subsystem;
-use gaugesaddle_allocation::{Crowd, Dealer, Dealing, Law, LoanView, Look, Seen};
+use gaugesaddle_allocation::{
+    Allocation, AllocationLimits, Allocator, AllocatorSettings, LeaseView, SubsetSize, TierView,
+};
 use gaugesaddle_balancer::{Balancer, BalancerStatus, Event, ListUpdate, Micros, Time};
 use gaugesaddle_federation::{EvenAllocation, WeightedAllocation};
 use serde::Deserialize;
@@ -34,11 +36,12 @@
 
 impl Default for Shares {
     fn default() -> Shares {
-        let Dealing { law, least, over, .. } = Dealing::default();
+        let AllocatorSettings { limits: law, min_change: least, smoothing: over, .. } =
+            AllocatorSettings::default();
         Shares {
             enabled: false,
             floor_percent: (law.floor * 100.0) as u32,
-            most_times: law.most as u32,
+            most_times: law.max_multiple as u32,
             least_percent: (least * 100.0) as u32,
             over_ms: (over.0 / 1000) as u32,
         }
@@ -69,12 +72,15 @@
         }
     }
 
-    fn dealing(&self) -> Dealing {
-        Dealing {
-            law: Law { floor: f64::from(self.floor_percent) / 100.0, most: f64::from(self.most_times) },
-            least: f64::from(self.least_percent) / 100.0,
-            over: Micros(u64::from(self.over_ms) * 1000),
-            crowd: Crowd::default(),
+    fn dealing(&self) -> AllocatorSettings {
+        AllocatorSettings {
+            limits: AllocationLimits {
+                floor: f64::from(self.floor_percent) / 100.0,
+                max_multiple: f64::from(self.most_times),
+            },
+            min_change: f64::from(self.least_percent) / 100.0,
+            smoothing: Micros(u64::from(self.over_ms) * 1000),
+            subset: SubsetSize::default(),
         }
     }
 }
@@ -83,7 +89,7 @@
     tier: Rc<Tier>,
     registry: Rc<Registry>,
     regions: Option<Rc<Regions>>,
-    dealer: Dealer,
+    dealer: Allocator,
     next: Time,
     /// When what is lent is looked at next.
     lend: Time,
@@ -97,20 +103,20 @@
             regions.begin_lending();
             tier.add_handler(regions.clone());
         }
-        let (dealer, begin) = (Dealer::new(settings.dealing()), Time(0));
+        let (dealer, begin) = (Allocator::new(settings.dealing()), Time(0));
         ShareWatch { tier, registry, regions, dealer, next: begin, lend: begin }
     }
 }
 
-fn lent(now: Time, from: String, l: LoanView) -> LentView {
+fn lent(now: Time, from: String, l: LeaseView) -> LentView {
     LentView {
         from,
-        whole: l.whole,
-        even: l.even,
+        whole: l.total,
+        even: l.entitlement,
         usable: l.usable,
-        need: l.need,
-        given: l.given,
-        taken: l.taken,
+        need: l.demand,
+        given: l.granted,
+        taken: l.borrowed,
         lease_left_us: l.until.map(|until| (until - now).0),
     }
 }
@@ -137,20 +143,27 @@
         let LiveMembers { configured: told, since_stall: awake, since_change: still, own, indices: places } =
             self.tier.live_members(now);
         let (needs, living) = (self.tier.demands(&places), places.len());
-        let seen = Seen { told, awake, still, own, places: &places, needs: &needs };
+        let seen = TierView {
+            configured: told,
+            uptime: awake,
+            unchanged_for: still,
+            own,
+            indices: &places,
+            demands: &needs,
+        };
         let listed = module.listed();
         let ready = listed.len();
-        let (state, part) = match self.dealer.look(now, &seen, listed) {
-            Look::Waking(weight) => {
+        let (state, part) = match self.dealer.observe(now, &seen, listed) {
+            Allocation::Provisional(weight) => {
                 self.next = now + WAKING_LOOK;
                 ("waking", weight / told.max(1) as f64)
             }
-            Look::ByNeed(tier) => {
+            Allocation::ByDemand(tier) => {
                 // Told each time: a module that had to start anew knows nothing of it.
                 events.push(Event::Tier(tier));
                 events.push(Event::Uses(self.dealer.uses().to_vec()));
                 self.registry.living.set(tier.proxies);
-                let (before, part) = self.dealer.span();
+                let (before, part) = self.dealer.range();
                 let even = EvenAllocation { proxies: tier.proxies, position: tier.position };
                 self.regions
                     .iter()
