--- a/crates/gaugesaddle/src/cli.rs
+++ b/crates/gaugesaddle/src/cli.rs
@@ -1,8 +1,10 @@
 //! The command line.
 
+use crate::application;
+use crate::configuration::operator::{self, OperatorConfig};
 use crate::error::Error;
-use crate::operator::{self, Operator};
-use crate::{app, region, state};
+use crate::federation;
+use crate::operations::{state_socket, state_text};
 use clap::{Parser, Subcommand, ValueEnum};
 use serde::Serialize;
 use std::path::PathBuf;
@@ -36,7 +38,7 @@
     /// Print the state of a running proxy: its requests, backends, connections and reasons.
     State {
         /// Only that part.
-        part: Option<Part>,
+        part: Option<StateSection>,
         /// Its socket; by default `state.socket` of the operator's file.
         #[arg(long, value_name = "PATH")]
         socket: Option<PathBuf>,
@@ -46,15 +48,16 @@
     },
 }
 
-/// A part of the state.
+/// A section of the state. Its names are operators' commands.
 #[derive(Clone, Copy, Debug, ValueEnum)]
-enum Part {
+enum StateSection {
     /// Other regions.
     Regions,
     /// The other proxies of the tier.
     Peers,
     /// This proxy's part of what all of them may do.
-    Shares,
+    #[value(name = "shares")]
+    Allocation,
     /// Zones as all proxies together find them.
     Zones,
 }
@@ -73,15 +76,15 @@
 
 fn run(arguments: Arguments) -> Result<(), Error> {
     let file = arguments.config.filter(|f| !f.as_os_str().is_empty());
-    let operator = || file.as_deref().map_or(Ok(Operator::default()), operator::load);
+    let operator = || file.as_deref().map_or(Ok(OperatorConfig::default()), operator::load);
     match arguments.command {
-        None => app::run(file.clone(), operator()?),
+        None => application::run(file.clone(), operator()?),
         Some(Command::Edge { settings }) => {
             gaugesaddle_edge::run(&settings).map_err(|e| Error::Edge(format!("{e:#}")))
         }
         Some(Command::Check { file }) => {
             let operator = operator::load(&file)?;
-            region::check(&operator.region)?;
+            federation::check(&operator.region)?;
             if operator.peers.enabled {
                 operator.peers.secret()?;
             }
@@ -95,28 +98,28 @@
                     "state.socket: missing, expected --socket PATH or an operator's file that sets it",
                 ))?,
             };
-            let state = state::ask(&socket)?;
+            let state = state_socket::request(&socket)?;
             let now = state.time_us;
             match part {
-                Some(Part::Regions) => {
+                Some(StateSection::Regions) => {
                     let view =
                         state.region.as_ref().ok_or(Error::Usage("this proxy has no other regions"))?;
-                    print(json, view, || state::render_regions(view, now));
+                    print(json, view, || state_text::render_regions(view, now));
                 }
-                Some(Part::Peers) => {
+                Some(StateSection::Peers) => {
                     let view =
                         state.peers.as_ref().ok_or(Error::Usage("this proxy knows no other proxies"))?;
-                    print(json, view, || state::render_peers(view, now));
+                    print(json, view, || state_text::render_peers(view, now));
                 }
-                Some(Part::Shares) => {
+                Some(StateSection::Allocation) => {
                     let view = state.shares.as_ref().ok_or(Error::Usage("this proxy goes by even parts"))?;
-                    print(json, view, || state::render_shares(view));
+                    print(json, view, || state_text::render_shares(view));
                 }
-                Some(Part::Zones) => {
+                Some(StateSection::Zones) => {
                     let view = state.zones.as_ref().ok_or(Error::Usage("this proxy judges zones alone"))?;
-                    print(json, view, || state::render_zones(view));
+                    print(json, view, || state_text::render_zones(view));
                 }
-                None => print(json, &state, || state::render(&state)),
+                None => print(json, &state, || state_text::render(&state)),
             }
             Ok(())
         }
--- a/crates/gaugesaddle/src/operator/tests.rs
+++ b/crates/gaugesaddle/src/configuration/operator/tests.rs
@@ -1,8 +1,7 @@
 use super::*;
 
 fn flaw(text: &str) -> String {
-    let (line, key, what) = parse(text).expect_err("unsound");
-    format!("{}{what}", place(line, &key))
+    parse(text).expect_err("unsound").to_string()
 }
 
 #[test]
@@ -114,7 +113,7 @@
 #[test]
 fn the_file_that_is_shipped_says_the_defaults_and_every_key() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/gaugesaddle.toml");
-    assert_eq!(load(&path).expect("sound"), Operator::default(), "as shipped it changes nothing");
+    assert_eq!(load(&path).expect("sound"), OperatorConfig::default(), "as shipped it changes nothing");
     let text = std::fs::read_to_string(path).unwrap();
     // With every commented key switched on it must still be read: no key is told that doesn't exist.
     let on = |l: &str| match l.strip_prefix("#") {
@@ -173,7 +172,7 @@
 
 #[test]
 fn an_empty_file_changes_nothing_and_foreign_bytes_are_told() {
-    assert_eq!(parse("").unwrap(), Operator::default());
+    assert_eq!(parse("").unwrap(), OperatorConfig::default());
     let file = std::env::temp_dir().join(format!("gaugesaddle-operator-{}", std::process::id()));
     std::fs::write(&file, b"[log]\n\xff\xfe").unwrap();
     let told = load(&file).expect_err("no text").to_string();
--- a/crates/gaugesaddle/src/config.rs
+++ b/crates/gaugesaddle/src/configuration/platform.rs
@@ -1,8 +1,7 @@
-//! `$BALANCER_CONFIG` into a checked struct.
+//! The platform's configuration: the JSON file that `$BALANCER_CONFIG` names.
 
-use crate::discovery::{self, List, Room};
-use crate::error::Error;
-use crate::peers::Platform;
+use crate::discovery::list::{self, List, ListError, ListLimits};
+use crate::membership::Platform;
 use gaugesaddle_balancer::settings::{self, Key, KeyError, Names};
 use gaugesaddle_balancer::Micros;
 use serde_json::value::RawValue;
@@ -10,14 +9,54 @@
 use std::collections::BTreeMap;
 use std::io::Read;
 use std::net::SocketAddr;
+use std::path::PathBuf;
 
-/// Everything that the deployment tells a proxy.
-pub struct Config {
+/// Why the platform's configuration cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum PlatformError {
+    /// The environment names no configuration.
+    #[error("BALANCER_CONFIG: missing, expected a file name")]
+    NoConfig,
+    /// The file cannot be read.
+    #[error("BALANCER_CONFIG: expected a readable file, got {}: {source}", path.display())]
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// The error of the system.
+        source: std::io::Error,
+    },
+    /// The file is larger than any that could be used.
+    #[error("BALANCER_CONFIG: expected at most {MAX_FILE_BYTES} bytes, {} has more", path.display())]
+    TooLarge {
+        /// The file.
+        path: PathBuf,
+    },
+    /// The file is no JSON.
+    #[error("BALANCER_CONFIG: expected JSON in {}: {source}", path.display())]
+    Json {
+        /// The file.
+        path: PathBuf,
+        /// Where and what.
+        source: serde_json::Error,
+    },
+    /// The value of a key.
+    #[error(transparent)]
+    Key(#[from] KeyError),
+    /// The list of backends in it.
+    #[error("{0}")]
+    Known(#[source] ListError),
+    /// A setting that the balancer does not accept.
+    #[error("settings: {0}")]
+    Balancer(#[from] gaugesaddle_balancer::ConfigError),
+}
+
+/// The configuration of a proxy as the platform sets it.
+pub struct PlatformConfig {
     /// The proxy's name, for its state; the file may leave it out.
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    /// Where the platform's operators ask; on older deployments nowhere.
+    /// Address of the admin interface; older deployments have none.
     pub admin: Option<SocketAddr>,
     pub seed: u64,
     /// File descriptors that the process may hold.
@@ -26,31 +65,30 @@
     pub memory: usize,
     /// The list of backends as this proxy last had it.
     pub known: Option<List>,
-    /// What a list of discovery may have.
-    pub room: Room,
-    pub module: gaugesaddle_balancer::Config,
+    /// Limits of a list of backends.
+    pub list_limits: ListLimits,
+    pub balancer: gaugesaddle_balancer::Config,
     pub names: Names,
-    /// Requests that may be open at once; more are turned away before the module.
+    /// Maximum number of open requests; more are rejected before they reach the balancer.
     pub open_cap: usize,
     /// A backend closes a connection that has been idle for this long, at the latest.
     pub conn_idle: Micros,
     /// A connection that is not up after this time counts as failed.
     pub dial_timeout: Micros,
-    /// Sends to a backend that drains or is gone must stop within this time.
+    /// Sends to a backend that drains or has departed must stop within this time.
     pub drain_grace: Micros,
-    /// The longest `Retry-After` that clients follow, where the settings tell it.
+    /// The longest `Retry-After` that clients follow, where the settings have it.
     pub max_retry_after: Option<Micros>,
     /// The longest time that a client waits.
     pub longest: Micros,
-    /// The tier of proxies; `None` where the settings refuse words between them.
+    /// The tier of proxies; `None` where the settings allow no messages between them.
     pub peers: Option<Platform>,
     /// The document as it was read.
     pub document: Value,
 }
 
-/// The keys whose new values a running proxy does not take up. `known` is none of them, and stands in neither: the list
-/// that the proxy holds is newer.
-pub fn not_taken_up(running: &Value, newer: &Value) -> Vec<String> {
+/// The keys that differ and require a restart. `known` is in neither document: the proxy's own list is newer.
+pub fn keys_requiring_restart(running: &Value, newer: &Value) -> Vec<String> {
     let mut keys = Vec::new();
     differences(String::new(), running, newer, &mut keys);
     keys.retain(|k| k != "discovery");
@@ -72,27 +110,30 @@
     }
 }
 
-/// The longest file that is read: the longest list that any memory has room for, and settings beside it.
-const MOST_BYTES: u64 = 5 << 20;
-/// Where the settings do not tell the time in which sends to a backend that leaves must stop: the strictest one known.
+/// Maximum size of the file: the longest list that any memory allows, and settings beside it.
+const MAX_FILE_BYTES: u64 = 5 << 20;
+/// The time within which sends to a departing backend must stop where the settings have none: the strictest one known.
 const DRAIN_GRACE: Micros = Micros(500_000);
-/// Fewer descriptors leave no room for clients, backends and discovery.
-const LEAST_SOCKETS: u32 = 64;
+/// Fewer descriptors would not suffice for clients, backends and discovery.
+const MIN_SOCKETS: u32 = 64;
 
 /// Reads the file that `$BALANCER_CONFIG` names.
-pub fn load() -> Result<Config, Error> {
-    let path = std::env::var_os("BALANCER_CONFIG").ok_or(Error::NoConfig)?;
-    let (what, path) = ("BALANCER_CONFIG", std::path::PathBuf::from(path));
+///
+/// # Errors
+/// See [`PlatformError`].
+pub fn load() -> Result<PlatformConfig, PlatformError> {
+    let path = std::env::var_os("BALANCER_CONFIG").ok_or(PlatformError::NoConfig)?;
+    let path = PathBuf::from(path);
     let mut text = Vec::new();
-    let read = std::fs::File::open(&path).and_then(|f| f.take(MOST_BYTES + 1).read_to_end(&mut text));
+    let read = std::fs::File::open(&path).and_then(|f| f.take(MAX_FILE_BYTES + 1).read_to_end(&mut text));
     if let Err(source) = read {
-        return Err(Error::Read { what, path, source });
+        return Err(PlatformError::Read { path, source });
     }
-    if text.len() as u64 > MOST_BYTES {
-        return Err(Error::Long { what, path, most: MOST_BYTES });
+    if text.len() as u64 > MAX_FILE_BYTES {
+        return Err(PlatformError::TooLarge { path });
     }
     // The list is read by itself, and the rest as a document: whole, a long list would take ten times its length.
-    let json = |source| Error::Json { what, path: path.clone(), source };
+    let json = |source| PlatformError::Json { path: path.clone(), source };
     let mut parts: BTreeMap<String, &RawValue> = serde_json::from_slice(&text).map_err(json)?;
     let known = parts.remove("known").map(RawValue::get).filter(|text| *text != "null");
     let mut document = serde_json::Map::new();
@@ -102,9 +143,11 @@
     parse(Value::Object(document), known)
 }
 
-/// Reads it again for a proxy that runs by that document. Another proxy's file in its place is refused: nothing in it is
-/// meant for this one.
-pub fn load_again(running: &Value) -> Result<Config, Error> {
+/// Reads the file again for a proxy that was started with the document `running`. Another proxy's file is rejected.
+///
+/// # Errors
+/// See [`PlatformError`].
+pub fn load_again(running: &Value) -> Result<PlatformConfig, PlatformError> {
     let newer = load()?;
     let name = |document: &Value| document.get("name").unwrap_or(&Value::Null).to_string();
     let (own, other) = (name(running), name(&newer.document));
@@ -119,48 +162,52 @@
     key.want(parsed, "an IP address and a port")
 }
 
-/// Whether the key is there and says anything.
-fn is_told(key: &Key) -> bool {
+/// Whether the key is present and not null.
+fn is_set(key: &Key) -> bool {
     key.value().is_some_and(|v| !v.is_null())
 }
 
 /// The key, or `$BALANCER_ADMIN` where there is none.
 fn admin(key: &Key) -> Result<Option<SocketAddr>, KeyError> {
-    if is_told(key) {
+    if is_set(key) {
         return address(key).map(Some);
     }
-    let Some(told) = std::env::var("BALANCER_ADMIN").ok().filter(|a| !a.is_empty()) else { return Ok(None) };
-    let told = serde_json::json!({ "BALANCER_ADMIN": told });
-    address(&Key::root(&told).get("BALANCER_ADMIN")).map(Some)
+    let Some(value) = std::env::var("BALANCER_ADMIN").ok().filter(|a| !a.is_empty()) else { return Ok(None) };
+    let document = serde_json::json!({ "BALANCER_ADMIN": value });
+    address(&Key::root(&document).get("BALANCER_ADMIN")).map(Some)
 }
 
-/// What is told of the other proxies, where the settings allow words with them.
+/// The other proxies, where the settings allow messages between them.
 fn peers(root: &Key, limits: &Key) -> Result<Option<Platform>, KeyError> {
     if limits.get("peers").value().and_then(Value::as_bool) != Some(true) {
         return Ok(None);
     }
-    let told = |key: &str| {
+    let optional_address = |key: &str| {
         let key = root.get(key);
-        is_told(&key).then(|| address(&key)).transpose()
+        is_set(&key).then(|| address(&key)).transpose()
     };
     let key = root.get("peers");
     let addresses =
-        if is_told(&key) { key.list()?.iter().map(address).collect::<Result<_, _>>()? } else { Vec::new() };
-    Ok(Some(Platform { listen: told("peer_listen")?, addresses, all: told("peers_all")? }))
+        if is_set(&key) { key.list()?.iter().map(address).collect::<Result<_, _>>()? } else { Vec::new() };
+    Ok(Some(Platform {
+        listen: optional_address("peer_listen")?,
+        addresses,
+        all: optional_address("peers_all")?,
+    }))
 }
 
 /// `known`: the text of that key.
-fn parse(document: Value, known: Option<&str>) -> Result<Config, Error> {
+fn parse(document: Value, known: Option<&str>) -> Result<PlatformConfig, PlatformError> {
     let root = Key::root(&document);
     let (seed, settings) = (root.get("seed"), root.get("settings"));
     let memory = (root.get("limits").get("memory_mb").count()? as usize).saturating_mul(1 << 20);
-    let room = Room::of(memory);
-    let known = known.map(|text| discovery::read(text.as_bytes(), "known", room)).transpose();
-    let known = known.map_err(Error::Known)?;
+    let list_limits = ListLimits::of(memory);
+    let known = known.map(|text| list::read(text.as_bytes(), "known", list_limits)).transpose();
+    let known = known.map_err(PlatformError::Known)?;
     let sockets = root.get("limits").get("sockets");
-    let enough = Some(sockets.count()?).filter(|n| *n >= LEAST_SOCKETS);
-    let (module, names) = settings::read(&settings)?;
-    module.validate()?;
+    let enough = Some(sockets.count()?).filter(|n| *n >= MIN_SOCKETS);
+    let (balancer, names) = settings::read(&settings)?;
+    balancer.validate()?;
     let limits = settings.get("limits");
     let mut longest = Micros(0);
     for class in settings.get("profiles").list()? {
@@ -168,7 +215,7 @@
     }
     let peers = peers(&root, &limits)?;
     let hex = u64::from_str_radix(seed.text()?, 16).ok();
-    Ok(Config {
+    Ok(PlatformConfig {
         name: root.get("name").value().and_then(Value::as_str).unwrap_or_default().into(),
         listen: address(&root.get("listen"))?,
         discovery: address(&root.get("discovery"))?,
@@ -177,8 +224,8 @@
         sockets: sockets.want(enough, "at least 64")? as usize,
         memory,
         known,
-        room,
-        module,
+        list_limits,
+        balancer,
         names,
         open_cap: limits.get("open_cap").count()? as usize,
         conn_idle: limits.get("conn_idle_us").micros()?,
--- /dev/null
+++ b/crates/gaugesaddle/src/discovery/call_schedule.rs
@@ -0,0 +1,111 @@
+//! When discovery is called next, where all proxies call one service. No I/O, no clock.
+//!
+//! One change of the list ends the pending call of every proxy at the same moment, and all of them call again at once: of 100
+//! proxies the service can answer 12 to 50 a second, the others wait until they are rejected and retry. So each leaves a delay
+//! between its calls that grows with the number of proxies and with each failure, and is drawn at random around its length.
+//! Few proxies leave none: their subscriptions continue without a gap.
+//!
+//! A proxy that was answered leaves the longer delay, one that was rejected retries after a second. The other way round (each
+//! failure doubles its own delay) the service always serves the same ones: those that it answered call again first, and one
+//! that was rejected ten times in a row has no list for 20 s, while it counts as informed after 6 s. Nor earlier than a second:
+//! to reject a call costs the service about a twentieth of an answer, and thirty proxies that retried three times a second
+//! each took all of its time.
+
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg32;
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Delay for each proxy: a service that can answer all in two seconds is at half of its capacity when each of a hundred calls
+/// as often as it may.
+const GAP_PER_PROXY: Duration = Duration::from_millis(10);
+/// A subscription continues when the next call is sent within this time; shorter delays are none.
+const MIN_GAP: Duration = Duration::from_millis(200);
+/// Maximum delay, as a fraction of the time after which a proxy counts as informed, and in any case: with its spread it is 2 s
+/// below the 6 s after which it counts as informed, for the next call and a retry.
+const MAX_GAP_FRACTION: f64 = 1.0 / 3.0;
+const MAX_GAP: Duration = Duration::from_millis(3_300);
+/// A delay is drawn from this fraction below its length to the same above it.
+const SPREAD: f64 = 0.2;
+/// Factor of the delay after a failed call, and after an answered one: it falls in small steps, or the service would always be
+/// overloaded.
+const FAILED_FACTOR: f64 = 2.0;
+const ANSWERED_FACTOR: f64 = 0.9;
+/// One of many whose call failed retries after half of this to one and a half of it: several attempts fit into the 6 s after
+/// which it counts as informed.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// All first calls are within this time: half of those 6 s, since the first may be rejected.
+const MAX_FIRST_DELAY: Duration = Duration::from_secs(3);
+
+/// The delays of one proxy.
+pub struct CallSchedule {
+    /// Number of proxies: the configured ones, and the live ones where that is known (otherwise 0).
+    configured: u32,
+    live: Rc<Cell<u32>>,
+    max_gap: Duration,
+    gap: Duration,
+    rng: Pcg32,
+}
+
+impl CallSchedule {
+    /// For one of so many proxies, each of which counts as informed after `within` without a call.
+    pub fn new(proxies: u32, within: Duration, seed: u64) -> CallSchedule {
+        let (max_gap, live) = (within.mul_f64(MAX_GAP_FRACTION).min(MAX_GAP), Rc::default());
+        let rng = Pcg32::seed_from_u64(seed);
+        let mut schedule = CallSchedule { configured: proxies, live, max_gap, gap: Duration::ZERO, rng };
+        schedule.gap = schedule.min_gap();
+        schedule
+    }
+
+    /// Uses this number of live proxies, as soon as it is not 0.
+    pub fn among(self, live: Rc<Cell<u32>>) -> CallSchedule {
+        CallSchedule { live, ..self }
+    }
+
+    fn min_gap(&self) -> Duration {
+        let proxies = match self.live.get() {
+            0 => self.configured,
+            living => living,
+        };
+        let min_gap = (GAP_PER_PROXY * proxies).min(self.max_gap);
+        if min_gap < MIN_GAP {
+            Duration::ZERO
+        } else {
+            min_gap
+        }
+    }
+
+    /// Before the first call: all proxies may have started at the same moment.
+    pub fn first(&mut self) -> Duration {
+        (self.min_gap() * 2).min(MAX_FIRST_DELAY).mul_f64(self.unit())
+    }
+
+    /// After an answered call.
+    pub fn answered(&mut self) -> Duration {
+        self.gap = match self.min_gap() {
+            Duration::ZERO => Duration::ZERO,
+            min_gap => self.gap.mul_f64(ANSWERED_FACTOR).max(min_gap),
+        };
+        self.gap.mul_f64(1.0 - SPREAD + 2.0 * SPREAD * self.unit())
+    }
+
+    /// After a failed one, besides the balancer's own wait. Of many, the delay after the next answer grows, so that others are
+    /// answered, too; this one was not.
+    pub fn failed(&mut self) -> Duration {
+        let min_gap = self.min_gap();
+        if min_gap == Duration::ZERO {
+            return Duration::ZERO;
+        }
+        self.gap = self.gap.max(min_gap).mul_f64(FAILED_FACTOR).min(self.max_gap);
+        RETRY_DELAY.mul_f64(0.5 + self.unit())
+    }
+
+    /// A random number, uniform in 0 to 1.
+    pub fn unit(&mut self) -> f64 {
+        f64::from(self.rng.next_u32()) / 4_294_967_296.0
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/gaugesaddle/src/pacing/tests.rs
+++ b/crates/gaugesaddle/src/discovery/call_schedule/tests.rs
@@ -6,15 +6,15 @@
 
 #[test]
 fn few_proxies_leave_no_gap_whatever_fails() {
-    let mut few = Pacing::new(3, WITHIN, 7);
+    let mut few = CallSchedule::new(3, WITHIN, 7);
     assert_eq!([few.first(), few.answered(), few.failed(), few.failed()], [Duration::ZERO; 4]);
 }
 
 #[test]
 fn the_gap_is_that_of_those_that_live_once_they_are_known() {
     let living = Rc::new(Cell::new(0));
-    let mut one = Pacing::new(100, WITHIN, 3).among(living.clone());
-    let range = |pacing: &mut Pacing| {
+    let mut one = CallSchedule::new(100, WITHIN, 3).among(living.clone());
+    let range = |pacing: &mut CallSchedule| {
         let all: Vec<Duration> = (0..40).map(|_| pacing.answered()).collect();
         (all.iter().min().copied().unwrap(), all.iter().max().copied().unwrap())
     };
@@ -36,8 +36,9 @@
 /// is asked for by all. What is turned away costs it nothing, and yet is what the others wait behind.
 fn calls(paced: bool) -> (usize, usize) {
     const PROXIES: usize = 100;
-    let mut pacing: Vec<Pacing> =
-        (0..PROXIES).map(|i| Pacing::new(if paced { PROXIES as u32 } else { 1 }, WITHIN, i as u64)).collect();
+    let mut pacing: Vec<CallSchedule> = (0..PROXIES)
+        .map(|i| CallSchedule::new(if paced { PROXIES as u32 } else { 1 }, WITHIN, i as u64))
+        .collect();
     let mut next: Vec<f64> = pacing.iter_mut().map(|p| p.first().as_secs_f64()).collect();
     let (mut free, mut failed, mut answered) = (0.0f64, 0, 0);
     for step in 0..2_000 {
@@ -69,14 +70,14 @@
 
 #[test]
 fn gaps_grow_to_their_bound_come_back_and_are_not_in_step() {
-    let mut one = Pacing::new(100, WITHIN, 1);
+    let mut one = CallSchedule::new(100, WITHIN, 1);
     let tries: Vec<Duration> = (0..9).map(|_| one.failed()).collect();
     let range = (Duration::from_millis(500), Duration::from_millis(1500));
     assert!(
         tries.iter().all(|t| (range.0..=range.1).contains(t)),
         "one that failed comes again soon: {tries:?}"
     );
-    let longest = LONGEST_GAP.mul_f64(ANSWERED);
+    let longest = MAX_GAP.mul_f64(ANSWERED_FACTOR);
     let gap = one.answered();
     assert!(gap <= longest.mul_f64(1.0 + SPREAD) && gap >= longest.mul_f64(1.0 - SPREAD), "{gap:?}");
     (0..19).for_each(|_| {
@@ -84,7 +85,7 @@
     });
     assert!(one.answered() <= Duration::from_millis(1200));
     let firsts: std::collections::BTreeSet<u64> =
-        (0..100).map(|seed| Pacing::new(100, WITHIN, seed).first().as_millis() as u64 / 20).collect();
+        (0..100).map(|seed| CallSchedule::new(100, WITHIN, seed).first().as_millis() as u64 / 20).collect();
     assert!(firsts.len() > 40, "{} of 100 slots of 20 ms", firsts.len());
 }
 
@@ -92,7 +93,7 @@
 #[test]
 fn a_gap_a_refusal_and_another_try_fit_into_the_time_to_be_told() {
     for (proxies, within) in [(1, 1), (30, 10), (100, 10), (350, 10), (1_000, 60), (10_000, 600)] {
-        let mut one = Pacing::new(proxies, Duration::from_secs(within), u64::from(proxies));
+        let mut one = CallSchedule::new(proxies, Duration::from_secs(within), u64::from(proxies));
         let first = one.first();
         let mut most = Duration::ZERO;
         for _ in 0..60 {
@@ -111,8 +112,8 @@
     const CHANGES: [f64; 8] = [1.8, 3.7, 4.6, 11.0, 12.0, 14.7, 20.0, 26.0];
     const END: f64 = 34.0;
     let one = all / proxies as f64;
-    let mut pacing: Vec<Pacing> =
-        (0..proxies).map(|i| Pacing::new(proxies as u32, WITHIN, seed + i as u64)).collect();
+    let mut pacing: Vec<CallSchedule> =
+        (0..proxies).map(|i| CallSchedule::new(proxies as u32, WITHIN, seed + i as u64)).collect();
     // Each proxy's next call, the version that it holds, and whether its watch is open.
     let mut next: Vec<f64> = pacing.iter_mut().map(|p| p.first().as_secs_f64()).collect();
     let (mut held, mut open) = (vec![0; proxies], vec![false; proxies]);
--- /dev/null
+++ b/crates/gaugesaddle/src/discovery/list.rs
@@ -0,0 +1,105 @@
+//! The list of backends as the discovery service sends it.
+
+use crate::serving::exchange::ListedBackend;
+use gaugesaddle_balancer::settings::{number, Key, KeyError};
+use gaugesaddle_balancer::{Backend, BackendId, BackendState, CellId, KindId, Time, ZoneId};
+use serde_json::value::RawValue;
+use serde_json::{json, Value};
+
+/// An answer of the discovery service.
+#[derive(Clone)]
+pub struct List {
+    pub index: u64,
+    /// Whether it is the full list; otherwise changes.
+    pub full: bool,
+    pub targets: Vec<ListedBackend>,
+}
+
+/// Limits of a list, by the configured memory.
+#[derive(Clone, Copy, Debug)]
+pub struct ListLimits {
+    /// Maximum size in bytes.
+    pub bytes: usize,
+    /// Maximum number of entries, and of backends at once.
+    pub entries: usize,
+}
+
+impl ListLimits {
+    /// An entry has some 150 bytes, 300 where it is indented, and a backend in use takes some 4 KB (in the balancer, the
+    /// driver and the registry); a quarter of the memory may be used for that, and no less than the largest fleets need.
+    pub fn of(memory: usize) -> ListLimits {
+        ListLimits { bytes: (memory / 16).clamp(1 << 20, 4 << 20), entries: (memory / (16 << 10)).max(2_048) }
+    }
+}
+
+/// Parses a list that is at `path` in its document. One invalid entry rejects the list, since a partial list would drop
+/// backends. Only one entry at a time is held as a parsed document.
+///
+/// # Errors
+/// The first invalid value, by its path.
+pub fn read(text: &[u8], path: &str, limits: ListLimits) -> Result<List, ListError> {
+    #[derive(serde::Deserialize)]
+    struct Document<'a> {
+        #[serde(default)]
+        index: Value,
+        #[serde(default)]
+        snapshot: Value,
+        #[serde(borrow)]
+        endpoints: Option<&'a RawValue>,
+    }
+    let document: Document = serde_json::from_slice(text)?;
+    let head = json!({"index": document.index, "snapshot": document.snapshot});
+    let root = Key::at(path.into(), &head);
+    let endpoints = root.get("endpoints");
+    let raw = endpoints.want(document.endpoints, "an array")?.get();
+    let entries: Vec<&RawValue> = serde_json::from_str(raw).map_err(|_| endpoints.unfit("an array", raw))?;
+    if entries.len() > limits.entries {
+        let expected = format!("no more than {} lines for the memory told", limits.entries);
+        return Err(endpoints.unfit(&expected, &entries.len().to_string()).into());
+    }
+    let mut targets = Vec::with_capacity(entries.len());
+    for (n, entry) in entries.iter().enumerate() {
+        let value: Value = serde_json::from_str(entry.get())?;
+        targets.push(target(&endpoints.item(n, &value))?);
+    }
+    let index = root.get("index");
+    let version = index.value().and_then(Value::as_u64);
+    Ok(List { index: index.want(version, "a version")?, full: root.get("snapshot").flag()?, targets })
+}
+
+/// Why a list is invalid.
+#[derive(Debug, thiserror::Error)]
+pub enum ListError {
+    #[error("expected JSON: {0}")]
+    Json(#[from] serde_json::Error),
+    #[error(transparent)]
+    Key(#[from] KeyError),
+}
+
+/// An entry of a list.
+fn target(entry: &Key) -> Result<ListedBackend, KeyError> {
+    let (status, since) = (entry.get("status"), entry.get("since_ms"));
+    let state = match status.text()? {
+        "ready" => BackendState::Ready,
+        "draining" => BackendState::Draining,
+        "gone" => BackendState::Departed,
+        _ => return status.want(None, "ready, draining or gone"),
+    };
+    let started =
+        since.want(since.value().map_or(Some(0), serde_json::Value::as_u64), "whole milliseconds")?;
+    let address = entry.get("address");
+    let (name, zone, kind) =
+        (entry.get("name").text()?, entry.get("zone").text()?, entry.get("type").text()?);
+    let (cell, weight) = (entry.get("group"), entry.get("weight"));
+    let backend = Backend {
+        id: BackendId(number(name)),
+        zone: ZoneId(number(zone)),
+        cell: CellId(cell.want(cell.value().and_then(Value::as_u64), "a group number")?),
+        kind: KindId(number(kind)),
+        state,
+        booted: Some(Time(started.saturating_mul(1000))).filter(|t| t.0 > 0),
+        weight: weight.want(Some(weight.real()?).filter(|w| *w >= 0.0), "a weight of 0 or more")?,
+    };
+    let address = address.want(address.text()?.parse().ok(), "an address")?;
+    Ok(ListedBackend { backend, address, name: name.into(), zone: zone.into(), kind: kind.into() })
+}
--- a/crates/gaugesaddle/src/renewal/tests.rs
+++ b/crates/gaugesaddle/src/discovery/subscription/tests.rs
@@ -36,14 +36,14 @@
 
 /// A call that is out at the agent.
 struct Held {
-    ask: Ask,
+    ask: Call,
     came: u64,
     swallowed: bool,
 }
 
 /// An agent and a proxy's watch on it, millisecond by millisecond.
 struct World {
-    renewal: Renewal,
+    renewal: Subscription,
     mood: Mood,
     version: u64,
     /// When the version came to be told.
@@ -54,7 +54,7 @@
 }
 
 impl World {
-    fn new(renewal: Renewal) -> World {
+    fn new(renewal: Subscription) -> World {
         World { renewal, mood: Mood::Speaks, version: 1, told: 0, heard: 0, calls: Vec::new(), made: 0 }
     }
 
@@ -63,7 +63,7 @@
             Mood::Silent => self.calls.iter_mut().for_each(|c| c.swallowed = true),
             Mood::Resets => self.fail_all(now),
             Mood::Moved => {
-                self.renewal.moved(Time(now * MS));
+                self.renewal.change_address(Time(now * MS));
                 self.calls.clear();
                 (self.version, self.heard) = (self.version / 2 + 1, 0);
             }
@@ -101,7 +101,7 @@
             let call = self.calls.remove(at);
             let (whole, news) = (call.ask.after.is_none(), call.ask.after != Some(version));
             let heard = self.renewal.answered(Time(now * MS), call.ask.number, version, whole, news);
-            if heard == Heard::Good {
+            if heard == AnswerStatus::Valid {
                 self.heard = version;
             }
         }
@@ -111,14 +111,14 @@
                     self.made += 1;
                     self.calls.push(Held { ask, came: now, swallowed: self.mood == Mood::Silent });
                 }
-                Step::Drop(number) => self.calls.retain(|c| c.ask.number != number),
+                Step::Abandon(number) => self.calls.retain(|c| c.ask.number != number),
                 Step::Wait(until) => {
                     assert!(until > Time(now * MS), "a wait that is over");
                     break;
                 }
             }
         }
-        assert!(self.calls.len() <= MOST_OUT, "{} calls are out", self.calls.len());
+        assert!(self.calls.len() <= MAX_PENDING, "{} calls are out", self.calls.len());
     }
 }
 
@@ -132,7 +132,7 @@
     fn what_a_speaking_agent_has_is_known_in_time(
         moods in proptest::collection::vec((1u64..2_500, mood()), 1..30),
     ) {
-        let mut world = World::new(Renewal::pushed(GRACE, Some(1)));
+        let mut world = World::new(Subscription::pushed(GRACE, Some(1)));
         let mut now = 0;
         for (lasts, mood) in moods {
             world.turn(now, mood);
@@ -151,7 +151,7 @@
     /// An agent that is slower than a call's answer may be is heard all the same.
     #[test]
     fn a_slow_agent_is_heard(late in 100u64..4_500) {
-        let mut world = World::new(Renewal::pushed(GRACE, None));
+        let mut world = World::new(Subscription::pushed(GRACE, None));
         world.turn(0, Mood::Slow(late));
         (0..10_000).for_each(|now| world.millisecond(now));
         prop_assert_eq!(world.heard, world.version, "{} ms late", late);
@@ -171,9 +171,9 @@
     fn an_asked_service_is_called_again_in_time_and_one_call_at_a_time(
         proxies in 1u32..400, seed in 0u64..1_000, silent_at in 0u64..60_000,
     ) {
-        let pacing = Pacing::new(proxies, Duration::from_secs(10), seed);
-        let mut world = World::new(Renewal::asked(pacing, Some(1)));
-        world.renewal.order(Time(0));
+        let pacing = CallSchedule::new(proxies, Duration::from_secs(10), seed);
+        let mut world = World::new(Subscription::polled(pacing, Some(1)));
+        world.renewal.request_updates(Time(0));
         let (mut wait_over, mut ordered) = (None, None);
         for now in 0..120_000 {
             if now == silent_at {
@@ -187,7 +187,7 @@
                 ordered = Some(now + 150); // the module's longest wait after its first loss
             }
             if ordered == Some(now) {
-                world.renewal.order(Time(now * MS));
+                world.renewal.request_updates(Time(now * MS));
             }
             if let Some(over) = wait_over {
                 if world.made > made {
@@ -203,7 +203,7 @@
 /// An agent that answers at once though it is to wait, with nothing, is not called without end.
 #[test]
 fn an_agent_that_never_waits_is_called_in_measure() {
-    let mut renewal = Renewal::pushed(GRACE, Some(3));
+    let mut renewal = Subscription::pushed(GRACE, Some(3));
     let mut calls = 0;
     for now in 0..1_000 {
         while let Step::Call(ask) = renewal.step(Time(now * MS)) {
@@ -217,14 +217,14 @@
 /// A version that is behind the one asked for is of another count: its changes are not for the list held.
 #[test]
 fn changes_of_another_count_are_not_taken_up() {
-    let mut renewal = Renewal::pushed(GRACE, Some(41));
+    let mut renewal = Subscription::pushed(GRACE, Some(41));
     let Step::Call(ask) = renewal.step(Time(0)) else { panic!("a call") };
     assert_eq!(ask.after, Some(41));
-    assert_eq!(renewal.answered(Time(1), ask.number, 5, false, true), Heard::Foreign);
+    assert_eq!(renewal.answered(Time(1), ask.number, 5, false, true), AnswerStatus::OutOfSync);
     let Step::Wait(until) = renewal.step(Time(1)) else { panic!("a pause") };
     let Step::Call(ask) = renewal.step(until) else { panic!("a call") };
     assert_eq!((ask.after, ask.wait), (None, Micros(0)), "the whole list");
-    assert_eq!(renewal.answered(until, ask.number, 5, true, true), Heard::Good);
+    assert_eq!(renewal.answered(until, ask.number, 5, true, true), AnswerStatus::Valid);
     let Step::Call(ask) = renewal.step(until + Micros(MS * 100)) else { panic!("a call") };
     assert_eq!(ask.after, Some(5));
 }
@@ -232,20 +232,22 @@
 /// The first answer is taken, from whichever call; what the others bring is none.
 #[test]
 fn one_answer_ends_all_calls() {
-    let mut renewal = Renewal::pushed(GRACE, Some(1));
+    let mut renewal = Subscription::pushed(GRACE, Some(1));
     let mut out = Vec::new();
     let mut now = 0;
     while out.len() < 3 {
         match renewal.step(Time(now)) {
             Step::Call(ask) => out.push(ask),
             Step::Wait(until) => now = until.0,
-            Step::Drop(number) => panic!("dropped {number}"),
+            Step::Abandon(number) => panic!("dropped {number}"),
         }
     }
     assert!(renewal.unanswered() > 0);
-    assert_eq!(renewal.answered(Time(now), out[1].number, 9, true, true), Heard::Good);
+    assert_eq!(renewal.answered(Time(now), out[1].number, 9, true, true), AnswerStatus::Valid);
     assert_eq!(renewal.unanswered(), 0);
     let dropped: Vec<Step> = (0..2).map(|_| renewal.step(Time(now))).collect();
-    assert!(dropped.contains(&Step::Drop(out[0].number)) && dropped.contains(&Step::Drop(out[2].number)));
-    assert_eq!(renewal.answered(Time(now), out[2].number, 8, true, true), Heard::Late);
+    assert!(
+        dropped.contains(&Step::Abandon(out[0].number)) && dropped.contains(&Step::Abandon(out[2].number))
+    );
+    assert_eq!(renewal.answered(Time(now), out[2].number, 8, true, true), AnswerStatus::Abandoned);
 }
--- a/crates/gaugesaddle/src/region/settings.rs
+++ b/crates/gaugesaddle/src/federation/settings.rs
@@ -1,16 +1,18 @@
 //! `[region]` of the operator's file: this region, the rule, and the others with their budgets.
 
+use crate::configuration::InvalidKey;
 use gaugesaddle_balancer::Micros;
 use gaugesaddle_federation::{is_valid_name, SpilloverMode, SpilloverThresholds, MAX_HOPS, MAX_REGIONS};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
 /// `[region]`. Wants a restart, but for `switch` and `exercise_percent`, which are taken up at SIGHUP.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Region {
+pub struct RegionSection {
     /// Whether there are other regions at all.
     pub enabled: bool,
     /// This region's name.
@@ -40,14 +42,14 @@
     /// When the local fleet counts as unable.
     pub rule: Rule,
     /// The others, the first asked first.
-    pub other: Vec<Other>,
+    pub other: Vec<OtherRegion>,
 }
 
-impl Default for Region {
-    fn default() -> Region {
+impl Default for RegionSection {
+    fn default() -> RegionSection {
         // One hop: a second region is a last resort, a third would answer too late. 10 ms: two turns of the module
         // at either side. A minute outlasts every deadline. 64 connections: two from each of 32 proxies.
-        Region {
+        RegionSection {
             enabled: false,
             name: String::new(),
             certificate_name: String::new(),
@@ -81,7 +83,7 @@
 
 impl SwitchKey {
     /// For the decisions.
-    pub fn switch(self) -> SpilloverMode {
+    pub fn mode(self) -> SpilloverMode {
         match self {
             SwitchKey::Auto => SpilloverMode::Auto,
             SwitchKey::Never => SpilloverMode::Never,
@@ -150,7 +152,7 @@
 /// `[[region.other]]`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Other {
+pub struct OtherRegion {
     /// Its name.
     pub name: String,
     /// The name in its certificate; empty: its name.
@@ -195,9 +197,9 @@
 }
 
 /// The most that a budget may hold: a log of a second's sends is kept.
-const MOST_PER_S: u32 = 100_000;
+const MAX_PER_S: u32 = 100_000;
 
-impl Region {
+impl RegionSection {
     /// The name in a certificate.
     pub fn own_certificate_name(&self) -> &str {
         if self.certificate_name.is_empty() {
@@ -207,139 +209,115 @@
         }
     }
 
-    /// File descriptors that it takes at most, out of the clients' part: two connections to each region, the listener,
-    /// what is let in, and three files while keys are read.
+    /// Maximum number of file descriptors, out of the clients': two connections to each region, the listener, connections of
+    /// others, and three files while keys are read.
     pub fn descriptors(&self) -> usize {
         2 * self.other.len() + 4 + self.listen.map_or(0, |_| self.connections as usize)
     }
 
-    /// The first key that can't be, and what was expected.
-    pub fn check(&self) -> Result<(), (String, String)> {
-        let flaw = |key: &str, expected: String| Err((format!("region.{key}"), expected));
-        let within = |key: &str, value: u32, least: u32, most: u32| {
-            if (least..=most).contains(&value) {
-                Ok(())
-            } else {
-                flaw(key, format!("expected {least} to {most}, got {value}"))
-            }
-        };
-        within("exercise_percent", self.exercise_percent, 0, 100)?;
-        within("hops", self.hops, 1, u32::from(MAX_HOPS))?;
-        within("margin_ms", self.margin_ms, 0, 1000)?;
-        within("drain_s", self.drain_s, 1, 3600)?;
-        within("connections", self.connections, 1, 1024)?;
+    /// Checks the section.
+    ///
+    /// # Errors
+    /// The first invalid key.
+    pub fn check(&self) -> Result<(), InvalidKey> {
+        check_range("exercise_percent", self.exercise_percent, 0..=100)?;
+        check_range("hops", self.hops, 1..=u32::from(MAX_HOPS))?;
+        check_range("margin_ms", self.margin_ms, 0..=1000)?;
+        check_range("drain_s", self.drain_s, 1..=3600)?;
+        check_range("connections", self.connections, 1..=1024)?;
         let rule = &self.rule;
-        within("rule.short_below_percent", rule.short_below_percent, 1, 100)?;
-        if !(rule.short_below_percent + 1..=200).contains(&rule.enough_from_percent) {
-            let least = rule.short_below_percent + 1;
-            let got = rule.enough_from_percent;
-            return flaw("rule.enough_from_percent", format!("expected {least} to 200, got {got}"));
-        }
+        check_range("rule.short_below_percent", rule.short_below_percent, 1..=100)?;
+        let enough = rule.short_below_percent + 1..=200;
+        check_range("rule.enough_from_percent", rule.enough_from_percent, enough)?;
         for (key, value) in [
             ("rule.enter_ms", rule.enter_ms),
             ("rule.leave_ms", rule.leave_ms),
             ("rule.relapse_ms", rule.relapse_ms),
             ("rule.return_ms", rule.return_ms),
         ] {
-            within(key, value, 1, 600_000)?;
+            check_range(key, value, 1..=600_000)?;
         }
-        if self.enabled {
-            self.check_names()?;
+        if !self.enabled {
+            return Ok(());
         }
-        Ok(())
+        self.check_own()?;
+        self.check_distinct()?;
+        self.other.iter().enumerate().try_for_each(|(i, other)| self.check_other(i, other))
     }
 
-    fn check_names(&self) -> Result<(), (String, String)> {
-        let flaw = |key: &str, expected: String| Err((format!("region.{key}"), expected));
-        const NAME: &str = "expected up to 32 lower-case letters, digits and inner hyphens";
-        if !is_valid_name(&self.name) {
-            return flaw("name", format!("{NAME}, got {:?}", self.name));
-        }
+    /// The name and the files of this region.
+    fn check_own(&self) -> Result<(), InvalidKey> {
+        check_name("name", &self.name)?;
         for (key, path) in [("certificate", &self.certificate), ("key", &self.key), ("trust", &self.trust)] {
             if !path.is_absolute() {
-                return flaw(key, format!("expected an absolute path, got {path:?}"));
+                return invalid(key, format!("expected an absolute path, got {path:?}"));
             }
         }
-        if !(1..MAX_REGIONS).contains(&self.other.len()) {
-            let got = self.other.len();
-            return flaw("other", format!("expected 1 to {} other regions, got {got}", MAX_REGIONS - 1));
+        let (others, max) = (self.other.len(), MAX_REGIONS - 1);
+        if !(1..=max).contains(&others) {
+            return invalid("other", format!("expected 1 to {max} other regions, got {others}"));
         }
+        Ok(())
+    }
+
+    /// Names, certificates and addresses must be those of one region only.
+    fn check_distinct(&self) -> Result<(), InvalidKey> {
         let (mut names, mut addresses) = (BTreeSet::new(), BTreeSet::new());
         let mut certificates = BTreeSet::from([self.own_certificate_name()]);
         for (i, other) in self.other.iter().enumerate() {
             let key = |name: &str| format!("other.{i}.{name}");
-            if !is_valid_name(&other.name) {
-                return flaw(&key("name"), format!("{NAME}, got {:?}", other.name));
-            }
+            check_name(&key("name"), &other.name)?;
             if other.name == self.name {
-                return flaw(
-                    &key("name"),
-                    format!("expected another region than this one, got {:?}", other.name),
-                );
+                let finding = format!("expected another region than this one, got {:?}", other.name);
+                return invalid(&key("name"), finding);
             }
             if !names.insert(&other.name) {
-                return flaw(&key("name"), format!("expected each region once, got {:?} twice", other.name));
+                let finding = format!("expected each region once, got {:?} twice", other.name);
+                return invalid(&key("name"), finding);
             }
             let certificate = other.certificate_name();
             if !certificates.insert(certificate) {
-                let what =
-                    format!("expected a name that no other region's certificate has, got {certificate:?}");
-                return flaw(&key("certificate_name"), what);
+                let expected = "expected a name that no other region's certificate has";
+                return invalid(&key("certificate_name"), format!("{expected}, got {certificate:?}"));
             }
             for address in &other.addresses {
                 if !addresses.insert(address) || Some(*address) == self.listen {
-                    return flaw(
-                        &key("addresses"),
-                        format!("expected addresses of no other region, got {address}"),
-                    );
-                }
-            }
-            if other.round_trip_ms == 0 || other.round_trip_ms > 10_000 {
-                let got = other.round_trip_ms;
-                return flaw(&key("round_trip_ms"), format!("expected 1 to 10000, got {got}"));
-            }
-            for (name, allowed, needed) in [
-                ("send", &other.send, !other.addresses.is_empty()),
-                ("take", &other.take, self.listen.is_some()),
-            ] {
-                if allowed.is_none() && !needed {
-                    continue;
-                }
-                let bound = |what: &str, value: u32, least: u32| {
-                    if (least..=MOST_PER_S).contains(&value) {
-                        Ok(())
-                    } else {
-                        flaw(
-                            &key(&format!("{name}.{what}")),
-                            format!("expected {least} to {MOST_PER_S}, got {value}"),
-                        )
-                    }
-                };
-                bound("per_s", allowed.per_s, 1)?;
-                bound("burst", allowed.burst, 0)?;
-                bound("in_flight", allowed.in_flight, 1)?;
-                for (class, per_s) in &allowed.classes {
-                    bound(&format!("classes.{class}"), *per_s, 1)?;
+                    let finding = format!("expected addresses of no other region, got {address}");
+                    return invalid(&key("addresses"), finding);
                 }
             }
         }
         Ok(())
     }
 
-    /// What can be told only beside the platform's settings: the classes' names and the number of proxies.
-    pub fn check_with(&self, classes: &[String], proxies: u32) -> Result<(), (String, String)> {
+    /// The numbers of another region.
+    fn check_other(&self, i: usize, other: &OtherRegion) -> Result<(), InvalidKey> {
+        check_range(&format!("other.{i}.round_trip_ms"), other.round_trip_ms, 1..=10_000)?;
+        if !other.send.is_none() || !other.addresses.is_empty() {
+            other.send.check(&format!("other.{i}.send"))?;
+        }
+        if !other.take.is_none() || self.listen.is_some() {
+            other.take.check(&format!("other.{i}.take"))?;
+        }
+        Ok(())
+    }
+
+    /// Checks what depends on the platform's settings: the classes' names and the number of proxies.
+    ///
+    /// # Errors
+    /// The first invalid key.
+    pub fn check_with(&self, classes: &[String], proxies: u32) -> Result<(), InvalidKey> {
         for (i, other) in self.other.iter().enumerate() {
-            for (name, allowed) in [("send", &other.send), ("take", &other.take)] {
-                let key = |what: &str| format!("region.other.{i}.{name}.{what}");
-                if let Some(class) = allowed.classes.keys().find(|c| !classes.contains(c)) {
+            for (name, allowance) in [("send", &other.send), ("take", &other.take)] {
+                let key = |field: &str| format!("other.{i}.{name}.{field}");
+                if let Some(class) = allowance.classes.keys().find(|class| !classes.contains(class)) {
                     let known = classes.join(", ");
-                    return Err((key(&format!("classes.{class}")), format!("expected one of {known}")));
+                    return invalid(&key(&format!("classes.{class}")), format!("expected one of {known}"));
                 }
-                // Places in flight cannot be dealt out in turns: one that is taken stays taken.
-                if !allowed.is_none() && allowed.in_flight < proxies {
-                    let got = allowed.in_flight;
-                    let what = format!("expected one for each of the {proxies} proxies at least, got {got}");
-                    return Err((key("in_flight"), what));
+                // Requests in flight cannot be rotated among proxies: one that is in flight stays there.
+                if !allowance.is_none() && allowance.in_flight < proxies {
+                    let expected = format!("expected one for each of the {proxies} proxies at least");
+                    return invalid(&key("in_flight"), format!("{expected}, got {}", allowance.in_flight));
                 }
             }
         }
@@ -347,7 +325,39 @@
     }
 }
 
-impl Other {
+impl Allowance {
+    /// Checks the ranges of the budget at `key`.
+    fn check(&self, key: &str) -> Result<(), InvalidKey> {
+        check_range(&format!("{key}.per_s"), self.per_s, 1..=MAX_PER_S)?;
+        check_range(&format!("{key}.burst"), self.burst, 0..=MAX_PER_S)?;
+        check_range(&format!("{key}.in_flight"), self.in_flight, 1..=MAX_PER_S)?;
+        let mut classes = self.classes.iter();
+        classes.try_for_each(|(class, per_s)| {
+            check_range(&format!("{key}.classes.{class}"), *per_s, 1..=MAX_PER_S)
+        })
+    }
+}
+
+/// A finding at a key of `[region]`.
+fn invalid(key: &str, finding: String) -> Result<(), InvalidKey> {
+    Err(InvalidKey::new(format!("region.{key}"), finding))
+}
+
+fn check_range(key: &str, value: u32, range: RangeInclusive<u32>) -> Result<(), InvalidKey> {
+    if range.contains(&value) {
+        return Ok(());
+    }
+    invalid(key, format!("expected {} to {}, got {value}", range.start(), range.end()))
+}
+
+fn check_name(key: &str, name: &str) -> Result<(), InvalidKey> {
+    if is_valid_name(name) {
+        return Ok(());
+    }
+    invalid(key, format!("expected up to 32 lower-case letters, digits and inner hyphens, got {name:?}"))
+}
+
+impl OtherRegion {
     /// The name in its certificate.
     pub fn certificate_name(&self) -> &str {
         if self.certificate_name.is_empty() {
--- a/crates/gaugesaddle/src/region/tls.rs
+++ b/crates/gaugesaddle/src/federation/tls.rs
@@ -1,6 +1,6 @@
-//! Certificates, keys and trust anchors: read, judged, and taken into use while others serve.
+//! Reads certificates, keys and trust anchors, and makes TLS configurations of them.
 
-use super::settings::{Other, Region};
+use super::settings::{OtherRegion, RegionSection};
 use gaugesaddle_balancer::Time;
 use gaugesaddle_federation::credentials::{check, CredentialError, CredentialFacts};
 use rustls::client::Resumption;
@@ -15,67 +15,70 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// A larger file is no certificate of ours.
-const FILE_BYTES: u64 = 1 << 20;
-/// Certificates in one file.
-const MOST: usize = 64;
+/// Maximum size of a file.
+const MAX_FILE_BYTES: u64 = 1 << 20;
+/// Maximum number of certificates in one file.
+const MAX_CERTIFICATES: usize = 64;
 
-/// Why a set of files can't be used.
+/// Why a set of files cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyError {
-    /// It can't be read.
-    #[error("region.{key}: expected a readable file of up to {FILE_BYTES} bytes, got {file}: {source}")]
+    /// A file cannot be read.
+    #[error("region.{key}: expected a readable file of up to {MAX_FILE_BYTES} bytes, got {file}: {source}")]
     Read {
         /// The key of the operator's file.
         key: &'static str,
         /// The file.
         file: String,
-        /// What the system said.
+        /// The error of the system.
         source: std::io::Error,
     },
-    /// It is not what it should be. What is in it is not told: it may be a secret.
+    /// A file has other contents than expected. They are not shown: they may be a secret.
     #[error("region.{key}: expected {expected} in PEM in {file}")]
-    Form {
+    Contents {
         /// The key of the operator's file.
         key: &'static str,
-        /// What should be there.
+        /// What was expected.
         expected: &'static str,
         /// The file.
         file: String,
     },
-    /// Each file is sound, and together they are not.
+    /// The files do not fit together, or not this region.
     #[error("region.{0}")]
-    Unfit(CredentialError),
-    /// The library would not have it.
+    Unfit(#[source] CredentialError),
+    /// The TLS library rejects them.
     #[error("region.{key}: {source}")]
     Library {
         /// The key of the operator's file.
         key: &'static str,
-        /// What it said.
+        /// The error of the library.
         source: rustls::Error,
     },
 }
 
-/// A set of keys in use.
+/// Certificate, key and trust anchors, ready for use.
 pub struct Identity {
     /// For connections from other regions.
     pub server: Arc<ServerConfig>,
     /// For connections to them.
     pub client: Arc<ClientConfig>,
-    /// When the certificate ends.
-    pub ends: Time,
+    /// When the certificate expires.
+    pub valid_until: Time,
 }
 
-/// What tells one state of a file from another.
+/// Inode, modification time (seconds, nanoseconds) and size of a file; zeroes where it does not exist.
+type FileVersion = (u64, i64, i64, u64);
+
+/// The versions of the three files: it changes when one of them is replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stamp([(u64, i64, i64, u64); 3]);
+pub struct FileStamp([FileVersion; 3]);
 
-/// The present state of the three files; of one that is not there, zeroes.
-pub fn stamp(settings: &Region) -> Stamp {
+/// The present versions of the three files.
+pub fn stamp(settings: &RegionSection) -> FileStamp {
     let of = |path: &Path| {
         std::fs::metadata(path).map_or((0, 0, 0, 0), |m| (m.ino(), m.mtime(), m.mtime_nsec(), m.len()))
     };
-    Stamp([of(&settings.certificate), of(&settings.key), of(&settings.trust)])
+    FileStamp([of(&settings.certificate), of(&settings.key), of(&settings.trust)])
 }
 
 fn read(key: &'static str, path: &Path) -> Result<(Vec<u8>, u32), KeyError> {
@@ -83,63 +86,67 @@
     let file = std::fs::File::open(path).map_err(fail)?;
     let mode = file.metadata().map_err(fail)?.permissions().mode();
     let mut bytes = Vec::new();
-    file.take(FILE_BYTES + 1).read_to_end(&mut bytes).map_err(fail)?;
-    if bytes.len() as u64 > FILE_BYTES {
+    file.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes).map_err(fail)?;
+    if bytes.len() as u64 > MAX_FILE_BYTES {
         return Err(fail(std::io::Error::other("too large")));
     }
     Ok((bytes, mode))
 }
 
-/// The bytes of a file, and which it is.
-struct Text<'a> {
+/// A file that was read.
+struct KeyFile<'a> {
     key: &'static str,
     path: &'a Path,
     bytes: Vec<u8>,
     mode: u32,
 }
 
-impl Text<'_> {
-    fn read<'a>(key: &'static str, path: &'a Path) -> Result<Text<'a>, KeyError> {
-        read(key, path).map(|(bytes, mode)| Text { key, path, bytes, mode })
+impl KeyFile<'_> {
+    fn read<'a>(key: &'static str, path: &'a Path) -> Result<KeyFile<'a>, KeyError> {
+        read(key, path).map(|(bytes, mode)| KeyFile { key, path, bytes, mode })
     }
 }
 
-fn certificates(text: &Text) -> Result<Vec<CertificateDer<'static>>, KeyError> {
-    let Text { key, path, bytes, .. } = text;
-    let fail = || KeyError::Form { key, expected: "whole certificates", file: path.display().to_string() };
-    let found: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(bytes).take(MOST).collect();
-    // A file that is cut off in the middle ends without its last line, and that is no certificate.
+fn certificates(file: &KeyFile) -> Result<Vec<CertificateDer<'static>>, KeyError> {
+    let KeyFile { key, path, bytes, .. } = file;
+    let fail =
+        || KeyError::Contents { key, expected: "whole certificates", file: path.display().to_string() };
+    let found: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(bytes).take(MAX_CERTIFICATES).collect();
+    // A truncated file lacks the last line of a certificate, which is skipped then.
     let begun = bytes.windows(27).filter(|w| w == b"-----BEGIN CERTIFICATE-----").count();
-    found.ok().filter(|f| f.len() == begun.min(MOST)).ok_or_else(fail)
+    found.ok().filter(|f| f.len() == begun.min(MAX_CERTIFICATES)).ok_or_else(fail)
 }
 
-/// Whether a certificate was made out to that name.
+/// Whether a certificate is valid for that name.
 pub fn is_for(certificate: &CertificateDer, name: &str) -> bool {
     let Ok(name) = ServerName::try_from(name) else { return false };
     webpki::EndEntityCert::try_from(certificate)
         .is_ok_and(|c| c.verify_is_valid_for_subject_name(&name).is_ok())
 }
 
-/// Which of the other regions a peer is, by the certificate that it proved to hold.
-pub fn region_of(certificate: &CertificateDer, others: &[Other]) -> Option<usize> {
+/// Index of the region whose certificate a peer has proven to hold.
+pub fn region_of(certificate: &CertificateDer, others: &[OtherRegion]) -> Option<usize> {
     let mut found = (0..others.len()).filter(|i| is_for(certificate, others[*i].certificate_name()));
-    // One that was made out to two regions could speak for either.
+    // One that is valid for two regions identifies neither.
     found.next().filter(|_| found.next().is_none())
 }
 
-/// Reads the three files and judges them.
-pub fn load(settings: &Region, now: Time) -> Result<Identity, KeyError> {
-    let certificate = Text::read("certificate", &settings.certificate)?;
-    let trust = Text::read("trust", &settings.trust)?;
-    assemble(settings.own_certificate_name(), certificate, Text::read("key", &settings.key)?, trust, now)
+/// Reads and checks the three files.
+///
+/// # Errors
+/// A file cannot be read, or they do not fit together or to this region.
+pub fn load(settings: &RegionSection, now: Time) -> Result<Identity, KeyError> {
+    let certificate = KeyFile::read("certificate", &settings.certificate)?;
+    let trust = KeyFile::read("trust", &settings.trust)?;
+    assemble(settings.own_certificate_name(), certificate, KeyFile::read("key", &settings.key)?, trust, now)
 }
 
-/// The same of what stands in them.
+/// The same of files that were read.
 fn assemble(
-    own_name: &str, certificate: Text, key: Text, trust: Text, now: Time,
+    own_name: &str, certificate: KeyFile, key: KeyFile, trust: KeyFile, now: Time,
 ) -> Result<Identity, KeyError> {
     let (chain, anchors, mode) = (certificates(&certificate)?, certificates(&trust)?, key.mode);
-    let key = PrivateKeyDer::from_pem_slice(&key.bytes).map_err(|_| KeyError::Form {
+    let key = PrivateKeyDer::from_pem_slice(&key.bytes).map_err(|_| KeyError::Contents {
         key: "key",
         expected: "a private key",
         file: key.path.display().to_string(),
@@ -182,13 +189,13 @@
         .map_err(library("certificate"))?
         .with_root_certificates(roots)
         .with_client_cert_resolver(resolver);
-    // A resumed session would go by the trust of the day when it began.
+    // A resumed session would rest on the trust anchors of when it began.
     server.session_storage = Arc::new(NoServerSessionStorage {});
     server.send_tls13_tickets = 0;
     client.resumption = Resumption::disabled();
     server.alpn_protocols = vec![b"h2".to_vec()];
     client.alpn_protocols = vec![b"h2".to_vec()];
-    Ok(Identity { server: Arc::new(server), client: Arc::new(client), ends: facts.valid_until })
+    Ok(Identity { server: Arc::new(server), client: Arc::new(client), valid_until: facts.valid_until })
 }
 
 #[cfg(test)]
--- a/crates/gaugesaddle/src/region/tls/tests.rs
+++ b/crates/gaugesaddle/src/federation/tls/tests.rs
@@ -6,7 +6,7 @@
 
 fn try_all(certificate: &[u8], key: &[u8], trust: &[u8], now: Time) -> Result<Identity, KeyError> {
     let path = Path::new("/x");
-    let text = |key, bytes: &[u8]| Text { key, path, bytes: bytes.to_vec(), mode: 0o600 };
+    let text = |key, bytes: &[u8]| KeyFile { key, path, bytes: bytes.to_vec(), mode: 0o600 };
     assemble("north", text("certificate", certificate), text("key", key), text("trust", trust), now)
 }
 
--- a/crates/gaugesaddle/src/lib.rs
+++ b/crates/gaugesaddle/src/lib.rs
@@ -1,42 +1,32 @@
-//! The proxy `gaugesaddle`: HTTP/1.1 in front of a fleet of servers, every decision the module `gaugesaddle_balancer`'s.
+//! The proxy `gaugesaddle`: HTTP/1.1 in front of a fleet of backends. Every decision is made by `gaugesaddle_balancer`.
 //!
-//! Arrows run one way: fronts (`server`) and upstreams (`upstream`) know the types of `exchange` and never each
-//! other; the `driver` owns the module, the requests and their attempts; `discovery` tells the list. The
-//! [`registry`] is counted in by driver and fronts, and read by every exit. [`operator`] is the operator's file,
-//! `config` the platform's.
+//! - `serving` is the request path, from a client's socket to a backend's and back.
+//! - `discovery` keeps the list of backends up to date.
+//! - `membership` (the proxies of one tier) and `federation` (other regions) are optional.
+//! - `operations` is what operators see and do: [`registry`], [`state`], the admin interface, hot restarts.
+//! - `configuration` reads the platform's file and the operator's ([`operator`]).
+//! - `application` builds all of it, and ends it in order.
 //!
-//! Bounds: connections and sockets by the told number of descriptors, bodies by a quarter of the told memory and
-//! 64 KiB each, open requests by `open_cap`, rows of the registry by the list.
+//! Dependencies run one way: the server of clients and the upstreams know the types of `serving::exchange` and never each
+//! other; the driver owns the balancer, the requests and their attempts.
+//!
+//! # Bounds
+//!
+//! Connections and sockets are limited by the configured number of descriptors, bodies by a quarter of the configured memory
+//! and 64 KiB each, open requests by `open_cap`, rows of the registry by the list.
 
-mod admin;
-mod app;
-mod backend_set;
-mod body;
+mod application;
 pub mod cli;
 mod clock;
-mod config;
+mod configuration;
 mod discovery;
-mod driver;
 mod error;
-mod exchange;
-mod failover;
-mod form;
-mod hot_restart;
-pub mod operator;
-mod pacing;
-mod peers;
-mod region;
-pub mod registry;
-mod renewal;
-mod seam;
-mod server;
-mod shares;
-mod snapshot;
-pub mod state;
-mod storm;
+mod federation;
+mod membership;
+mod operations;
+mod serving;
 pub mod table;
-mod tally;
-mod tap;
-mod upstream;
 
+pub use configuration::operator;
 pub use error::Error;
+pub use operations::{registry, state_socket as state};
--- a/crates/gaugesaddle/src/peers/mod.rs
+++ b/crates/gaugesaddle/src/membership.rs
@@ -6,12 +6,14 @@
 //!   exchange messages with other proxies through it.
 //! - [`PeerWatch`] measures this proxy's own signals and publishes them.
 
+pub mod allocation;
 mod error;
 mod key;
 pub mod settings;
 mod state;
 mod tier;
 mod watch;
+pub mod zones;
 
 use gaugesaddle_balancer::{Micros, Time};
 use gaugesaddle_membership::Signals;
--- a/crates/gaugesaddle/src/peers/settings.rs
+++ b/crates/gaugesaddle/src/membership/settings.rs
@@ -2,6 +2,7 @@
 
 use super::error::PeersError;
 use super::key::read_key;
+use crate::configuration::InvalidKey;
 use gaugesaddle_balancer::Micros;
 use gaugesaddle_membership::{Settings, MAX_MEMBERS};
 use serde::Deserialize;
@@ -12,7 +13,7 @@
 /// The section `[peers]`. A change requires a restart.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Peers {
+pub struct PeersSection {
     /// Whether this proxy takes part in the membership.
     pub enabled: bool,
     /// The address of its socket; by default the platform's `peer_listen`.
@@ -45,11 +46,11 @@
     pub forget_s: u32,
 }
 
-impl Default for Peers {
-    fn default() -> Peers {
+impl Default for PeersSection {
+    fn default() -> PeersSection {
         let defaults = Settings::default();
         let ms = |time: Micros| (time.0 / 1000) as u32;
-        Peers {
+        PeersSection {
             enabled: false,
             listen: None,
             addresses: Vec::new(),
@@ -69,7 +70,7 @@
     }
 }
 
-impl Peers {
+impl PeersSection {
     /// The settings of the membership.
     pub fn settings(&self) -> Settings {
         let ms = |value: u32| Micros(u64::from(value) * 1000);
@@ -89,9 +90,9 @@
     /// Checks the section.
     ///
     /// # Errors
-    /// The first invalid key: its path and what was expected.
-    pub fn check(&self) -> Result<(), (String, String)> {
-        let invalid = |key: &str, expected: String| Err((format!("peers.{key}"), expected));
+    /// The first invalid key.
+    pub fn check(&self) -> Result<(), InvalidKey> {
+        let invalid = |key: &str, finding: String| Err(InvalidKey::new(format!("peers.{key}"), finding));
         if let Err(e) = self.settings().check() {
             return invalid(e.field, format!("expected {}", e.expected));
         }
--- a/crates/gaugesaddle/src/peers/state.rs
+++ b/crates/gaugesaddle/src/membership/state.rs
@@ -1,7 +1,7 @@
 //! The tier in the published state. Its field names are read by operators' tools and keep their words.
 
 use super::Tier;
-use crate::registry::{PeerRow, PeersView, Totalled};
+use crate::operations::registry::{MemberRow, MembershipView, SignalTotals};
 use gaugesaddle_balancer::{Micros, Time};
 use gaugesaddle_membership::{MemberView, PartitionStatus, Totals};
 
@@ -10,13 +10,13 @@
 
 impl Tier {
     /// The published state of the tier.
-    pub fn view(&self, now: Time) -> PeersView {
+    pub fn view(&self, now: Time) -> MembershipView {
         let membership = self.membership.borrow();
         let view = membership.view(now);
         let counters = membership.counters();
         let own_index = membership.own_index();
         let members = membership.members(now);
-        PeersView {
+        MembershipView {
             place: own_index,
             boot: boot_name(membership.local_member().boot.0),
             told: view.configured,
@@ -50,12 +50,12 @@
         }
     }
 
-    fn totals(&self, now: Time) -> Totalled {
+    fn totals(&self, now: Time) -> SignalTotals {
         let membership = self.membership.borrow();
         let stale_after = Micros(self.publish_interval.0 * STALE_INTERVALS);
         let live = membership.live_members();
         let totals = Totals::sum(now, stale_after, live.into_iter().map(|index| membership.record(index)));
-        Totalled {
+        SignalTotals {
             told: totals.reporting,
             older: totals.stale,
             older_than_us: stale_after.0,
@@ -67,8 +67,8 @@
     }
 }
 
-fn row(member: MemberView, own_index: u16) -> PeerRow {
-    PeerRow {
+fn row(member: MemberView, own_index: u16) -> MemberRow {
+    MemberRow {
         place: member.index,
         address: member.address.to_string(),
         name: member.name,
--- a/crates/gaugesaddle/src/peers/tier.rs
+++ b/crates/gaugesaddle/src/membership/tier.rs
@@ -1,7 +1,7 @@
 //! This proxy's membership with its socket.
 
 use super::error::PeersError;
-use super::settings::Peers;
+use super::settings::PeersSection;
 use super::{
     LiveMembers, LocalIdentity, LocalProxy, MemberReport, MessageHandler, OutgoingMessage, Platform,
 };
@@ -55,7 +55,7 @@
 impl MemberList {
     /// The list of the file, if it has one; otherwise that of the platform.
     fn resolve(
-        section: &Peers, platform: Option<Platform>, local: &LocalProxy,
+        section: &PeersSection, platform: Option<Platform>, local: &LocalProxy,
     ) -> Result<MemberList, PeersError> {
         let is_in_file = !section.addresses.is_empty();
         let platform = platform.filter(|_| !is_in_file).unwrap_or_default();
@@ -82,7 +82,8 @@
     /// # Errors
     /// The configuration is incomplete or invalid, or the key file cannot be used.
     pub fn new(
-        section: &Peers, platform: Option<Platform>, local: LocalProxy, classes: &[String], clock: Clock,
+        section: &PeersSection, platform: Option<Platform>, local: LocalProxy, classes: &[String],
+        clock: Clock,
     ) -> Result<Rc<Tier>, PeersError> {
         let list = MemberList::resolve(section, platform, &local)?;
         let auth = match section.secret()? {
--- a/crates/gaugesaddle/src/peers/watch.rs
+++ b/crates/gaugesaddle/src/membership/watch.rs
@@ -2,9 +2,9 @@
 //! each zone from the balancer.
 
 use super::Tier;
-use crate::exchange::Arrived;
-use crate::registry::{End, Registry};
-use crate::seam::Subsystem;
+use crate::operations::registry::{Registry, RequestEnd};
+use crate::serving::exchange::NewRequest;
+use crate::serving::extension::Extension;
 use gaugesaddle_allocation::{DemandEstimator, RateEstimator};
 use gaugesaddle_balancer::{Arrival, Balancer, ClassId, Event, Time, ZoneId};
 use gaugesaddle_membership::{Signals, ZoneSignal};
@@ -98,8 +98,8 @@
     }
 }
 
-impl Subsystem for PeerWatch {
-    fn turn(&mut self, now: Time, balancer: &Balancer, _: &mut Vec<Event>) {
+impl Extension for PeerWatch {
+    fn poll(&mut self, now: Time, balancer: &Balancer, _: &mut Vec<Event>) {
         if now < self.next {
             return;
         }
@@ -112,19 +112,19 @@
         }
     }
 
-    fn arrived(&mut self, _: Time, new: &Arrived, _: &mut Arrival) {
+    fn on_arrival(&mut self, _: Time, new: &NewRequest, _: &mut Arrival) {
         if let Some(class) = self.arrivals.get_mut(new.class.0) {
             class.increment();
         }
     }
 
-    fn answered(&mut self, _: ClassId, end: End) {
-        if end.gave_up() {
+    fn on_request_end(&mut self, _: ClassId, end: RequestEnd) {
+        if end.is_unserved() {
             self.rejected.increment();
         }
     }
 
-    fn wake(&self) -> Time {
+    fn wake_at(&self) -> Time {
         self.next
     }
 }
--- a/crates/gaugesaddle/src/admin.rs
+++ b/crates/gaugesaddle/src/operations/admin.rs
@@ -1,11 +1,11 @@
 //! The operators' HTTP interface of a running proxy (`admin` in the platform's document). One call to a connection; every
 //! call is answered from memory, so none waits for anything but the driver's next turn.
 
-use crate::backend_set::CommandOrigin;
 use crate::clock::Clock;
-use crate::exchange::Input;
-use crate::hot_restart::HotRestart;
-use crate::registry::Registry;
+use crate::discovery::backend_set::CommandOrigin;
+use crate::operations::hot_restart::HotRestart;
+use crate::operations::registry::Registry;
+use crate::serving::exchange::Input;
 use bytes::Bytes;
 use gaugesaddle_maintenance::{CommandOutcome, HandoverMessage, MaintenanceCommand, Phase};
 use http_body_util::Full;
@@ -92,7 +92,7 @@
             (&Method::PUT, "/api/exclude") => self.apply(request, MaintenanceCommand::Exclude).await,
             (&Method::PUT, "/api/include") => self.apply(request, MaintenanceCommand::Include).await,
             (&Method::PUT, "/api/evacuate") => {
-                let drained = self.registry.change(|l| {
+                let drained = self.registry.update_lifecycle(|l| {
                     l.drain(now);
                     matches!(l.phase(), Phase::Draining { .. })
                 });
@@ -104,7 +104,7 @@
                 }
             }
             (&Method::PUT, "/api/rejoin") => {
-                let back = self.registry.change(gaugesaddle_maintenance::Lifecycle::rejoin);
+                let back = self.registry.update_lifecycle(gaugesaddle_maintenance::Lifecycle::rejoin);
                 tracing::info!(back, "rejoin requested");
                 if back {
                     OK
--- a/crates/gaugesaddle/src/tally.rs
+++ b/crates/gaugesaddle/src/operations/event_counters.rs
@@ -1,11 +1,11 @@
-//! Why client connections were closed and requests were not served: one counter a reason, kept here only, told
-//! in the log at most once a second each.
+//! Why client connections were closed and requests were not served: one counter for each reason, logged at most once a
+//! second each.
 
 use gaugesaddle_balancer::{Micros, Time};
 use std::cell::{Cell, RefCell};
 
-/// A line of the log for the same reason follows after this time at the earliest.
-const TOLD_EVERY: Micros = Micros(1_000_000);
+/// Minimum time between two log lines for the same reason.
+const LOG_INTERVAL: Micros = Micros(1_000_000);
 
 macro_rules! reasons {
     ($($(#[$doc:meta])* $name:ident = $text:literal;)*) => {
@@ -19,8 +19,8 @@
 }
 
 impl Reason {
-    /// It was closed so that others have its place, at rest or just refused: the place is theirs at once.
-    pub fn makes_room(self) -> bool {
+    /// Whether a connection was closed so that others can be served: without waiting for its client.
+    pub fn frees_slot(self) -> bool {
         use Reason::*;
         matches!(self, ClosedIdle | ClosedAhead | ClosedForRoom | ClosedStorm)
     }
@@ -29,71 +29,74 @@
 reasons! {
     /// Its client closed it, or asked for it to be closed.
     ClosedByClient = "closed: by its client";
-    /// It brought what can't be read.
+    /// Its bytes are no HTTP.
     ClosedUnreadable = "closed: can't be read";
-    /// It brought no request in its time.
+    /// No request was received in time.
     ClosedUnasked = "closed: no request in time";
-    /// It stood between requests for too long.
+    /// It was idle for too long.
     ClosedIdle = "closed: idle";
-    /// More stood between requests than are kept; nothing was short yet.
+    /// More connections were idle than are kept; no limit was reached yet.
     ClosedAhead = "closed: too many idle";
-    /// All places were taken: it had been asked on before.
+    /// All connections were in use: it was idle after a request.
     ClosedForRoom = "closed: for room, idle";
-    /// All places were taken: it had brought nothing.
+    /// All connections were in use: it had received nothing.
     ClosedForRoomUnasked = "closed: for room, no request yet";
-    /// All places were taken: its request was not there whole.
+    /// All connections were in use: its request was incomplete.
     ClosedForRoomReading = "closed: for room, half a request";
-    /// A storm: its request was refused and places are short.
+    /// In a retry storm its request was rejected and connections are scarce.
     ClosedStorm = "closed: refused in a storm";
-    /// A request on it could not be used.
+    /// A request on it was invalid.
     ClosedWrong = "closed: after a wrong request";
     /// The proxy is ending.
     ClosedStopping = "closed: the proxy ends";
-    /// The operators send the proxy's clients elsewhere.
+    /// The operators drain the proxy.
     ClosedDraining = "closed: the proxy drains";
-    /// An answer was owed on it and its client had left.
+    /// Its client disconnected before its answer.
     ClosedLeft = "closed: left before its answer";
-    /// The accept itself failed: no connection came of it.
+    /// The accept itself failed.
     AcceptFailed = "accept: failed";
     /// 503: more requests open than the settings allow.
     RefusedOpenCap = "refused: open_cap";
-    /// 503: by the module.
+    /// 503: by the balancer.
     RefusedModule = "refused: by the module";
-    /// 503: the bodies of open requests take all their memory.
+    /// 503: the bodies of open requests use all their memory.
     RefusedBodies = "refused: memory of bodies";
-    /// 502: by the module, or its deadline had passed.
+    /// 502: by the balancer, or its deadline had passed.
     Failed = "failed";
-    /// 400: the request's form.
+    /// 400: the request's head.
     WrongForm = "wrong: form";
-    /// 411 or 413: the way in which the body is framed.
+    /// 411 or 413: the framing of the body.
     WrongFraming = "wrong: framing";
-    /// 408 or 400: the body did not come whole.
+    /// 408 or 400: the body is incomplete.
     WrongBody = "wrong: body not whole";
     /// 409: the id of an open request.
     WrongId = "wrong: id of an open request";
 }
 
 #[derive(Clone, Copy, Default)]
-struct Row {
+struct Counter {
     count: u64,
-    /// Of these so many have been told, and when.
-    told: (u64, Time),
+    /// How many of these were logged, and when.
+    logged: (u64, Time),
 }
 
 /// The counters.
-pub struct Tally {
-    rows: RefCell<[Row; TEXTS.len()]>,
-    untold: Cell<bool>,
+pub struct EventCounters {
+    rows: RefCell<[Counter; TEXTS.len()]>,
+    has_unlogged: Cell<bool>,
 }
 
-impl Tally {
-    pub fn new() -> Tally {
-        Tally { rows: RefCell::new([Row::default(); TEXTS.len()]), untold: Cell::new(false) }
+impl EventCounters {
+    pub fn new() -> EventCounters {
+        EventCounters {
+            rows: RefCell::new([Counter::default(); TEXTS.len()]),
+            has_unlogged: Cell::new(false),
+        }
     }
 
     pub fn count(&self, reason: Reason) {
         self.rows.borrow_mut()[reason as usize].count += 1;
-        self.untold.set(true);
+        self.has_unlogged.set(true);
     }
 
     #[cfg(test)]
@@ -107,24 +110,24 @@
     }
 
     /// What is due to be told: every reason that has counted since and was not told within the last second.
-    pub fn due(&self, now: Time) -> Option<String> {
-        if !self.untold.get() {
+    pub fn take_line(&self, now: Time) -> Option<String> {
+        if !self.has_unlogged.get() {
             return None;
         }
         let (mut parts, mut left) = (Vec::new(), false);
         for (row, text) in self.rows.borrow_mut().iter_mut().zip(TEXTS) {
-            let more = row.count - row.told.0;
+            let more = row.count - row.logged.0;
             if more == 0 {
                 continue;
             }
-            if row.told.0 > 0 && now - row.told.1 < TOLD_EVERY {
+            if row.logged.0 > 0 && now - row.logged.1 < LOG_INTERVAL {
                 left = true;
                 continue;
             }
-            row.told = (row.count, now);
+            row.logged = (row.count, now);
             parts.push(format!("{text} +{more} ({})", row.count));
         }
-        self.untold.set(left);
+        self.has_unlogged.set(left);
         (!parts.is_empty()).then(|| parts.join("; "))
     }
 }
--- a/crates/gaugesaddle/src/tally/tests.rs
+++ b/crates/gaugesaddle/src/operations/event_counters/tests.rs
@@ -2,18 +2,18 @@
 
 #[test]
 fn a_reason_is_told_once_a_second_and_loses_no_count() {
-    let tally = Tally::new();
+    let tally = EventCounters::new();
     let at = |ms: u64| Time(1_000_000_000 + ms * 1000);
-    assert_eq!(tally.due(at(0)), None);
+    assert_eq!(tally.take_line(at(0)), None);
     tally.count(Reason::ClosedIdle);
-    assert_eq!(tally.due(at(0)).as_deref(), Some("closed: idle +1 (1)"));
+    assert_eq!(tally.take_line(at(0)).as_deref(), Some("closed: idle +1 (1)"));
     tally.count(Reason::ClosedIdle);
     tally.count(Reason::Failed);
-    assert_eq!(tally.due(at(500)).as_deref(), Some("failed +1 (1)"), "the other within its second");
+    assert_eq!(tally.take_line(at(500)).as_deref(), Some("failed +1 (1)"), "the other within its second");
     tally.count(Reason::ClosedIdle);
-    assert_eq!(tally.due(at(999)), None);
-    assert_eq!(tally.due(at(1000)).as_deref(), Some("closed: idle +2 (3)"));
-    assert_eq!(tally.due(at(9000)), None, "nothing new");
+    assert_eq!(tally.take_line(at(999)), None);
+    assert_eq!(tally.take_line(at(1000)).as_deref(), Some("closed: idle +2 (3)"));
+    assert_eq!(tally.take_line(at(9000)), None, "nothing new");
     assert_eq!((tally.of(Reason::ClosedIdle), tally.of(Reason::Failed)), (3, 1));
 }
 
--- a/crates/gaugesaddle/src/hot_restart.rs
+++ b/crates/gaugesaddle/src/operations/hot_restart.rs
@@ -10,8 +10,8 @@
 //!
 //! As long as the connection stands, the two processes share what one may use. Its end is the other process's end.
 
-use crate::registry::Registry;
-use crate::state;
+use crate::operations::registry::Registry;
+use crate::operations::state_socket;
 use gaugesaddle_maintenance::{HandoverMessage, MaintenanceCommand, MessageReader, HANDOVER_VERSION};
 use std::cell::{Cell, RefCell};
 use std::path::PathBuf;
@@ -118,7 +118,7 @@
     /// Waits for successors, one at a time, for as long as the process lives.
     pub async fn await_successors(self: Rc<Self>, commands: RemoteCommands) {
         let Some(path) = &self.path else { return };
-        let listener = match state::bind_over(path) {
+        let listener = match state_socket::bind_over(path) {
             Ok(listener) => listener,
             Err(e) => return tracing::warn!("hot restart is not possible: {e}"),
         };
@@ -144,9 +144,9 @@
         commands: &RemoteCommands,
     ) {
         *self.other.borrow_mut() = Some(sender);
-        self.registry.share(true);
+        self.registry.set_shared(true);
         self.exchange(connection, outgoing, commands).await;
-        self.registry.share(false);
+        self.registry.set_shared(false);
         *self.other.borrow_mut() = None;
     }
 
--- a/crates/gaugesaddle/src/registry.rs
+++ b/crates/gaugesaddle/src/operations/registry.rs
@@ -1,62 +1,62 @@
-//! The one registry of counters, gauges and states. The driver and the fronts count here and nowhere else; the
-//! log, the state socket and every later exit read a [`Snapshot`], a copy.
+//! The one registry of counters, gauges and states. The driver and the server count here and nowhere else; the log and the
+//! state socket read a [`Snapshot`], a copy.
 //!
-//! Its size is fixed by names that are known: a row a class, a row a reason, a row a backend of the list. A
-//! backend's row leaves when the backend has left the list and nothing of it is out.
+//! Its size is bounded: a row for each class, reason, and backend of the list. A backend's row is removed when the backend has
+//! departed and none of its attempts is in flight.
 
-use crate::exchange::Target;
-use crate::tally::Tally;
+use crate::operations::event_counters::EventCounters;
+use crate::serving::exchange::ListedBackend;
 use gaugesaddle_balancer::{BackendId, BackendState, ClassId, Micros, Outcome, Time};
 use gaugesaddle_maintenance::{Lifecycle, Phase};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
 
-pub use crate::snapshot::*;
+pub use crate::operations::snapshot::*;
 
-/// Bounds of the latency histogram: each is the square root of two times the one before, from 0.5 ms to 23 s. A
-/// quantile read from it is at most 42% too high.
+/// Buckets of the latency histogram: each bound is the square root of two times the one before, from 0.5 ms to 23 s. A
+/// quantile is at most 42% too high.
 const BUCKETS: usize = 32;
 const FIRST_BOUND_US: f64 = 500.0;
 
-/// How a request of a class ended. Taken = the sum of these and the open ones.
+/// How a request ended. The arrivals of a class are the sum of these and the open requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum End {
-    InAim,
+pub(crate) enum RequestEnd {
+    InTime,
     Late,
-    RefusedByModule,
-    RefusedOpenCap,
-    FailedByModule,
-    /// The module had not answered when its turn after the deadline was over.
+    RejectedByBalancer,
+    RejectedOpenCap,
+    FailedByBalancer,
+    /// The balancer had not answered in its tick after the deadline.
     FailedUnanswered,
-    /// The module had to start anew.
+    /// The balancer was restarted.
     FailedRestart,
-    /// Handed over, and no region had a place for it, or one refused it as not run.
-    RefusedElsewhere,
-    /// Handed over, and it may have run there without an answer in time.
-    FailedElsewhere,
-    /// Its client closed the connection first.
-    Left,
+    /// Forwarded, and no region accepted it, or one rejected it as not executed.
+    RejectedByRegion,
+    /// Forwarded, and it may have been executed there without an answer in time.
+    FailedInRegion,
+    /// Its client disconnected first.
+    ClientDisconnected,
 }
 
-impl End {
-    /// The proxy did not serve it.
-    pub fn gave_up(self) -> bool {
-        !matches!(self, End::InAim | End::Late | End::Left)
+impl RequestEnd {
+    /// Whether the proxy did not serve it.
+    pub fn is_unserved(self) -> bool {
+        !matches!(self, RequestEnd::InTime | RequestEnd::Late | RequestEnd::ClientDisconnected)
     }
 }
 
-const ENDS: usize = End::Left as usize + 1;
+const ENDS: usize = RequestEnd::ClientDisconnected as usize + 1;
 
 #[derive(Default)]
 struct ClassRow {
-    taken: Cell<u64>,
+    arrivals: Cell<u64>,
     ends: [Cell<u64>; ENDS],
 }
 
 /// The counters of one backend.
 pub(crate) struct BackendRow {
-    target: RefCell<Target>,
+    target: RefCell<ListedBackend>,
     state: Cell<BackendState>,
     in_flight: Cell<u32>,
     attempts: Cell<u64>,
@@ -66,7 +66,7 @@
     limit: Cell<Option<gaugesaddle_balancer::LimitView>>,
 }
 
-/// All outcomes of an attempt, by the names that every exit uses.
+/// All outcomes of an attempt, with their published names.
 const OUTCOMES: [(Outcome, &str); 8] = [
     (Outcome::Ok, "ok"),
     (Outcome::Error, "error"),
@@ -96,7 +96,7 @@
 }
 
 impl BackendRow {
-    fn new(target: Target) -> BackendRow {
+    fn new(target: ListedBackend) -> BackendRow {
         BackendRow {
             state: Cell::new(target.backend.state),
             target: RefCell::new(target),
@@ -109,17 +109,17 @@
         }
     }
 
-    /// What the module last knew of its limit.
-    pub fn limited(&self, view: gaugesaddle_balancer::LimitView) {
+    /// Records its limit as the balancer knows it.
+    pub fn record_limit(&self, view: gaugesaddle_balancer::LimitView) {
         self.limit.set(Some(view));
     }
 
-    pub fn sent(&self) {
+    pub fn record_sent(&self) {
         self.in_flight.set(self.in_flight.get() + 1);
         add(&self.attempts, 1);
     }
 
-    pub fn ended(&self, outcome: Outcome, latency: Micros) {
+    pub fn record_end(&self, outcome: Outcome, latency: Micros) {
         self.in_flight.set(self.in_flight.get().saturating_sub(1));
         add(&self.outcomes[outcome_index(outcome)], 1);
         if outcome == Outcome::Ok {
@@ -142,51 +142,51 @@
 
 /// Everything that is counted.
 pub struct Registry {
-    /// Connections and requests by reason.
-    pub(crate) tally: Tally,
+    /// Closed connections and unserved requests by reason.
+    pub(crate) event_counters: EventCounters,
     classes: Vec<(String, ClassRow)>,
     backends: RefCell<HashMap<BackendId, Rc<BackendRow>>>,
     open: Cell<usize>,
-    /// Some backend can be sent requests.
+    /// Whether some backend can be sent requests.
     pub(crate) serving: Cell<bool>,
-    /// None can, and another region takes requests in their place.
-    pub(crate) elsewhere: Cell<bool>,
-    /// Clients can connect.
+    /// Whether another region accepts requests that no backend here can serve.
+    pub(crate) region_serves: Cell<bool>,
+    /// Whether clients can connect.
     pub(crate) listening: Cell<bool>,
     lifecycle: Cell<Lifecycle>,
-    /// Connections accepted so far.
-    pub(crate) connects: Cell<u64>,
-    /// What the proxy stands in, and since when; calm where storms are not watched.
+    /// Number of accepted connections.
+    pub(crate) accepted_connections: Cell<u64>,
+    /// The phase of a retry storm; calm where they are not detected.
     pub(crate) storm: Cell<gaugesaddle_overload::StormPhase>,
-    pub(crate) storm_seen: RefCell<Option<StormState>>,
-    /// Other regions, where there are some.
+    pub(crate) storm_view: RefCell<Option<StormState>>,
+    /// Other regions, where there are any.
     pub(crate) region: RefCell<Option<RegionView>>,
-    /// The tier of proxies, where it is known: read when it is asked for.
-    pub(crate) peers: RefCell<Option<Rc<crate::peers::Tier>>>,
-    /// This proxy's part, where parts go by need.
-    pub(crate) shares: RefCell<Option<SharesView>>,
+    /// The tier of proxies, where it is enabled; read for each snapshot.
+    pub(crate) peers: RefCell<Option<Rc<crate::membership::Tier>>>,
+    /// This proxy's allocation, where it is by demand.
+    pub(crate) allocation: RefCell<Option<AllocationView>>,
     pub(crate) zones: RefCell<Option<ZonesView>>,
-    /// Most see what this proxy does not: it asks for no more clients.
-    pub(crate) cut_off: Cell<bool>,
-    /// Proxies that live, where parts go by that; else 0.
-    pub(crate) living: Rc<Cell<u32>>,
+    /// Whether most proxies observe a zone that this one does not: it accepts no more clients.
+    pub(crate) is_partitioned: Cell<bool>,
+    /// Number of live proxies, where allocation is by demand; otherwise 0.
+    pub(crate) live_proxies: Rc<Cell<u32>>,
     pub(crate) connections: Cell<usize>,
     pub(crate) upstream_sockets: Cell<usize>,
-    /// What one process may hold alone, and while two share it.
+    /// Limits of one process alone, and while two share the descriptors.
     bounds: [Bounds; 2],
-    shared: Cell<bool>,
+    is_shared: Cell<bool>,
     pub(crate) body_bytes: Cell<usize>,
     list: Cell<(Option<u64>, Option<Time>)>,
     name: String,
     start: Time,
 }
 
-/// What bounds the registry's gauges.
+/// Limits of the registry's gauges.
 #[derive(Clone, Copy)]
 pub(crate) struct Bounds {
     pub connections: usize,
-    /// Of these so many are kept between requests.
-    pub kept: usize,
+    /// Of these, how many may be idle.
+    pub idle_connections: usize,
     pub upstream_sockets: usize,
     pub body_bytes: usize,
 }
@@ -194,27 +194,27 @@
 impl Registry {
     pub(crate) fn new(name: &str, classes: &[String], bounds: [Bounds; 2], start: Time) -> Registry {
         Registry {
-            tally: Tally::new(),
+            event_counters: EventCounters::new(),
             classes: classes.iter().map(|c| (c.clone(), ClassRow::default())).collect(),
             backends: RefCell::default(),
             open: Cell::default(),
             serving: Cell::default(),
-            elsewhere: Cell::default(),
+            region_serves: Cell::default(),
             listening: Cell::default(),
             lifecycle: Cell::default(),
-            connects: Cell::default(),
+            accepted_connections: Cell::default(),
             storm: Cell::new(gaugesaddle_overload::StormPhase::Calm),
-            storm_seen: RefCell::default(),
+            storm_view: RefCell::default(),
             region: RefCell::default(),
             peers: RefCell::default(),
-            shares: RefCell::default(),
+            allocation: RefCell::default(),
             zones: RefCell::default(),
-            cut_off: Cell::new(false),
-            living: Rc::default(),
+            is_partitioned: Cell::new(false),
+            live_proxies: Rc::default(),
             connections: Cell::default(),
             upstream_sockets: Cell::default(),
             bounds,
-            shared: Cell::default(),
+            is_shared: Cell::default(),
             body_bytes: Cell::default(),
             list: Cell::default(),
             name: name.into(),
@@ -222,64 +222,64 @@
         }
     }
 
-    /// What this process may hold now.
+    /// The present limits.
     pub(crate) fn bounds(&self) -> Bounds {
-        self.bounds[usize::from(self.shared.get())]
+        self.bounds[usize::from(self.is_shared.get())]
     }
 
-    /// Another process of the same proxy runs beside this one, or does no more.
-    pub(crate) fn share(&self, shared: bool) {
-        self.shared.set(shared);
+    /// Sets whether another process of this proxy runs beside this one.
+    pub(crate) fn set_shared(&self, shared: bool) {
+        self.is_shared.set(shared);
     }
 
     pub(crate) fn lifecycle(&self) -> Lifecycle {
         self.lifecycle.get()
     }
 
-    pub(crate) fn change<T>(&self, change: impl FnOnce(&mut Lifecycle) -> T) -> T {
+    pub(crate) fn update_lifecycle<T>(&self, change: impl FnOnce(&mut Lifecycle) -> T) -> T {
         let mut lifecycle = self.lifecycle.get();
-        let told = change(&mut lifecycle);
+        let result = change(&mut lifecycle);
         self.lifecycle.set(lifecycle);
-        told
+        result
     }
 
-    /// Clients may be sent here.
+    /// Whether clients may be sent here.
     pub(crate) fn is_ready(&self) -> bool {
-        (self.serving.get() || self.elsewhere.get())
+        (self.serving.get() || self.region_serves.get())
             && self.listening.get()
             && self.lifecycle.get().accepts_clients()
-            && !self.cut_off.get()
+            && !self.is_partitioned.get()
     }
 
-    /// Another region's requests may be sent here: they go no further than to backends of this one.
-    pub(crate) fn serves_here(&self) -> bool {
+    /// Whether other regions may forward requests here: they go to backends of this region only.
+    pub(crate) fn has_backends(&self) -> bool {
         self.serving.get() && self.is_ready()
     }
 
-    /// Requests that are owed an answer.
+    /// Number of open requests.
     pub(crate) fn open(&self) -> usize {
         self.open.get()
     }
 
-    pub(crate) fn taken(&self, class: ClassId) {
+    pub(crate) fn record_arrival(&self, class: ClassId) {
         self.open.set(self.open.get() + 1);
         if let Some((_, row)) = self.classes.get(class.0) {
-            add(&row.taken, 1);
+            add(&row.arrivals, 1);
         }
     }
 
-    pub(crate) fn ended(&self, class: ClassId, end: End) {
+    pub(crate) fn record_end(&self, class: ClassId, end: RequestEnd) {
         self.open.set(self.open.get().saturating_sub(1));
         if let Some((_, row)) = self.classes.get(class.0) {
             add(&row.ends[end as usize], 1);
         }
     }
 
-    /// News of the list: rows come, change and leave with it.
-    pub(crate) fn list(&self, now: Time, index: Option<u64>, whole: bool, targets: &[Target]) {
+    /// Records an update of the list.
+    pub(crate) fn record_list(&self, now: Time, index: Option<u64>, full: bool, targets: &[ListedBackend]) {
         self.list.set((index.or(self.list.get().0), Some(now)));
         let mut rows = self.backends.borrow_mut();
-        if whole {
+        if full {
             rows.values().for_each(|row| row.state.set(BackendState::Departed));
         }
         for target in targets {
@@ -303,34 +303,34 @@
 
     /// A copy of everything, as of now.
     pub fn snapshot(&self, now: Time) -> Snapshot {
-        // Rows of backends that left while an attempt was out go once it has ended.
+        // Rows of backends that departed with an attempt in flight are removed once it has ended.
         self.backends
             .borrow_mut()
             .retain(|_, r| r.state.get() != BackendState::Departed || r.in_flight.get() > 0);
         let classes = self.classes.iter().map(|(name, row)| {
-            let end = |e: End| row.ends[e as usize].get();
+            let end = |e: RequestEnd| row.ends[e as usize].get();
             ClassState {
                 name: name.clone(),
-                taken: row.taken.get(),
-                in_aim: end(End::InAim),
-                late: end(End::Late),
-                refused: Refused {
-                    module: end(End::RefusedByModule),
-                    open_cap: end(End::RefusedOpenCap),
-                    elsewhere: end(End::RefusedElsewhere),
+                taken: row.arrivals.get(),
+                in_aim: end(RequestEnd::InTime),
+                late: end(RequestEnd::Late),
+                refused: Rejections {
+                    module: end(RequestEnd::RejectedByBalancer),
+                    open_cap: end(RequestEnd::RejectedOpenCap),
+                    elsewhere: end(RequestEnd::RejectedByRegion),
                 },
-                failed: Failed {
-                    module: end(End::FailedByModule),
-                    unanswered: end(End::FailedUnanswered),
-                    restart: end(End::FailedRestart),
-                    elsewhere: end(End::FailedElsewhere),
+                failed: Failures {
+                    module: end(RequestEnd::FailedByBalancer),
+                    unanswered: end(RequestEnd::FailedUnanswered),
+                    restart: end(RequestEnd::FailedRestart),
+                    elsewhere: end(RequestEnd::FailedInRegion),
                 },
-                left: end(End::Left),
+                left: end(RequestEnd::ClientDisconnected),
             }
         });
-        let mut backends: Vec<BackendStateRow> = self.backends.borrow().values().map(|r| r.copy()).collect();
+        let mut backends: Vec<BackendStateRow> = self.backends.borrow().values().map(|r| r.view()).collect();
         backends.sort_by(|a, b| a.name.cmp(&b.name));
-        let (index, told) = self.list.get();
+        let (index, updated_at) = self.list.get();
         Snapshot {
             version: SNAPSHOT_VERSION,
             program: env!("CARGO_PKG_VERSION").into(),
@@ -349,24 +349,24 @@
                 most: self.bounds().upstream_sockets,
             },
             body_bytes: Gauge { now: self.body_bytes.get(), most: self.bounds().body_bytes },
-            list: ListState { index, age_us: told.map(|t| (now - t).0) },
-            reasons: self.tally.all(),
-            connects: self.connects.get(),
-            storm: self.storm_seen.borrow().clone(),
+            list: ListState { index, age_us: updated_at.map(|at| (now - at).0) },
+            reasons: self.event_counters.all(),
+            connects: self.accepted_connections.get(),
+            storm: self.storm_view.borrow().clone(),
             region: self.region.borrow().clone(),
             peers: self.peers.borrow().as_ref().map(|tier| tier.view(now)),
-            shares: self.shares.borrow().clone(),
+            shares: self.allocation.borrow().clone(),
             zones: self.zones.borrow().clone(),
         }
     }
 }
 
 impl BackendRow {
-    fn copy(&self) -> BackendStateRow {
+    fn view(&self) -> BackendStateRow {
         let target = self.target.borrow();
         let served: u64 = self.latency.iter().map(|c| u64::from(c.get())).sum();
-        let quantile = |part: f64| {
-            let rank = (served as f64 * part).ceil() as u64;
+        let quantile = |fraction: f64| {
+            let rank = (served as f64 * fraction).ceil() as u64;
             let mut seen = 0;
             let at = self.latency.iter().position(|c| {
                 seen += u64::from(c.get());
--- a/crates/gaugesaddle/src/registry/tests.rs
+++ b/crates/gaugesaddle/src/operations/registry/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use gaugesaddle_balancer::Backend;
 
-fn target(id: u64, state: BackendState) -> Target {
-    Target {
+fn target(id: u64, state: BackendState) -> ListedBackend {
+    ListedBackend {
         backend: Backend { id: BackendId(id), state, ..Backend::default() },
         address: ([127, 0, 0, 1], 80).into(),
         name: format!("b{id}").into(),
@@ -12,7 +12,7 @@
 }
 
 fn registry() -> Registry {
-    let bounds = [Bounds { connections: 4, kept: 1, upstream_sockets: 4, body_bytes: 4 }; 2];
+    let bounds = [Bounds { connections: 4, idle_connections: 1, upstream_sockets: 4, body_bytes: 4 }; 2];
     Registry::new("n1", &["read".into()], bounds, Time(0))
 }
 
@@ -20,15 +20,15 @@
 fn a_row_leaves_with_its_backend_but_not_before_its_last_attempt() {
     let registry = registry();
     let ready = [target(1, BackendState::Ready), target(2, BackendState::Ready)];
-    registry.list(Time(1), Some(1), true, &ready);
+    registry.record_list(Time(1), Some(1), true, &ready);
     let row = registry.backend(BackendId(1)).unwrap();
-    row.sent();
-    registry.list(Time(2), Some(2), true, &[target(3, BackendState::Ready)]);
+    row.record_sent();
+    registry.record_list(Time(2), Some(2), true, &[target(3, BackendState::Ready)]);
     let names = || registry.snapshot(Time(3)).backends.into_iter().map(|b| b.name).collect::<Vec<_>>();
     assert_eq!(names(), ["b1", "b3"], "b2 left, b1 has an attempt out");
-    row.ended(Outcome::Ok, Micros(1000));
+    row.record_end(Outcome::Ok, Micros(1000));
     assert_eq!(names(), ["b3"]);
-    registry.list(
+    registry.record_list(
         Time(4),
         Some(3),
         false,
@@ -41,10 +41,10 @@
 fn latency_quantiles_lie_within_their_stated_error() {
     let row = BackendRow::new(target(1, BackendState::Ready));
     for ms in 1..=100 {
-        row.sent();
-        row.ended(Outcome::Ok, Micros(ms * 1000));
+        row.record_sent();
+        row.record_end(Outcome::Ok, Micros(ms * 1000));
     }
-    let copy = row.copy();
+    let copy = row.view();
     let within = |got: Option<u64>, true_us: f64| {
         let ratio = got.unwrap() as f64 / true_us;
         assert!((0.99..=1.42).contains(&ratio), "{got:?} for {true_us}");
--- a/crates/gaugesaddle/src/snapshot.rs
+++ b/crates/gaugesaddle/src/operations/snapshot.rs
@@ -70,10 +70,10 @@
     pub region: Option<RegionView>,
     /// The tier of proxies, where it is known.
     #[serde(default)]
-    pub peers: Option<PeersView>,
+    pub peers: Option<MembershipView>,
     /// This proxy's part, where parts go by need.
     #[serde(default)]
-    pub shares: Option<SharesView>,
+    pub shares: Option<AllocationView>,
     /// Zones as all proxies together find them, where that is on.
     #[serde(default)]
     pub zones: Option<ZonesView>,
@@ -125,7 +125,7 @@
 
 /// This proxy's part of what all of them may do, twice a second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct SharesView {
+pub struct AllocationView {
     /// `by need`; `waking`: it does not know yet who lives, and goes by what it was told or knew last.
     pub state: String,
     /// Places of the told list.
@@ -150,15 +150,15 @@
     pub listed: usize,
     /// What should sum to the whole over all proxies.
     #[serde(default)]
-    pub soft: Vec<SoftView>,
+    pub soft: Vec<SoftQuantityView>,
     /// What may come from other regions in a second, lent among this region's proxies.
     #[serde(default)]
-    pub lent: Vec<LentView>,
+    pub lent: Vec<LeaseQuantityView>,
 }
 
 /// One proxy's hold on what is dealt out by need and may be a little off.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct SoftView {
+pub struct SoftQuantityView {
     /// What.
     pub name: String,
     /// Of all proxies together, as this one reckons it.
@@ -173,7 +173,7 @@
 
 /// A quantity that is lent, in requests a second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct LentView {
+pub struct LeaseQuantityView {
     /// The other region.
     pub from: String,
     /// What all proxies of this one may take.
@@ -194,7 +194,7 @@
 
 /// What this proxy sees of its tier. This proxy counts among the living.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct PeersView {
+pub struct MembershipView {
     /// This proxy's place in the told list.
     pub place: u16,
     /// Its process, in hex.
@@ -225,7 +225,7 @@
     /// How far this proxy stretches its own waits, 1 to 4.
     pub health: u32,
     /// The sum over the living.
-    pub totals: Totalled,
+    pub totals: SignalTotals,
     /// Datagrams sent, their bytes, and those that the system did not take.
     pub sent: u64,
     /// See `sent`.
@@ -256,12 +256,12 @@
     /// Times that this process slept.
     pub stalls: u64,
     /// By place.
-    pub peers: Vec<PeerRow>,
+    pub peers: Vec<MemberRow>,
 }
 
 /// The sum of what the living say of themselves.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Totalled {
+pub struct SignalTotals {
     /// Living proxies whose record is held.
     pub told: usize,
     /// Of these so many are older than `older_than_us`.
@@ -280,7 +280,7 @@
 
 /// One proxy of the tier.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct PeerRow {
+pub struct MemberRow {
     /// Its place in the told list.
     pub place: u16,
     /// Where it is reached.
@@ -352,12 +352,12 @@
     /// Requests from gateways that were not of the form, or had been here.
     pub barred: u64,
     /// The other regions, in the order of the file.
-    pub others: Vec<OtherView>,
+    pub others: Vec<OtherRegionView>,
 }
 
 /// One other region.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct OtherView {
+pub struct OtherRegionView {
     /// Its name.
     pub name: String,
     /// Out there now, and how many may be.
@@ -422,16 +422,16 @@
     /// Served after it.
     pub late: u64,
     /// Refused.
-    pub refused: Refused,
+    pub refused: Rejections,
     /// Failed.
-    pub failed: Failed,
+    pub failed: Failures,
     /// The client left before its answer.
     pub left: u64,
 }
 
 /// Refusals by reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refused {
+pub struct Rejections {
     /// By the module.
     pub module: u64,
     /// More requests were open than the settings allow.
@@ -443,7 +443,7 @@
 
 /// Failures by reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Failed {
+pub struct Failures {
     /// By the module.
     pub module: u64,
     /// The module did not answer in its turn after the deadline.
--- a/crates/gaugesaddle/src/tap.rs
+++ b/crates/gaugesaddle/src/serving/client_socket.rs
@@ -1,8 +1,8 @@
-//! A client's socket: what hyper reads of it, and what has come beyond that.
+//! A client's socket: what hyper reads of it, and what was received beyond that.
 //!
-//! Hyper looks at a socket only where it can use what comes. While a request is at work it takes up what follows once,
-//! and from then on sees no end: a client that sent a byte too much and left was served to the last. And of a head it
-//! gives away only what it made of it. Both are kept here, beneath it.
+//! Hyper reads a socket only where it can use the bytes. While a request is in service it reads what follows once, and does not
+//! notice the end after that: a client that sent one further byte and disconnected was served all the same. And it returns a
+//! request's head only as it has interpreted it. Both are recorded here, below hyper.
 
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
@@ -18,51 +18,51 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A head is looked for in so many bytes.
-const SEEN_BYTES: usize = 16 << 10;
-/// What comes behind a request at work is read ahead up to this size: many requests of the usual one. More stays with the
-/// system, whose end is then asked for now and then.
-const AHEAD_BYTES: usize = 16 << 10;
-/// So often, with room for several looks in the 0.1 s after which nothing may begin for a client that has gone.
-const LOOK: Duration = Duration::from_millis(20);
+/// Bytes of a message that are recorded, to find its head.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+/// Bytes behind a request in service that are read ahead: many usual requests. More remains with the system, which is then
+/// polled for the end.
+const MAX_READ_AHEAD_BYTES: usize = 16 << 10;
+/// Interval of that: several times in the 0.1 s after which nothing may begin for a client that has disconnected.
+const END_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What hyper has been given since the present message began.
+/// What hyper has read since the present message began.
 #[derive(Default)]
-struct Given {
-    /// The first of it.
+struct MessageBytes {
+    /// The first of these bytes.
     start: Vec<u8>,
     bytes: usize,
 }
 
 /// A client's socket.
-pub struct Socket {
+pub struct ClientSocket {
     stream: Rc<TcpStream>,
-    given: RefCell<Given>,
+    message: RefCell<MessageBytes>,
     /// Read from the system, and not yet by hyper.
-    ahead: RefCell<VecDeque<u8>>,
-    /// The client has closed it, or it broke.
+    read_ahead: RefCell<VecDeque<u8>>,
+    /// Whether the client has closed it, or it failed.
     ended: Cell<bool>,
-    /// Waits for the end behind what isn't read.
-    behind: RefCell<Option<Pin<Box<dyn Future<Output = ()>>>>>,
+    /// Waits for the end behind unread bytes.
+    end_watch: RefCell<Option<Pin<Box<dyn Future<Output = ()>>>>>,
 }
 
-impl Socket {
-    pub fn new(stream: TcpStream) -> Rc<Socket> {
-        Rc::new(Socket {
+impl ClientSocket {
+    pub fn new(stream: TcpStream) -> Rc<ClientSocket> {
+        Rc::new(ClientSocket {
             stream: Rc::new(stream),
-            given: RefCell::default(),
-            ahead: RefCell::default(),
+            message: RefCell::default(),
+            read_ahead: RefCell::default(),
             ended: Cell::new(false),
-            behind: RefCell::default(),
+            end_watch: RefCell::default(),
         })
     }
 
-    /// Its client has closed it, or it broke.
+    /// Whether its client has closed it, or it failed.
     pub fn is_ended(&self) -> bool {
         self.ended.get()
     }
 
-    /// From the system, whatever is there.
+    /// Reads what the system has.
     fn poll_fill(&self, cx: &mut Context, buf: &mut [u8]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.stream.poll_read_ready(cx))?;
@@ -78,7 +78,7 @@
 
     fn poll_read(&self, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
-        let mut ahead = self.ahead.borrow_mut();
+        let mut ahead = self.read_ahead.borrow_mut();
         if !ahead.is_empty() {
             let (first, _) = ahead.as_slices();
             let n = first.len().min(buf.remaining());
@@ -90,31 +90,31 @@
             let n = ready!(self.poll_fill(cx, buf.initialize_unfilled()))?;
             buf.advance(n);
         }
-        let mut given = self.given.borrow_mut();
+        let mut given = self.message.borrow_mut();
         let new = &buf.filled()[before..];
-        let room = SEEN_BYTES.saturating_sub(given.start.len());
-        given.start.extend_from_slice(&new[..new.len().min(room)]);
+        let free = MAX_HEAD_BYTES.saturating_sub(given.start.len());
+        given.start.extend_from_slice(&new[..new.len().min(free)]);
         given.bytes += new.len();
         Poll::Ready(Ok(()))
     }
 
-    /// The client has gone, whatever it sent before. Asked only while a request of it is at work.
-    pub fn poll_gone(&self, cx: &mut Context) -> Poll<()> {
-        let mut piece = [0; 4 << 10];
-        while !self.ended.get() && self.ahead.borrow().len() < AHEAD_BYTES {
-            if let Ok(n) = ready!(self.poll_fill(cx, &mut piece)) {
-                self.ahead.borrow_mut().extend(&piece[..n]);
+    /// Completes when the client disconnects, whatever it sent before. To be polled only while a request is in service.
+    pub fn poll_disconnected(&self, cx: &mut Context) -> Poll<()> {
+        let mut chunk = [0; 4 << 10];
+        while !self.ended.get() && self.read_ahead.borrow().len() < MAX_READ_AHEAD_BYTES {
+            if let Ok(n) = ready!(self.poll_fill(cx, &mut chunk)) {
+                self.read_ahead.borrow_mut().extend(&chunk[..n]);
             }
         }
         if self.ended.get() {
             return Poll::Ready(());
         }
         let stream = self.stream.clone();
-        let mut behind = self.behind.borrow_mut();
+        let mut behind = self.end_watch.borrow_mut();
         let behind = behind.get_or_insert_with(|| {
             Box::pin(async move {
                 while stream.ready(Interest::READABLE).await.is_ok_and(|r| !r.is_read_closed()) {
-                    tokio::time::sleep(LOOK).await;
+                    tokio::time::sleep(END_POLL_INTERVAL).await;
                 }
             })
         });
@@ -123,66 +123,64 @@
         Poll::Ready(())
     }
 
-    /// Something has come that belongs to no message of which an answer has gone out. The system itself is asked: the
-    /// runtime may not have seen it yet.
-    pub fn has_come(&self) -> bool {
-        self.given.borrow().bytes > 0 || !self.ahead.borrow().is_empty() || self.is_unread()
+    /// Whether bytes of a message without an answer were received. The system itself is asked: the runtime may not know yet.
+    pub fn has_received(&self) -> bool {
+        self.message.borrow().bytes > 0 || !self.read_ahead.borrow().is_empty() || self.has_unread()
     }
 
-    /// Something stands with the system.
-    pub fn is_unread(&self) -> bool {
+    /// Whether the system has unread bytes.
+    pub fn has_unread(&self) -> bool {
         matches!(SockRef::from(&*self.stream).peek(&mut [MaybeUninit::uninit()]), Ok(1..))
     }
 
-    /// The present message, whose body has that length, has its answer, and what comes next is a head. Returns whether
-    /// something of that has come already. Of a message with no stated length only what hyper has not been given is known
-    /// to be behind it.
-    pub fn next(&self, length: Option<u64>) -> bool {
-        let mut given = self.given.borrow_mut();
+    /// The present message, whose body has that length, is answered, and a head follows. Returns whether some of that was
+    /// received already; after a message without a stated length, only what hyper has not read is known to follow.
+    pub fn begin_next_message(&self, length: Option<u64>) -> bool {
+        let mut given = self.message.borrow_mut();
         let end = given.end(length).unwrap_or(given.bytes);
         let seen = end.min(given.start.len());
         given.start.drain(..seen);
         given.bytes = given.bytes.saturating_sub(end);
-        given.bytes > 0 || !self.ahead.borrow().is_empty()
+        given.bytes > 0 || !self.read_ahead.borrow().is_empty()
     }
 
-    /// Whether the head that came names its body's length by `Transfer-Encoding` alone: hyper takes `Content-Length` out
-    /// where the other stands beside it, so of its head nobody could tell that both were there. False as well where it
-    /// can't be told: a head that came together with the end of a message without a stated length was not seen.
+    /// Whether the head that was received frames its body by `Transfer-Encoding` alone: hyper removes `Content-Length` beside
+    /// it, so its head does not show that both were present. Also false where it is not known: a head that was received
+    /// together with the end of a message without a stated length.
     pub fn is_only_chunked(&self, method: &str) -> bool {
-        let given = self.given.borrow();
+        let given = self.message.borrow();
         let text = given.start.trim_ascii_start();
         let Some(end) = head_end(text) else { return false };
         let head = text[..end].to_ascii_lowercase();
         let named = |name: &str| head.split(|b| *b == b'\n').any(|line| line.starts_with(name.as_bytes()));
-        let ours = text.starts_with(method.as_bytes());
-        ours && named("transfer-encoding:") && !head.windows(14).any(|w| w == b"content-length")
+        let is_this_request = text.starts_with(method.as_bytes());
+        is_this_request && named("transfer-encoding:") && !head.windows(14).any(|w| w == b"content-length")
     }
 
-    /// Ends the sending, and throws away what still comes, up to that size, until the client ends as well or is quiet for
-    /// so long: closed over bytes that nobody read, the connection would be reset, and the last answer could go with it.
-    pub async fn linger(&self, most: usize, quiet: Duration) {
+    /// Ends the sending and discards up to `max` bytes that are still received, until the client ends as well or sends nothing
+    /// for `quiet`: closed over unread bytes the connection would be reset, and the last answer could be lost.
+    pub async fn linger(&self, max: usize, quiet: Duration) {
         if SockRef::from(&*self.stream).shutdown(Shutdown::Write).is_err() {
             return;
         }
-        let (mut piece, mut left) = ([0; 4 << 10], most);
-        while left > 0 {
-            let read = std::future::poll_fn(|cx| self.poll_fill(cx, &mut piece));
+        let (mut chunk, mut remaining) = ([0; 4 << 10], max);
+        while remaining > 0 {
+            let read = std::future::poll_fn(|cx| self.poll_fill(cx, &mut chunk));
             match tokio::time::timeout(quiet, read).await {
-                Ok(Ok(n @ 1..)) => left = left.saturating_sub(n),
+                Ok(Ok(n @ 1..)) => remaining = remaining.saturating_sub(n),
                 _ => return,
             }
         }
     }
 }
 
-/// Where the empty line begins that ends a head.
+/// Offset of the empty line that ends a head.
 fn head_end(text: &[u8]) -> Option<usize> {
     text.windows(4).position(|w| w == b"\r\n\r\n")
 }
 
-impl Given {
-    /// How many bytes the present message has, head and all, where that is stated and its head was seen.
+impl MessageBytes {
+    /// Length of the present message with its head, where it is stated and the head was recorded.
     fn end(&self, length: Option<u64>) -> Option<usize> {
         let before = self.start.len() - self.start.trim_ascii_start().len();
         let head = before + head_end(&self.start[before..])? + 4;
@@ -190,16 +188,16 @@
     }
 }
 
-/// The socket as hyper has it.
-pub struct Tap(pub Rc<Socket>);
+/// The socket as hyper uses it.
+pub struct SocketIo(pub Rc<ClientSocket>);
 
-impl AsyncRead for Tap {
+impl AsyncRead for SocketIo {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         self.0.poll_read(cx, buf)
     }
 }
 
-/// One try to write, as soon as the system takes something.
+/// Writes once the system accepts something.
 fn poll_write(
     stream: &TcpStream, cx: &mut Context, write: impl Fn() -> io::Result<usize>,
 ) -> Poll<io::Result<usize>> {
@@ -212,7 +210,7 @@
     }
 }
 
-impl AsyncWrite for Tap {
+impl AsyncWrite for SocketIo {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         poll_write(&self.0.stream, cx, || self.0.stream.try_write(buf))
     }
--- a/crates/gaugesaddle/src/driver/tests.rs
+++ b/crates/gaugesaddle/src/serving/driver/tests.rs
@@ -1,49 +1,53 @@
 //! Requests and attempts whose ends cross the module's words.
 
+use super::open_request::Attempt;
 use super::*;
-use crate::body::{CallBody, Payload};
-use crate::registry::Bounds;
-use crate::upstream::{Http1, Pool};
+use crate::operations::registry::Bounds;
+use crate::serving::body::{CallBody, Payload};
+use crate::serving::exchange::{AttemptResult, Call, NewRequest};
+use crate::serving::upstream::{Http1, Pool};
 use bytes::Bytes;
+use gaugesaddle_balancer::{AttemptNo, ClassId};
 use hyper::Response;
 use std::cell::Cell;
+use tokio::sync::oneshot;
 
 /// The module may ask for a copy in the very tick in which the answer came: that attempt is the second.
 #[tokio::test]
 async fn an_attempt_after_the_answer_ends_under_its_own_number() {
     let clock = Clock::new();
     let (inputs, _taken) = mpsc::unbounded_channel();
-    let bounds = [Bounds { connections: 8, kept: 1, upstream_sockets: 8, body_bytes: 8 }; 2];
+    let bounds = [Bounds { connections: 8, idle_connections: 1, upstream_sockets: 8, body_bytes: 8 }; 2];
     let registry = Rc::new(Registry::new("n1", &["read".into()], bounds, clock.now()));
     let pool = Rc::new(Pool::new(clock, Micros(1_000_000), Micros(1_000_000), registry.clone()));
-    let parts = Parts {
+    let parts = DriverParts {
         clock,
         config: Config::example(),
         seed: 1,
         open_cap: 8,
-        most_backends: 8,
+        max_backends: 8,
         upstreams: Rc::new(Http1(pool)),
         inputs,
         follow: Rc::default(),
         registry,
-        subsystems: Vec::new(),
+        extensions: Vec::new(),
     };
     let mut driver = Driver::new(parts).expect("sound");
     let (id, (reply, mut answer)) = (RequestId(1), oneshot::channel());
-    let body = CallBody::Whole(Bytes::new());
-    let call = Rc::new(Call { head: hyper::Request::new(()), body, wanted: Cell::new(true) });
+    let body = CallBody::Buffered(Bytes::new());
+    let call = Rc::new(Call { head: hyper::Request::new(()), body, is_awaited: Cell::new(true) });
     let deadline = clock.now() + Micros(1_000_000);
     let (class, tenant, work_hint, repeat) = (ClassId(0), None, None, false);
     let came = clock.now();
     let (key, source) = (None, 0);
-    let arrived = Arrived {
+    let arrived = NewRequest {
         id,
         class,
         tenant,
-        came,
+        received_at: came,
         deadline,
-        after_last: None,
-        hop: None,
+        patience_after_body: None,
+        via: None,
         work_hint,
         repeat,
         key,
@@ -51,19 +55,20 @@
         call,
         reply,
     };
-    driver.take(Input::Arrived(arrived));
+    driver.handle_input(Input::Arrived(arrived));
     let sent = clock.now();
     let task = tokio::spawn(std::future::pending::<()>()).abort_handle();
     let open = driver.requests.get_mut(&id).expect("open");
-    open.attempts.insert(AttemptNo(0), Attempt { sent, task, row: None });
-    open.count = 1;
-    let ended = Ended { outcome: Outcome::Ok, answer: Some(Response::new(Payload::Whole(Bytes::new()))) };
-    driver.take(Input::Ended(id, AttemptNo(0), ended));
+    open.attempts.insert(AttemptNo(0), Attempt { sent_at: sent, task, row: None });
+    open.attempt_count = 1;
+    let ended =
+        AttemptResult { outcome: Outcome::Ok, answer: Some(Response::new(Payload::Buffered(Bytes::new()))) };
+    driver.handle_input(Input::AttemptEnded(id, AttemptNo(0), ended));
     assert!(matches!(answer.try_recv(), Ok(Answer::Served(_))), "at once");
     driver.dispatch(clock.now(), id, BackendId(7));
     let Some(Event::AttemptEnded(end)) = driver.events.last() else { panic!("an outcome") };
     let expected = (AttemptNo(1), Outcome::NeverSent, true);
     assert_eq!((end.attempt, end.outcome, end.answered), expected);
-    driver.drop_over();
+    driver.remove_ended();
     assert!(driver.requests.is_empty() && driver.deadlines.is_empty());
 }
--- a/crates/gaugesaddle/src/storm.rs
+++ b/crates/gaugesaddle/src/serving/overload.rs
@@ -1,30 +1,30 @@
 //! The watch for storms, in the running proxy: what `gaugesaddle_overload` decides, told to the module and to clients.
 
-use crate::exchange::{Arrived, Refusal};
-use crate::registry::{End, Registry, StormState};
-use crate::seam::Subsystem;
+use crate::operations::registry::{Registry, RequestEnd, StormState};
+use crate::serving::exchange::{NewRequest, Rejection};
+use crate::serving::extension::Extension;
 use gaugesaddle_balancer::{Arrival, Balancer, ClassId, Event, Time};
 use gaugesaddle_overload::{OverloadController, StormPhase};
 use std::rc::Rc;
 
-pub struct StormWatch {
+pub struct OverloadWatch {
     storm: OverloadController,
     registry: Rc<Registry>,
     /// Connections that it knows of.
     connects: u64,
 }
 
-impl StormWatch {
-    pub fn new(storm: OverloadController, registry: Rc<Registry>) -> StormWatch {
-        StormWatch { storm, registry, connects: 0 }
+impl OverloadWatch {
+    pub fn new(storm: OverloadController, registry: Rc<Registry>) -> OverloadWatch {
+        OverloadWatch { storm, registry, connects: 0 }
     }
 }
 
-impl Subsystem for StormWatch {
+impl Extension for OverloadWatch {
     /// Looks for a storm and tells the module. Without requests there is none to see: no wake-up is spent on it.
-    fn turn(&mut self, now: Time, _: &Balancer, events: &mut Vec<Event>) {
+    fn poll(&mut self, now: Time, _: &Balancer, events: &mut Vec<Event>) {
         let storm = &mut self.storm;
-        let connects = self.registry.connects.get();
+        let connects = self.registry.accepted_connections.get();
         (self.connects..connects).for_each(|_| storm.connected());
         self.connects = connects;
         let Some(observation) = storm.observe(now) else { return };
@@ -36,7 +36,7 @@
         if let Some(pressure) = observation.pressure {
             events.push(Event::Pressure(pressure));
         }
-        let mut seen = self.registry.storm_seen.borrow_mut();
+        let mut seen = self.registry.storm_view.borrow_mut();
         let old = seen.take();
         let began = observation.previous == Some(StormPhase::Rising) && state == StormPhase::Storm;
         *seen = Some(StormState {
@@ -50,25 +50,25 @@
         });
     }
 
-    fn arrived(&mut self, now: Time, new: &Arrived, told: &mut Arrival) {
+    fn on_arrival(&mut self, now: Time, new: &NewRequest, told: &mut Arrival) {
         (told.repeat, told.retried_early) = self.storm.arrived(now, new.repeat, new.key, new.source);
     }
 
-    fn began(&mut self, first: bool) {
+    fn on_attempt_start(&mut self, first: bool) {
         self.storm.sent(first);
     }
 
-    fn answered(&mut self, _: ClassId, end: End) {
+    fn on_request_end(&mut self, _: ClassId, end: RequestEnd) {
         match end {
-            End::InAim => self.storm.served(true),
-            End::Late => self.storm.served(false),
-            End::FailedByModule | End::FailedUnanswered => self.storm.failed(),
+            RequestEnd::InTime => self.storm.served(true),
+            RequestEnd::Late => self.storm.served(false),
+            RequestEnd::FailedByBalancer | RequestEnd::FailedUnanswered => self.storm.failed(),
             _ => {}
         }
     }
 
-    fn refusing(&mut self, now: Time, source: u64, out_of_turn: bool, refusal: &mut Refusal) {
-        refusal.after_s = self.storm.refused(now, source, refusal.after_s);
+    fn adjust_rejection(&mut self, now: Time, source: u64, out_of_turn: bool, refusal: &mut Rejection) {
+        refusal.retry_after_s = self.storm.refused(now, source, refusal.retry_after_s);
         refusal.by_client = out_of_turn && self.storm.state().is_damping();
     }
 }
--- /dev/null
+++ b/crates/gaugesaddle/src/serving/request_rules.rs
@@ -0,0 +1,136 @@
+//! What a request's head says, or why it is invalid.
+
+use crate::operations::event_counters::Reason;
+use crate::serving::body::MAX_BODY_BYTES;
+use crate::serving::client_socket::ClientSocket;
+use crate::serving::exchange::REMAINING_TIME;
+use gaugesaddle_balancer::settings::{number as number_of, Names};
+use gaugesaddle_balancer::{Class, ClassId, Effect, Micros, TenantId};
+use hyper::header::{HeaderMap, HeaderName, HeaderValue, HOST, TRANSFER_ENCODING};
+use hyper::http::request::Parts;
+use hyper::{Method, StatusCode};
+
+const CLASS_HEADER: HeaderName = HeaderName::from_static("x-service-class");
+const TENANT_HEADER: HeaderName = HeaderName::from_static("x-account");
+const RETRY_HEADER: HeaderName = HeaderName::from_static("x-repeat");
+const WORK_HINT_HEADER: HeaderName = HeaderName::from_static("x-weight-hint");
+pub const CORRELATION_HEADER: HeaderName = HeaderName::from_static("x-correlation-id");
+const IDEMPOTENCY_HEADER: HeaderName = HeaderName::from_static("idempotency-key");
+/// Maximum length of an id: ids are kept while their request is open.
+const MAX_ID_BYTES: usize = 128;
+
+/// The response to an invalid request. Its connection is closed: what follows on it cannot be trusted.
+pub struct InvalidRequest(pub StatusCode, pub &'static str, pub Reason);
+
+impl From<&'static str> for InvalidRequest {
+    fn from(text: &'static str) -> InvalidRequest {
+        InvalidRequest(StatusCode::BAD_REQUEST, text, Reason::WrongForm)
+    }
+}
+
+/// What the balancer needs to know of a request.
+pub struct RequestAttributes {
+    /// The client's id.
+    pub id: HeaderValue,
+    pub class: ClassId,
+    pub tenant: Option<TenantId>,
+    pub remaining: Micros,
+    pub work_hint: Option<Micros>,
+    pub repeat: bool,
+    /// The hash of its idempotency key.
+    pub key: Option<u64>,
+    /// The hash of its account.
+    pub source: Option<u64>,
+}
+
+/// What a valid request may be.
+pub struct RequestRules {
+    pub names: Names,
+    pub classes: Vec<Class>,
+    /// The longest time that a client waits; more counts as this.
+    pub longest: Micros,
+}
+
+/// Rejects a body that is framed in two ways at once, since a reader that uses the other one would find another request in
+/// it, and a body that is too long.
+///
+/// # Errors
+/// The response to such a request.
+pub fn check_framing(head: &Parts, length: Option<u64>, socket: &ClientSocket) -> Result<(), InvalidRequest> {
+    if head.headers.contains_key(TRANSFER_ENCODING) && !socket.is_only_chunked(head.method.as_str()) {
+        let text = "expected Content-Length or Transfer-Encoding, not both";
+        return Err(InvalidRequest(StatusCode::LENGTH_REQUIRED, text, Reason::WrongFraming));
+    }
+    if length.is_some_and(|n| n > MAX_BODY_BYTES) {
+        return Err(InvalidRequest(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            "the body is over 40 MiB",
+            Reason::WrongFraming,
+        ));
+    }
+    Ok(())
+}
+
+impl RequestRules {
+    /// Reads a request's head.
+    ///
+    /// # Errors
+    /// The response to an invalid request.
+    pub fn read(&self, head: &Parts, length: Option<u64>) -> Result<RequestAttributes, InvalidRequest> {
+        let headers = &head.headers;
+        text(headers, &HOST)?.ok_or("expected Host")?;
+        let name = text(headers, &CLASS_HEADER)?.ok_or("expected X-Service-Class")?;
+        let class = self.names.class(name).ok_or("X-Service-Class: unknown class")?;
+        if head.uri.path().split('/').nth(1) != Some(name) {
+            return Err("expected the class as the first part of the path".into());
+        }
+        let key = text(headers, &IDEMPOTENCY_HEADER)?;
+        let fits = match self.classes[class.0].effect {
+            Effect::Free => head.method == Method::GET && length == Some(0),
+            Effect::Keyed(..) => head.method == Method::POST && key.is_some_and(|k| !k.is_empty()),
+            Effect::Unsafe => head.method == Method::POST && key.is_none(),
+        };
+        if !fits {
+            return Err("the method, the body or Idempotency-Key does not fit the class".into());
+        }
+        let id = text(headers, &CORRELATION_HEADER)?.ok_or("expected X-Correlation-Id")?;
+        if id.is_empty() || id.len() > MAX_ID_BYTES || !id.bytes().all(|b| b.is_ascii_graphic()) {
+            return Err("X-Correlation-Id: expected up to 128 visible characters".into());
+        }
+        let tenant = match text(headers, &TENANT_HEADER)? {
+            _ if !self.names.has_tenants() => None,
+            Some(name) => Some(self.names.tenant(name).ok_or("X-Account: unknown tenant")?),
+            None => return Err("expected X-Account".into()),
+        };
+        let remaining_ms = number(headers, &REMAINING_TIME)?.ok_or("expected X-Time-Left-Ms")?;
+        Ok(RequestAttributes {
+            id: HeaderValue::from_str(id).map_err(|_| "X-Correlation-Id: not readable")?,
+            class,
+            tenant,
+            remaining: Micros(remaining_ms.saturating_mul(1000)).min(self.longest),
+            work_hint: number(headers, &WORK_HINT_HEADER)?.map(Micros),
+            repeat: text(headers, &RETRY_HEADER)? == Some("1"),
+            key: key.map(number_of),
+            source: text(headers, &TENANT_HEADER)?.map(number_of),
+        })
+    }
+}
+
+/// The value of a header that must not be repeated: one reader would use the first and another the second.
+fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, &'static str> {
+    let mut values = headers.get_all(name).iter();
+    match (values.next(), values.next()) {
+        (None, _) => Ok(None),
+        (Some(value), None) => value.to_str().map(Some).map_err(|_| "a header that can't be read"),
+        _ => Err("a header that must stand once stands twice"),
+    }
+}
+
+fn number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, &'static str> {
+    let Some(value) = text(headers, name)? else { return Ok(None) };
+    let digits = Some(value).filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
+    digits
+        .and_then(|v| v.parse().ok())
+        .map(Some)
+        .ok_or("expected a whole number in X-Time-Left-Ms and X-Weight-Hint")
+}
--- /dev/null
+++ b/crates/gaugesaddle/src/serving/server.rs
@@ -0,0 +1,145 @@
+//! The server of clients: accepts connections, limits them, and ends them in order when the proxy stops.
+//!
+//! `connection_task` serves one connection, `handler` one request, `body_reader` reads its body, `eviction` decides which
+//! connections are closed for others.
+
+mod body_reader;
+mod connection_task;
+mod eviction;
+mod handler;
+
+pub use handler::text_response;
+
+use crate::clock::{duration, Clock};
+use crate::operations::event_counters::Reason;
+use crate::operations::registry::Registry;
+use crate::serving::client_connection::ClientConnection;
+use crate::serving::exchange::Input;
+use crate::serving::request_rules::RequestRules;
+use gaugesaddle_balancer::Micros;
+use gaugesaddle_maintenance::{IDLE_CLOSE_DELAY, LISTEN_AFTER_STOP};
+use hyper::header::HeaderValue;
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeMap, HashSet};
+use std::future::Future;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{mpsc, Notify};
+use tokio::time::{Instant, MissedTickBehavior};
+
+/// Idle connections are kept up to this fraction (one in so many) of the descriptors. Usual clients need a third of them at
+/// most for requests: idle connections take from the requests to come, so half of that third remains free for them.
+/// Clients that send further requests have few idle connections, for they reuse the same ones.
+pub const IDLE_FRACTION: usize = 6;
+/// Interval of the checks for connections that have timed out.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
+/// Delay after a failed accept, for want of descriptors for instance.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// What the handlers of all connections share.
+pub struct Server {
+    pub clock: Clock,
+    pub rules: RequestRules,
+    pub registry: Rc<Registry>,
+    tick: Micros,
+    /// Bytes that the bodies of open requests may still use.
+    free_body_bytes: Cell<usize>,
+    inputs: mpsc::UnboundedSender<Input>,
+    last_number: Cell<u64>,
+    connections: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
+    /// The clients' own ids of the open requests.
+    open_ids: RefCell<HashSet<HeaderValue>>,
+    connection_closed: Notify,
+}
+
+impl Server {
+    /// `body_bytes`: what the bodies of open requests may use together.
+    pub fn new(
+        clock: Clock, rules: RequestRules, tick: Micros, body_bytes: usize,
+        inputs: mpsc::UnboundedSender<Input>, registry: Rc<Registry>,
+    ) -> Server {
+        Server {
+            clock,
+            rules,
+            registry,
+            tick,
+            free_body_bytes: Cell::new(body_bytes),
+            inputs,
+            last_number: Cell::default(),
+            connections: RefCell::default(),
+            open_ids: RefCell::default(),
+            connection_closed: Notify::new(),
+        }
+    }
+
+    /// Serves until `stop`, which returns whether another process succeeds this one; returns when all requests are
+    /// answered.
+    pub async fn run(self: Rc<Self>, listener: TcpListener, stop: impl Future<Output = bool>) {
+        tokio::pin!(stop);
+        let end = tokio::time::sleep(Duration::MAX);
+        tokio::pin!(end);
+        let mut sweep = tokio::time::interval(SWEEP_INTERVAL);
+        sweep.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        loop {
+            let is_full = self.connections.borrow().len() >= self.registry.bounds().connections;
+            if is_full {
+                self.evict_one();
+            }
+            tokio::select! {
+                biased;
+                has_successor = &mut stop, if !self.registry.lifecycle().is_stopping() => {
+                    let now = self.clock.now();
+                    self.registry.update_lifecycle(|lifecycle| lifecycle.stop(now, has_successor));
+                    let remaining = if has_successor { Duration::ZERO } else { duration(LISTEN_AFTER_STOP) };
+                    end.as_mut().reset(Instant::now() + remaining);
+                }
+                () = &mut end, if self.registry.lifecycle().is_stopping() => break,
+                _ = sweep.tick() => self.close_timed_out(),
+                () = self.connection_closed.notified() => {}
+                accepted = listener.accept(), if !is_full => match accepted {
+                    Ok((stream, _)) => self.clone().spawn_connection(stream),
+                    Err(e) => {
+                        tracing::debug!("accept: {e}");
+                        self.registry.event_counters.count(Reason::AcceptFailed);
+                        self.evict_one();
+                        tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
+                    }
+                },
+            }
+        }
+        // What the system has accepted meanwhile is served, too.
+        for stream in queued(listener) {
+            self.clone().spawn_connection(stream);
+        }
+        let last = Instant::now() + duration(IDLE_CLOSE_DELAY) + duration(self.rules.longest);
+        while !self.connections.borrow().is_empty() && Instant::now() < last {
+            self.close_unwanted(self.clock.now());
+            tokio::select! {
+                _ = sweep.tick() => self.close_timed_out(),
+                () = self.connection_closed.notified() => {}
+            }
+        }
+    }
+
+    fn next_number(&self) -> u64 {
+        self.last_number.set(self.last_number.get() + 1);
+        self.last_number.get()
+    }
+}
+
+/// Ends the listening; returns the connections that the system has accepted. The system itself is asked, since what the
+/// runtime knows of the listener may be out of date.
+fn queued(listener: TcpListener) -> Vec<TcpStream> {
+    let Ok(listener) = listener.into_std() else { return Vec::new() };
+    let accepted = std::iter::from_fn(|| listener.accept().ok());
+    accepted
+        .filter_map(|(stream, _)| {
+            stream.set_nonblocking(true).ok()?;
+            TcpStream::from_std(stream).ok()
+        })
+        .collect()
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/gaugesaddle/src/server/tests.rs
+++ b/crates/gaugesaddle/src/serving/server/tests.rs
@@ -1,6 +1,8 @@
 //! What the end of a listener must not leave behind.
 
 use super::*;
+use std::future::poll_fn;
+use std::task::Poll;
 
 /// A client connects between the runtime's last look and the end of the listening: it has been accepted by the system,
 /// and the runtime, asked for it, would know of none.
--- a/crates/gaugesaddle/src/upstream/tests.rs
+++ b/crates/gaugesaddle/src/serving/upstream/tests.rs
@@ -1,7 +1,7 @@
 //! What one connection to a backend must not carry over from one attempt to the next.
 
 use super::*;
-use crate::body::CallBody;
+use crate::serving::body::CallBody;
 use gaugesaddle_balancer::Backend;
 use std::future::{poll_fn, Future};
 use std::io::{Read, Write};
@@ -19,21 +19,27 @@
 }
 
 /// A backend at that address, and the pool of its connections.
-fn node(address: SocketAddr) -> (Rc<Pool>, Rc<Node>) {
+fn node(address: SocketAddr) -> (Rc<Pool>, Rc<BackendProcess>) {
     let clock = Clock::new();
     let second = Micros(1_000_000);
-    let bounds = [crate::registry::Bounds { connections: 8, kept: 1, upstream_sockets: 8, body_bytes: 8 }; 2];
+    let bounds = [crate::operations::registry::Bounds {
+        connections: 8,
+        idle_connections: 1,
+        upstream_sockets: 8,
+        body_bytes: 8,
+    }; 2];
     let registry = Rc::new(Registry::new("n1", &["read".into()], bounds, clock.now()));
     let pool = Rc::new(Pool::new(clock, second, second.times(30.0), registry));
     let backend = Backend { state: BackendState::Ready, ..Backend::default() };
     let (name, zone, kind) = ("n".into(), "z".into(), "k".into());
-    let node = Rc::new(Node::new(Target { backend, address, name, zone, kind }, pool.clone()));
+    let node =
+        Rc::new(BackendProcess::new(ListedBackend { backend, address, name, zone, kind }, pool.clone()));
     (pool, node)
 }
 
 fn call() -> Rc<Call> {
-    let body = CallBody::Whole(Bytes::new());
-    Rc::new(Call { head: Request::new(()), body, wanted: Cell::new(true) })
+    let body = CallBody::Buffered(Bytes::new());
+    Rc::new(Call { head: Request::new(()), body, is_awaited: Cell::new(true) })
 }
 
 /// What comes late behind an answer must not become the next one, also where the runtime has not seen it:
@@ -59,12 +65,12 @@
     });
     let (pool, upstream) = node(address);
     let call = call();
-    let body = |ended: Ended| match ended.answer.map(Response::into_body) {
-        Some(Payload::Whole(bytes)) => Some(bytes),
+    let body = |ended: AttemptResult| match ended.answer.map(Response::into_body) {
+        Some(Payload::Buffered(bytes)) => Some(bytes),
         _ => None,
     };
     let deadline = pool.clock.now() + Micros(30_000_000);
-    let span = Span { begin: deadline, deadline };
+    let span = SendWindow { send_before: deadline, deadline };
     // Local tasks, as in the proxy: woken ones run on for a while before the runtime looks at its sockets.
     let attempts = async move {
         let one = body(pool.attempt(&upstream, call.clone(), span).await);
@@ -90,10 +96,10 @@
         let (pool, upstream) = node(listener.local_addr().expect("its address"));
         let call = call();
         let soon = pool.clock.now() + Micros(if what == "time" { 20_000 } else { 30_000_000 });
-        let span = Span { begin: soon, deadline: soon + Micros(30_000_000) };
+        let span = SendWindow { send_before: soon, deadline: soon + Micros(30_000_000) };
         let shut = || match what {
-            "client" => call.wanted.set(false),
-            "backend" => upstream.shut(),
+            "client" => call.is_awaited.set(false),
+            "backend" => upstream.close(),
             _ => std::thread::sleep(Duration::from_millis(25)),
         };
         if !during {
--- a/crates/gaugesaddle/tests/golden_commands.rs
+++ b/crates/gaugesaddle/tests/golden_commands.rs
@@ -35,6 +35,14 @@
     assert_eq!(lines.join("\n") + "\n", include_str!("data/commands.txt"));
 }
 
+#[test]
+fn the_sections_of_the_state_are_the_recorded_ones() {
+    let help = String::from_utf8(run(&["state", "--help"]).stdout).expect("text");
+    let names = help.lines().filter_map(|line| line.trim().strip_prefix("- "));
+    let names: Vec<&str> = names.filter_map(|line| line.split(':').next()).collect();
+    assert_eq!(names, ["regions", "peers", "shares", "zones"]);
+}
+
 #[test]
 fn exit_codes_are_the_recorded_ones() {
     let cases: [(&[&str], i32); 6] = [
--- a/crates/gaugesaddle/tests/peers.rs
+++ b/crates/gaugesaddle/tests/peers.rs
@@ -3,7 +3,7 @@
 
 mod tier;
 
-use gaugesaddle::registry::PeersView;
+use gaugesaddle::registry::MembershipView;
 use gaugesaddle_testbed::datagrams::{Links, Poor};
 use gaugesaddle_testbed::scripted::*;
 use std::os::unix::fs::PermissionsExt;
@@ -191,7 +191,7 @@
     let stranger = std::net::UdpSocket::bind(tier.lease.peer()).unwrap();
     stranger.send_to(&good, tier.listens[0]).unwrap();
     count += 3;
-    let bad = |v: &PeersView| v.garbled + v.foreign + v.forged + v.replayed;
+    let bad = |v: &MembershipView| v.garbled + v.foreign + v.forged + v.replayed;
     until("all of them are counted", || bad(&tier.view(0)) >= bad(&before.1) + count);
     let after = tier.view(0);
     assert!(
--- a/crates/gaugesaddle/tests/shares.rs
+++ b/crates/gaugesaddle/tests/shares.rs
@@ -3,7 +3,7 @@
 
 mod tier;
 
-use gaugesaddle::registry::SharesView;
+use gaugesaddle::registry::AllocationView;
 use gaugesaddle_membership::Signals;
 use gaugesaddle_testbed::datagrams::Links;
 use gaugesaddle_testbed::scripted::*;
@@ -11,13 +11,13 @@
 
 const ON: &str = "[shares]\nenabled = true\n";
 
-fn shares(tier: &Tier, place: usize) -> SharesView {
+fn shares(tier: &Tier, place: usize) -> AllocationView {
     tier.state(place).and_then(|s| s.shares).unwrap_or_default()
 }
 
 /// All of these go by need, and know of so many.
 fn by_need(tier: &Tier, places: &[usize]) -> bool {
-    let views: Vec<SharesView> = places.iter().map(|p| shares(tier, *p)).collect();
+    let views: Vec<AllocationView> = places.iter().map(|p| shares(tier, *p)).collect();
     views.iter().all(|v| v.state == "by need" && v.living == places.len())
 }
 
@@ -91,7 +91,7 @@
     let tier = Tier::start_but_last("liar", 6, &format!("{ON}most_times = 3\n"));
     let honest: Vec<usize> = (0..5).collect();
     let liar = Liar::start(&tier, 5);
-    let views = || -> Vec<SharesView> { honest.iter().map(|p| shares(&tier, *p)).collect() };
+    let views = || -> Vec<AllocationView> { honest.iter().map(|p| shares(&tier, *p)).collect() };
     until("all go by need", || views().iter().all(|v| v.state == "by need" && v.living == 6));
     // All of them have told something, the honest ones that little comes.
     let serve = || {
--- a/crates/gaugesaddle/tests/tier/mod.rs
+++ b/crates/gaugesaddle/tests/tier/mod.rs
@@ -3,7 +3,7 @@
 // Each test file uses some of it.
 #![allow(dead_code)]
 
-use gaugesaddle::registry::{PeerRow, PeersView, Snapshot};
+use gaugesaddle::registry::{MemberRow, MembershipView, Snapshot};
 use gaugesaddle_balancer::{Micros, Time};
 use gaugesaddle_membership::{Authenticator, Boot, Membership, Output, Settings, TierConfig};
 use gaugesaddle_testbed::datagrams::Datagrams;
@@ -166,7 +166,7 @@
     }
 
     pub fn state(&self, place: usize) -> Option<Snapshot> {
-        gaugesaddle::state::ask(&self.socket(place)).ok()
+        gaugesaddle::state::request(&self.socket(place)).ok()
     }
 
     /// A part of its state as people read it.
@@ -177,17 +177,17 @@
         String::from_utf8_lossy(&shown.stdout).into_owned()
     }
 
-    pub fn view(&self, place: usize) -> PeersView {
+    pub fn view(&self, place: usize) -> MembershipView {
         self.state(place).and_then(|s| s.peers).expect("its view")
     }
 
-    pub fn row(&self, place: usize, of: usize) -> PeerRow {
+    pub fn row(&self, place: usize, of: usize) -> MemberRow {
         self.view(place).peers.swap_remove(of)
     }
 
     /// Each of these holds exactly the others of them for alive, in their present processes.
     pub fn agrees(&self, places: &[usize]) -> bool {
-        let views: Vec<PeersView> = places.iter().map(|p| self.view(*p)).collect();
+        let views: Vec<MembershipView> = places.iter().map(|p| self.view(*p)).collect();
         views.iter().all(|view| {
             view.peers.iter().all(|row| {
                 let at = places.iter().position(|p| *p == usize::from(row.place));
