--- a/crates/gaugesaddle-config/src/operator.rs
+++ b/crates/gaugesaddle-config/src/operator.rs
@@ -11,6 +11,12 @@
 /// File name given to the loader, which derives the format from its extension.
 const DOCUMENT_NAME: &str = "configuration.json";
 
+/// Values of `routeType`.
+pub(crate) const IDEMPOTENT: &str = "idempotent";
+pub(crate) const STREAMING: &str = "streaming";
+pub(crate) const NON_IDEMPOTENT: &str = "non_idempotent";
+const ROUTE_TYPES: [&str; 3] = [IDEMPOTENT, NON_IDEMPOTENT, STREAMING];
+
 /// One weighted target of a route whose traffic is split.
 #[derive(Clone, Debug, Config)]
 #[config(allow_unknown_fields, rename_all = "camelCase")]
@@ -153,6 +159,21 @@
         }
     }
 
+    /// What is accepted in a valid configuration although it is likely a mistake. A type that this build does not know is
+    /// accepted, since a document may be written for a newer one; its requests are executed at most once.
+    pub fn warnings(&self) -> Vec<Finding> {
+        let unknown = |(_, route): &(usize, &RouteConfig)| !ROUTE_TYPES.contains(&route.route_type.as_str());
+        let finding = |(index, route): (usize, &RouteConfig)| {
+            let path = format!("routes[{index}] ({}).routeType", route.name);
+            let known = ROUTE_TYPES.join(", ");
+            Finding::new(
+                path,
+                format!("one of {known}, not {:?}; taken for {NON_IDEMPOTENT}", route.route_type),
+            )
+        };
+        self.routes.iter().enumerate().filter(unknown).map(finding).collect()
+    }
+
     fn validate(&self) -> Vec<Finding> {
         let mut findings = Vec::new();
         self.validate_routes(&mut findings);
--- a/crates/gaugesaddle-config/src/table.rs
+++ b/crates/gaugesaddle-config/src/table.rs
@@ -1,6 +1,8 @@
 //! The routing table: a validated configuration, indexed for the lookups of a request.
 
-use crate::operator::{ClientLimits, OperatorConfig, RouteConfig, ServiceConfig, TenantConfig};
+use crate::operator::{
+    ClientLimits, OperatorConfig, RouteConfig, ServiceConfig, TenantConfig, IDEMPOTENT, STREAMING,
+};
 use std::collections::HashMap;
 
 /// Index of a service in [`RoutingTable::services`].
@@ -140,9 +142,9 @@
 fn make_route(route: &RouteConfig, service_indices: &HashMap<&str, usize>) -> Route {
     let resume = route.stream_resume;
     let kind = match route.route_type.as_str() {
-        "idempotent" => RouteKind::Idempotent,
-        "streaming" => RouteKind::Streaming { resume },
-        // An unknown type is not retried, which is safe for any request.
+        IDEMPOTENT => RouteKind::Idempotent,
+        STREAMING => RouteKind::Streaming { resume },
+        // An unknown type is not retried, which is safe for any request; see `OperatorConfig::warnings`.
         _ => RouteKind::NonIdempotent,
     };
     let index = |name: &str| service_indices.get(name).copied().map(ServiceIndex);
--- a/crates/gaugesaddle-config/tests/documents.rs
+++ b/crates/gaugesaddle-config/tests/documents.rs
@@ -191,3 +191,17 @@
         }
     }
 }
+
+#[test]
+fn an_unknown_route_type_is_accepted_with_a_warning_and_executed_at_most_once() {
+    let mut document = document();
+    let known = OperatorConfig::parse(document.to_string().as_bytes()).expect("valid");
+    assert_eq!(known.warnings(), []);
+    document["routes"][1]["routeType"] = json!("idempotnet");
+    let config = OperatorConfig::parse(document.to_string().as_bytes()).expect("accepted");
+    let warnings: Vec<String> = config.warnings().iter().map(ToString::to_string).collect();
+    assert_eq!(warnings.len(), 1, "{warnings:?}");
+    let expected = "routes[1] (r2).routeType: expected one of idempotent, non_idempotent, streaming, not \"idempotnet\"; \
+                    taken for non_idempotent";
+    assert_eq!(warnings[0], expected);
+}
--- a/crates/gaugesaddle-consensus/src/election.rs
+++ b/crates/gaugesaddle-consensus/src/election.rs
@@ -52,7 +52,7 @@
         self.reset_pre_vote_deadline(now);
         self.leader = None;
         // A replica whose disk stalls could not persist its vote.
-        if !self.is_voter() || self.is_disk_stalled(now) {
+        if !self.may_campaign() || self.is_disk_stalled(now) {
             return;
         }
         self.role = Role::Follower;
@@ -67,6 +67,12 @@
         self.campaign_if_pre_elected(now, out);
     }
 
+    /// Whether it may campaign. During a membership change a replica of either group may lead (thesis 4.3): one that is being
+    /// removed may be the only one with the newest state, without whose vote there is no majority of its group.
+    fn may_campaign(&self) -> bool {
+        self.is_voter() || self.state.outgoing.contains(&self.hard_state.id)
+    }
+
     /// Whether it may grant votes. It need not be among the voters that it knows: a replica that has just become one may
     /// not have that state yet, and a group that has lost another voter needs its vote. The candidate counts only votes of
     /// its voters. A replica with an empty disk has a new identity and belongs to no group.
--- a/crates/gaugesaddle-consensus/src/membership.rs
+++ b/crates/gaugesaddle-consensus/src/membership.rs
@@ -11,6 +11,8 @@
 //!      +--- joint state committed: outgoing emptied -+
 //! ```
 //!
+//! A replica that is being removed may be elected in between; it leads until the change is committed without it.
+//!
 //! A learner replaces the voter that ran on its machine (whose disk was lost), else a voter that does not respond (whose
 //! machine may have been replaced), else it is added. No vote is removed before its successor has the state, so that a
 //! second loss meets as many replicas of the state as the first did.
@@ -51,12 +53,16 @@
     /// Takes the next step of a membership change, once the previous one is committed.
     pub(crate) fn advance_membership(&mut self, now: u64, out: &mut Vec<Output>) {
         self.learners.retain(|_, learner| now < learner.joined_ms + LEARNER_TIMEOUT_MS);
+        self.drop_unused_progress();
         let is_idle = self.committed == self.state.position && self.replicating_proposal.is_none();
         if !is_idle || self.committed.term != self.hard_state.term {
             return;
         }
         if !self.state.outgoing.is_empty() {
             self.replace_state(now, |state| state.outgoing.clear(), out);
+        } else if !self.is_voter() {
+            // It led only to complete the change that removed it (thesis 4.2.2).
+            self.transfer_leadership(now, out);
         } else if let Some(voters) = self.next_voters(now) {
             self.learners.retain(|learner, _| !voters.contains(learner));
             let change = |state: &mut State| state.outgoing = std::mem::replace(&mut state.voters, voters);
@@ -64,6 +70,12 @@
         }
     }
 
+    /// Drops the progress of replicas that are sent nothing any more: former voters, and learners that have departed.
+    fn drop_unused_progress(&mut self) {
+        let (voters, learners) = (self.other_voters(), &self.learners);
+        self.progress.retain(|id, _| voters.contains(id) || learners.contains_key(id));
+    }
+
     /// The voters after the next change, if one is due.
     fn next_voters(&self, now: u64) -> Option<Vec<ReplicaId>> {
         let mut voters = self.state.voters.clone();
@@ -121,3 +133,6 @@
         *voter != self.hard_state.id && now >= contact_ms + timeout_ms
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/gaugesaddle-consensus/src/writes.rs
+++ b/crates/gaugesaddle-consensus/src/writes.rs
@@ -6,6 +6,10 @@
 use crate::{Output, Replica, WriteId};
 use gaugesaddle_protocol::{ClockReading, LogPosition, ReplicaId, ReplicaMessage, State};
 
+/// Maximum number of blocked actions. Beyond it the oldest is dropped, which is as safe as a lost message: a vote or an
+/// acknowledgement that is not sent has no effect, and a campaign that does not begin is repeated after a time-out.
+const MAX_BLOCKED_ACTIONS: usize = 256;
+
 /// Why a candidate requests votes (raft-rs calls it the campaign type).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CampaignKind {
@@ -44,6 +48,24 @@
     },
 }
 
+impl PendingOnSync {
+    /// Whether this response makes an earlier one to the same leader unnecessary.
+    fn supersedes(&self, earlier: &PendingOnSync) -> bool {
+        match (self, earlier) {
+            (
+                PendingOnSync::AppendResponse { to, term, sequence, .. },
+                PendingOnSync::AppendResponse {
+                    to: earlier_to,
+                    term: earlier_term,
+                    sequence: earlier_sequence,
+                    ..
+                },
+            ) => (to, term) == (earlier_to, earlier_term) && sequence >= earlier_sequence,
+            _ => false,
+        }
+    }
+}
+
 /// An action and the write that must be durable before it.
 #[derive(Clone, Debug)]
 pub(crate) struct BlockedAction {
@@ -76,8 +98,14 @@
         write_id
     }
 
-    /// Queues an action until a write is durable.
+    /// Queues an action until a write is durable. While a disk stalls each heartbeat of a leader queues a response; only the
+    /// newest one that waits for a write is kept, since its sequence number acknowledges the earlier heartbeats as well.
     pub(crate) fn after_sync(&mut self, write_id: WriteId, action: PendingOnSync) {
+        self.blocked_actions
+            .retain(|blocked| blocked.write_id != write_id || !action.supersedes(&blocked.action));
+        if self.blocked_actions.len() >= MAX_BLOCKED_ACTIONS {
+            self.blocked_actions.pop_front();
+        }
         self.blocked_actions.push_back(BlockedAction { write_id, action });
     }
 
@@ -112,3 +140,6 @@
         oldest.is_some_and(|write| now > write.requested_ms + self.settings.disk_stall_ms)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/gaugesaddle-control/src/change_handler.rs
+++ b/crates/gaugesaddle-control/src/change_handler.rs
@@ -5,7 +5,7 @@
 use gaugesaddle_consensus::{ProposalResult, Replica};
 use gaugesaddle_protocol::{ChangeBody, ChangeReply, Configuration, ConfigurationChange, Reply, Request};
 use gaugesaddle_transport::Caller;
-use spdlog::info;
+use spdlog::{info, warn};
 use std::time::Duration;
 use thiserror::Error;
 
@@ -48,7 +48,11 @@
 }
 
 fn validate_document(document: &[u8]) -> Result<(), Findings> {
-    OperatorConfig::parse(document).map(|_| ())
+    let config = OperatorConfig::parse(document)?;
+    for warning in config.warnings() {
+        warn!("configuration, revision {}: {warning}", config.revision);
+    }
+    Ok(())
 }
 
 fn reject(findings: &Findings) -> ChangeReply {
--- a/crates/gaugesaddle-control/src/cli.rs
+++ b/crates/gaugesaddle-control/src/cli.rs
@@ -171,6 +171,9 @@
     let (path, document) = read_file(arguments)?;
     let config = OperatorConfig::parse(&document)
         .map_err(|findings| eyre::eyre!("{}:\n{}", path.display(), findings.to_multiline()))?;
+    for warning in config.warnings() {
+        println!("{}: warning: {warning}", path.display());
+    }
     println!("{}: good, revision {}", path.display(), config.revision);
     Ok(())
 }
--- a/crates/gaugesaddle-control/src/core.rs
+++ b/crates/gaugesaddle-control/src/core.rs
@@ -14,6 +14,7 @@
 use gaugesaddle_load_report::LoadAggregator;
 use gaugesaddle_protocol::{Configuration, HardState, Origin, ReplicaId, State};
 use gaugesaddle_quota::TokenAllocator;
+use gaugesaddle_transport::malformed::MalformedMessages;
 use gaugesaddle_transport::Clock;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -59,6 +60,8 @@
     pub distributor: Distributor,
     /// Load of the backends, as proxies report it.
     pub loads: LoadAggregator,
+    /// Messages of other processes that could not be read.
+    pub malformed_messages: MalformedMessages,
     /// Notified when a proxy has reported loads.
     pub load_reported: Rc<Notify>,
     /// Queue to the disk thread; `None` without a disk.
@@ -108,6 +111,7 @@
             peers,
             distributor: Distributor::default(),
             loads: LoadAggregator::default(),
+            malformed_messages: MalformedMessages::default(),
             load_reported: Rc::default(),
             disk,
             pending: HashMap::new(),
--- a/crates/gaugesaddle-control/src/request_server.rs
+++ b/crates/gaugesaddle-control/src/request_server.rs
@@ -5,7 +5,8 @@
 use gaugesaddle_consensus::NotLeader;
 use gaugesaddle_protocol::{Opening, Pull, PullReply, Reply, Request};
 use gaugesaddle_transport::{accept, Link, LinkError};
-use spdlog::debug;
+use spdlog::{debug, warn};
+use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::time::Instant;
@@ -23,13 +24,28 @@
         let (stream, from) = accept(&listener).await;
         let core = core.clone();
         tokio::task::spawn_local(async move {
-            if let Err(e) = serve_connection(core, Link::new(stream)).await {
+            if let Err(e) = serve_connection(core.clone(), Link::new(stream)).await {
+                log_malformed(&core, from, &e);
                 debug!("connection of {from} ends: {:#}", eyre::Report::new(e));
             }
         });
     }
 }
 
+/// Logs a message that could not be read, once a peer and minute: a process of another build, or another protocol.
+fn log_malformed(core: &CoreHandle, from: SocketAddr, error: &LinkError) {
+    let SocketAddr::V4(address) = from else { return };
+    let ip = u32::from(*address.ip());
+    let count = core.with(|c| {
+        let now = c.clock.now();
+        c.malformed_messages.record(now, ip, error)
+    });
+    if let Some(count) = count {
+        let cause = std::error::Error::source(error).map_or_else(|| error.to_string(), ToString::to_string);
+        warn!("message of {} cannot be read, {count} so far: {cause}", address.ip());
+    }
+}
+
 async fn serve_connection(core: CoreHandle, mut link: Link) -> Result<(), LinkError> {
     match link.receive_within(IDLE_TIMEOUT).await? {
         Opening::Peer => peer_connections::receive(core, link).await,
--- a/crates/gaugesaddle-edge/src/control_client.rs
+++ b/crates/gaugesaddle-edge/src/control_client.rs
@@ -4,7 +4,7 @@
 use gaugesaddle_config::BootSettings;
 use gaugesaddle_protocol::{Lifecycle, Reply, Request};
 use gaugesaddle_transport::{Caller, LinkError};
-use spdlog::{debug, info};
+use spdlog::{debug, info, warn};
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -29,6 +29,7 @@
         let chosen = state.follower.borrow().choose(state.now());
         if let Some(ip) = chosen {
             if let Err(e) = follow(&state, ip).await {
+                log_malformed(&state, ip, &e);
                 debug!("control process {}: {:#}", Ipv4Addr::from(ip), eyre::Report::new(e));
             }
             state.follower.borrow_mut().record_failure(state.now(), ip);
@@ -37,6 +38,14 @@
     }
 }
 
+/// Logs an answer that could not be read, once a process and minute: another build serves there, or another protocol.
+fn log_malformed(state: &EdgeState, ip: u32, error: &LinkError) {
+    if let Some(count) = state.malformed_messages.borrow_mut().record(state.now(), ip, error) {
+        let cause = std::error::Error::source(error).map_or_else(|| error.to_string(), ToString::to_string);
+        warn!("message of {} cannot be read, {count} so far: {cause}", Ipv4Addr::from(ip));
+    }
+}
+
 /// Reads the seeds of the boot file again, which may have changed, while no process in contact with a majority answers.
 fn refresh_seeds(state: &EdgeState) {
     let now = state.now();
--- a/crates/gaugesaddle-edge/src/state.rs
+++ b/crates/gaugesaddle-edge/src/state.rs
@@ -9,6 +9,7 @@
 use gaugesaddle_load_report::LoadView;
 use gaugesaddle_protocol::{Lifecycle, PullReply, Registration, Subject};
 use gaugesaddle_quota::TokenAllowance;
+use gaugesaddle_transport::malformed::MalformedMessages;
 use gaugesaddle_transport::Clock;
 use rand_core::{OsRng, SeedableRng, TryRngCore};
 use rand_pcg::Pcg64Mcg;
@@ -28,6 +29,8 @@
     pub clock: Clock,
     /// Name of this incarnation of the proxy.
     pub proxy_id: String,
+    /// Messages of control processes that could not be read.
+    pub malformed_messages: RefCell<MalformedMessages>,
     /// What was received from the control plane.
     pub follower: RefCell<Follower>,
     /// SIGTERM was received.
@@ -72,6 +75,7 @@
         let follower = Follower::new(clock.now(), u32::from(boot.ip), registration, seeds);
         EdgeState {
             proxy_id,
+            malformed_messages: RefCell::default(),
             follower: RefCell::new(follower),
             clock,
             terminating: Cell::new(false),
--- a/crates/gaugesaddle-inference/src/chooser.rs
+++ b/crates/gaugesaddle-inference/src/chooser.rs
@@ -78,9 +78,13 @@
         let smoothing_ms = self.settings.rate_smoothing_ms;
         self.arrivals.record(now, smoothing_ms);
         let Some(prefix) = prefix else { return };
-        if self.prefix_arrivals.len() >= MAX_PREFIXES && !self.prefix_arrivals.contains_key(&prefix) {
+        if let Some(rate) = self.prefix_arrivals.get_mut(&prefix) {
+            return rate.record(now, smoothing_ms);
+        }
+        if self.prefix_arrivals.len() >= MAX_PREFIXES {
             self.prefix_arrivals.retain(|_, rate| rate.at(now, smoothing_ms) > IDLE_PREFIX_RATE_PER_S);
         }
+        // Where all are in use a new prefix is not counted: its prompts go to the backend that ranks first for it.
         if self.prefix_arrivals.len() < MAX_PREFIXES {
             self.prefix_arrivals.entry(prefix).or_default().record(now, smoothing_ms);
         }
--- a/crates/gaugesaddle-inference/tests/choice.rs
+++ b/crates/gaugesaddle-inference/tests/choice.rs
@@ -75,6 +75,21 @@
     );
 }
 
+/// The table of prefixes is full of prefixes in use: the rate of one of them must still be followed.
+#[test]
+fn the_rate_of_a_known_prefix_is_followed_while_the_table_is_full() {
+    let backends = candidates(18);
+    let mut chooser = Chooser::new(ChooserSettings::default());
+    for prefix in 1..=8192 {
+        chooser.record_arrival(NOW - 10_000, Some(prefix));
+    }
+    for at in 0..200 {
+        chooser.record_arrival(NOW - 10_000 + at * 50, Some(1));
+    }
+    let counts = draws(&chooser, &backends, prompt(1), 1);
+    assert!((2..=6).contains(&counts.len()), "{} backends for 20 requests a second", counts.len());
+}
+
 /// The backend that caches a prompt's prefix, and the one next in rank.
 fn cached_and_fallback(chooser: &Chooser, backends: &[Candidate], prompt: Prompt) -> (usize, usize) {
     let identities: Vec<u64> = backends.iter().map(|b| b.identity).collect();
--- a/crates/gaugesaddle-simulation/tests/golden_day.rs
+++ b/crates/gaugesaddle-simulation/tests/golden_day.rs
@@ -1,7 +1,8 @@
 //! The failure: a renamed field makes stored plans unreadable, or a change of the order or number of random draws makes a
 //! seed give another day.
 //!
-//! `data/day.json` has every kind of fault. `data/outcomes.txt` was recorded before any rename.
+//! `data/day.json` has every kind of fault. `data/outcomes.txt` is recorded anew only by a commit that changes what replicas
+//! do, and says so; a rename must leave it as it is.
 
 use gaugesaddle_simulation::{play, Outcome, Plan, Shape};
 
--- a/crates/gaugesaddle-transport/src/lib.rs
+++ b/crates/gaugesaddle-transport/src/lib.rs
@@ -7,6 +7,7 @@
 //! - [`LinkError`]: why a connection can no longer be used, with the [`Operation`] that failed.
 //! - [`Clock`]: the steady clock whose milliseconds all decisions are based on.
 //! - [`log`]: the log's level.
+//! - [`malformed`]: counts the messages that cannot be read, for the log.
 //!
 //! ```
 //! use gaugesaddle_protocol::Opening;
@@ -44,6 +45,7 @@
 mod error;
 mod link;
 pub mod log;
+pub mod malformed;
 
 pub use caller::Caller;
 pub use clock::Clock;
--- /dev/null
+++ b/crates/gaugesaddle-transport/src/malformed.rs
@@ -0,0 +1,51 @@
+//! Counts the messages that cannot be read, and decides which of them are logged. No I/O.
+
+use crate::LinkError;
+use gaugesaddle_protocol::frame::FrameError;
+use std::collections::BTreeMap;
+
+/// Maximum number of peers that are counted one by one: a machine for each proxy of the largest fleet, with headroom.
+pub const MAX_PEERS: usize = 1024;
+/// Minimum time between two log lines for the same peer, in milliseconds.
+pub const LOG_INTERVAL_MS: u64 = 60_000;
+/// Counts the peers beyond [`MAX_PEERS`] together.
+const OTHER_PEERS: u32 = 0;
+
+#[derive(Clone, Copy, Debug, Default)]
+struct PeerCount {
+    messages: u64,
+    logged_ms: Option<u64>,
+}
+
+/// The messages that could not be read, by the IPv4 address of their sender.
+#[derive(Clone, Debug, Default)]
+pub struct MalformedMessages {
+    by_peer: BTreeMap<u32, PeerCount>,
+}
+
+impl MalformedMessages {
+    /// Counts an error of a link to the machine `ip` at `now` (milliseconds) if it is a message that cannot be read: another
+    /// version of the format, or another protocol. Returns the number of such messages where it is to be logged: for the
+    /// first one of a peer, and then once in [`LOG_INTERVAL_MS`].
+    pub fn record(&mut self, now: u64, ip: u32, error: &LinkError) -> Option<u64> {
+        if !is_malformed(error) {
+            return None;
+        }
+        let is_known = self.by_peer.contains_key(&ip) || self.by_peer.len() < MAX_PEERS;
+        let count = self.by_peer.entry(if is_known { ip } else { OTHER_PEERS }).or_default();
+        count.messages = count.messages.saturating_add(1);
+        if count.logged_ms.is_some_and(|logged_ms| now < logged_ms + LOG_INTERVAL_MS) {
+            return None;
+        }
+        count.logged_ms = Some(now);
+        Some(count.messages)
+    }
+}
+
+/// Whether a message could not be read; errors of the socket and messages that cannot be encoded here are others.
+fn is_malformed(error: &LinkError) -> bool {
+    match error {
+        LinkError::Frame(FrameError::Encode(_)) | LinkError::Socket { .. } | LinkError::TimedOut(_) => false,
+        LinkError::Frame(_) => true,
+    }
+}
