--- a/crates/gaugesaddle-measure/src/limits.rs
+++ b/crates/gaugesaddle-measure/src/limits.rs
@@ -145,7 +145,7 @@
 fn detail(cell: &Cell) -> io::Result<()> {
     let report = simulate(&cell.scenario.clone().seed(1), LEARNED, &[]).map_err(io::Error::other)?;
     let seconds: Vec<String> = report.seconds.iter().map(|g| format!("{g:.2}")).collect();
-    println!("{}: by second {}; most held {:?}", cell.name, seconds.join(" "), report.most_held);
+    println!("{}: by second {}; most held {:?}", cell.name, seconds.join(" "), report.max_in_flight);
     println!("  answers {:?}", report.statuses);
     for view in report.limits.iter().flatten().take(8) {
         let ms =
--- a/crates/gaugesaddle-measure/src/tier/foca.rs
+++ b/crates/gaugesaddle-measure/src/tier/foca.rs
@@ -138,7 +138,7 @@
         self.carry(now, out);
     }
 
-    fn turn(&mut self, now: u64, out: &mut Sent) {
+    fn run_timers(&mut self, now: u64, out: &mut Sent) {
         if now >= self.join {
             self.join = if self.foca.num_members() == 0 { now + AGAIN_US } else { u64::MAX };
             for _ in 0..if self.foca.num_members() == 0 { SEEDS } else { 0 } {
@@ -160,7 +160,7 @@
         }
     }
 
-    fn wake(&self) -> u64 {
+    fn wake_at(&self) -> u64 {
         self.timers.first_key_value().map_or(u64::MAX, |t| t.0 .0).min(self.join)
     }
 
@@ -169,7 +169,7 @@
         self.carry(now, out);
     }
 
-    fn sees(&self, place: usize) -> Option<u32> {
+    fn live_boot(&self, place: usize) -> Option<u32> {
         self.sees[place].map(|id| id.boot)
     }
 }
--- a/crates/gaugesaddle-measure/src/tier/mod.rs
+++ b/crates/gaugesaddle-measure/src/tier/mod.rs
@@ -1,13 +1,13 @@
 //! Proxies that know one another: how soon they know of a death, of a return, and agree after a heal; whom they wrongly
-//! hold dead; what it costs; whether combinations of faults or strange datagrams break it. Processes and virtual time,
+//! hold dead; what it costs; whether combinations of faults or malformed datagrams break it. Processes and virtual time,
 //! the latter beside the library foca under the same scripts and draws.
 
 mod foca;
 
 use crate::proc::children_cpu_seconds;
 use crate::runs::{cast, play as play_scenario, play_all, play_with, round};
-use gaugesaddle_proxy_simulation::strange::strange;
-use gaugesaddle_proxy_simulation::tier::{play, started, Kind, Known, Links, Report, Step};
+use gaugesaddle_proxy_simulation::fuzz::fuzz;
+use gaugesaddle_proxy_simulation::tier::{play, started, Kind, Links, MembershipKind, Report, Step};
 use gaugesaddle_testbed::scenario::{Clients, Kind as Nodes};
 use gaugesaddle_testbed::tier::quantile;
 use gaugesaddle_testbed::{hunt, Event, Outcome, Scenario, What};
@@ -64,15 +64,15 @@
         ("halves, healed", vec![(5 * S, Step::Links(Links::in_parts(n, 2))), healed.clone()], 20 * S),
         ("30% lost", vec![(5 * S, Step::Links(loss(0.3))), healed.clone()], 20 * S),
         ("50% lost", vec![(5 * S, Step::Links(loss(0.5))), healed.clone()], 20 * S),
-        ("stopped 4 s", vec![(5 * S, Step::Pause(1)), (9 * S, Step::Resume(1))], 14 * S),
+        ("stopped 4 s", vec![(5 * S, Step::Suspend(1)), (9 * S, Step::Resume(1))], 14 * S),
     ]
 }
 
 fn told(report: &Report, settles: bool) -> Value {
     json!({"death_known": times(&report.death_known), "start_known": times(&report.start_known),
-           "settled_after_s": settles.then(|| secs(report.settled_after)), "false_deaths": report.false_deaths,
-           "longest_false_s": secs(report.longest_false), "unsettled": report.unsettled.len(),
-           "went_back": report.went_back.len()})
+           "settled_after_s": settles.then(|| secs(report.converged_after)), "false_deaths": report.false_deaths,
+           "longest_false_s": secs(report.longest_false_death), "unsettled": report.disagreements.len(),
+           "went_back": report.regressions.len()})
 }
 
 /// Bytes and datagrams a second of each process when nothing happens: the most of any.
@@ -89,10 +89,10 @@
         let mut of = serde_json::Map::new();
         for (name, script, end) in cases(n) {
             let script = started(n, &script);
-            let report = play(&Known::default(), n, &script, end, 1);
+            let report = play(&MembershipKind::default(), n, &script, end, 1);
             let deaths = report.death_known.is_empty() || in_time(&report.death_known);
-            held &= deaths && report.went_back.is_empty() && report.unsettled.is_empty();
-            held &= report.settled_after as f64 <= AGREED_S * S as f64 || !report.death_known.is_empty();
+            held &= deaths && report.regressions.is_empty() && report.disagreements.is_empty();
+            held &= report.converged_after as f64 <= AGREED_S * S as f64 || !report.death_known.is_empty();
             held &= name.contains("lost") || report.false_deaths == 0;
             let theirs: Vec<Value> = [800, 2400]
                 .into_iter()
@@ -106,8 +106,10 @@
             theirs.iter().for_each(|t| println!("    foca: {t}"));
             of.insert(name.into(), json!({"peers": told(&report, true), "foca": theirs}));
         }
-        let ((bytes, datagrams), library) =
-            (peace(&Known::default(), n), peace(&foca::Library::new(Duration::from_millis(2400)), n));
+        let ((bytes, datagrams), library) = (
+            peace(&MembershipKind::default(), n),
+            peace(&foca::Library::new(Duration::from_millis(2400)), n),
+        );
         held &= n != 300 || bytes < BYTES_AT_300;
         println!("{n} at peace: {bytes} bytes and {datagrams} datagrams a second with records; foca {library:?} without");
         of.insert(
@@ -117,8 +119,8 @@
         figures.insert(n.to_string(), Value::Object(of));
     }
     let kills: Vec<_> = (0..10).map(|k| (4 * S, Step::Kill(k * 97))).collect();
-    let report = play(&Known::default(), 1000, &started(1000, &kills), 10 * S, 1);
-    held &= in_time(&report.death_known) && report.false_deaths == 0 && report.went_back.is_empty();
+    let report = play(&MembershipKind::default(), 1000, &started(1000, &kills), 10 * S, 1);
+    held &= in_time(&report.death_known) && report.false_deaths == 0 && report.regressions.is_empty();
     println!("1000 in virtual time, ten killed at once: {}", told(&report, true));
     figures.insert("1000".into(), told(&report, true));
     (Value::Object(figures), held)
@@ -232,16 +234,16 @@
 
 /// All of it.
 pub fn measure(extent: &Extent) -> io::Result<Value> {
-    let fuzz = strange(STRANGE, 1).map_err(io::Error::other);
-    let (strange, strange_held) = match &fuzz {
+    let fuzz = fuzz(STRANGE, 1).map_err(io::Error::other);
+    let (malformed, malformed_held) = match &fuzz {
         Ok(told) => (
-            json!({"tried": told.tried, "answered": told.answered, "garbled": told.counts.malformed,
+            json!({"tried": told.sent, "answered": told.replies, "garbled": told.counts.malformed,
             "foreign": told.counts.misaddressed, "forged": told.counts.unauthenticated, "replayed": told.counts.replayed}),
             true,
         ),
         Err(e) => (json!({"failed": e.to_string()}), false),
     };
-    println!("strange datagrams: {strange}");
+    println!("malformed datagrams: {malformed}");
     let (in_virtual, virtual_held) = virtual_time();
     let (as_processes, processes_held) = processes(extent.kills)?;
     let (votes, votes_held) = votes(extent.pairs)?;
@@ -252,12 +254,12 @@
         hunt::hunt(&cast()?, 11, within, extent.lanes, &std::env::temp_dir(), &|line| println!("{line}"))?;
     println!("{hunted}");
     let found = hunted.saved.len() + hunted.once.len();
-    let held = strange_held && virtual_held && processes_held && votes_held && peaceful_held && found == 0;
+    let held = malformed_held && virtual_held && processes_held && votes_held && peaceful_held && found == 0;
     Ok(
         json!({"virtual": in_virtual, "processes": as_processes, "votes_p99": votes, "cpu": cpu, "peace": peaceful,
         "hunt": {"runs": hunted.runs, "proxies": hunted.proxies, "faults": hunted.faults, "findings": found,
                  "false_deaths": hunted.false_deaths},
-        "strange": strange, "parts_held": {"strange": strange_held, "virtual": virtual_held,
+        "malformed": malformed, "parts_held": {"malformed": malformed_held, "virtual": virtual_held,
         "processes": processes_held, "votes": votes_held, "peace": peaceful_held, "hunt": found == 0}, "held": held}),
     )
 }
--- /dev/null
+++ b/crates/gaugesaddle-proxy-simulation/src/tier/observation.rs
@@ -0,0 +1,100 @@
+//! Compares what each process knows of the others with the truth.
+
+use super::{Tier, OBSERVATION_INTERVAL_US};
+
+impl Tier<'_> {
+    pub(super) fn observe(&mut self) {
+        let now = self.now;
+        for i in 0..self.members {
+            let Some(r) = self.running[i].as_ref().filter(|r| !r.is_suspended) else { continue };
+            for j in (0..self.members).filter(|j| *j != i) {
+                let sees = r.process.live_boot(j);
+                let mut pair = self.pairs[i * self.members + j];
+                if let Some(boot) = sees {
+                    let number = self.boots.get(&boot).copied().unwrap_or(0);
+                    if number < pair.boot {
+                        self.report.regressions.push(format!("{i} saw an earlier process of {j} at {now}"));
+                    }
+                    pair.boot = number;
+                }
+                if let Some((boot, version)) = r.process.record(j) {
+                    let word = (self.boots.get(&boot).copied().unwrap_or(0), version);
+                    if pair.record.is_some_and(|last| word < last) {
+                        self.report.regressions.push(format!("{i} has an older record of {j} at {now}"));
+                    }
+                    pair.record = Some(word);
+                }
+                let there = self.running[j].as_ref().filter(|r| !r.is_suspended);
+                let apart = !self.connected(i, j);
+                match there {
+                    Some(other) if sees == Some(other.boot) => {
+                        if let Some(since) = pair.lost.take() {
+                            self.report.longest_false_death =
+                                self.report.longest_false_death.max(now - since);
+                        }
+                        pair.seen = true;
+                        if apart {
+                            self.report.converged_after = now;
+                        }
+                    }
+                    Some(_) if apart => {}
+                    Some(_) => {
+                        self.report.converged_after = now;
+                        if pair.seen && pair.lost.is_none() {
+                            pair.lost = Some(now - OBSERVATION_INTERVAL_US);
+                            self.report.false_deaths += 1;
+                        }
+                        if let Some(since) = pair.lost {
+                            self.report.longest_false_death =
+                                self.report.longest_false_death.max(now - since);
+                        }
+                    }
+                    None if sees.is_some() => self.report.converged_after = now,
+                    None => {}
+                }
+                self.pairs[i * self.members + j] = pair;
+            }
+        }
+        let (running, report) = (&self.running, &mut self.report);
+        let holds = |i: usize, boot: u32| {
+            let r = running[i].as_ref();
+            r.is_some_and(|r| (0..running.len()).any(|j| r.process.live_boot(j) == Some(boot)))
+        };
+        for (boot, at, knew) in &mut self.deaths_to_notice {
+            knew.retain(|i| {
+                let still = holds(*i, *boot);
+                if !still {
+                    report.death_known.push(now - *at);
+                }
+                still
+            });
+        }
+        for (index, boot, at, others) in &mut self.starts_to_notice {
+            others.retain(|i| {
+                let known = running[*i].as_ref().is_some_and(|r| r.process.live_boot(*index) == Some(*boot));
+                if known {
+                    report.start_known.push(now - *at);
+                }
+                !known
+            });
+        }
+        self.deaths_to_notice.retain(|d| !d.2.is_empty());
+        self.starts_to_notice.retain(|b| !b.3.is_empty());
+    }
+
+    pub(super) fn disagreements(&self) -> Vec<String> {
+        let mut found = Vec::new();
+        for i in 0..self.members {
+            let Some(r) = self.running[i].as_ref().filter(|r| !r.is_suspended) else { continue };
+            for j in (0..self.members).filter(|j| *j != i) {
+                let there = self.running[j].as_ref().filter(|r| !r.is_suspended && self.connected(i, j));
+                let (sees, is) = (r.process.live_boot(j), there.map(|r| r.boot));
+                if sees != is && self.running[j].as_ref().is_none_or(|r| !r.is_suspended) {
+                    let since = there.map_or(0, |t| t.started);
+                    found.push(format!("{i} sees {sees:?} at {j}, where {is:?} runs since {since}"));
+                }
+            }
+        }
+        found
+    }
+}
--- a/crates/gaugesaddle-proxy-simulation/tests/fleet.rs
+++ b/crates/gaugesaddle-proxy-simulation/tests/fleet.rs
@@ -37,7 +37,7 @@
 fn a_calm_fleet_is_served_whole() {
     let report = play(&many(Scenario::default()));
     assert!(report.g > 0.95, "{:.3} of the worth in time", report.g);
-    let most = report.most_held.iter().max().copied().unwrap_or(0);
+    let most = report.max_in_flight.iter().max().copied().unwrap_or(0);
     assert!(most <= 14, "a node held {most} at once");
 }
 
--- a/crates/gaugesaddle-proxy-simulation/tests/tier.rs
+++ b/crates/gaugesaddle-proxy-simulation/tests/tier.rs
@@ -3,7 +3,7 @@
 
 use gaugesaddle_membership::wire;
 use gaugesaddle_proxy_simulation::tier::{
-    play, started, Kind, Known, Links, Poor, Process, Report, Sent, Step,
+    play, started, Kind, Links, MembershipKind, Poor, Process, Report, Sent, Step,
 };
 use gaugesaddle_testbed::dice::Dice;
 use gaugesaddle_testbed::tier::{judge, quantile, Wrong};
@@ -17,9 +17,9 @@
 const FALSE_DEATH: u64 = 3 * S;
 
 fn sound(report: &Report, what: &str) {
-    assert!(report.unsettled.is_empty(), "{what}: {:?}", report.unsettled);
-    assert!(report.went_back.is_empty(), "{what}: {:?}", report.went_back);
-    assert!(report.settled_after <= SETTLED, "{what}: settled after {} us", report.settled_after);
+    assert!(report.disagreements.is_empty(), "{what}: {:?}", report.disagreements);
+    assert!(report.regressions.is_empty(), "{what}: {:?}", report.regressions);
+    assert!(report.converged_after <= SETTLED, "{what}: settled after {} us", report.converged_after);
 }
 
 fn in_parts(places: usize, parts: usize) -> Step {
@@ -76,7 +76,7 @@
             }
             1 => {
                 let long = if dice.chance(0.5) { 2 * S } else { 12 * S };
-                steps.push((at, Step::Pause(place)));
+                steps.push((at, Step::Suspend(place)));
                 steps.push((at + S / 5 + moment(&mut dice, long), Step::Resume(place)));
             }
             2 => {
@@ -115,9 +115,9 @@
                 for seed in (thread..SCRIPTS).step_by(threads as usize) {
                     let (places, steps) = script(seed);
                     let end = steps.last().expect("steps").0 + 2 * SETTLED;
-                    let report = play(&Known::default(), places, &steps, end, seed);
+                    let report = play(&MembershipKind::default(), places, &steps, end, seed);
                     sound(&report, &format!("seed {seed}, {places} processes, {steps:?}"));
-                    let longest = report.longest_false;
+                    let longest = report.longest_false_death;
                     assert!(longest <= FALSE_DEATH, "seed {seed}: held dead for {longest} us, {steps:?}");
                 }
             });
@@ -135,19 +135,19 @@
     fn datagram(&mut self, now: u64, from: usize, bytes: &[u8], out: &mut Sent) {
         self.0.datagram(now, from, bytes, out);
     }
-    fn turn(&mut self, now: u64, out: &mut Sent) {
-        self.0.turn(now, out);
+    fn run_timers(&mut self, now: u64, out: &mut Sent) {
+        self.0.run_timers(now, out);
         for (place, last) in self.1.iter_mut().enumerate() {
-            *last = self.0.sees(place).or(*last);
+            *last = self.0.live_boot(place).or(*last);
         }
     }
-    fn wake(&self) -> u64 {
-        self.0.wake()
+    fn wake_at(&self) -> u64 {
+        self.0.wake_at()
     }
     fn leave(&mut self, now: u64, out: &mut Sent) {
         self.0.leave(now, out);
     }
-    fn sees(&self, place: usize) -> Option<u32> {
+    fn live_boot(&self, place: usize) -> Option<u32> {
         self.1[place]
     }
     fn log(&mut self) -> Vec<String> {
@@ -164,20 +164,20 @@
             self.2.push(format!("peers: {from} is alive after x, boot {boot:08x}, incarnation 0: it wrote"));
         }
     }
-    fn turn(&mut self, now: u64, out: &mut Sent) {
-        self.0.turn(now, out);
+    fn run_timers(&mut self, now: u64, out: &mut Sent) {
+        self.0.run_timers(now, out);
         for (place, seen) in self.1.iter_mut().enumerate() {
-            *seen = seen.filter(|_| self.0.sees(place).is_some());
+            *seen = seen.filter(|_| self.0.live_boot(place).is_some());
         }
     }
-    fn wake(&self) -> u64 {
-        self.0.wake()
+    fn wake_at(&self) -> u64 {
+        self.0.wake_at()
     }
     fn leave(&mut self, now: u64, out: &mut Sent) {
         self.0.leave(now, out);
     }
-    fn sees(&self, place: usize) -> Option<u32> {
-        self.1[place].or(self.0.sees(place))
+    fn live_boot(&self, place: usize) -> Option<u32> {
+        self.1[place].or(self.0.live_boot(place))
     }
     fn log(&mut self) -> Vec<String> {
         let mut lines = std::mem::take(&mut self.2);
@@ -197,7 +197,7 @@
 impl Kind for Faulty {
     fn start(&self, places: usize, place: usize, boot: u32, seed: u64, now: u64) -> Box<dyn Process> {
         let boot = if matches!(self, Faulty::OldBoot) && place == 1 { 77 } else { boot };
-        let good = Known::default().start(places, place, boot, seed, now);
+        let good = MembershipKind::default().start(places, place, boot, seed, now);
         match self {
             Faulty::NeverForgets if place == 0 => Box::new(NeverForgets(good, vec![None; places])),
             Faulty::BelievesAll if place == 0 => Box::new(BelievesAll(good, vec![None; places], Vec::new())),
@@ -227,9 +227,9 @@
     assert!(verdict.is_clean(), "{verdict}");
     assert!(verdict.judged_s > 50.0 && verdict.death_known.len() == 16 * 3, "{verdict}");
     let (report, verdict) = play(Faulty::NeverForgets);
-    assert!(!report.unsettled.is_empty() && verdict.count(Wrong::NotForgotten) > 0, "{verdict}");
+    assert!(!report.disagreements.is_empty() && verdict.count(Wrong::NotForgotten) > 0, "{verdict}");
     let (report, verdict) = play(Faulty::BelievesAll);
-    assert!(!report.went_back.is_empty() && verdict.count(Wrong::WentBack) > 0, "{verdict}");
+    assert!(!report.regressions.is_empty() && verdict.count(Wrong::WentBack) > 0, "{verdict}");
     let (_, verdict) = play(Faulty::OldBoot);
     assert!(verdict.count(Wrong::OldBoot) > 0, "{verdict}");
 }
@@ -240,7 +240,7 @@
     for seed in 0..300 {
         let (places, steps) = script(seed);
         let end = steps.last().expect("steps").0 + 3 * SETTLED;
-        let report = play(&Known::default(), places, &steps, end, seed);
+        let report = play(&MembershipKind::default(), places, &steps, end, seed);
         let verdict = judge(places, &report.facts, &report.logs, end);
         assert!(verdict.is_clean(), "seed {seed}, {places} processes, {steps:?}:\n{verdict}");
     }
@@ -251,9 +251,9 @@
 fn thirty_hold_true_through_each_hard_case() {
     const N: usize = 30;
     let calm = |what: &str, rest: &[(u64, Step)], end: u64| {
-        let report = play(&Known::default(), N, &started(N, rest), end, 5);
+        let report = play(&MembershipKind::default(), N, &started(N, rest), end, 5);
         sound(&report, what);
-        assert_eq!(report.false_deaths, 0, "{what}: held dead for {} us", report.longest_false);
+        assert_eq!(report.false_deaths, 0, "{what}: held dead for {} us", report.longest_false_death);
         report
     };
     let half: Vec<_> = (0..N / 2).map(|p| (5 * S, Step::Kill(p))).collect();
@@ -263,7 +263,7 @@
 
     for parts in [2, 3] {
         let report = calm("parts", &[(5 * S, in_parts(N, parts)), (15 * S, healed())], 20 * S);
-        assert!(report.settled_after < S, "{} us to agree after a heal", report.settled_after);
+        assert!(report.converged_after < S, "{} us to agree after a heal", report.converged_after);
     }
     let one_way = Links { one_way: vec![(0, 1), (2, 1), (3, 4)], ..Links::default() };
     calm("one way", &[(5 * S, Step::Links(one_way)), (15 * S, healed())], 20 * S);
@@ -276,8 +276,8 @@
     assert_eq!(report.death_known.len(), N - 1, "a death is known through the loss");
     let unheard = Links { unheard: vec![1], ..Links::default() };
     calm("heard by none", &[(5 * S, Step::Links(unheard)), (20 * S, healed())], 25 * S);
-    calm("stopped for 30 s", &[(5 * S, Step::Pause(1)), (35 * S, Step::Resume(1))], 40 * S);
-    calm("starved for a second", &[(5 * S, Step::Pause(1)), (6 * S, Step::Resume(1))], 10 * S);
+    calm("stopped for 30 s", &[(5 * S, Step::Suspend(1)), (35 * S, Step::Resume(1))], 40 * S);
+    calm("starved for a second", &[(5 * S, Step::Suspend(1)), (6 * S, Step::Resume(1))], 10 * S);
 
     let again = |p: usize| [(5 * S, Step::Kill(p)), (5 * S + 1 + p as u64 * S / 40, Step::Start(p))];
     let mut restart: Vec<_> = (0..N).flat_map(again).collect();
@@ -288,7 +288,7 @@
 #[test]
 fn thirty_of_three_hundred_told_know_one_another_and_the_rest_costs_little() {
     let start: Vec<_> = (0..30).map(|p| (p as u64 * S / 30, Step::Start(p * 10))).collect();
-    let report = play(&Known::default(), 300, &start, 12 * S, 5);
+    let report = play(&MembershipKind::default(), 300, &start, 12 * S, 5);
     sound(&report, "30 of 300 told");
     assert_eq!(report.start_known.len(), 30 * 29 / 2, "each is met by those before it");
     assert!(report.sent.iter().all(|s| s.1 < 12 * 16_000), "{:?}", report.sent);
@@ -301,14 +301,14 @@
     steps.push((3 * S, Step::Links(lone)));
     steps.extend((3..30).map(|p| (4 * S + p as u64 * S / 10, Step::Start(p))));
     steps.push((12 * S, healed()));
-    sound(&play(&Known::default(), 30, &steps, 18 * S, 5), "3 grow to 30");
+    sound(&play(&MembershipKind::default(), 30, &steps, 18 * S, 5), "3 grow to 30");
 }
 
 /// Deaths at 300, and what each proxy sends when nothing happens: the difference of two plays.
 #[test]
 fn three_hundred_learn_of_deaths_in_time_and_send_less_than_16_kb_a_second() {
     const N: usize = 300;
-    let end = |s: u64| play(&Known::default(), N, &started(N, &[]), s * S, 5);
+    let end = |s: u64| play(&MembershipKind::default(), N, &started(N, &[]), s * S, 5);
     let (early, late) = std::thread::scope(|scope| {
         let early = scope.spawn(|| end(6));
         (early.join().expect("plays"), end(10))
@@ -322,7 +322,7 @@
         );
     }
     let kills: Vec<_> = (0..20).map(|p| (6 * S + p * S / 20, Step::Kill(p as usize * 15))).collect();
-    let report = play(&Known::default(), N, &started(N, &kills), 11 * S, 5);
+    let report = play(&MembershipKind::default(), N, &started(N, &kills), 11 * S, 5);
     sound(&report, "300, twenty of them killed");
     assert_eq!(report.false_deaths, 0);
     let (most, worst) = (quantile(&report.death_known, 0.95), quantile(&report.death_known, 1.0));
