--- a/crates/gaugesaddle-testbed/src/fleet.rs
+++ b/crates/gaugesaddle-testbed/src/fleet.rs
@@ -56,17 +56,26 @@
 
 impl Fleet {
     /// Starts so many control processes and proxies, each on a machine of its own.
+    ///
+    /// # Errors
+    /// A process cannot be started.
     pub fn start(controls: u8, edges: u8) -> io::Result<Fleet> {
         Fleet::start_with(controls, edges, false, "")
     }
 
     /// The same, of a deployment in which no request runs on a key so long after it was taken away, in ms.
+    ///
+    /// # Errors
+    /// A process cannot be started.
     pub fn start_closed(controls: u8, edges: u8, revoke_ms: u64) -> io::Result<Fleet> {
         let settings = format!("bounds.closed=true\nbounds.revokeMs={revoke_ms}\n");
         Fleet::start_with(controls, edges, false, &settings)
     }
 
     /// The same, with further lines in every boot file; a loud one shows what its processes log.
+    ///
+    /// # Errors
+    /// A process cannot be started.
     pub fn start_with(controls: u8, edges: u8, loud: bool, settings: &str) -> io::Result<Fleet> {
         let (pid, number) = (std::process::id(), FLEETS.fetch_add(1, Ordering::Relaxed));
         let folder = std::env::temp_dir().join(format!("gaugesaddle-fleet-{pid}-{number}"));
@@ -133,6 +142,9 @@
     }
 
     /// Starts a process that does not run.
+    ///
+    /// # Errors
+    /// The process cannot be started.
     pub fn run(&mut self, at: usize) -> io::Result<()> {
         let file = self.folder.join(format!("boot-{at}.conf"));
         std::fs::write(&file, self.boot(at))?;
@@ -159,11 +171,17 @@
     }
 
     /// Removes a machine's disk; its process must not run.
+    ///
+    /// # Errors
+    /// The folder cannot be removed.
     pub fn wipe(&mut self, at: usize) -> io::Result<()> {
         std::fs::remove_dir_all(self.data_folder(at))
     }
 
     /// Sends SIGTERM.
+    ///
+    /// # Errors
+    /// The signal cannot be sent.
     pub fn terminate(&mut self, at: usize) -> io::Result<()> {
         self.signal(at, "-TERM")
     }
@@ -174,11 +192,17 @@
     }
 
     /// Stops a process until it is woken.
+    ///
+    /// # Errors
+    /// The signal cannot be sent.
     pub fn freeze(&self, at: usize) -> io::Result<()> {
         self.signal(at, "-STOP")
     }
 
     /// Wakes a process that was stopped.
+    ///
+    /// # Errors
+    /// The signal cannot be sent.
     pub fn wake(&self, at: usize) -> io::Result<()> {
         self.signal(at, "-CONT")
     }
@@ -279,6 +303,9 @@
 }
 
 /// One call on a connection of its own; the answer has a length or no body.
+///
+/// # Errors
+/// The connection fails, or ends before a response.
 pub fn call(to: SocketAddrV4, text: &str) -> io::Result<Message> {
     let stream = TcpStream::connect_timeout(&to.into(), CALL)?;
     stream.set_read_timeout(Some(CALL))?;
@@ -295,6 +322,9 @@
 
 impl Chunked {
     /// Sends a request and reads the head of the answer.
+    ///
+    /// # Errors
+    /// The connection fails, or ends before the head of a response.
     pub fn open(to: SocketAddrV4, text: &str) -> io::Result<Chunked> {
         let stream = TcpStream::connect_timeout(&to.into(), CALL)?;
         stream.set_read_timeout(Some(CALL))?;
@@ -305,6 +335,9 @@
     }
 
     /// The next chunk; `None` at the proper end, an error where the connection breaks off before it.
+    ///
+    /// # Errors
+    /// The connection ends before the end of the response.
     pub fn next_chunk(&mut self) -> io::Result<Option<Vec<u8>>> {
         let mut line = String::new();
         self.reader.read_line(&mut line)?;
@@ -316,6 +349,9 @@
     }
 
     /// All that is left up to the proper end; what came before a break is lost.
+    ///
+    /// # Errors
+    /// The connection ends before the end of the response.
     pub fn rest(&mut self) -> io::Result<String> {
         let mut all = Vec::new();
         while let Some(chunk) = self.next_chunk()? {
--- a/crates/gaugesaddle-testbed/src/fleet_demo.rs
+++ b/crates/gaugesaddle-testbed/src/fleet_demo.rs
@@ -21,7 +21,7 @@
 fn stream(message: &Message) -> Reply {
     let id = message.header("request-id").unwrap_or_default();
     let events: String = (0..5).map(|n| format!("id: {n}\ndata: token {n}\n\n")).collect();
-    Reply::Say(format!(
+    Reply::Respond(format!(
         "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n\
          {:x}\r\n{events}\r\n0\r\n\r\n",
         events.len()
--- a/crates/gaugesaddle-testbed/src/http.rs
+++ b/crates/gaugesaddle-testbed/src/http.rs
@@ -46,12 +46,12 @@
 /// One side of a connection, read message by message.
 pub struct Reader<R> {
     from: R,
-    kept: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl<R: AsyncRead + Unpin> Reader<R> {
     pub fn new(from: R) -> Reader<R> {
-        Reader { from, kept: Vec::new() }
+        Reader { from, buffer: Vec::new() }
     }
 
     pub fn get_ref(&self) -> &R {
@@ -64,32 +64,32 @@
 
     /// Bytes that have been read and belong to no message yet.
     pub fn unread(&self) -> usize {
-        self.kept.len()
+        self.buffer.len()
     }
 
     /// Waits until at least one byte is there; false where the connection ends first.
     pub async fn first_byte(&mut self) -> io::Result<bool> {
-        Ok(!self.kept.is_empty() || self.more().await? > 0)
+        Ok(!self.buffer.is_empty() || self.more().await? > 0)
     }
 
     async fn more(&mut self) -> io::Result<usize> {
-        self.from.read_buf(&mut self.kept).await
+        self.from.read_buf(&mut self.buffer).await
     }
 
     /// Reads a message whole: `Content-Length` or chunks, or nothing where neither stands.
     pub async fn message(&mut self) -> io::Result<Message> {
         let end = loop {
-            if let Some(at) = find(&self.kept, b"\r\n\r\n") {
+            if let Some(at) = find(&self.buffer, b"\r\n\r\n") {
                 break at;
             }
-            if self.kept.len() > HEAD_BYTES {
+            if self.buffer.len() > HEAD_BYTES {
                 return Err(io::Error::new(io::ErrorKind::InvalidData, "a head without end"));
             }
             if self.more().await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
         };
-        let head: Vec<u8> = self.kept.drain(..end + 4).collect();
+        let head: Vec<u8> = self.buffer.drain(..end + 4).collect();
         let head = String::from_utf8_lossy(&head[..end]).into_owned();
         let mut lines = head.split("\r\n");
         let start = lines.next().unwrap_or("").to_string();
@@ -108,22 +108,22 @@
     }
 
     async fn exactly(&mut self, length: usize) -> io::Result<Vec<u8>> {
-        while self.kept.len() < length {
+        while self.buffer.len() < length {
             if self.more().await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
         }
-        Ok(self.kept.drain(..length).collect())
+        Ok(self.buffer.drain(..length).collect())
     }
 
     async fn chunks(&mut self) -> io::Result<Vec<u8>> {
         let mut body = Vec::new();
         loop {
             let line = loop {
-                if let Some(at) = find(&self.kept, b"\r\n") {
+                if let Some(at) = find(&self.buffer, b"\r\n") {
                     break self.exactly(at + 2).await?;
                 }
-                if self.kept.len() > HEAD_BYTES || self.more().await? == 0 {
+                if self.buffer.len() > HEAD_BYTES || self.more().await? == 0 {
                     return Err(io::ErrorKind::UnexpectedEof.into());
                 }
             };
--- a/crates/gaugesaddle-testbed/src/hunt.rs
+++ b/crates/gaugesaddle-testbed/src/hunt.rs
@@ -5,9 +5,9 @@
 //! that must be right. A finding is played again before it counts, faults are left out one by one as long as it still
 //! shows, and the rest is saved as a scenario that `gaugesaddle-testbed run` replays.
 
-use crate::datagrams::{lock, Links, Poor};
-use crate::dice::{mix, Dice};
-use crate::scenario::{Clients, Planned, Scenario, What};
+use crate::datagrams::{lock, Links, LossyPath};
+use crate::random::{mix, RandomStream};
+use crate::scenario::{Clients, Disturbance, Scenario, ScheduledDisturbance};
 use crate::world::{run, Cast};
 use std::fmt;
 use std::io;
@@ -71,8 +71,8 @@
 
 /// The same on a fleet of another shape; the number of proxies is drawn before.
 pub fn draw_on(seed: u64, shape: impl FnOnce(&mut Scenario)) -> Scenario {
-    let mut dice = Dice::new(seed, "hunt");
-    let proxies = 6 + dice.below(25);
+    let mut random = RandomStream::new(seed, "hunt");
+    let proxies = 6 + random.below(25);
     let defaults = Scenario::default();
     let mut s = Scenario {
         name: format!("hunt-{seed:x}"),
@@ -84,7 +84,7 @@
         clients: Clients {
             per_s: 40.0,
             // Some get three times the mean, and which ones moves.
-            uneven: if dice.chance(0.5) { vec![3.0, 1.0, 0.5, 0.5, 0.5] } else { Vec::new() },
+            uneven: if random.bernoulli(0.5) { vec![3.0, 1.0, 0.5, 0.5, 0.5] } else { Vec::new() },
             moves_every_s: 4.0,
             ..defaults.clients.clone()
         },
@@ -95,70 +95,73 @@
     // Each proxy has one fault of its own at most: what two of them would do to one another is no fault of its.
     let mut free: Vec<usize> = (0..proxies).collect();
     let mut network_free = QUIET_S;
-    for _ in 0..2 + dice.below(5) {
-        let at = QUIET_S + dice.unit() * (FAULTS_S - QUIET_S - 1.0);
-        let for_s = 0.5 + dice.unit() * (FAULTS_S - at - 0.5);
-        let kind = dice.below(9);
+    for _ in 0..2 + random.below(5) {
+        let at = QUIET_S + random.unit() * (FAULTS_S - QUIET_S - 1.0);
+        let for_s = 0.5 + random.unit() * (FAULTS_S - at - 0.5);
+        let kind = random.below(9);
         if kind >= 6 {
-            let (at, for_s) = (network_free, (FAULTS_S - network_free).min(0.5 + dice.unit() * 5.0));
+            let (at, for_s) = (network_free, (FAULTS_S - network_free).min(0.5 + random.unit() * 5.0));
             if for_s < 0.4 {
                 continue;
             }
             network_free = at + for_s + 0.5;
-            let (links, halls) = network(&mut dice, proxies, s.halls);
-            s.events.push(Planned { at_s: at, what: What::Network { links, halls, for_s } });
+            let (links, zones) = network(&mut random, proxies, s.zones);
+            s.events.push(ScheduledDisturbance {
+                at_s: at,
+                disturbance: Disturbance::Network { links, zones, for_s },
+            });
             continue;
         }
-        let several = if dice.chance(0.2) { proxies / 2 } else { 1 };
+        let several = if random.bernoulli(0.2) { proxies / 2 } else { 1 };
         for _ in 0..several.min(free.len().saturating_sub(1)) {
-            let proxy = free.swap_remove(dice.below(free.len()));
+            let proxy = free.swap_remove(random.below(free.len()));
             let what = match kind {
-                0 => What::KillProxy { proxy, back_after_s: 0.05 + for_s * dice.unit() },
-                1 => What::LoseProxy { proxy },
-                2 => What::StopProxy { proxy, for_s },
-                3 => What::RestartProxy { proxy },
-                4 => What::LeaveProxy { proxy },
-                _ => What::JoinProxy { proxy },
+                0 => Disturbance::KillProxy { proxy, back_after_s: 0.05 + for_s * random.unit() },
+                1 => Disturbance::LoseProxy { proxy },
+                2 => Disturbance::StopProxy { proxy, for_s },
+                3 => Disturbance::RestartProxy { proxy },
+                4 => Disturbance::LeaveProxy { proxy },
+                _ => Disturbance::JoinProxy { proxy },
             };
-            s.events.push(Planned { at_s: at, what });
+            s.events.push(ScheduledDisturbance { at_s: at, disturbance: what });
         }
     }
     // A whole hall, beside all else: none that sees it may send its clients away for that.
-    if dice.chance(0.4) {
-        let (at_s, hall, for_s) = (QUIET_S + 1.0, dice.below(s.halls), 1.0 + 3.0 * dice.unit());
-        s.events.push(Planned { at_s, what: What::HallOut { hall, for_s } });
+    if random.bernoulli(0.4) {
+        let (at_s, zone, for_s) = (QUIET_S + 1.0, random.below(s.zones), 1.0 + 3.0 * random.unit());
+        s.events.push(ScheduledDisturbance { at_s, disturbance: Disturbance::ZoneOutage { zone, for_s } });
     }
     s.events.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
     s
 }
 
 /// A network that fails, and the halls that are cut with it.
-fn network(dice: &mut Dice, proxies: usize, halls: usize) -> (Links, Vec<u8>) {
+fn network(random: &mut RandomStream, proxies: usize, zones: usize) -> (Links, Vec<u8>) {
     let (mut links, mut cut) = (Links::default(), Vec::new());
-    let any = |dice: &mut Dice| dice.below(proxies);
-    match dice.below(9) {
+    let any = |random: &mut RandomStream| random.below(proxies);
+    match random.below(9) {
         0 => {
-            let parts = 2 + dice.below(2);
-            links.parts = (0..proxies).map(|_| dice.below(parts) as u8).collect();
+            let parts = 2 + random.below(2);
+            links.groups = (0..proxies).map(|_| random.below(parts) as u8).collect();
         }
         // A hall is cut off with its proxies.
         1 => {
-            let lost = dice.below(halls);
-            links.parts = (0..proxies).map(|p| u8::from(p % halls == lost)).collect();
-            cut = (0..halls).map(|h| u8::from(h == lost)).collect();
+            let lost = random.below(zones);
+            links.groups = (0..proxies).map(|p| u8::from(p % zones == lost)).collect();
+            cut = (0..zones).map(|h| u8::from(h == lost)).collect();
         }
-        2 => links.one_way = (0..=any(dice)).map(|_| (any(dice), any(dice))).collect(),
-        3 => links.unheard = vec![any(dice)],
-        4 => links.loss = dice.within([0.05, 0.5]),
-        5 => (links.slow, links.slow_us) = (vec![any(dice), any(dice)], 150_000),
+        2 => links.one_way = (0..=any(random)).map(|_| (any(random), any(random))).collect(),
+        3 => links.unheard = vec![any(random)],
+        4 => links.loss = random.uniform([0.05, 0.5]),
+        5 => (links.slow, links.slow_us) = (vec![any(random), any(random)], 150_000),
         6 => {
-            let pair = [dice.below(halls), dice.below(halls)];
-            links.poor = Poor::between(pair, halls, proxies, dice.within([0.1, 0.6]), 30_000);
+            let pair = [random.below(zones), random.below(zones)];
+            links.poor = LossyPath::between(pair, zones, proxies, random.uniform([0.1, 0.6]), 30_000);
         }
         7 => {
-            let (loss, more_us) = (dice.within([0.3, 1.0]), 100_000);
-            let pairs = (0..=any(dice)).map(|_| (vec![any(dice)], vec![any(dice)]));
-            links.poor = pairs.map(|(from, to)| Poor { from, to, loss, more_us }).collect();
+            let (loss, more_us) = (random.uniform([0.3, 1.0]), 100_000);
+            let pairs = (0..=any(random)).map(|_| (vec![any(random)], vec![any(random)]));
+            links.poor = pairs.map(|(from, to)| LossyPath { from, to, loss, more_us }).collect();
         }
         _ => (links.doubled, links.way_us) = (0.5, [100, 20_000]),
     }
@@ -190,10 +193,12 @@
     count.faults += s.events.len() as u64;
     if let Some(tier) = &outcome.tier {
         count.false_deaths += tier.false_deaths;
-        if let Some(m) = tier.mistakes.first().filter(|_| count.mistakes.len() < SHOWN) {
+        if let Some(m) = tier.first_false_deaths.first().filter(|_| count.mistakes.len() < SHOWN) {
             let ((viewer, of), at) = (m.pair, m.at as f64 / 1e6);
-            let text =
-                format!("{}: {} times, at {at:.2} s {viewer} of {of}: {}", s.name, tier.false_deaths, m.what);
+            let text = format!(
+                "{}: {} times, at {at:.2} s {viewer} of {of}: {}",
+                s.name, tier.false_deaths, m.description
+            );
             count.mistakes.push(text);
         }
     }
@@ -207,6 +212,9 @@
 }
 
 /// Plays combinations from a seed on, so many side by side, until the time is up; what is found goes into a folder.
+///
+/// # Errors
+/// A scenario cannot be played, or a finding cannot be saved.
 pub fn hunt(
     cast: &Cast, seed: u64, within: Duration, lanes: usize, into: &Path, tell: &(dyn Fn(&str) + Sync),
 ) -> io::Result<Hunted> {
--- a/crates/gaugesaddle-testbed/src/hunt/tests.rs
+++ b/crates/gaugesaddle-testbed/src/hunt/tests.rs
@@ -7,33 +7,35 @@
         assert!(s.check().is_ok(), "{s:?}");
         let text = toml::to_string(s).expect("as text");
         assert_eq!(&Scenario::parse(&text).expect("sound"), s);
-        let ends = |e: &Planned| match &e.what {
-            What::Network { for_s, .. } | What::StopProxy { for_s, .. } => e.at_s + for_s,
-            What::KillProxy { back_after_s, .. } => e.at_s + back_after_s,
+        let ends = |e: &ScheduledDisturbance| match &e.disturbance {
+            Disturbance::Network { for_s, .. } | Disturbance::StopProxy { for_s, .. } => e.at_s + for_s,
+            Disturbance::KillProxy { back_after_s, .. } => e.at_s + back_after_s,
             _ => e.at_s,
         };
         assert!(s.events.iter().all(|e| ends(e) <= FAULTS_S + 0.01), "{s:?}");
     }
-    let faults =
-        |kind: fn(&What) -> bool| drawn.iter().flat_map(|s| &s.events).filter(|e| kind(&e.what)).count();
-    assert!(faults(|w| matches!(w, What::LoseProxy { .. })) > 50);
-    assert!(faults(|w| matches!(w, What::JoinProxy { .. })) > 50);
-    assert!(faults(|w| matches!(w, What::Network { halls, .. } if !halls.is_empty())) > 20);
+    let faults = |kind: fn(&Disturbance) -> bool| {
+        drawn.iter().flat_map(|s| &s.events).filter(|e| kind(&e.disturbance)).count()
+    };
+    assert!(faults(|w| matches!(w, Disturbance::LoseProxy { .. })) > 50);
+    assert!(faults(|w| matches!(w, Disturbance::JoinProxy { .. })) > 50);
+    assert!(faults(|w| matches!(w, Disturbance::Network { zones, .. } if !zones.is_empty())) > 20);
     assert_eq!(drawn[3], draw(mix(7, 3)), "a seed means the same");
 }
 
 #[test]
 fn the_fewest_faults_that_still_show_it_are_left() {
     let s = draw(mix(7, 1));
-    let extra = (0..8).fold(s, |s, proxy| s.event(3.0, What::StopProxy { proxy, for_s: 1.0 }));
-    let (first, last) = (What::StopProxy { proxy: 2, for_s: 1.0 }, What::StopProxy { proxy: 6, for_s: 1.0 });
+    let extra = (0..8).fold(s, |s, proxy| s.event(3.0, Disturbance::StopProxy { proxy, for_s: 1.0 }));
+    let (first, last) =
+        (Disturbance::StopProxy { proxy: 2, for_s: 1.0 }, Disturbance::StopProxy { proxy: 6, for_s: 1.0 });
     let mut plays = 0;
     let small = shrink(extra, |s| {
         plays += 1;
-        let has = |what: &What| s.events.iter().any(|e| &e.what == what);
+        let has = |what: &Disturbance| s.events.iter().any(|e| &e.disturbance == what);
         has(&first) && has(&last)
     });
-    let left: Vec<What> = small.events.into_iter().map(|e| e.what).collect();
+    let left: Vec<Disturbance> = small.events.into_iter().map(|e| e.disturbance).collect();
     assert_eq!(left, [first, last]);
     assert!(plays < 200, "{plays}");
 }
--- a/crates/gaugesaddle-testbed/src/lease.rs
+++ b/crates/gaugesaddle-testbed/src/lease.rs
@@ -1,18 +1,18 @@
 //! Loopback addresses of a run's own: tests side by side share none, and no outgoing connection of theirs can take a
 //! port on which a proxy is to listen again after its restart.
 
-use crate::dice::mix;
+use crate::random::mix;
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 
-/// The port whose holder has the addresses.
+/// Port whose holder owns the addresses.
 const GUARD_PORT: u16 = 4009;
-/// Where proxies listen.
+/// Port of proxies.
 const PROXY_PORT: u16 = 5000;
-/// Addresses that are asked for one by one have ports from here on, on a host of their own.
+/// Ports of addresses that are requested one by one, on a host of their own.
 const NAMED_PORTS: std::ops::Range<u16> = 5001..32_000;
-/// Networks that are tried before giving up.
-const TRIES: u64 = 200;
+/// Most networks that are tried.
+const MAX_ATTEMPTS: u64 = 200;
 
 /// The addresses 127.a.b.x, held until it is dropped.
 pub struct Lease {
@@ -21,11 +21,14 @@
 }
 
 impl Lease {
-    /// One that nobody holds.
+    /// Takes addresses that nobody holds.
+    ///
+    /// # Errors
+    /// None was free.
     pub fn take() -> io::Result<Lease> {
         let start = u64::from(std::process::id());
         let mut last = io::Error::other("no network was tried");
-        for n in 0..TRIES {
+        for n in 0..MAX_ATTEMPTS {
             let drawn = mix(start, n);
             // Not 127.0.x.x, where everything else on the machine is.
             let net = [1 + (drawn % 254) as u8, (drawn >> 16) as u8];
--- a/crates/gaugesaddle-testbed/src/main.rs
+++ b/crates/gaugesaddle-testbed/src/main.rs
@@ -88,16 +88,27 @@
     Example,
 }
 
-fn seconds(text: &str) -> Result<f64, String> {
-    let value: f64 = text.parse().map_err(|_| "expected a number of seconds".to_string())?;
+/// Why an argument is invalid.
+#[derive(Debug, thiserror::Error)]
+enum ArgumentError {
+    #[error("expected a number of seconds")]
+    NoNumber,
+    #[error("expected 5 to 3600")]
+    OutOfRange,
+    #[error("expected one of {0}")]
+    UnknownFault(String),
+}
+
+fn seconds(text: &str) -> Result<f64, ArgumentError> {
+    let value: f64 = text.parse().map_err(|_| ArgumentError::NoNumber)?;
     if (5.0..=3600.0).contains(&value) {
         Ok(value)
     } else {
-        Err("expected 5 to 3600".into())
+        Err(ArgumentError::OutOfRange)
     }
 }
 
-fn fault(text: &str) -> Result<Fault, String> {
+fn fault(text: &str) -> Result<Fault, ArgumentError> {
     let all = [
         ("none", Fault::None),
         ("drops", Fault::Drops),
@@ -113,7 +124,7 @@
     ];
     let names: Vec<&str> = all.iter().map(|f| f.0).collect();
     let found = all.iter().find(|f| f.0 == text);
-    found.map(|f| f.1).ok_or(format!("expected one of {}", names.join(", ")))
+    found.map(|f| f.1).ok_or_else(|| ArgumentError::UnknownFault(names.join(", ")))
 }
 
 fn main() -> ExitCode {
@@ -131,7 +142,7 @@
         }
         Command::Fleet { seconds } => fleet_demo::play(seconds),
         Command::Hunt { seed, seconds, lanes, into } => hunt(seed, seconds, lanes, &into),
-        Command::Audit { scenario, records } => judge(&scenario, &records),
+        Command::Audit { scenario, records } => audit_records(&scenario, &records),
         Command::Example => example(),
     };
     match done {
@@ -161,7 +172,7 @@
     println!("{}, seed {}: {} proxies, {} nodes, {} s", s.name, s.seed, s.proxies, s.nodes(), s.seconds);
     let outcome = run(&s, cast, &mut |_| {})?;
     if let Some(path) = records {
-        keep(path, &outcome)?;
+        write_records(path, &outcome)?;
     }
     for (proxy, lines) in outcome.logs.iter().enumerate().filter(|_| logs) {
         lines.iter().for_each(|line| println!("p{proxy}: {line}"));
@@ -180,7 +191,7 @@
     Ok(hunted.saved.is_empty())
 }
 
-fn keep(path: &Path, outcome: &Outcome) -> io::Result<()> {
+fn write_records(path: &Path, outcome: &Outcome) -> io::Result<()> {
     let mut file = BufWriter::new(std::fs::File::create(path)?);
     for record in &outcome.records {
         serde_json::to_writer(&mut file, record)?;
@@ -189,7 +200,7 @@
     file.flush()
 }
 
-fn judge(file: &Path, records: &Path) -> io::Result<bool> {
+fn audit_records(file: &Path, records: &Path) -> io::Result<bool> {
     let s = scenario(file)?;
     let mut read: Vec<Record> = Vec::new();
     for (number, line) in BufReader::new(std::fs::File::open(records)?).lines().enumerate() {
--- a/crates/gaugesaddle-testbed/src/node.rs
+++ b/crates/gaugesaddle-testbed/src/node.rs
@@ -1,9 +1,8 @@
-//! A stand-in node: HTTP/1.1 as the protocol says, work done by the model in `processor`, and every way of going
-//! wrong that a scenario asks for.
+//! A stand-in node: HTTP/1.1, work by the model in [`crate::processor`], and every fault that a scenario asks for.
 
-use crate::dice::Dice;
 use crate::http::{Message, Reader};
 use crate::processor::{present_work, Processor};
+use crate::random::RandomStream;
 use crate::record::{Boot, Event, Journal, Moment};
 use crate::scenario::{Choke, Effect, Kind, Rules};
 use std::cell::{Cell, RefCell};
@@ -17,7 +16,7 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::task::AbortHandle;
 
-/// What a node needs to know of a request and its sender doesn't say.
+/// Facts of a request that its sender does not send.
 #[derive(Clone, Copy, Debug)]
 pub struct Facts {
     pub class: usize,
@@ -26,7 +25,7 @@
     pub wait_us: u64,
 }
 
-/// A hall's memory of the keys that it has seen: when first. Old ones are dropped as new ones come.
+/// A zone's deduplication of keys: when each was first seen. Expired ones are dropped as new ones come.
 #[derive(Default)]
 pub struct Memory {
     seen: HashMap<u64, Moment>,
@@ -34,7 +33,7 @@
 }
 
 impl Memory {
-    /// Whether it is the first sight of the key within the window.
+    /// Whether the key is seen for the first time within the window.
     pub fn first(&mut self, now: Moment, key: u64, window_us: u64) -> bool {
         while let Some((at, old)) = self.order.front().copied().filter(|o| o.0 + window_us < now) {
             self.order.pop_front();
@@ -55,39 +54,39 @@
 pub struct Fleet {
     pub journal: Journal,
     pub facts: RefCell<HashMap<u64, Facts>>,
-    /// By hall.
+    /// By zone.
     pub memories: RefCell<Vec<Memory>>,
     /// Effect and window of each class.
     pub classes: Vec<(Effect, u64)>,
     pub rules: Rules,
-    /// Work of a mean request, for the allowance on cold budgets.
+    /// Mean work of a request, for the tolerance of slow-start budgets.
     pub mean_work_us: f64,
     pub choke: Choke,
     pub next_attempt: Cell<u64>,
-    pub dice: RefCell<Dice>,
+    pub random: RefCell<RandomStream>,
 }
 
 /// One process of a node.
 pub struct Node {
     pub boot: Boot,
     pub name: String,
-    pub hall: usize,
+    pub zone: usize,
     pub kind: Kind,
-    /// Where each proxy finds it.
+    /// Its address for each proxy.
     pub addresses: Vec<SocketAddr>,
     pub started: Moment,
     fleet: Rc<Fleet>,
-    cold: bool,
+    slow_start: bool,
     processor: RefCell<Processor>,
     running: RefCell<HashMap<u64, oneshot::Sender<()>>>,
     wake: Notify,
     tasks: RefCell<Vec<AbortHandle>>,
     open: Cell<usize>,
-    /// Work that came while it was cold.
+    /// Work received during slow start.
     budget: RefCell<VecDeque<(Moment, f64)>>,
     pub frozen: Cell<bool>,
     stopping: Cell<bool>,
-    /// Its connections end with a reset.
+    /// Whether its connections end with a reset.
     crashed: Cell<bool>,
     pub fell: Cell<bool>,
     pub spoil: Cell<f64>,
@@ -99,17 +98,17 @@
 pub enum Down {
     /// Its connections are reset at once.
     Crash,
-    /// It finishes what it has.
+    /// It finishes the requests that it has.
     Leave,
 }
 
-/// What a node is started with.
+/// Parameters of a node's process.
 pub struct Start<'a> {
     pub boot: Boot,
     pub name: String,
-    pub hall: usize,
+    pub zone: usize,
     pub kind: &'a Kind,
-    pub cold: bool,
+    pub slow_start: bool,
     pub proxies: usize,
     pub bind: SocketAddr,
 }
@@ -121,24 +120,24 @@
             listeners.push(TcpListener::bind(with.bind).await?);
         }
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<io::Result<_>>()?;
-        let (boot, hall, kind, cold) = (with.boot, with.hall, with.kind, with.cold);
-        let cold_from = if cold { kind.cold_from } else { 1.0 };
+        let (boot, zone, kind, cold) = (with.boot, with.zone, with.kind, with.slow_start);
+        let cold_from = if cold { kind.initial_capacity } else { 1.0 };
         let started = fleet.journal.put(Event::NodeUp {
             boot,
-            hall,
+            zone,
             speed: kind.speed * kind.cores as f64,
-            cold_from,
-            ramp_us: (kind.ramp_s * 1e6) as u64,
+            initial_capacity: cold_from,
+            slow_start_us: (kind.slow_start_s * 1e6) as u64,
         });
         let node = Rc::new(Node {
             boot,
             name: with.name,
-            hall,
+            zone,
             kind: kind.clone(),
             addresses,
             started,
             fleet: fleet.clone(),
-            cold,
+            slow_start: cold,
             processor: RefCell::new(Processor::new(kind, fleet.choke, started, cold)),
             running: RefCell::default(),
             wake: Notify::new(),
@@ -154,13 +153,13 @@
         });
         for (proxy, listener) in listeners.into_iter().enumerate() {
             let this = node.clone();
-            node.keep(tokio::task::spawn_local(this.accept(listener, proxy)).abort_handle());
+            node.track(tokio::task::spawn_local(this.accept(listener, proxy)).abort_handle());
         }
-        node.keep(tokio::task::spawn_local(node.clone().work()).abort_handle());
+        node.track(tokio::task::spawn_local(node.clone().work()).abort_handle());
         Ok(node)
     }
 
-    fn keep(&self, task: AbortHandle) {
+    fn track(&self, task: AbortHandle) {
         let mut tasks = self.tasks.borrow_mut();
         if tasks.len() > 2 * (self.addresses.len() + 1 + self.open.get()) {
             tasks.retain(|t| !t.is_finished());
@@ -168,31 +167,31 @@
         tasks.push(task);
     }
 
-    /// Requests that it holds.
-    pub fn held(&self) -> usize {
-        self.processor.borrow().held()
+    /// Number of requests in flight.
+    pub fn in_flight(&self) -> usize {
+        self.processor.borrow().in_flight()
     }
 
-    /// Whether it is choked by too much waiting.
+    /// Whether it is overloaded.
     pub fn is_choked(&self) -> bool {
         self.processor.borrow().choked
     }
 
-    /// So many times slower from now on.
+    /// Slower by that factor from now on.
     pub fn slow(&self, factor: f64) {
         self.advance();
         self.processor.borrow_mut().slow = factor.max(1e-3);
         self.wake.notify_one();
     }
 
-    /// Takes requests and answers none while true.
+    /// Accepts requests and answers none while true.
     pub fn hang(&self, hung: bool) {
         self.advance();
         self.processor.borrow_mut().hung = hung;
         self.wake.notify_one();
     }
 
-    /// Ends its process. One that leaves finishes what it has, for two seconds at most.
+    /// Ends its process. One that leaves finishes the requests that it has, for two seconds at most.
     pub fn down(self: &Rc<Self>, how: Down) {
         if self.stopping.replace(true) {
             return;
@@ -201,7 +200,7 @@
         tokio::task::spawn_local(async move {
             if how == Down::Leave {
                 for _ in 0..200 {
-                    if this.held() == 0 && this.running.borrow().is_empty() {
+                    if this.in_flight() == 0 && this.running.borrow().is_empty() {
                         break;
                     }
                     tokio::time::sleep(Duration::from_millis(10)).await;
@@ -227,11 +226,11 @@
             let _ = stream.set_nodelay(true);
             self.open.set(self.open.get() + 1);
             let connection = Connection { node: self.clone(), reader: Reader::new(stream) };
-            self.keep(tokio::task::spawn_local(connection.serve(proxy)).abort_handle());
+            self.track(tokio::task::spawn_local(connection.serve(proxy)).abort_handle());
         }
     }
 
-    /// Runs the machine and tells whose work is done.
+    /// Drives the processor, and completes the requests whose work is done.
     async fn work(self: Rc<Self>) {
         loop {
             self.advance();
@@ -260,13 +259,13 @@
         }
     }
 
-    /// Counts work that has come against what a cold node bears; too much and it falls.
+    /// Counts received work against the slow-start budget; beyond it the node goes down.
     fn bear(self: &Rc<Self>, at: Moment, work_us: u64) {
-        if !self.cold || self.fell.get() {
+        if !self.slow_start || self.fell.get() {
             return;
         }
         let (rules, kind) = (&self.fleet.rules, &self.kind);
-        let (window, ramp) = (rules.fall_ms * 1e3, kind.ramp_s * 1e6);
+        let (window, ramp) = (rules.fall_ms * 1e3, kind.slow_start_s * 1e6);
         let age = (at - self.started) as f64;
         if age > ramp + window {
             return;
@@ -281,7 +280,7 @@
         // Before its start there was no capacity, and after it a whole window is granted.
         let able = present_work(
             speed,
-            kind.cold_from,
+            kind.initial_capacity,
             ramp,
             (age - window).max(0.0),
             (age - window).max(0.0) + window,
@@ -296,7 +295,7 @@
     }
 }
 
-/// A connection of a proxy's.
+/// A connection of a proxy.
 struct Connection {
     node: Rc<Node>,
     reader: Reader<TcpStream>,
@@ -311,12 +310,12 @@
     }
 }
 
-/// An attempt that has come whole.
+/// An attempt whose last byte was received.
 struct Taken {
     attempt: u64,
     id: u64,
     facts: Facts,
-    /// It takes effect when it runs: the hall had not seen its key within the window when it came.
+    /// Whether it takes effect when it runs: its zone had not seen its key within the window.
     counts: bool,
 }
 
@@ -338,8 +337,8 @@
             let attempt = fleet.next_attempt.get();
             fleet.next_attempt.set(attempt + 1);
             fleet.journal.put(Event::Arriving { attempt, boot: self.node.boot, proxy });
-            let reset = fleet.dice.borrow_mut().chance(self.node.resets.get());
-            if reset && fleet.dice.borrow_mut().chance(0.5) {
+            let reset = fleet.random.borrow_mut().bernoulli(self.node.resets.get());
+            if reset && fleet.random.borrow_mut().bernoulli(0.5) {
                 return self.reset_at_end(); // unread
             }
             let Ok(message) = self.reader.message().await else { return };
@@ -354,7 +353,7 @@
         }
     }
 
-    /// Finds out what the request is; `None`: it was answered with an error and the connection ends.
+    /// Identifies the request; `None`: it was answered with an error and the connection ends.
     async fn take(&mut self, attempt: u64, message: &Message) -> Option<Taken> {
         let fleet = self.node.fleet.clone();
         let text = message.header("x-correlation-id").unwrap_or("");
@@ -362,7 +361,7 @@
         let facts = id.and_then(|id| fleet.facts.borrow().get(&id).copied());
         let Some((id, facts)) = id.zip(facts) else {
             let path = message.path().to_string();
-            fleet.journal.put(Event::Strange {
+            fleet.journal.put(Event::Unexpected {
                 text: format!("node {}: no such request: {path} {text}", self.node.name),
             });
             let status = if text.is_empty() { "404 Not Found" } else { "400 Bad Request" };
@@ -371,13 +370,13 @@
                 .await;
             return None;
         };
-        let at = fleet.journal.put(Event::Whole { attempt, id, work_us: facts.work_us });
+        let at = fleet.journal.put(Event::Received { attempt, id, work_us: facts.work_us });
         self.node.bear(at, facts.work_us);
         let (effect, window_us) = fleet.classes[facts.class];
         let counts = match effect {
             Effect::Safe => false,
             Effect::Unsafe => true,
-            Effect::Keyed => fleet.memories.borrow_mut()[self.node.hall].first(at, facts.key, window_us),
+            Effect::Keyed => fleet.memories.borrow_mut()[self.node.zone].first(at, facts.key, window_us),
         };
         Some(Taken { attempt, id, facts, counts })
     }
@@ -386,7 +385,7 @@
         self.reader.get_mut().write_all(text.as_bytes()).await
     }
 
-    /// The effect of a request that has run.
+    /// Records the effect of a request that has run.
     fn effect(&self, taken: &Taken) {
         if taken.counts {
             let (attempt, key) = (taken.attempt, taken.facts.key);
@@ -394,14 +393,14 @@
         }
     }
 
-    /// Works and answers; false: the connection is of no further use.
+    /// Processes and answers; false: the connection cannot be used further.
     async fn answer(&mut self, taken: Taken) -> bool {
         let (node, attempt) = (self.node.clone(), taken.attempt);
         let journal = node.fleet.journal.clone();
         node.advance();
         if !node.processor.borrow_mut().offer(journal.now(), attempt, taken.facts.work_us) {
-            // Told before it is written: the proxy may act on it at once.
-            journal.put(Event::Turned { attempt });
+            // Recorded before it is written: the proxy may act on it at once.
+            journal.put(Event::Rejected { attempt });
             return self
                 .write("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
                 .await
@@ -415,7 +414,7 @@
                 return false;
             },
             _ = self.reader.first_byte() => {
-                // The proxy has closed it, or sent more than it should. What waits is dropped, what runs goes on.
+                // The proxy has closed it, or sent more than it should. What is queued is dropped, what runs goes on.
                 if node.processor.borrow_mut().drop_waiting(attempt) {
                     node.running.borrow_mut().remove(&attempt);
                 } else if ended.await.is_ok() {
@@ -426,14 +425,14 @@
         }
         self.effect(&taken);
         tokio::time::sleep(Duration::from_micros(taken.facts.wait_us)).await;
-        let spoilt = node.fleet.dice.borrow_mut().chance(node.spoil.get());
+        let spoilt = node.fleet.random.borrow_mut().bernoulli(node.spoil.get());
         let body = format!("attempt={attempt} id={:016x}", taken.id);
         let good = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         if !spoilt {
             journal.put(Event::Replied { attempt, status: 200 });
             return self.write(&good).await.is_ok();
         }
-        let way = node.fleet.dice.borrow_mut().below(6);
+        let way = node.fleet.random.borrow_mut().below(6);
         let (text, status, goes_on) = match way {
             0 => ("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".to_string(), 500, true),
             1 => (format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len() + 9), 0, false),
--- a/crates/gaugesaddle-testbed/src/plan.rs
+++ b/crates/gaugesaddle-testbed/src/plan.rs
@@ -1,81 +1,84 @@
-//! A scenario drawn ahead: every request with its work, every retry's wait, every step of the fleet. Nothing here
-//! looks at a clock, so that a seed means the same on every machine, however fast.
+//! A scenario drawn ahead: every request with its work and its retries, every step of the fleet. Nothing here reads a
+//! clock, so that a seed means the same on every machine.
 
 use crate::datagrams::Links;
-use crate::dice::{mix, Dice};
-use crate::scenario::{Effect, Scenario, What};
+use crate::random::{mix, RandomStream};
+use crate::scenario::{Disturbance, Effect, Scenario};
 
-/// A request of a client, its first try.
+/// From the end of a node's process to its successor's start, in a deploy.
+const RESTART_AFTER_S: f64 = 0.2;
+
+/// A request of a client.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
-    /// When, in microseconds from the start of the clients.
+pub struct PlannedRequest {
+    /// Time of the first attempt, in microseconds from the start of the clients.
     pub at_us: u64,
-    /// Its id.
+    /// Id of the first attempt.
     pub id: u64,
-    /// Its class, by number.
+    /// Its class.
     pub class: usize,
-    /// What it is about.
+    /// Idempotency key.
     pub key: u64,
-    /// Work on a standard core.
+    /// Work, in microseconds of a standard core.
     pub work_us: u64,
-    /// Waiting without a core.
+    /// Time that it waits without a core, in microseconds.
     pub wait_us: u64,
-    /// Its hall.
-    pub hall: usize,
-    /// How long the client waits.
+    /// Zone of the client.
+    pub zone: usize,
+    /// Deadline of the client, in microseconds.
     pub patience_us: u64,
-    /// Tries after the first.
+    /// Most retries.
     pub retries: u32,
-    /// The wait before the first retry; doubled for each further one.
+    /// Backoff before the first retry; doubled for each further one.
     pub backoff_us: u64,
-    /// It follows `Retry-After`.
+    /// Whether the client follows `Retry-After`.
     pub honours: bool,
-    /// It closes its connection so long after it asked, if it has no answer by then.
+    /// Time until the client disconnects, unless it has a response by then.
     pub leaves_us: Option<u64>,
-    /// It writes in pieces.
+    /// Whether it writes its request slowly, in chunks.
     pub slow_writing: bool,
-    /// It lets its answer lie.
+    /// Whether it reads its response late.
     pub slow_reading: bool,
-    /// It keeps its connection and never asks on it again.
+    /// Whether it keeps its connection without a further request.
     pub once: bool,
-    /// One of a crowd, by its number: an address and connections of its own, and even waits.
-    pub crowd: Option<u32>,
+    /// Number of a client of a reconnect storm: it has an address and connections of its own, and even waits.
+    pub storm_client: Option<u32>,
 }
 
-/// One thing done to the fleet.
+/// One change to the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// A process starts at that place, cold.
+    /// A node's process starts, in slow start.
     NodeStart(usize),
-    /// Its process dies; the list learns of it late.
+    /// A node's process dies; discovery notices late.
     NodeCrash(usize),
-    /// The list says that it drains; it goes on.
+    /// Discovery announces that a node drains; it goes on.
     NodeDrain(usize),
-    /// It leaves after a drain.
+    /// A node leaves after a drain.
     NodeStop(usize),
-    /// It stops answering at all, connections stay open.
+    /// A node stops answering; connections stay open.
     NodeVanish(usize),
-    /// It is so many times slower.
+    /// A node is slower by that factor.
     NodeSlow(usize, f64),
-    /// It takes requests and answers none while true.
+    /// A node accepts requests and answers none while true.
     NodeHang(usize, bool),
-    /// It spoils this part of its answers.
+    /// A node corrupts this fraction of its responses.
     NodeSpoil(usize, f64),
-    /// It resets this part of its connections.
+    /// A node resets this fraction of its connections.
     NodeResets(usize, f64),
     /// Nothing passes between a proxy and a node while true.
-    LinkCut(usize, usize, bool),
-    /// What passes between a proxy and a node comes so many microseconds later.
+    LinkPartition(usize, usize, bool),
+    /// The link between a proxy and a node is slower by that many microseconds.
     LinkDelay(usize, usize, u64),
-    /// The way between regions is so many microseconds longer.
+    /// The links between regions are slower by that many microseconds.
     RegionDelay(u64),
     /// Nothing passes between regions while true.
-    RegionCut(bool),
+    RegionPartition(bool),
     /// All regions get new keys.
     NewKeys,
-    /// Discovery is silent while true.
+    /// Discovery does not answer while true.
     DiscoveryDown(bool),
-    /// Discovery moves.
+    /// Discovery moves to another address.
     DiscoveryMove,
     /// A proxy is killed.
     ProxyKill(usize),
@@ -83,246 +86,296 @@
     ProxyStart(usize),
     /// A proxy is stopped while true.
     ProxyStop(usize, bool),
-    /// A proxy ends as planned and starts again.
+    /// A proxy ends in order and starts again.
     ProxyRestart(usize),
-    /// A proxy ends as planned.
+    /// A proxy ends in order.
     ProxyLeave(usize),
-    /// The network between proxies is like this.
+    /// The network between proxies has this state.
     Network(Links),
 }
 
-/// A whole run.
+/// A run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     /// In the order of their times.
-    pub asks: Vec<Ask>,
+    pub requests: Vec<PlannedRequest>,
     /// In the order of their times.
     pub steps: Vec<(u64, Step)>,
 }
 
-/// The id of a retry.
+/// The id of a retry, by the id of the first attempt.
 pub fn retry_id(first: u64, number: u32) -> u64 {
     mix(first, u64::from(number) + 0x5eed) | 1
 }
 
 /// Draws a scenario.
 pub fn plan(s: &Scenario) -> Plan {
-    Plan { asks: asks(s), steps: steps(s) }
+    Plan { requests: draw_requests(s), steps: steps(s) }
 }
 
-fn asks(s: &Scenario) -> Vec<Ask> {
-    let mut times = Dice::new(s.seed, "arrivals");
-    let mut what = Dice::new(s.seed, "requests");
-    let (mut at, mut asks) = (0.0, Vec::new());
+fn draw_requests(s: &Scenario) -> Vec<PlannedRequest> {
+    let mut times = RandomStream::new(s.seed, "arrivals");
+    let mut random = RandomStream::new(s.seed, "requests");
+    let (mut at, mut requests) = (0.0, Vec::new());
     loop {
-        // Thinning: drawn at the highest rate, kept by the present one.
+        // Thinning: arrivals are drawn at the highest rate, and kept with the probability of the present one.
         let most = rates(s).fold(1.0, f64::max);
         at += times.exponential(1.0 / (s.clients.per_s * most));
         if at >= s.seconds {
-            asks.extend(crowds(s));
-            asks.sort_by_key(|a| a.at_us);
-            return asks;
+            requests.extend(draw_storms(s));
+            requests.sort_by_key(|a| a.at_us);
+            return requests;
         }
-        if !times.chance(rate(s, at) / most) {
+        if !times.bernoulli(rate(s, at) / most) {
             continue;
         }
-        let retries = what.below(s.clients.retries as usize + 1) as u32;
-        let usual =
-            Tries { retries, backoff_ms: s.clients.backoff_ms, honour: s.clients.honour, crowd: None };
-        asks.push(ask(s, &mut what, at, &usual));
+        let retries = random.below(s.clients.retries as usize + 1) as u32;
+        let usual = RetryPolicy {
+            retries,
+            backoff_ms: s.clients.backoff_ms,
+            honour: s.clients.honour,
+            storm_client: None,
+        };
+        requests.push(draw_request(s, &mut random, at, &usual));
     }
 }
 
-/// How a client tries.
-struct Tries {
+/// How a client retries.
+struct RetryPolicy {
     retries: u32,
     backoff_ms: [f64; 2],
     honour: f64,
-    crowd: Option<u32>,
+    storm_client: Option<u32>,
 }
 
-fn ask(s: &Scenario, what: &mut Dice, at: f64, tries: &Tries) -> Ask {
-    let mut point = what.unit() * s.classes.iter().map(|c| c.share).sum::<f64>();
+fn draw_request(
+    s: &Scenario, random: &mut RandomStream, at: f64, retry_policy: &RetryPolicy,
+) -> PlannedRequest {
+    let mut point = random.unit() * s.classes.iter().map(|c| c.weight).sum::<f64>();
     let class = s.classes.iter().position(|c| {
-        point -= c.share;
+        point -= c.weight;
         point < 0.0
     });
     let class = class.unwrap_or(s.classes.len() - 1);
     let c = &s.classes[class];
-    let patience = c.deadline_ms * what.within(s.clients.patience);
-    let usual = tries.crowd.is_none();
-    let leaves = what.chance(s.clients.leaving).then(|| (patience * what.unit() * 1e3) as u64);
-    Ask {
+    let patience = c.deadline_ms * random.uniform(s.clients.patience);
+    let usual = retry_policy.storm_client.is_none();
+    let leaves = random.bernoulli(s.clients.leaving).then(|| (patience * random.unit() * 1e3) as u64);
+    PlannedRequest {
         at_us: (at * 1e6) as u64,
-        id: what.whole() | 1,
+        id: random.bits() | 1,
         class,
-        key: what.whole(),
-        work_us: (what.lognormal(c.work_ms, c.work_cv) * 1e3) as u64,
-        wait_us: (what.exponential(c.wait_ms) * 1e3) as u64,
-        hall: what.below(s.halls),
+        key: random.bits(),
+        work_us: (random.lognormal(c.work_ms, c.work_cv) * 1e3) as u64,
+        wait_us: (random.exponential(c.wait_ms) * 1e3) as u64,
+        zone: random.below(s.zones),
         patience_us: patience as u64 * 1000,
-        retries: tries.retries,
-        backoff_us: (what.within(tries.backoff_ms) * 1e3) as u64,
-        honours: what.chance(tries.honour),
+        retries: retry_policy.retries,
+        backoff_us: (random.uniform(retry_policy.backoff_ms) * 1e3) as u64,
+        honours: random.bernoulli(retry_policy.honour),
         leaves_us: leaves.filter(|_| usual),
-        slow_writing: what.chance(s.clients.slow_writing) && usual,
-        slow_reading: what.chance(s.clients.slow_reading) && usual,
-        once: what.chance(s.clients.asking_once) && usual,
-        crowd: tries.crowd,
+        slow_writing: random.bernoulli(s.clients.slow_writing) && usual,
+        slow_reading: random.bernoulli(s.clients.slow_reading) && usual,
+        once: random.bernoulli(s.clients.single_request) && usual,
+        storm_client: retry_policy.storm_client,
     }
 }
 
-/// The clients of all crowds, drawn apart from the usual ones.
-fn crowds(s: &Scenario) -> Vec<Ask> {
-    let mut what = Dice::new(s.seed, "crowds");
-    let (mut asks, mut number) = (Vec::new(), 0);
+/// The requests of all reconnect storms, drawn from a stream of their own.
+fn draw_storms(s: &Scenario) -> Vec<PlannedRequest> {
+    let mut random = RandomStream::new(s.seed, "crowds");
+    let (mut requests, mut number) = (Vec::new(), 0);
     for event in &s.events {
-        let What::Crowd { clients, over_s, tries, wait_ms, honour } = event.what else { continue };
+        let Disturbance::ReconnectStorm { clients, over_s, attempts: retry_policy, wait_ms, honour } =
+            event.disturbance
+        else {
+            continue;
+        };
         for _ in 0..clients {
-            let how =
-                Tries { retries: tries.saturating_sub(1), backoff_ms: wait_ms, honour, crowd: Some(number) };
-            let at = event.at_s + over_s * what.unit();
-            asks.push(ask(s, &mut what, at, &how));
+            let how = RetryPolicy {
+                retries: retry_policy.saturating_sub(1),
+                backoff_ms: wait_ms,
+                honour,
+                storm_client: Some(number),
+            };
+            let at = event.at_s + over_s * random.unit();
+            requests.push(draw_request(s, &mut random, at, &how));
             number += 1;
         }
     }
-    asks
+    requests
 }
 
 fn rates(s: &Scenario) -> impl Iterator<Item = f64> + '_ {
-    s.events.iter().map(|e| if let What::Burst { factor, .. } = e.what { factor } else { 1.0 })
+    s.events.iter().map(|e| if let Disturbance::Burst { factor, .. } = e.disturbance { factor } else { 1.0 })
 }
 
-/// The present multiple of the usual rate.
+/// The multiple of the usual rate at a time.
 fn rate(s: &Scenario, at: f64) -> f64 {
-    let on = s.events.iter().filter_map(|e| match e.what {
-        What::Burst { factor, for_s } if at >= e.at_s && at < e.at_s + for_s => Some(factor),
+    let on = s.events.iter().filter_map(|e| match e.disturbance {
+        Disturbance::Burst { factor, for_s } if at >= e.at_s && at < e.at_s + for_s => Some(factor),
         _ => None,
     });
     on.fold(1.0, f64::max)
 }
 
+/// The steps of all disturbances, in the order of their times.
 fn steps(s: &Scenario) -> Vec<(u64, Step)> {
-    let mut steps = Vec::new();
-    let nodes = s.nodes();
-    // A drain must be known everywhere before the node leaves, or its leaving is a crash.
-    let known_s = s.discovery.notice_s[1] + s.rules.drain_grace_ms / 1e3 + 0.5;
+    let mut schedule = Schedule { scenario: s, steps: Vec::new() };
     for event in &s.events {
-        let at = event.at_s;
-        let mut add = |at_s: f64, step: Step| steps.push(((at_s * 1e6) as u64, step));
-        match event.what.clone() {
-            What::Crash { node, back_after_s } => {
-                add(at, Step::NodeCrash(node));
+        schedule.add_node_steps(event.at_s, &event.disturbance);
+        schedule.add_network_steps(event.at_s, &event.disturbance);
+        schedule.add_proxy_steps(event.at_s, &event.disturbance);
+    }
+    schedule.steps.sort_by_key(|step| step.0);
+    schedule.steps
+}
+
+/// Steps under construction. Each `add_` method takes the disturbances of its kind and ignores all others.
+struct Schedule<'a> {
+    scenario: &'a Scenario,
+    steps: Vec<(u64, Step)>,
+}
+
+impl Schedule<'_> {
+    fn add(&mut self, at_s: f64, step: Step) {
+        self.steps.push(((at_s * 1e6) as u64, step));
+    }
+
+    /// A step, and the step that undoes it.
+    fn add_for(&mut self, at_s: f64, for_s: f64, step: Step, undo: Step) {
+        self.add(at_s, step);
+        self.add(at_s + for_s, undo);
+    }
+
+    /// From a drain's start until every proxy knows of it: a node that leaves earlier looks as if it had crashed.
+    fn drain_known_s(&self) -> f64 {
+        self.scenario.discovery.notice_s[1] + self.scenario.rules.drain_grace_ms / 1e3 + 0.5
+    }
+
+    fn add_node_steps(&mut self, at: f64, disturbance: &Disturbance) {
+        match *disturbance {
+            Disturbance::Crash { node, back_after_s } => {
+                self.add(at, Step::NodeCrash(node));
                 if let Some(after) = back_after_s {
-                    add(at + after, Step::NodeStart(node));
+                    self.add(at + after, Step::NodeStart(node));
                 }
             }
-            What::Drain { node, over_s, back_after_s } => {
-                add(at, Step::NodeDrain(node));
-                add(at + over_s, Step::NodeStop(node));
+            Disturbance::Drain { node, over_s, back_after_s } => {
+                self.add_for(at, over_s, Step::NodeDrain(node), Step::NodeStop(node));
                 if let Some(after) = back_after_s {
-                    add(at + over_s + after, Step::NodeStart(node));
+                    self.add(at + over_s + after, Step::NodeStart(node));
                 }
             }
-            What::Deploy { nodes, group, every_s } => {
-                for node in 0..nodes {
-                    let at = at + (node / group) as f64 * every_s;
-                    add(at, Step::NodeDrain(node));
-                    add(at + known_s, Step::NodeStop(node));
-                    add(at + known_s + 0.2, Step::NodeStart(node));
+            Disturbance::Deploy { nodes, group, every_s } => self.add_deploy(at, nodes, group, every_s),
+            Disturbance::Shrink { nodes, over_s } => self.add_shrink(at, nodes, over_s),
+            Disturbance::ZoneOutage { zone, for_s } => {
+                for node in (0..self.scenario.nodes()).filter(|node| node % self.scenario.zones == zone) {
+                    self.add_for(at, for_s, Step::NodeVanish(node), Step::NodeStart(node));
                 }
             }
-            What::Shrink { nodes: leaving, over_s } => {
-                for i in 0..leaving {
-                    let (node, at) = (nodes - 1 - i, at + over_s * i as f64 / leaving as f64);
-                    add(at, Step::NodeDrain(node));
-                    add(at + known_s, Step::NodeStop(node));
-                }
-            }
-            What::HallOut { hall, for_s } => {
-                for node in (0..nodes).filter(|n| n % s.halls == hall) {
-                    add(at, Step::NodeVanish(node));
-                    add(at + for_s, Step::NodeStart(node));
-                }
+            Disturbance::Slow { node, factor, for_s } => {
+                self.add_for(at, for_s, Step::NodeSlow(node, factor), Step::NodeSlow(node, 1.0));
             }
-            What::Slow { node, factor, for_s } => {
-                add(at, Step::NodeSlow(node, factor));
-                add(at + for_s, Step::NodeSlow(node, 1.0));
+            Disturbance::Hang { node, for_s } => {
+                self.add_for(at, for_s, Step::NodeHang(node, true), Step::NodeHang(node, false));
             }
-            What::Hang { node, for_s } => {
-                add(at, Step::NodeHang(node, true));
-                add(at + for_s, Step::NodeHang(node, false));
+            Disturbance::Spoil { node, fraction, for_s } => {
+                self.add_for(at, for_s, Step::NodeSpoil(node, fraction), Step::NodeSpoil(node, 0.0));
             }
-            What::Spoil { node, part, for_s } => {
-                add(at, Step::NodeSpoil(node, part));
-                add(at + for_s, Step::NodeSpoil(node, 0.0));
+            Disturbance::Resets { node, fraction, for_s } => {
+                self.add_for(at, for_s, Step::NodeResets(node, fraction), Step::NodeResets(node, 0.0));
             }
-            What::Resets { node, part, for_s } => {
-                add(at, Step::NodeResets(node, part));
-                add(at + for_s, Step::NodeResets(node, 0.0));
+            _ => {}
+        }
+    }
+
+    fn add_deploy(&mut self, at: f64, nodes: usize, group: usize, every_s: f64) {
+        let known_s = self.drain_known_s();
+        for node in 0..nodes {
+            let at = at + (node / group) as f64 * every_s;
+            self.add_for(at, known_s, Step::NodeDrain(node), Step::NodeStop(node));
+            self.add(at + known_s + RESTART_AFTER_S, Step::NodeStart(node));
+        }
+    }
+
+    fn add_shrink(&mut self, at: f64, leaving: usize, over_s: f64) {
+        let known_s = self.drain_known_s();
+        for i in 0..leaving {
+            let node = self.scenario.nodes() - 1 - i;
+            let at = at + over_s * i as f64 / leaving as f64;
+            self.add_for(at, known_s, Step::NodeDrain(node), Step::NodeStop(node));
+        }
+    }
+
+    fn add_network_steps(&mut self, at: f64, disturbance: &Disturbance) {
+        match disturbance.clone() {
+            Disturbance::LinkPartition { proxy, node, for_s } => {
+                let step = |on| Step::LinkPartition(proxy, node, on);
+                self.add_for(at, for_s, step(true), step(false));
             }
-            What::Cut { proxy, node, for_s } => {
-                add(at, Step::LinkCut(proxy, node, true));
-                add(at + for_s, Step::LinkCut(proxy, node, false));
+            Disturbance::Delay { proxy, node, by_ms, for_s } => {
+                let step = |by_us| Step::LinkDelay(proxy, node, by_us);
+                self.add_for(at, for_s, step((by_ms * 1e3) as u64), step(0));
             }
-            What::Delay { proxy, node, by_ms, for_s } => {
-                add(at, Step::LinkDelay(proxy, node, (by_ms * 1e3) as u64));
-                add(at + for_s, Step::LinkDelay(proxy, node, 0));
+            Disturbance::DiscoveryDown { for_s } => {
+                self.add_for(at, for_s, Step::DiscoveryDown(true), Step::DiscoveryDown(false));
             }
-            What::DiscoveryDown { for_s } => {
-                add(at, Step::DiscoveryDown(true));
-                add(at + for_s, Step::DiscoveryDown(false));
+            Disturbance::DiscoveryMove {} => self.add(at, Step::DiscoveryMove),
+            Disturbance::Network { links, zones, for_s } => {
+                let step = Step::Network(links.clone());
+                self.add_for(at, for_s, step, Step::Network(Links::default()));
+                self.add_zone_partitions(at, for_s, &links, &zones);
             }
-            What::DiscoveryMove {} => add(at, Step::DiscoveryMove),
-            What::KillProxy { proxy, back_after_s } => {
-                add(at, Step::ProxyKill(proxy));
-                add(at + back_after_s, Step::ProxyStart(proxy));
+            Disturbance::RegionDelay { by_ms, for_s } => {
+                self.add_for(at, for_s, Step::RegionDelay((by_ms * 1e3) as u64), Step::RegionDelay(0));
             }
-            What::StopProxy { proxy, for_s } => {
-                add(at, Step::ProxyStop(proxy, true));
-                add(at + for_s, Step::ProxyStop(proxy, false));
+            Disturbance::RegionPartition { for_s } => {
+                self.add_for(at, for_s, Step::RegionPartition(true), Step::RegionPartition(false));
             }
-            What::RestartProxy { proxy } => add(at, Step::ProxyRestart(proxy)),
-            What::LoseProxy { proxy } => add(at, Step::ProxyKill(proxy)),
-            What::LeaveProxy { proxy } => add(at, Step::ProxyLeave(proxy)),
-            What::JoinProxy { proxy } => add(at, Step::ProxyStart(proxy)),
-            What::RollProxies { group, every_s } => {
-                for proxy in 0..s.proxies {
-                    add(at + (proxy / group) as f64 * every_s, Step::ProxyRestart(proxy));
-                }
+            Disturbance::NewKeys { times, every_s } => {
+                (0..times).for_each(|n| self.add(at + f64::from(n) * every_s, Step::NewKeys));
             }
-            What::Network { links, halls, for_s } => {
-                let parts = links.parts.clone();
-                add(at, Step::Network(links));
-                add(at + for_s, Step::Network(Links::default()));
-                let cut =
-                    |proxy: usize, node: usize| halls.get(node % s.halls).is_some_and(|h| *h != parts[proxy]);
-                let pairs = (0..s.proxies).flat_map(|p| (0..nodes).map(move |n| (p, n)));
-                for (proxy, node) in pairs.filter(|(p, n)| cut(*p, *n)) {
-                    add(at, Step::LinkCut(proxy, node, true));
-                    add(at + for_s, Step::LinkCut(proxy, node, false));
+            _ => {}
+        }
+    }
+
+    /// Proxies reach no nodes in zones of another group.
+    fn add_zone_partitions(&mut self, at: f64, for_s: f64, links: &Links, zones: &[u8]) {
+        for proxy in 0..self.scenario.proxies {
+            for node in 0..self.scenario.nodes() {
+                let group = zones.get(node % self.scenario.zones);
+                if group.is_some_and(|group| *group != links.groups[proxy]) {
+                    let step = |on| Step::LinkPartition(proxy, node, on);
+                    self.add_for(at, for_s, step(true), step(false));
                 }
             }
-            What::RegionDelay { by_ms, for_s } => {
-                add(at, Step::RegionDelay((by_ms * 1e3) as u64));
-                add(at + for_s, Step::RegionDelay(0));
+        }
+    }
+
+    fn add_proxy_steps(&mut self, at: f64, disturbance: &Disturbance) {
+        match *disturbance {
+            Disturbance::KillProxy { proxy, back_after_s } => {
+                self.add_for(at, back_after_s, Step::ProxyKill(proxy), Step::ProxyStart(proxy));
             }
-            What::RegionCut { for_s } => {
-                add(at, Step::RegionCut(true));
-                add(at + for_s, Step::RegionCut(false));
+            Disturbance::StopProxy { proxy, for_s } => {
+                self.add_for(at, for_s, Step::ProxyStop(proxy, true), Step::ProxyStop(proxy, false));
             }
-            What::NewKeys { times, every_s } => {
-                (0..times).for_each(|n| add(at + f64::from(n) * every_s, Step::NewKeys));
+            Disturbance::RestartProxy { proxy } => self.add(at, Step::ProxyRestart(proxy)),
+            Disturbance::LoseProxy { proxy } => self.add(at, Step::ProxyKill(proxy)),
+            Disturbance::LeaveProxy { proxy } => self.add(at, Step::ProxyLeave(proxy)),
+            Disturbance::JoinProxy { proxy } => self.add(at, Step::ProxyStart(proxy)),
+            Disturbance::RollProxies { group, every_s } => {
+                for proxy in 0..self.scenario.proxies {
+                    self.add(at + (proxy / group) as f64 * every_s, Step::ProxyRestart(proxy));
+                }
             }
-            What::Burst { .. } | What::Crowd { .. } => {}
+            _ => {}
         }
     }
-    steps.sort_by_key(|s| s.0);
-    steps
 }
 
-/// Whether a client may ask again on its own after this status (0: it could not reach a proxy or its connection
-/// broke).
+/// Whether a client may retry by itself after this status (0: it could not reach a proxy or its connection broke).
 pub fn may_retry(effect: Effect, status: u16, reached: bool) -> bool {
     match effect {
         Effect::Safe => status != 200,
--- a/crates/gaugesaddle-testbed/src/process.rs
+++ b/crates/gaugesaddle-testbed/src/process.rs
@@ -1,4 +1,4 @@
-//! Proxies as processes: started, told, stopped, killed.
+//! Proxies as processes.
 
 use serde_json::Value;
 use std::collections::VecDeque;
@@ -7,8 +7,8 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::{Arc, Mutex};
 
-/// Lines of a proxy's log that are kept, the last ones.
-const LOG_LINES: usize = 2000;
+/// Number of the last lines of a proxy's log that are kept.
+const LOG_CAPACITY: usize = 2000;
 
 /// How a proxy's program is run.
 #[derive(Clone, Debug)]
@@ -20,6 +20,9 @@
 }
 
 /// The most memory that a process has had, in kilobytes.
+///
+/// # Errors
+/// The system does not report it.
 pub fn peak_kb(pid: u32) -> io::Result<u64> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
     let line = text.lines().find_map(|l| l.strip_prefix("VmHWM:"));
@@ -36,6 +39,9 @@
 
 impl Process {
     /// Starts one with this configuration, written to a file in `folder`.
+    ///
+    /// # Errors
+    /// The configuration cannot be written, or the program cannot be started.
     pub fn start(program: &Program, folder: &Path, name: &str, config: &Value) -> io::Result<Process> {
         let file = folder.join(format!("{name}.json"));
         std::fs::write(&file, config.to_string())?;
@@ -54,7 +60,7 @@
             std::thread::spawn(move || {
                 for line in BufReader::new(stderr).lines().map_while(Result::ok) {
                     let mut kept = kept.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-                    if kept.len() == LOG_LINES {
+                    if kept.len() == LOG_CAPACITY {
                         kept.pop_front();
                     }
                     kept.push_back(line);
@@ -70,11 +76,17 @@
     }
 
     /// Sends a signal by its name, `TERM` or `STOP`.
+    ///
+    /// # Errors
+    /// The signal cannot be sent.
     pub fn signal(&self, name: &str) -> io::Result<()> {
         send_signal(self.id(), name)
     }
 
-    /// Replaces its configuration and tells it so.
+    /// Replaces its configuration and has it reload.
+    ///
+    /// # Errors
+    /// The configuration cannot be written, or the signal cannot be sent.
     pub fn reload(&self, config: &Value) -> io::Result<()> {
         // Moved into place: a reader sees the old one or the new one.
         let draft = self.config.with_extension("new");
--- a/crates/gaugesaddle-testbed/src/processor.rs
+++ b/crates/gaugesaddle-testbed/src/processor.rs
@@ -1,14 +1,14 @@
-//! A node's machine as a model: cores shared by what runs (processor sharing), a queue in front, a cold start, and
-//! a choke under lasting pressure. No clock and no I/O; the host tells the time and asks what has ended.
+//! A model of a node's machine: processor sharing over its cores, a queue in front, slow start, and overload under
+//! lasting load. No clock and no I/O: the host supplies the time and asks what has ended.
 
 use crate::scenario::{Choke, Kind};
 use std::collections::VecDeque;
 
-/// While the speed changes with time, it is taken as even for so long.
+/// Span over which a changing speed is taken as constant.
 const SLICE_US: f64 = 5_000.0;
 
-/// Speed of a node that started so long ago, as a part of its warm one.
-pub fn warmth(cold_from: f64, ramp_us: f64, age_us: f64) -> f64 {
+/// Fraction of its full capacity that a node of that age has.
+pub fn slow_start_fraction(cold_from: f64, ramp_us: f64, age_us: f64) -> f64 {
     if ramp_us <= 0.0 {
         return 1.0;
     }
@@ -17,48 +17,50 @@
 
 /// Work that a node can do between two ages, in microseconds of a standard core.
 pub fn present_work(speed: f64, cold_from: f64, ramp_us: f64, from_us: f64, to_us: f64) -> f64 {
-    // The ramp is a straight line: the mean of its ends, and full speed after it.
+    // Capacity rises linearly: the mean of both ends, and full capacity after it.
     let from = from_us.max(0.0);
     let bend = ramp_us.clamp(from, to_us.max(from));
-    let on_ramp = (warmth(cold_from, ramp_us, from) + warmth(cold_from, ramp_us, bend)) / 2.0 * (bend - from);
+    let on_ramp =
+        (slow_start_fraction(cold_from, ramp_us, from) + slow_start_fraction(cold_from, ramp_us, bend)) / 2.0
+            * (bend - from);
     speed * (on_ramp + (to_us - bend).max(0.0))
 }
 
 struct Job {
     id: u64,
-    left_us: f64,
+    remaining_us: f64,
 }
 
 /// The machine. Times are microseconds of the run.
 pub struct Processor {
     cores: f64,
     speed: f64,
-    cold_from: f64,
-    ramp_us: f64,
+    initial_capacity: f64,
+    slow_start_us: f64,
     started: f64,
     slots: usize,
     queue: usize,
     choke: Choke,
-    /// So many times slower by an event.
+    /// Factor of a slowdown.
     pub slow: f64,
-    /// It takes requests and ends none.
+    /// Whether it accepts requests and ends none.
     pub hung: bool,
     running: Vec<Job>,
     waiting: VecDeque<Job>,
     now: f64,
-    /// Choked, and since when the way in or out of it has held.
+    /// Whether it is overloaded.
     pub choked: bool,
     since: Option<f64>,
 }
 
 impl Processor {
-    /// A machine of that kind that started then, cold or warm.
+    /// A machine of that kind, with its start; in slow start or at full capacity.
     pub fn new(kind: &Kind, choke: Choke, started: u64, cold: bool) -> Processor {
         Processor {
             cores: kind.cores as f64,
             speed: kind.speed,
-            cold_from: if cold { kind.cold_from } else { 1.0 },
-            ramp_us: kind.ramp_s * 1e6,
+            initial_capacity: if cold { kind.initial_capacity } else { 1.0 },
+            slow_start_us: kind.slow_start_s * 1e6,
             started: started as f64,
             slots: kind.slots_per_core * kind.cores,
             queue: kind.queue_per_core * kind.cores,
@@ -73,14 +75,14 @@
         }
     }
 
-    /// Requests that it holds.
-    pub fn held(&self) -> usize {
+    /// Number of requests in flight.
+    pub fn in_flight(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
-    /// Takes a job unless its queue is full.
+    /// Accepts a job unless its queue is full.
     pub fn offer(&mut self, now: u64, id: u64, work_us: u64) -> bool {
-        let job = Job { id, left_us: (work_us as f64).max(1.0) };
+        let job = Job { id, remaining_us: (work_us as f64).max(1.0) };
         self.now = self.now.max(now as f64);
         if self.running.len() < self.slots {
             self.running.push(job);
@@ -92,17 +94,17 @@
         true
     }
 
-    /// Work of a core in a microsecond, at that time.
+    /// Work of a core in a microsecond at a time.
     fn rate(&self, at: f64) -> f64 {
         if self.hung {
             return 0.0;
         }
-        let warm = warmth(self.cold_from, self.ramp_us, at - self.started);
+        let warm = slow_start_fraction(self.initial_capacity, self.slow_start_us, at - self.started);
         let choke = if self.choked { self.choke.slower } else { 1.0 };
         self.speed * warm / self.slow / choke
     }
 
-    /// Work that each running job gets in a microsecond.
+    /// Work of each running job in a microsecond.
     fn each(&self, at: f64) -> f64 {
         self.rate(at) * (self.cores / self.running.len().max(1) as f64).min(1.0)
     }
@@ -112,15 +114,15 @@
         let now = now as f64;
         while self.now < now {
             let each = self.each(self.now);
-            let first = self.running.iter().map(|j| j.left_us).fold(f64::INFINITY, f64::min);
+            let first = self.running.iter().map(|j| j.remaining_us).fold(f64::INFINITY, f64::min);
             let to_end = if each > 0.0 { first / each } else { f64::INFINITY };
             let step = (now - self.now).min(to_end.max(1.0)).min(SLICE_US);
-            self.running.iter_mut().for_each(|j| j.left_us -= each * step);
+            self.running.iter_mut().for_each(|j| j.remaining_us -= each * step);
             self.now += step;
             self.press();
             let mut i = 0;
             while i < self.running.len() {
-                if self.running[i].left_us <= 1e-6 {
+                if self.running[i].remaining_us <= 1e-6 {
                     ended.push(self.running.swap_remove(i).id);
                 } else {
                     i += 1;
@@ -133,9 +135,9 @@
         }
     }
 
-    /// Chokes and recovers.
+    /// Becomes overloaded, or recovers.
     fn press(&mut self) {
-        let held = self.held() as f64 / self.cores;
+        let held = self.in_flight() as f64 / self.cores;
         let turning = if self.choked { held < self.choke.below } else { held > self.choke.at };
         if !turning {
             self.since = None;
@@ -149,13 +151,13 @@
         }
     }
 
-    /// When to run again at the latest, if nothing comes.
+    /// Time at which to run again at the latest.
     pub fn next(&self) -> Option<u64> {
         let each = self.each(self.now);
-        let first = self.running.iter().map(|j| j.left_us).fold(f64::INFINITY, f64::min);
+        let first = self.running.iter().map(|j| j.remaining_us).fold(f64::INFINITY, f64::min);
         let wait = if first.is_finite() && each > 0.0 {
             first / each
-        } else if self.choked || self.held() > 0 {
+        } else if self.choked || self.in_flight() > 0 {
             50_000.0 // nothing ends by itself: look again for a change
         } else {
             return None;
@@ -164,7 +166,7 @@
         Some((self.now + wait.clamp(1.0, 50_000.0)).ceil() as u64)
     }
 
-    /// Forgets a job that has not begun; whether there was one.
+    /// Removes a queued job; whether there was one.
     pub fn drop_waiting(&mut self, id: u64) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|j| j.id != id);
--- a/crates/gaugesaddle-testbed/src/processor/tests.rs
+++ b/crates/gaugesaddle-testbed/src/processor/tests.rs
@@ -3,8 +3,8 @@
 fn machine(cold: bool) -> Processor {
     let kind = Kind {
         speed: 2.0,
-        cold_from: 0.5,
-        ramp_s: 1.0,
+        initial_capacity: 0.5,
+        slow_start_s: 1.0,
         slots_per_core: 2,
         queue_per_core: 1,
         ..Kind::default()
@@ -29,7 +29,7 @@
     let mut p = machine(false);
     assert!(p.offer(0, 1, 20_000));
     assert!((end_of(&mut p, 1) - 10.0).abs() < 0.1);
-    assert_eq!((p.held(), p.next()), (0, None));
+    assert_eq!((p.in_flight(), p.next()), (0, None));
 }
 
 #[test]
--- a/crates/gaugesaddle-testbed/src/program.rs
+++ b/crates/gaugesaddle-testbed/src/program.rs
@@ -26,6 +26,9 @@
 
 /// The same, brought up to date by cargo where this program was itself started by `cargo run`. Cargo builds a package by
 /// itself with other features of the libraries than two together: who builds both before builds once.
+///
+/// # Errors
+/// Cargo cannot be run, or the build fails.
 pub fn built(name: &str) -> std::io::Result<PathBuf> {
     static BUILT: std::sync::Once = std::sync::Once::new();
     if std::env::var_os("CARGO").is_some() {
--- a/crates/gaugesaddle-testbed/src/dice.rs
+++ b/crates/gaugesaddle-testbed/src/random.rs
@@ -3,32 +3,32 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// A stream of draws.
-pub struct Dice(Pcg64Mcg);
+/// A stream of random numbers.
+pub struct RandomStream(Pcg64Mcg);
 
-impl Dice {
+impl RandomStream {
     /// The stream of a purpose under a seed.
-    pub fn new(seed: u64, purpose: &str) -> Dice {
-        Dice(Pcg64Mcg::seed_from_u64(mix(seed, hash(purpose))))
+    pub fn new(seed: u64, purpose: &str) -> RandomStream {
+        RandomStream(Pcg64Mcg::seed_from_u64(mix(seed, hash(purpose))))
     }
 
-    /// From 0 up to 1.
+    /// Uniform from 0 up to 1.
     pub fn unit(&mut self) -> f64 {
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Any number.
-    pub fn whole(&mut self) -> u64 {
+    /// 64 random bits.
+    pub fn bits(&mut self) -> u64 {
         self.0.next_u64()
     }
 
-    /// From 0 up to `below`.
+    /// Uniform from 0 up to `below`, without it.
     pub fn below(&mut self, below: usize) -> usize {
         ((self.unit() * below as f64) as usize).min(below.saturating_sub(1))
     }
 
-    /// True with that chance.
-    pub fn chance(&mut self, part: f64) -> bool {
+    /// True with that probability.
+    pub fn bernoulli(&mut self, part: f64) -> bool {
         self.unit() < part
     }
 
@@ -45,8 +45,8 @@
         mean * (normal * variance.sqrt() - variance / 2.0).exp()
     }
 
-    /// Evenly within a range.
-    pub fn within(&mut self, range: [f64; 2]) -> f64 {
+    /// Uniform within a range.
+    pub fn uniform(&mut self, range: [f64; 2]) -> f64 {
         range[0] + (range[1] - range[0]) * self.unit()
     }
 }
--- a/crates/gaugesaddle-testbed/src/record.rs
+++ b/crates/gaugesaddle-testbed/src/record.rs
@@ -1,247 +1,260 @@
-//! What stand-ins write down. All of them run in one process and stamp with one monotonic clock, so records of
-//! different peers are in the order in which things happened there.
+//! The records of a run. All stand-ins run in one process and use one monotonic clock, so that records of different
+//! stand-ins are in the order of their events. `tests/golden_documents.rs` holds their form in files.
 
 use crate::datagrams::Links;
 use serde::{Deserialize, Serialize};
 use std::sync::{Arc, Mutex};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Records beyond this many are dropped and counted: a run that needs more is too long for one audit.
-const MOST: usize = 4_000_000;
+/// Most records of a run: further ones are dropped and counted, and the audit is then without a verdict.
+const MAX_RECORDS: usize = 4_000_000;
 
-/// A moment: microseconds since the start of the run.
+/// Microseconds since the start of the run.
 pub type Moment = u64;
 
-/// What a list says of a node.
+/// State of a node in discovery's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Standing {
-    /// It may be sent requests.
+pub enum NodeState {
+    /// It accepts requests.
     Ready,
-    /// It finishes what it has.
+    /// It finishes the requests that it has.
     Draining,
     /// It has left.
-    Gone,
+    #[serde(rename = "gone")]
+    Departed,
 }
 
-/// One process of a node: its place in the fleet, and which start of it.
+/// One process of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Boot {
-    /// The place, from 0.
+    /// Number of the node in the fleet.
     pub node: usize,
-    /// Its starts before this one.
+    /// Number of the process among those of the node.
     pub boot: u32,
 }
 
-/// What happened.
+/// An event of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
     /// A proxy's process was started.
     ProxyUp {
-        /// Which.
+        /// The proxy.
         proxy: usize,
     },
-    /// It was killed outright.
+    /// A proxy was killed (SIGKILL).
     ProxyKilled {
-        /// Which.
+        /// The proxy.
         proxy: usize,
     },
-    /// It was stopped (SIGSTOP).
+    /// A proxy was stopped (SIGSTOP).
     ProxyStopped {
-        /// Which.
+        /// The proxy.
         proxy: usize,
     },
-    /// It goes on (SIGCONT).
+    /// A proxy was continued (SIGCONT).
     ProxyContinued {
-        /// Which.
+        /// The proxy.
         proxy: usize,
     },
-    /// The network between proxies is like this from now on.
+    /// The network between proxies has changed.
     Network {
-        /// How.
+        /// Its state from now on.
         links: Links,
     },
-    /// It was told to end (SIGTERM).
+    /// A proxy was asked to end (SIGTERM).
     ProxyTerminated {
-        /// Which.
+        /// The proxy.
         proxy: usize,
     },
-    /// Its process has ended.
+    /// A proxy's process has ended.
     ProxyEnded {
-        /// Which.
+        /// The proxy.
         proxy: usize,
-        /// Its exit code said so, or it had been killed on purpose.
-        well: bool,
+        /// Whether it ended with exit code 0 within its grace period.
+        #[serde(rename = "well")]
+        clean: bool,
     },
     /// A node's process was started.
     NodeUp {
-        /// Which.
+        /// The process.
         boot: Boot,
-        /// Its hall.
-        hall: usize,
-        /// Work that it does when warm, in microseconds of a standard core a microsecond.
+        /// Its zone.
+        #[serde(rename = "hall")]
+        zone: usize,
+        /// Its full capacity, in cores of standard speed.
         speed: f64,
-        /// The part of it that it does at its start; 1: it starts warm.
-        cold_from: f64,
-        /// The time until it is warm, in microseconds.
-        ramp_us: u64,
+        /// Fraction of the capacity at its start; 1: no slow start.
+        #[serde(rename = "cold_from")]
+        initial_capacity: f64,
+        /// Duration of slow start, in microseconds.
+        #[serde(rename = "ramp_us")]
+        slow_start_us: u64,
     },
-    /// It was sent more than a cold node bears, and stays down.
+    /// A node went down since it was sent too much in slow start.
     NodeFell {
-        /// Which.
+        /// The process.
         boot: Boot,
     },
-    /// Its process has ended.
+    /// A node's process has ended.
     NodeDown {
-        /// Which.
+        /// The process.
         boot: Boot,
     },
-    /// The agent at a proxy holds news of a node: from now on it can be asked for.
+    /// Discovery has a change of a node ready for a proxy.
     Published {
-        /// At which proxy.
+        /// The proxy.
         proxy: usize,
-        /// Of which node.
+        /// The process of the node.
         boot: Boot,
-        /// The news.
-        standing: Standing,
+        /// Its state.
+        #[serde(rename = "standing")]
+        state: NodeState,
     },
-    /// The news was written to the proxy.
-    Told {
-        /// To which.
+    /// Discovery has written a change of a node to a proxy.
+    #[serde(rename = "told")]
+    Delivered {
+        /// The proxy.
         proxy: usize,
-        /// Of which node.
+        /// The process of the node.
         boot: Boot,
-        /// The news.
-        standing: Standing,
+        /// Its state.
+        #[serde(rename = "standing")]
+        state: NodeState,
     },
     /// A client has written the last byte of a request.
-    Asked {
-        /// To which proxy.
+    #[serde(rename = "asked")]
+    RequestSent {
+        /// The proxy.
         proxy: usize,
-        /// The request's own id.
+        /// Id of this attempt.
         id: u64,
-        /// The id of the first try; of a first try its own.
+        /// Id of the request's first attempt.
         first: u64,
-        /// The class, by its number.
+        /// The class.
         class: usize,
-        /// What the request is about; repeats of it are to have one effect.
+        /// Idempotency key.
         key: u64,
-        /// How long the client waits, in microseconds.
+        /// Deadline of the client, in microseconds from now.
         patience_us: u64,
-        /// It is the first on its connection.
+        /// Whether it is the first on its connection.
         fresh: bool,
     },
     /// No proxy could be reached.
     Unreachable {
-        /// The request.
+        /// Id of the attempt.
         id: u64,
-        /// The id of the first try.
+        /// Id of the request's first attempt.
         first: u64,
         /// The class.
         class: usize,
     },
-    /// The last byte of an answer came.
+    /// A client has read the last byte of a response.
     Answered {
-        /// To which request.
+        /// Id of the attempt.
         id: u64,
-        /// Its status.
+        /// The status.
         status: u16,
-        /// The attempt that a 200 says it comes from.
+        /// The attempt at a node that the body of a 200 names.
         attempt: Option<u64>,
         /// `Retry-After`, in milliseconds.
         retry_after_ms: Option<u64>,
     },
-    /// Bytes came that belong to no request.
+    /// A client has read bytes that belong to no request.
     Surplus {
-        /// The last request on that connection.
+        /// Id of the last attempt on that connection.
         id: u64,
     },
-    /// The connection ended before a whole answer.
+    /// A client's connection ended before a complete response.
     Broken {
-        /// The request that waited.
+        /// Id of the attempt.
         id: u64,
-        /// Bytes of an answer that had come.
+        /// Bytes of the response that were read.
         bytes: usize,
     },
-    /// Nothing came, long after the client's time was up.
+    /// No response came until long after the deadline.
     Unanswered {
-        /// The request.
+        /// Id of the attempt.
         id: u64,
     },
-    /// The client closed its connection before its answer, on purpose.
-    Left {
-        /// The request.
+    /// The client disconnected before its response, on purpose.
+    #[serde(rename = "left")]
+    ClientDisconnected {
+        /// Id of the attempt.
         id: u64,
     },
-    /// The first byte of an attempt came.
+    /// A node has read the first byte of an attempt.
     Arriving {
-        /// The attempt's number, of the run.
+        /// Number of the attempt in the run.
         attempt: u64,
-        /// At which node.
+        /// The process of the node.
         boot: Boot,
-        /// From which proxy.
+        /// The proxy.
         proxy: usize,
     },
-    /// Its last byte came: from here on it may run.
-    Whole {
+    /// A node has read the last byte of an attempt, which may run from now on.
+    #[serde(rename = "whole")]
+    Received {
         /// The attempt.
         attempt: u64,
-        /// The request that it says it is for.
+        /// Id of the client's attempt that it is for.
         id: u64,
         /// Its work, in microseconds on a standard core.
         work_us: u64,
     },
-    /// It was turned away and will never run.
-    Turned {
+    /// A node rejected an attempt unprocessed.
+    #[serde(rename = "turned")]
+    Rejected {
         /// The attempt.
         attempt: u64,
     },
-    /// It took effect; what a repeat within the hall's memory does not.
+    /// An attempt took effect; one that its zone deduplicates does not.
     Effect {
         /// The attempt.
         attempt: u64,
-        /// What it was about.
+        /// The idempotency key.
         key: u64,
     },
-    /// Its answer was written.
+    /// A node has written its response.
     Replied {
         /// The attempt.
         attempt: u64,
         /// The status.
         status: u16,
     },
-    /// A stand-in was sent what it can't use.
-    Strange {
-        /// What and where.
+    /// A stand-in read what it cannot use, or failed itself.
+    #[serde(rename = "strange")]
+    Unexpected {
+        /// A description.
         text: String,
     },
 }
 
-/// What happened, and when.
+/// An event and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// When.
+    /// Time of the event.
     pub at: Moment,
-    /// What.
+    /// The event.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// Where records go; all peers of a run share it.
+/// The records of a run; all stand-ins share it.
 #[derive(Clone)]
 pub struct Journal {
     start: Instant,
     unix_us: u64,
-    kept: Arc<Mutex<(Vec<Record>, u64)>>,
+    records: Arc<Mutex<(Vec<Record>, u64)>>,
 }
 
 impl Journal {
-    /// An empty one whose time begins now.
+    /// An empty journal whose time begins now.
     #[allow(clippy::new_without_default)]
     pub fn new() -> Journal {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Journal { start: Instant::now(), unix_us: unix.as_micros() as u64, kept: Arc::default() }
+        Journal { start: Instant::now(), unix_us: unix.as_micros() as u64, records: Arc::default() }
     }
 
     /// The present moment.
@@ -264,12 +277,12 @@
         self.start + std::time::Duration::from_micros(at)
     }
 
-    /// Writes down what happened just now.
+    /// Appends an event with the present time.
     pub fn put(&self, event: Event) -> Moment {
         // The stamp is taken inside of the lock: no record is older than the one before it.
-        let mut kept = self.kept.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut kept = self.records.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let at = self.now();
-        if kept.0.len() < MOST {
+        if kept.0.len() < MAX_RECORDS {
             kept.0.push(Record { at, event });
         } else {
             kept.1 += 1;
@@ -279,12 +292,12 @@
 
     /// All records so far, and how many were dropped.
     pub fn take(&self) -> (Vec<Record>, u64) {
-        std::mem::take(&mut *self.kept.lock().unwrap_or_else(std::sync::PoisonError::into_inner))
+        std::mem::take(&mut *self.records.lock().unwrap_or_else(std::sync::PoisonError::into_inner))
     }
 
     /// Calls a function with the records from the n-th on.
     pub fn read<T>(&self, from: usize, with: impl FnOnce(&[Record]) -> T) -> T {
-        let kept = self.kept.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let kept = self.records.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         with(kept.0.get(from..).unwrap_or(&[]))
     }
 }
--- a/crates/gaugesaddle-testbed/src/regions.rs
+++ b/crates/gaugesaddle-testbed/src/regions.rs
@@ -1,4 +1,4 @@
-//! Regions in a run: their authority, the proxies' operator files, and the way between gateways.
+//! The regions of a run: their certificate authority, the proxies' operator files, and the links between gateways.
 
 use crate::authority::{Authority, KeyFiles};
 use crate::lease::Lease;
@@ -11,23 +11,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Where a proxy's gateway listens, on its address.
-const GATE_PORT: u16 = 5001;
+/// Port of a proxy's gateway.
+const GATEWAY_PORT: u16 = 5001;
 
-/// A region's name.
+/// The name of a region.
 pub fn name(region: usize) -> String {
     ["north", "south", "west", "east"]
         .get(region)
         .map_or_else(|| format!("r{region}"), std::string::ToString::to_string)
 }
 
-/// What joins the regions of a run.
+/// The federation of a run.
 pub struct Joined {
     s: Regions,
     authority: Authority,
     folder: PathBuf,
-    /// By proxy: its region, its gateway, and the link that leads there.
-    gates: Vec<(usize, SocketAddr, Rc<Relay>)>,
+    /// By proxy: its region, its gateway, and the link to it.
+    gateways: Vec<(usize, SocketAddr, Rc<Relay>)>,
     extra_us: Cell<u64>,
 }
 
@@ -35,12 +35,13 @@
     pub async fn new(s: &Scenario, lease: &Lease, folder: &Path) -> io::Result<Joined> {
         let mut gates = Vec::new();
         for proxy in 0..s.proxies {
-            let gate = SocketAddr::new(lease.proxy(proxy).ip(), GATE_PORT);
+            let gate = SocketAddr::new(lease.proxy(proxy).ip(), GATEWAY_PORT);
             let relay = Relay::start(lease.peer(), gate).await?;
             gates.push((s.region(proxy), gate, relay));
         }
         let (authority, extra_us) = (Authority::new(), Cell::new(0));
-        let joined = Joined { s: s.regions.clone(), authority, folder: folder.into(), gates, extra_us };
+        let joined =
+            Joined { s: s.regions.clone(), authority, folder: folder.into(), gateways: gates, extra_us };
         for region in 0..joined.s.count {
             std::fs::create_dir_all(joined.files(region).folder)?;
         }
@@ -53,36 +54,36 @@
         KeyFiles { folder: self.folder.join(name(region)) }
     }
 
-    /// New keys for every region.
+    /// Issues new keys to every region.
     pub fn new_keys(&self) -> io::Result<()> {
         (0..self.s.count).try_for_each(|region| {
             self.files(region).put_all(&self.authority.issue(&name(region)), &self.authority.pem)
         })
     }
 
-    /// The way takes so much longer than usual, each way.
+    /// Additional latency between regions, each way.
     pub fn delay(&self, by_us: u64) {
         self.extra_us.set(by_us);
         let way = Duration::from_micros((self.s.way_ms * 1e3) as u64 + by_us);
-        self.gates.iter().for_each(|(_, _, relay)| relay.delay(way));
+        self.gateways.iter().for_each(|(_, _, relay)| relay.delay(way));
     }
 
-    pub fn cut(&self, cut: bool) {
-        self.gates.iter().for_each(|(_, _, relay)| relay.silence(cut));
+    pub fn partition(&self, cut: bool) {
+        self.gateways.iter().for_each(|(_, _, relay)| relay.block(cut));
     }
 
-    /// What a proxy's operator's file says of them.
+    /// The section of a proxy's operator file.
     pub fn section(&self, proxy: usize) -> String {
-        let (region, gate, _) = &self.gates[proxy];
+        let (region, gate, _) = &self.gateways[proxy];
         let (Regions { per_s, in_flight, hops, way_ms, .. }, files) = (&self.s, self.files(*region));
         let mut text = format!(
             "[region]\nenabled = true\nname = {:?}\nlisten = \"{gate}\"\nhops = {hops}\n{}",
             name(*region),
-            files.lines()
+            files.to_toml()
         );
         let trip = ((2.0 * way_ms) as u64 + 5).max(1);
         for other in (0..self.s.count).filter(|o| o != region) {
-            let there = self.gates.iter().filter(|g| g.0 == other);
+            let there = self.gateways.iter().filter(|g| g.0 == other);
             let addresses: Vec<String> = there.map(|g| format!("\"{}\"", g.2.address())).collect();
             text += &format!(
                 "[[region.other]]\nname = {:?}\naddresses = [{}]\nround_trip_ms = {trip}\n\
--- a/crates/gaugesaddle-testbed/src/relay.rs
+++ b/crates/gaugesaddle-testbed/src/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that can delay, silence and reset what passes: a link that fails while both of its ends live on.
+//! A TCP relay that can delay, block and reset what passes: a link that fails while both of its ends go on.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -10,14 +10,14 @@
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
-/// Bytes that it holds for one direction of a connection.
+/// Size of the buffer of one direction of a connection.
 const BUFFER: usize = 16 << 10;
 
 /// A link from an address of its own to another one. Runs on the thread that made it, in a `LocalSet`.
 pub struct Relay {
     address: SocketAddr,
     to: Cell<SocketAddr>,
-    silent: Cell<bool>,
+    blocked: Cell<bool>,
     delay_us: Cell<u64>,
     changed: Notify,
     tasks: RefCell<Vec<AbortHandle>>,
@@ -25,13 +25,16 @@
 }
 
 impl Relay {
-    /// Listens at an address of the system's choice and passes on to another.
+    /// Listens at an address of the system's choice and forwards to another.
+    ///
+    /// # Errors
+    /// The address cannot be bound.
     pub async fn start(bind: SocketAddr, to: SocketAddr) -> io::Result<Rc<Relay>> {
         let listener = TcpListener::bind(bind).await?;
         let relay = Rc::new(Relay {
             address: listener.local_addr()?,
             to: Cell::new(to),
-            silent: Cell::default(),
+            blocked: Cell::default(),
             delay_us: Cell::default(),
             changed: Notify::new(),
             tasks: RefCell::default(),
@@ -49,25 +52,24 @@
         Ok(relay)
     }
 
-    /// Where it listens.
+    /// The address at which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// New connections go there from now on.
+    /// Forwards new connections there from now on.
     pub fn lead_to(&self, to: SocketAddr) {
         self.to.set(to);
     }
 
-    /// While true nothing passes, new connections included. Afterwards the connections on which something waited are
-    /// reset, as by a machine that is back and knows nothing of them: delivered then, it would look as if it had been
-    /// sent then.
-    pub fn silence(&self, silent: bool) {
-        self.silent.set(silent);
+    /// While true nothing passes, new connections included. Afterwards the connections on which data was pending are
+    /// reset: delivered late, the data would look as if it had been sent late.
+    pub fn block(&self, silent: bool) {
+        self.blocked.set(silent);
         self.changed.notify_waiters();
     }
 
-    /// Everything comes so much later, each way.
+    /// Additional latency, each way.
     pub fn delay(&self, by: Duration) {
         self.delay_us.set(by.as_micros() as u64);
     }
@@ -77,15 +79,15 @@
         self.tasks.borrow_mut().drain(..).for_each(|t| t.abort());
     }
 
-    /// Bytes that have passed, both ways.
+    /// Bytes forwarded, both ways.
     pub fn passed(&self) -> u64 {
         self.passed.get()
     }
 
-    /// Waits while nothing passes; an error if it had to.
-    async fn audible(&self) -> io::Result<()> {
-        let waits = self.silent.get();
-        while self.silent.get() {
+    /// Waits while the link is blocked; an error if it was.
+    async fn unblocked(&self) -> io::Result<()> {
+        let waits = self.blocked.get();
+        while self.blocked.get() {
             self.changed.notified().await;
         }
         if waits {
@@ -97,36 +99,36 @@
 
     async fn pass(self: Rc<Self>, near: TcpStream) {
         let near = Resetting(near);
-        if self.audible().await.is_err() {
+        if self.unblocked().await.is_err() {
             return;
         }
         let Ok(far) = TcpStream::connect(self.to.get()).await else { return };
         let far = Resetting(far);
         let (_, _) = (near.0.set_nodelay(true), far.0.set_nodelay(true));
         let one = async {
-            let ended = self.copy(&near.0, &far.0).await;
+            let ended = self.forward(&near.0, &far.0).await;
             ended.map(|()| shut(&far.0))
         };
         let other = async {
-            let ended = self.copy(&far.0, &near.0).await;
+            let ended = self.forward(&far.0, &near.0).await;
             ended.map(|()| shut(&near.0))
         };
         if tokio::try_join!(one, other).is_ok() {
             // Both ends closed in order.
-            near.keep();
-            far.keep();
+            near.disarm();
+            far.disarm();
         }
     }
 
     /// One direction, until its end or an error.
-    async fn copy(&self, from: &TcpStream, to: &TcpStream) -> io::Result<()> {
+    async fn forward(&self, from: &TcpStream, to: &TcpStream) -> io::Result<()> {
         let mut buffer = vec![0; BUFFER];
         loop {
             let n = Borrowed(from).read(&mut buffer).await?;
             if self.delay_us.get() > 0 {
                 tokio::time::sleep(Duration::from_micros(self.delay_us.get())).await;
             }
-            self.audible().await?;
+            self.unblocked().await?;
             if n == 0 {
                 return Ok(());
             }
@@ -144,7 +146,7 @@
 struct Resetting(TcpStream);
 
 impl Resetting {
-    fn keep(&self) {
+    fn disarm(&self) {
         let _ = socket2::SockRef::from(&self.0).set_linger(None);
     }
 }
--- a/crates/gaugesaddle-testbed/src/relay/tests.rs
+++ b/crates/gaugesaddle-testbed/src/relay/tests.rs
@@ -24,11 +24,11 @@
         stream.write_all(b"one ").await.unwrap();
         stream.read_exact(&mut buffer).await.unwrap();
         assert_eq!((&buffer, relay.passed()), (b"one ", 8));
-        relay.silence(true);
+        relay.block(true);
         stream.write_all(b"two ").await.unwrap();
         let silent = tokio::time::timeout(Duration::from_millis(60), stream.read_exact(&mut buffer)).await;
         assert!(silent.is_err() && relay.passed() == 8);
-        relay.silence(false);
+        relay.block(false);
         let ended = stream.read(&mut buffer).await;
         assert_eq!(ended.unwrap_err().kind(), io::ErrorKind::ConnectionReset, "something waited on it");
         let mut stream = TcpStream::connect(relay.address()).await.unwrap();
--- a/crates/gaugesaddle-testbed/src/scenario/tests.rs
+++ b/crates/gaugesaddle-testbed/src/scenario/tests.rs
@@ -7,7 +7,7 @@
     let read = Scenario::parse(text).expect("sound");
     let built = Scenario { seconds: 4.0, ..Scenario::default() }
         .seed(9)
-        .event(1.5, What::Crash { node: 2, back_after_s: None });
+        .event(1.5, Disturbance::Crash { node: 2, back_after_s: None });
     assert_eq!(read.events, built.events);
     assert_eq!((read.seed, read.seconds, read.clients.per_s), (9, 4.0, 50.0));
     assert_eq!(read.classes, built.classes);
@@ -25,7 +25,9 @@
     let network = "[[events]]\nat_s = 1.0\ndo = \"network\"\nfor_s = 2.0\nlinks = { parts = [0, 1, 1] }\n";
     assert!(told(network).starts_with("events: expected"), "they know nothing of one another");
     let sound = Scenario::parse(&format!("peers = true\n{network}")).expect("sound");
-    assert!(matches!(&sound.events[0].what, What::Network { links, .. } if links.parts == [0, 1, 1]));
+    assert!(
+        matches!(&sound.events[0].disturbance, Disturbance::Network { links, .. } if links.groups == [0, 1, 1])
+    );
     let text = toml::to_string(&sound).expect("as text");
     assert_eq!(Scenario::parse(&text).expect("sound"), sound, "what is saved replays");
 }
--- /dev/null
+++ b/crates/gaugesaddle-testbed/src/scripted/backend.rs
@@ -0,0 +1,128 @@
+//! Backends whose responses the test words.
+
+use super::{read_message, Message};
+use std::io::{BufReader, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+/// What a backend does with a request.
+pub enum Reply {
+    /// Writes this and keeps the connection open.
+    Respond(String),
+    /// Writes this and closes it.
+    RespondAndClose(String),
+    /// Nothing; the connection stays open.
+    NoResponse,
+}
+
+/// A 200 with that body.
+pub fn ok(body: &str) -> Reply {
+    Reply::Respond(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
+}
+
+#[derive(Default)]
+struct Seen {
+    requests: Mutex<Vec<Message>>,
+    opened: Mutex<usize>,
+    closed: Mutex<usize>,
+}
+
+/// A backend on a port of its own.
+pub struct Backend {
+    /// Where it listens.
+    pub address: SocketAddr,
+    seen: Arc<Seen>,
+}
+
+impl Backend {
+    /// Starts one that answers each request by that function.
+    pub fn start(answer: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Backend {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        let (seen, answer) = (Arc::new(Seen::default()), Arc::new(answer));
+        let all = seen.clone();
+        std::thread::spawn(move || {
+            for stream in listener.incoming().map_while(Result::ok) {
+                let (seen, answer) = (all.clone(), answer.clone());
+                std::thread::spawn(move || Backend::converse(stream, &seen, &*answer));
+            }
+        });
+        Backend { address, seen }
+    }
+
+    fn converse(mut stream: TcpStream, seen: &Seen, answer: &dyn Fn(&Message) -> Reply) {
+        *seen.opened.lock().unwrap() += 1;
+        let mut reader = BufReader::new(stream.try_clone().unwrap());
+        while let Some(message) = read_message(&mut reader) {
+            seen.requests.lock().unwrap().push(message.clone());
+            let (text, close) = match answer(&message) {
+                Reply::Respond(text) => (text, false),
+                Reply::RespondAndClose(text) => (text, true),
+                Reply::NoResponse => continue,
+            };
+            let _ = stream.write_all(text.as_bytes());
+            if close {
+                let _ = stream.shutdown(std::net::Shutdown::Both);
+                break;
+            }
+        }
+        *seen.closed.lock().unwrap() += 1;
+    }
+
+    /// The requests that it has received.
+    pub fn requests(&self) -> Vec<Message> {
+        self.seen.requests.lock().unwrap().clone()
+    }
+
+    /// Connections that it has accepted.
+    pub fn opened(&self) -> usize {
+        *self.seen.opened.lock().unwrap()
+    }
+
+    /// Connections of these that have ended.
+    pub fn closed(&self) -> usize {
+        *self.seen.closed.lock().unwrap()
+    }
+}
+
+/// An address whose connections come up only once [`UnacceptingBackend::let_in`] is called: its accept queue is full.
+pub struct UnacceptingBackend {
+    /// Where it listens.
+    pub address: SocketAddr,
+    listener: TcpListener,
+    queued: Vec<TcpStream>,
+}
+
+impl UnacceptingBackend {
+    /// Fills its queue.
+    pub fn start() -> UnacceptingBackend {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        let brief = Duration::from_millis(300);
+        let queued = std::iter::from_fn(|| TcpStream::connect_timeout(&address, brief).ok());
+        let queued = queued.take(10_000).collect();
+        UnacceptingBackend { address, listener, queued }
+    }
+
+    /// Accepts all connections; joined after [`UnacceptingBackend::done`], it returns the number of bytes read.
+    pub fn let_in(self) -> std::thread::JoinHandle<usize> {
+        drop(self.queued);
+        std::thread::spawn(move || {
+            let (mut bytes, mut buffer) = (0, [0; 4096]);
+            for mut stream in self.listener.incoming().map_while(Result::ok) {
+                match stream.read(&mut buffer) {
+                    Ok(n) if buffer.starts_with(b"done") => return bytes + n - 4,
+                    Ok(n) => bytes += n,
+                    Err(_) => {}
+                }
+            }
+            bytes
+        })
+    }
+
+    /// No more comes.
+    pub fn done(address: SocketAddr) {
+        TcpStream::connect(address).unwrap().write_all(b"done").unwrap();
+    }
+}
--- a/crates/gaugesaddle-testbed/src/scripted/tests.rs
+++ b/crates/gaugesaddle-testbed/src/scripted/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use std::net::SocketAddr;
 
 #[test]
 fn no_address_is_given_to_two() {
--- /dev/null
+++ b/crates/gaugesaddle-testbed/src/tier/history.rs
@@ -0,0 +1,140 @@
+//! What happened to the processes of a tier and to the network between them, by time.
+
+use super::log_parser::own_boot;
+use super::{Fact, LATELY_US};
+use crate::datagrams::Links;
+
+/// One process of a proxy.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Incarnation {
+    /// Its start.
+    pub(super) up: u64,
+    /// The first line of its log.
+    pub(super) spoke: u64,
+    /// Its boot number; 0 where it ended before it logged one.
+    pub(super) boot: u32,
+    /// When it was asked to end.
+    pub(super) terminated: Option<u64>,
+    pub(super) end: u64,
+}
+
+/// The incarnations of every proxy, and the network, over time.
+pub(super) struct TierHistory {
+    pub(super) size: usize,
+    pub(super) end: u64,
+    /// By index, in the order of their starts.
+    pub(super) incarnations: Vec<Vec<Incarnation>>,
+    /// By index, when it was stopped and continued.
+    pub(super) pauses: Vec<Vec<(u64, u64)>>,
+    pub(super) links: Vec<(u64, Links)>,
+    /// Every time at which any of this changes.
+    pub(super) moments: Vec<u64>,
+}
+
+impl TierHistory {
+    pub(super) fn new(
+        size: usize, facts: &[(u64, Fact)], logs: &[Vec<(u64, String)>], end: u64,
+    ) -> TierHistory {
+        let mut history = TierHistory {
+            size,
+            end,
+            incarnations: vec![Vec::new(); size],
+            pauses: vec![Vec::new(); size],
+            links: vec![(0, Links::default())],
+            moments: vec![0, end],
+        };
+        for (at, fact) in facts {
+            history.moments.push(*at);
+            match fact {
+                Fact::Up(p) => {
+                    history.incarnations[*p].push(Incarnation {
+                        up: *at,
+                        spoke: u64::MAX,
+                        boot: 0,
+                        terminated: None,
+                        end: u64::MAX,
+                    });
+                }
+                Fact::Terminated(p) => {
+                    history.incarnations[*p].last_mut().into_iter().for_each(|l| l.terminated = Some(*at));
+                }
+                Fact::Ended(p) => {
+                    history.incarnations[*p].last_mut().into_iter().for_each(|l| l.end = *at);
+                    history.pauses[*p].last_mut().into_iter().for_each(|p| p.1 = p.1.min(*at));
+                }
+                Fact::Stopped(p) => history.pauses[*p].push((*at, u64::MAX)),
+                Fact::Continued(p) => {
+                    history.pauses[*p].last_mut().into_iter().for_each(|p| p.1 = p.1.min(*at));
+                }
+                Fact::Links(links) => history.links.push((*at, links.clone())),
+            }
+        }
+        for (index, lines) in logs.iter().enumerate() {
+            for (at, boot) in lines.iter().filter_map(|(at, line)| own_boot(line).map(|b| (*at, b))) {
+                // A process that was killed before it spoke is none.
+                let incarnation =
+                    history.incarnations[index].iter_mut().rev().find(|l| l.up <= at && at <= l.end);
+                if let Some(incarnation) = incarnation.filter(|l| l.boot == 0) {
+                    (incarnation.spoke, incarnation.boot) = (at, boot);
+                    history.moments.push(at);
+                }
+            }
+        }
+        history.moments.sort_unstable();
+        history.moments.dedup();
+        history.moments.retain(|m| *m <= end);
+        history
+    }
+
+    /// The incarnation that has logged its start and was not asked to end.
+    pub(super) fn incarnation(&self, index: usize, at: u64) -> Option<&Incarnation> {
+        self.incarnations[index]
+            .iter()
+            .find(|l| l.spoke <= at && at < l.end.min(l.terminated.unwrap_or(u64::MAX)))
+    }
+
+    pub(super) fn paused(&self, index: usize, at: u64) -> bool {
+        self.pauses[index].iter().any(|(from, to)| (*from..*to).contains(&at))
+    }
+
+    pub(super) fn runs(&self, index: usize, at: u64) -> bool {
+        self.incarnation(index, at).is_some() && !self.paused(index, at)
+    }
+
+    pub(super) fn links(&self, at: u64) -> &Links {
+        let last = self.links.iter().rev().find(|l| l.0 <= at);
+        &last.unwrap_or(&self.links[0]).1
+    }
+
+    /// Whether datagrams pass in time in both directions.
+    pub(super) fn reach(&self, a: usize, b: usize, at: u64) -> bool {
+        let links = self.links(at);
+        links.lossless() && links.connected(a, b, |k| self.runs(k, at), self.size)
+    }
+
+    /// Whether both ran and reached each other all the last second. A death that was concluded during a partition and is
+    /// logged as the network is repaired was right when it was concluded.
+    pub(super) fn reached_for(&self, a: usize, b: usize, at: u64) -> bool {
+        let since = at.saturating_sub(LATELY_US);
+        let changes = self.moments.iter().copied().filter(|m| (since..=at).contains(m));
+        changes.chain([since]).all(|at| self.runs(a, at) && self.runs(b, at) && self.reach(a, b, at))
+    }
+
+    /// Whether a process can learn of deaths.
+    pub(super) fn informed(&self, index: usize, at: u64) -> bool {
+        self.runs(index, at) && self.links(at).calm()
+    }
+
+    /// The spans in which a value is known and unchanged.
+    pub(super) fn stretches<T: PartialEq>(&self, known: impl Fn(u64) -> Option<T>) -> Vec<(u64, u64, T)> {
+        let mut found: Vec<(u64, u64, T)> = Vec::new();
+        for pair in self.moments.windows(2) {
+            let Some(now) = known(pair[0]) else { continue };
+            match found.last_mut().filter(|last| last.1 == pair[0] && last.2 == now) {
+                Some(last) => last.1 = pair[1],
+                None => found.push((pair[0], pair[1], now)),
+            }
+        }
+        found
+    }
+}
--- a/crates/gaugesaddle-testbed/tests/faulty.rs
+++ b/crates/gaugesaddle-testbed/tests/faulty.rs
@@ -2,18 +2,18 @@
 //! way, over real sockets, and must be found, for that and for nothing else.
 
 use gaugesaddle_testbed::scenario::{Choke, Clients, Kind};
-use gaugesaddle_testbed::{run, Broken, Cast, Fault, Scenario, Verdict, What};
+use gaugesaddle_testbed::{run, Broken, Cast, Disturbance, Fault, Scenario, Verdict};
 use std::collections::BTreeSet;
 
 /// Light load, with what each fault needs to show: drains, a cold node.
 fn scenario() -> Scenario {
     let defaults = Scenario::default();
     let clients =
-        Clients { per_s: 60.0, leaving: 0.0, asking_once: 0.0, retries: 0, ..defaults.clients.clone() };
+        Clients { per_s: 60.0, leaving: 0.0, single_request: 0.0, retries: 0, ..defaults.clients.clone() };
     let kinds = vec![Kind { name: "fast".into(), count: 6, speed: 2.0, ..Kind::default() }];
     let choke = Choke { at: 1e9, ..Choke::default() };
     let mut classes = defaults.classes.clone();
-    classes.iter_mut().for_each(|c| c.share = 1.0);
+    classes.iter_mut().for_each(|c| c.weight = 1.0);
     Scenario { proxies: 2, seconds: 5.0, clients, classes, kinds, choke, ..defaults }.seed(5)
 }
 
@@ -24,7 +24,7 @@
 /// The ways in which rules were broken.
 fn broken(s: &Scenario, fault: Fault) -> BTreeSet<Broken> {
     let verdict = verdict(s, fault);
-    assert!(verdict.blind.is_empty(), "{fault:?}: {verdict}");
+    assert!(verdict.inconclusive.is_empty(), "{fault:?}: {verdict}");
     verdict.findings.iter().map(|f| f.broken).collect()
 }
 
@@ -67,8 +67,8 @@
 
 #[test]
 fn rules_three_and_four_broken_are_found() {
-    let drain = |s: Scenario| s.event(0.5, What::Drain { node: 1, over_s: 4.0, back_after_s: None });
-    let cold = |s: Scenario| s.event(0.3, What::Crash { node: 2, back_after_s: Some(0.5) });
+    let drain = |s: Scenario| s.event(0.5, Disturbance::Drain { node: 1, over_s: 4.0, back_after_s: None });
+    let cold = |s: Scenario| s.event(0.3, Disturbance::Crash { node: 2, back_after_s: Some(0.5) });
     let busy = |mut s: Scenario| {
         s.clients.per_s = 250.0;
         s.discovery.add_s = [0.1, 0.2];
@@ -76,12 +76,12 @@
     };
     let rest = |mut s: Scenario| {
         // A small cold node gets a sixth of a light load: no fault, and none is found.
-        s.discovery.silent_notice_s = [0.1, 0.2];
+        s.discovery.crash_notice_s = [0.1, 0.2];
         s
     };
     all(vec![
         (drain(scenario()), Fault::IgnoresDrains, &[Broken::Drain]),
-        (busy(cold(scenario())), Fault::FloodsNewest, &[Broken::Cold]),
+        (busy(cold(scenario())), Fault::FloodsNewest, &[Broken::SlowStartOverload]),
         (rest(cold(drain(scenario()))), Fault::None, &[]),
     ]);
 }
--- a/crates/gaugesaddle/tests/crossings.rs
+++ b/crates/gaugesaddle/tests/crossings.rs
@@ -29,7 +29,7 @@
         let (tell, gate) = (Mutex::new(tell), Mutex::new(gate));
         let backend = Backend::start(move |_| {
             let _ = tell.lock().unwrap().send(());
-            gate.lock().unwrap().recv().unwrap_or(Reply::Silence)
+            gate.lock().unwrap().recv().unwrap_or(Reply::NoResponse)
         });
         Gated { backend, came, go }
     }
@@ -69,7 +69,7 @@
         let mut leaving = ready("a", &backend);
         leaving["status"] = json!("draining");
         let proxy = Proxy::spawn(&config(discovery.address, &[leaving.clone()]));
-        discovery.tell(true, &[leaving]);
+        discovery.publish(true, &[leaving]);
         let held = request("read", 7000);
         let mut client = open(&proxy);
         client.set_nonblocking(true).unwrap();
@@ -78,7 +78,7 @@
         until("the request is held", || ask(&proxy, &held).status() == 409);
         drop(client);
         std::thread::sleep(LEFT);
-        discovery.tell(true, &[ready("a", &backend)]);
+        discovery.publish(true, &[ready("a", &backend)]);
         assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
         assert!(
             !has_had(&backend, &held),
@@ -94,7 +94,7 @@
     let gated = Gated::start();
     let discovery = Discovery::start();
     let proxy = Proxy::start(&config(discovery.address, &[ready("a", &gated.backend)]));
-    discovery.tell(true, &[ready("a", &gated.backend)]);
+    discovery.publish(true, &[ready("a", &gated.backend)]);
     let (first, second) = (request("read", 7000), request("read", 7000));
     let mut client = open(&proxy);
     client.write_all((first + &second).as_bytes()).unwrap();
@@ -110,10 +110,10 @@
 /// A client that ends its sending only has gone as well: nobody would tell its close from it.
 #[test]
 fn a_half_closed_client_has_gone() {
-    let backend = Backend::start(|_| Reply::Silence);
+    let backend = Backend::start(|_| Reply::NoResponse);
     let discovery = Discovery::start();
     let proxy = Proxy::start(&config(discovery.address, &[ready("a", &backend)]));
-    discovery.tell(true, &[ready("a", &backend)]);
+    discovery.publish(true, &[ready("a", &backend)]);
     let mut client = open(&proxy);
     client.write_all(request("read", 7000).as_bytes()).unwrap();
     until("the attempt", || backend.requests().len() == 1);
@@ -125,7 +125,7 @@
 /// The client leaves while the connection for its attempt comes up: not a byte goes out on it.
 #[test]
 fn a_client_that_leaves_during_the_connect_costs_the_backend_nothing() {
-    let late = Late::start();
+    let late = UnacceptingBackend::start();
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[line("a", late.address, "ready", 0)]);
     config["settings"]["limits"]["dial_timeout_us"] = json!(20_000_000);
@@ -140,7 +140,7 @@
     let address = late.address;
     let bytes = late.let_in();
     std::thread::sleep(Duration::from_millis(1_500)); // the system tries a connect anew after a second
-    Late::done(address);
+    UnacceptingBackend::done(address);
     assert_eq!(bytes.join().unwrap(), 0);
 }
 
@@ -149,13 +149,13 @@
 /// An attempt may have run; the connection for its repeat comes up after the window in which the backends know the key.
 #[test]
 fn a_repeat_is_not_begun_after_its_window() {
-    let (gated, late) = (Gated::start(), Late::start());
+    let (gated, late) = (Gated::start(), UnacceptingBackend::start());
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[ready("a", &gated.backend)]);
     config["settings"]["limits"]["dial_timeout_us"] = json!(20_000_000);
     let window = Duration::from_micros(config["settings"]["profiles"][1]["window_us"].as_u64().unwrap());
     let proxy = Proxy::start(&config);
-    discovery.tell(true, &[ready("a", &gated.backend)]);
+    discovery.publish(true, &[ready("a", &gated.backend)]);
     // Repeats are held to a part of the requests: some have to come first.
     for _ in 0..20 {
         gated.go.send(ok("x")).unwrap();
@@ -166,15 +166,15 @@
     client.write_all(request("vote", 7000).as_bytes()).unwrap();
     gated.has_one();
     let begun = Instant::now();
-    discovery.tell(false, &[line("b", late.address, "ready", 0)]);
-    gated.go.send(Reply::Say("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".into())).unwrap();
+    discovery.publish(false, &[line("b", late.address, "ready", 0)]);
+    gated.go.send(Reply::Respond("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".into())).unwrap();
     std::thread::sleep((begun + window).saturating_duration_since(Instant::now()));
     let address = late.address;
     let bytes = late.let_in();
     let mut answer = [0; 12];
     client.read_exact(&mut answer).unwrap();
     assert_eq!(&answer, b"HTTP/1.1 502", "it may have run, and can't be repeated any more");
-    Late::done(address);
+    UnacceptingBackend::done(address);
     assert_eq!(bytes.join().unwrap(), 0, "sent again after its window");
 }
 
@@ -186,7 +186,7 @@
     let backend = Backend::start(|_| ok("x"));
     let discovery = Discovery::start();
     let mut proxy = Proxy::start(&config(discovery.address, &[ready("a", &backend)]));
-    discovery.tell(true, &[ready("a", &backend)]);
+    discovery.publish(true, &[ready("a", &backend)]);
     let (mut half, mut resting) = (Client::open(proxy.address), Client::open(proxy.address));
     for client in [&mut half, &mut resting] {
         client.send(&request("read", 7000));
@@ -209,7 +209,7 @@
     let gated = Gated::start();
     let discovery = Discovery::start();
     let mut proxy = Proxy::start(&config(discovery.address, &[ready("a", &gated.backend)]));
-    discovery.tell(true, &[ready("a", &gated.backend)]);
+    discovery.publish(true, &[ready("a", &gated.backend)]);
     let mut client = Client::open(proxy.address);
     client.send(&(request("read", 7000) + &request("vote", 7000) + &request("read", 7000)));
     gated.has_one();
@@ -236,7 +236,7 @@
     let backend = Backend::start(move |_| ok(&"z".repeat(length)));
     let discovery = Discovery::start();
     let mut proxy = Proxy::start(&config(discovery.address, &[ready("a", &backend)]));
-    discovery.tell(true, &[ready("a", &backend)]);
+    discovery.publish(true, &[ready("a", &backend)]);
     let mut client = open(&proxy);
     client.write_all(request("read", 7000).as_bytes()).unwrap();
     let mut first = [0; 1];
@@ -273,7 +273,7 @@
     let discovery = Discovery::start();
     let mut proxy = Proxy::spawn(&config(discovery.address, &[]));
     until("it listens", || proxy.ready() == 503);
-    discovery.fall_silent();
+    discovery.stop_answering();
     let before = Instant::now();
     proxy.terminate();
     assert!(proxy.exit().success());
@@ -284,11 +284,11 @@
 /// before anybody would kill it.
 #[test]
 fn signals_on_top_of_one_another_and_a_hanging_backend_end_in_time() {
-    let backend = Backend::start(|_| Reply::Silence);
+    let backend = Backend::start(|_| Reply::NoResponse);
     let discovery = Discovery::start();
     let config = config(discovery.address, &[ready("a", &backend)]);
     let mut proxy = Proxy::start(&config);
-    discovery.tell(true, &[ready("a", &backend)]);
+    discovery.publish(true, &[ready("a", &backend)]);
     let mut client = Client::open(proxy.address);
     let sent = Instant::now();
     client.send(&request("pay", 2_000));
@@ -312,7 +312,7 @@
     let backend = Backend::start(|_| ok("x"));
     let discovery = Discovery::start();
     let mut proxy = Proxy::start(&config(discovery.address, &[ready("a", &backend)]));
-    discovery.tell(true, &[ready("a", &backend)]);
+    discovery.publish(true, &[ready("a", &backend)]);
     let mut half = Client::open(proxy.address);
     half.send(&request("read", 7000));
     assert_eq!(half.answer().map(|a| a.status()), Some(200));
@@ -334,7 +334,7 @@
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[ready("a", &gated.backend)]);
     let proxy = Proxy::start(&config);
-    discovery.tell(true, &[ready("a", &gated.backend)]);
+    discovery.publish(true, &[ready("a", &gated.backend)]);
     let mut client = open(&proxy);
     client.write_all(request("pay", 7000).as_bytes()).unwrap();
     gated.has_one();
@@ -350,7 +350,7 @@
         ["settings.profiles", "settings.customers"].iter().all(|key| log.contains(key))
     });
     // Under the new one it might be sent again, for there it may.
-    gated.go.send(Reply::SayAndClose(String::new())).unwrap();
+    gated.go.send(Reply::RespondAndClose(String::new())).unwrap();
     let mut answer = [0; 12];
     client.read_exact(&mut answer).unwrap();
     assert_eq!(&answer, b"HTTP/1.1 502");
@@ -365,7 +365,7 @@
     config["discovery"] = json!(other.address.to_string());
     proxy.reload(&config.to_string());
     until("the refusal", || proxy.log().contains("name: expected \"n1\", got \"n2\""));
-    discovery.tell(false, &[]);
+    discovery.publish(false, &[]);
     assert_eq!(other.calls(), 0);
 }
 
@@ -404,7 +404,7 @@
     // The system's own limit is the one that is told.
     let proxy = Proxy::spawn_with(&config, "64", &[]);
     until("ready", || proxy.ready() == 200);
-    discovery.tell(true, &[ready("a", &a), ready("b", &b)]);
+    discovery.publish(true, &[ready("a", &a), ready("b", &b)]);
     let (stop, stopped) = mpsc::channel::<()>();
     let address = proxy.address;
     let crowd = std::thread::spawn(move || {
@@ -421,7 +421,7 @@
         assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
     }
     let told = Instant::now();
-    discovery.come_back(false, &[line("a", a.address, "draining", 0)]);
+    discovery.resume(false, &[line("a", a.address, "draining", 0)]);
     std::thread::sleep((told + GRACE).saturating_duration_since(Instant::now()));
     let before = a.requests().len();
     (0..20).for_each(|_| assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200));
@@ -437,12 +437,12 @@
 /// must not hear that trying again is harmless.
 #[test]
 fn a_long_request_that_went_whole_may_have_run() {
-    let backend = Backend::start(|_| Reply::SayAndClose(String::new()));
+    let backend = Backend::start(|_| Reply::RespondAndClose(String::new()));
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[ready("a", &backend)]);
     config["limits"]["memory_mb"] = json!(8);
     let proxy = Proxy::start(&config);
-    discovery.tell(true, &[ready("a", &backend)]);
+    discovery.publish(true, &[ready("a", &backend)]);
     let length = 6 << 20;
     let head = request("pay", 7000).replace("Content-Length: 4", &format!("Content-Length: {length}"));
     let mut client = Client::open(proxy.address);
@@ -464,11 +464,11 @@
     let mut config = config(discovery.address, &[ready("a", &a), ready("b", &b)]);
     config["settings"]["discovery"] = json!("subscribe");
     let proxy = Proxy::start(&config);
-    discovery.tell(true, &[ready("a", &a), ready("b", &b)]);
+    discovery.publish(true, &[ready("a", &a), ready("b", &b)]);
     discovery.reset();
     discovery.swallow();
     let told = Instant::now() + TOLD;
-    discovery.come_back(false, &[line("a", a.address, "draining", 0)]);
+    discovery.resume(false, &[line("a", a.address, "draining", 0)]);
     std::thread::sleep((told + GRACE).saturating_duration_since(Instant::now()));
     let before = a.requests().len();
     (0..40).for_each(|_| assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200));
--- a/crates/gaugesaddle/tests/drains.rs
+++ b/crates/gaugesaddle/tests/drains.rs
@@ -68,7 +68,7 @@
         let discovery = Discovery::start();
         let config = config(discovery.address, &lines(&a, "ready", &b));
         let proxy = Proxy::start(&config);
-        discovery.tell(true, &lines(&a, "ready", &b));
+        discovery.publish(true, &lines(&a, "ready", &b));
         let traffic = Traffic::at(&proxy);
         both_serve(&a, &b);
         Pair { a, b, config, discovery, proxy, traffic }
@@ -96,12 +96,12 @@
 fn a_drain_at_discoverys_return_is_known_though_a_call_was_swallowed() {
     let pair = Pair::start();
     for _ in 0..2 {
-        pair.discovery.fall_silent();
+        pair.discovery.stop_answering();
         std::thread::sleep(Duration::from_millis(700));
         let told = Instant::now();
-        pair.discovery.come_back(false, &pair.leaving());
+        pair.discovery.resume(false, &pair.leaving());
         nothing_after_the_grace(told, &pair.a, &pair.b);
-        pair.discovery.tell(true, &lines(&pair.a, "ready", &pair.b));
+        pair.discovery.publish(true, &lines(&pair.a, "ready", &pair.b));
         both_serve(&pair.a, &pair.b);
     }
     pair.traffic.end();
@@ -111,9 +111,9 @@
 #[test]
 fn a_drain_in_the_moment_of_a_silence_is_known_by_the_next_call() {
     let pair = Pair::start();
-    pair.discovery.fall_silent();
+    pair.discovery.stop_answering();
     let told = Instant::now();
-    pair.discovery.come_back(false, &pair.leaving());
+    pair.discovery.resume(false, &pair.leaving());
     pair.kept_since(told);
 }
 
@@ -125,7 +125,7 @@
     pair.discovery.reset();
     std::thread::sleep(Duration::from_millis(2_700));
     let told = Instant::now();
-    pair.discovery.come_back(false, &pair.leaving());
+    pair.discovery.resume(false, &pair.leaving());
     pair.kept_since(told);
 }
 
@@ -134,7 +134,7 @@
 fn half_a_list_is_asked_for_again() {
     let pair = Pair::start();
     let told = Instant::now();
-    pair.discovery.tell_half(false, &pair.leaving());
+    pair.discovery.publish_truncated(false, &pair.leaving());
     pair.kept_since(told);
 }
 
@@ -142,9 +142,9 @@
 #[test]
 fn an_older_version_makes_the_proxy_ask_for_the_whole_list() {
     let pair = Pair::start();
-    (0..3).for_each(|_| pair.discovery.tell(true, &lines(&pair.a, "ready", &pair.b)));
+    (0..3).for_each(|_| pair.discovery.publish(true, &lines(&pair.a, "ready", &pair.b)));
     let told = Instant::now();
-    pair.discovery.began_anew(&lines(&pair.a, "draining", &pair.b));
+    pair.discovery.restart_with(&lines(&pair.a, "draining", &pair.b));
     pair.kept_since(told);
 }
 
@@ -154,7 +154,7 @@
     let pair = Pair::start();
     pair.discovery.indent();
     let told = Instant::now();
-    pair.discovery.tell(true, &lines(&pair.a, "draining", &pair.b));
+    pair.discovery.publish(true, &lines(&pair.a, "draining", &pair.b));
     pair.kept_since(told);
 }
 
@@ -190,7 +190,7 @@
 #[test]
 fn a_move_while_discovery_is_down_loses_nothing() {
     let mut pair = Pair::start();
-    pair.discovery.fall_silent();
+    pair.discovery.stop_answering();
     let (first, second) = (free_address(), free_address());
     for address in [first, second, second] {
         pair.config["discovery"] = json!(address.to_string());
@@ -207,16 +207,16 @@
 fn a_drain_taken_back_and_a_server_back_under_its_name_serve_again() {
     let pair = Pair::start();
     let told = Instant::now();
-    pair.discovery.tell(false, &pair.leaving());
+    pair.discovery.publish(false, &pair.leaving());
     nothing_after_the_grace(told, &pair.a, &pair.b);
-    pair.discovery.tell(false, &[line("a", pair.a.address, "ready", 0)]);
+    pair.discovery.publish(false, &[line("a", pair.a.address, "ready", 0)]);
     both_serve(&pair.a, &pair.b);
     let told = Instant::now();
-    pair.discovery.tell(false, &[line("a", pair.a.address, "gone", 0)]);
+    pair.discovery.publish(false, &[line("a", pair.a.address, "gone", 0)]);
     nothing_after_the_grace(told, &pair.a, &pair.b);
     let c = Backend::start(|_| ok("c"));
     let before = pair.a.requests().len();
-    pair.discovery.tell(false, &[line("a", c.address, "ready", 0)]);
+    pair.discovery.publish(false, &[line("a", c.address, "ready", 0)]);
     both_serve(&c, &pair.b);
     assert_eq!(pair.a.requests().len(), before, "nothing goes to its old address");
     pair.traffic.end();
@@ -229,14 +229,14 @@
     let told = Instant::now();
     let leaving =
         |b: &Backend| [line("a", pair.a.address, "draining", 0), line("b", b.address, "draining", 0)];
-    pair.discovery.tell(false, &leaving(&pair.b));
+    pair.discovery.publish(false, &leaving(&pair.b));
     std::thread::sleep((told + GRACE).saturating_duration_since(Instant::now()));
     let sent = (pair.a.requests().len(), pair.b.requests().len());
     let refused = ask(&pair.proxy, &request("pay", 300));
     assert_eq!(refused.status(), 503);
     assert!(refused.header("retry-after").is_some(), "it says when to come back");
     assert_eq!((pair.a.requests().len(), pair.b.requests().len()), sent);
-    pair.discovery.tell(true, &lines(&pair.a, "ready", &pair.b));
+    pair.discovery.publish(true, &lines(&pair.a, "ready", &pair.b));
     both_serve(&pair.a, &pair.b);
     pair.traffic.end();
 }
@@ -250,25 +250,25 @@
     let mut config = config(discovery.address, &lines(&a, "ready", &b));
     config["limits"]["memory_mb"] = json!(32);
     let proxy = Proxy::start(&config);
-    discovery.tell(true, &lines(&a, "ready", &b));
+    discovery.publish(true, &lines(&a, "ready", &b));
     let traffic = Traffic::at(&proxy);
     both_serve(&a, &b);
     let many = |count: usize| {
         let all: Vec<Value> = (0..count).map(|n| line(&format!("s{n}"), b.address, "draining", 0)).collect();
         json!({"index": 9_000, "snapshot": true, "endpoints": all}).to_string()
     };
-    discovery.say(&many(100_000));
+    discovery.answer_with(&many(100_000));
     until("it is refused by its bytes", || {
         proxy.log().contains("discovery: the list: length limit exceeded")
     });
-    discovery.say(&many(2_500));
+    discovery.answer_with(&many(2_500));
     let refused = "endpoints: expected no more than 2048 lines for the memory told, got 2500";
     until("it is refused by its lines", || proxy.log().contains(refused));
     both_serve(&a, &b);
     let peak = peak_kb(proxy.id()).expect("it runs") >> 10;
     assert!(peak < 32, "{peak} MB");
     let told = Instant::now();
-    discovery.tell(true, &lines(&a, "draining", &b));
+    discovery.publish(true, &lines(&a, "draining", &b));
     nothing_after_the_grace(told, &a, &b);
     traffic.end();
 }
--- a/crates/gaugesaddle/tests/lent.rs
+++ b/crates/gaugesaddle/tests/lent.rs
@@ -3,16 +3,16 @@
 
 use gaugesaddle_testbed::program;
 use gaugesaddle_testbed::scenario::{Clients, Kind, Regions};
-use gaugesaddle_testbed::{run, Broken, Cast, Outcome, Program, Scenario, What};
+use gaugesaddle_testbed::{run, Broken, Cast, Disturbance, Outcome, Program, Scenario};
 
 /// More want to leave than may: the bound is felt. Proxies 0, 2 and 4 are those of the region that is lost.
 fn lost(seed: u64, per_s: u32) -> Scenario {
     let kinds = vec![Kind { name: "fast".into(), count: 8, speed: 2.0, ..Kind::default() }];
     let clients = Clients { per_s: 80.0, leaving: 0.0, uneven: vec![3.0, 1.0, 0.5], ..Clients::default() };
     let regions = Regions { count: 2, per_s, in_flight: 120, ..Regions::default() };
-    let s = Scenario { seconds: 16.0, proxies: 6, halls: 4, kinds, clients, regions, ..Scenario::default() };
-    let s = Scenario { seed, peers: true, shares: true, ..s };
-    [0, 2].into_iter().fold(s, |s, hall| s.event(7.0, What::HallOut { hall, for_s: 8.0 }))
+    let s = Scenario { seconds: 16.0, proxies: 6, zones: 4, kinds, clients, regions, ..Scenario::default() };
+    let s = Scenario { seed, peers: true, demand_allocation: true, ..s };
+    [0, 2].into_iter().fold(s, |s, zone| s.event(7.0, Disturbance::ZoneOutage { zone, for_s: 8.0 }))
 }
 
 fn play(s: &Scenario) -> Outcome {
@@ -32,17 +32,17 @@
 
 #[test]
 fn the_bound_on_what_may_come_holds_while_proxies_of_either_side_die_sleep_and_return() {
-    let killed = |s: Scenario, proxy| s.event(5.0, What::LoseProxy { proxy });
+    let killed = |s: Scenario, proxy| s.event(5.0, Disturbance::LoseProxy { proxy });
     let all = play_all(vec![
         // Two of the three that send.
         killed(killed(lost(1, 20), 2), 4),
         // One of those that take is gone, another back within the term of what it had lent.
-        killed(lost(2, 20), 1).event(9.0, What::KillProxy { proxy: 3, back_after_s: 0.5 }),
+        killed(lost(2, 20), 1).event(9.0, Disturbance::KillProxy { proxy: 3, back_after_s: 0.5 }),
         // One of those that take sleeps past the end of all it had borrowed and lent.
-        lost(3, 20).event(8.0, What::StopProxy { proxy: 5, for_s: 6.0 }),
+        lost(3, 20).event(8.0, Disturbance::StopProxy { proxy: 5, for_s: 6.0 }),
     ]);
-    let left: Vec<u64> = all.iter().map(|o| o.verdict.regions[0].left).collect();
+    let left: Vec<u64> = all.iter().map(|o| o.verdict.regions[0].spilled).collect();
     assert!(left.iter().all(|n| *n > 30), "something left in each: {left:?}");
-    let most: Vec<usize> = all.iter().map(|o| o.verdict.regions[0].most_left_per_s).collect();
+    let most: Vec<usize> = all.iter().map(|o| o.verdict.regions[0].max_spilled_per_s).collect();
     assert!(most[0] > 10, "one sender finds the places of all gateways: {most:?}");
 }
--- a/crates/gaugesaddle/tests/operator.rs
+++ b/crates/gaugesaddle/tests/operator.rs
@@ -40,7 +40,7 @@
     let folder = Folder::new(name);
     let socket = folder.0.join("state.sock");
     let file = folder.file("gaugesaddle.toml", &format!("[state]\nsocket = {socket:?}\n{more}"));
-    let backend = Backend::start(|m| if m.start.contains("slow") { Reply::Silence } else { ok("x") });
+    let backend = Backend::start(|m| if m.start.contains("slow") { Reply::NoResponse } else { ok("x") });
     let discovery = Discovery::start();
     let config = config(discovery.address, &[line("a", backend.address, "ready", 0)]);
     let proxy = Proxy::spawn_with(&config, "unlimited", &["--config", file.to_str().unwrap()]);
@@ -116,7 +116,7 @@
     };
     assert_eq!((reason("wrong: form"), reason("closed: left before its answer")), (Some(1), Some(1)));
     assert_eq!(told["list"]["index"], 0);
-    s.discovery.tell(true, &[line("b", s.backend.address, "ready", 0)]);
+    s.discovery.publish(true, &[line("b", s.backend.address, "ready", 0)]);
     until("the new list", || state(&s.socket)["list"]["index"] == 1);
     let told = state(&s.socket);
     let names: Vec<_> = told["backends"].as_array().unwrap().iter().map(|b| b["name"].clone()).collect();
--- a/crates/gaugesaddle/tests/peers.rs
+++ b/crates/gaugesaddle/tests/peers.rs
@@ -4,7 +4,7 @@
 mod tier;
 
 use gaugesaddle::registry::MembershipView;
-use gaugesaddle_testbed::datagrams::{Links, Poor};
+use gaugesaddle_testbed::datagrams::{Links, LossyPath};
 use gaugesaddle_testbed::scripted::*;
 use std::os::unix::fs::PermissionsExt;
 use std::time::Duration;
@@ -37,7 +37,7 @@
     tier.agree("it is known anew");
     assert_ne!(tier.view(1).boot, before);
     // Whatever its former process sent comes again: nobody goes back to it.
-    let old: Vec<_> = tier.ways.kept(1).into_iter().filter(|(to, _)| *to != 1).collect();
+    let old: Vec<_> = tier.ways.retained(1).into_iter().filter(|(to, _)| *to != 1).collect();
     assert!(old.len() > 10, "nothing to send again");
     let came = |tier: &Tier, p: usize| tier.view(p).replayed + tier.view(p).unproven;
     let earlier: u64 = [0, 2, 3].iter().map(|p| came(&tier, *p)).sum();
@@ -70,7 +70,7 @@
 #[test]
 fn halves_part_know_that_they_may_be_the_smaller_one_and_agree_after_the_heal() {
     let tier = Tier::start("halves", 6);
-    tier.ways.set(Links { parts: vec![0, 0, 0, 0, 1, 1], ..Links::default() });
+    tier.ways.set(Links { groups: vec![0, 0, 0, 0, 1, 1], ..Links::default() });
     until("the larger part", || tier.agrees(&[0, 1, 2, 3]));
     until("the smaller part", || tier.agrees(&[4, 5]));
     for place in 0..6 {
@@ -123,7 +123,7 @@
 #[test]
 fn a_poor_way_between_two_zones_kills_nobody_on_either_side() {
     let tier = Tier::start("poor", 6);
-    let poor = Poor::between([0, 1], 3, 6, 0.6, 60_000);
+    let poor = LossyPath::between([0, 1], 3, 6, 0.6, 60_000);
     tier.ways.set(Links { poor, ..Links::default() });
     tier.asked(&[0, 1, 2, 3, 4, 5], 40);
     tier.ways.set(Links::default());
@@ -171,7 +171,7 @@
 #[test]
 fn what_is_forged_cut_short_foreign_or_from_another_tier_changes_nothing() {
     let tier = Tier::start("forged", 3);
-    let good = tier.ways.kept(1).into_iter().find(|(to, _)| *to == 0).expect("one to the first").1;
+    let good = tier.ways.retained(1).into_iter().find(|(to, _)| *to == 0).expect("one to the first").1;
     let rows = |tier: &Tier| {
         tier.view(0).peers.into_iter().map(|p| (p.state, p.boot, p.incarnation)).collect::<Vec<_>>()
     };
--- a/crates/gaugesaddle/tests/proxy.rs
+++ b/crates/gaugesaddle/tests/proxy.rs
@@ -174,9 +174,9 @@
 
 #[test]
 fn what_never_ran_is_sent_again() {
-    let full = || Reply::Say("HTTP/1.1 503 x\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".into());
+    let full = || Reply::Respond("HTTP/1.1 503 x\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".into());
     assert_eq!(outcome_of(full, "pay"), (200, 2));
-    let over = || Reply::Say("HTTP/1.1 504 x\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".into());
+    let over = || Reply::Respond("HTTP/1.1 504 x\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".into());
     assert_eq!(outcome_of(over, "pay"), (200, 2));
 }
 
@@ -184,12 +184,16 @@
 #[test]
 fn what_may_have_run_is_not_sent_again() {
     let cases: [fn() -> Reply; 6] = [
-        || Reply::Say("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n".into()),
-        || Reply::Say("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n".into()),
-        || Reply::SayAndClose(String::new()),
-        || Reply::SayAndClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort".into()),
-        || Reply::SayAndClose("HTTP/1.1 200 OK\r\n\r\nno length".into()),
-        || Reply::SayAndClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n".into()),
+        || Reply::Respond("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n".into()),
+        || Reply::Respond("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n".into()),
+        || Reply::RespondAndClose(String::new()),
+        || Reply::RespondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort".into()),
+        || Reply::RespondAndClose("HTTP/1.1 200 OK\r\n\r\nno length".into()),
+        || {
+            Reply::RespondAndClose(
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n".into(),
+            )
+        },
     ];
     for (n, first) in cases.into_iter().enumerate() {
         assert_eq!(outcome_of(first, "pay"), (502, 1), "case {n}");
@@ -215,13 +219,13 @@
     ];
     for answer in spoilt {
         let start = std::time::Instant::now();
-        let reply = move || Reply::Say(answer());
+        let reply = move || Reply::Respond(answer());
         assert_eq!(outcome_of(reply, "read"), (200, 2), "{:.60}", answer());
         assert_eq!(outcome_of(reply, "pay"), (502, 1), "{:.60}", answer());
         assert!(start.elapsed() < Duration::from_secs(6), "not at the deadline: {:.60}", answer());
     }
     // Many 1xx answers never end in one that counts.
-    let endless = || Reply::Say("HTTP/1.1 102 Processing\r\n\r\n".repeat(20_000));
+    let endless = || Reply::Respond("HTTP/1.1 102 Processing\r\n\r\n".repeat(20_000));
     assert_eq!(outcome_of(endless, "read"), (200, 2));
 }
 
@@ -232,7 +236,7 @@
     let backend = Backend::start(move |_| {
         let n = next.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
         let good = |more: &str| format!("HTTP/1.1 200 OK\r\n{more}Content-Length: 2\r\n\r\n{n:02}");
-        Reply::Say(match n % 5 {
+        Reply::Respond(match n % 5 {
             0 => good("") + &good(""),
             1 => good("") + "noise\r\n\r\n",
             2 => good("X-Backend-Load: TEXT =,=\r\n"),
@@ -255,7 +259,7 @@
 #[test]
 fn a_client_error_of_a_backend_is_passed_on() {
     let backend = Backend::start(|m| match m.header("x-bad") {
-        Some(_) => Reply::Say("HTTP/1.1 400 Bad Request\r\nContent-Length: 3\r\n\r\nbad".into()),
+        Some(_) => Reply::Respond("HTTP/1.1 400 Bad Request\r\nContent-Length: 3\r\n\r\nbad".into()),
         None => ok("x"),
     });
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
@@ -285,7 +289,7 @@
     let closing = std::sync::atomic::AtomicBool::new(true);
     let backend = Backend::start(move |_| {
         if closing.swap(false, std::sync::atomic::Ordering::SeqCst) {
-            Reply::SayAndClose("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".into())
+            Reply::RespondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".into())
         } else {
             ok("x")
         }
@@ -316,7 +320,7 @@
 
 #[test]
 fn a_client_that_leaves_ends_its_attempt() {
-    let backend = Backend::start(|_| Reply::Silence);
+    let backend = Backend::start(|_| Reply::NoResponse);
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     let mut client = Client::open(proxy.address);
     client.send(&request("pay", 60_000));
@@ -329,7 +333,7 @@
 /// less time is left than a tick.
 #[test]
 fn a_deadline_brings_one_answer_from_the_module() {
-    let backend = Backend::start(|_| Reply::Silence);
+    let backend = Backend::start(|_| Reply::NoResponse);
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     assert_eq!(ask(&proxy, &request("pay", 500)).status(), 502);
     until("the attempt's connection closed", || backend.closed() == 1);
@@ -360,15 +364,15 @@
         ask(&proxy, &request("read", 7000));
         !a.requests().is_empty() && !b.requests().is_empty()
     });
-    discovery.tell(false, &[line("a", a.address, "draining", 0)]);
+    discovery.publish(false, &[line("a", a.address, "draining", 0)]);
     until("the pool of a closed", || a.closed() == a.opened());
     let before = a.requests().len();
     (0..20).for_each(|_| assert_eq!(ask(&proxy, &request("read", 7000)).body, b"b"));
-    discovery.tell(false, &[line("a", a.address, "ready", 0), line("b", b.address, "gone", 0)]);
+    discovery.publish(false, &[line("a", a.address, "ready", 0), line("b", b.address, "gone", 0)]);
     until("the pool of b closed", || b.closed() == b.opened());
     (0..20).for_each(|_| assert_eq!(ask(&proxy, &request("read", 7000)).body, b"a"));
     assert!(a.requests().len() >= before + 20);
-    discovery.tell(true, &[line("b", b.address, "ready", 0)]);
+    discovery.publish(true, &[line("b", b.address, "ready", 0)]);
     until("the pool of a closed again", || a.closed() == a.opened());
     (0..20).for_each(|_| assert_eq!(ask(&proxy, &request("read", 7000)).body, b"b"));
 }
@@ -376,7 +380,7 @@
 /// A backend may be told to drain while the connection to it comes up: not a byte goes there then.
 #[test]
 fn a_drain_is_seen_after_the_connect() {
-    let late = Late::start();
+    let late = UnacceptingBackend::start();
     let address = late.address;
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[line("a", address, "ready", 0)]);
@@ -386,10 +390,10 @@
     client.send(&request("pay", 30_000));
     // Long enough as a rule for the attempt to wait in the queue.
     std::thread::sleep(Duration::from_millis(300));
-    discovery.tell(false, &[line("a", address, "draining", 0)]);
+    discovery.publish(false, &[line("a", address, "draining", 0)]);
     let bytes = late.let_in();
     assert_eq!(client.answer().map(|a| a.status()), Some(503));
-    Late::done(address);
+    UnacceptingBackend::done(address);
     assert_eq!(bytes.join().unwrap(), 0);
 }
 
@@ -399,11 +403,11 @@
     let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
     let (proxy, discovery) = proxy_for(&[("a", &old)]);
     assert_eq!(ask(&proxy, &request("read", 7000)).body, b"old");
-    discovery.tell(false, &[line("a", old.address, "ready", 1_700_000_000_000)]);
+    discovery.publish(false, &[line("a", old.address, "ready", 1_700_000_000_000)]);
     until("the old connection closed", || old.closed() == 1);
     assert_eq!(ask(&proxy, &request("read", 7000)).body, b"old");
     assert_eq!(old.opened(), 2);
-    discovery.tell(false, &[line("a", new.address, "ready", 1_700_000_000_000)]);
+    discovery.publish(false, &[line("a", new.address, "ready", 1_700_000_000_000)]);
     until("its connection closed", || old.closed() == 2);
     assert_eq!(ask(&proxy, &request("read", 7000)).body, b"new");
 }
@@ -414,10 +418,10 @@
     let (proxy, discovery) = proxy_for(&[("a", &backend)]);
     let bad = json!({"index": 9, "snapshot": true, "endpoints": [{"name": "b"}]});
     for text in [bad.to_string(), "[]".into(), "no json".into(), r#"{"index":1,"snapshot":true}"#.into()] {
-        discovery.say(&text);
+        discovery.answer_with(&text);
         assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200, "after {text}");
     }
-    discovery.tell(true, &[line("a", backend.address, "draining", 0)]);
+    discovery.publish(true, &[line("a", backend.address, "draining", 0)]);
     until("the good list after them", || proxy.ready() == 503);
 }
 
@@ -439,9 +443,9 @@
     let mut config = config(discovery.address, &[line("a", free_address(), "draining", 0)]);
     config["settings"]["discovery"] = json!("subscribe");
     let proxy = Proxy::spawn(&config);
-    discovery.say("no list");
+    discovery.answer_with("no list");
     assert_eq!(proxy.ready(), 503);
-    discovery.tell(true, &[line("a", backend.address, "ready", 0)]);
+    discovery.publish(true, &[line("a", backend.address, "ready", 0)]);
     until("ready", || proxy.ready() == 200);
     assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
 }
@@ -609,7 +613,7 @@
     config["discovery"] = json!(second.address.to_string());
     config["limits"]["sockets"] = json!(512);
     proxy.reload(&config.to_string());
-    second.tell(true, &[line("b", b.address, "ready", 0)]);
+    second.publish(true, &[line("b", b.address, "ready", 0)]);
     assert_eq!(ask(&proxy, &request("read", 7000)).body, b"b");
     // The log is read by a thread of its own.
     until("the log names the setting that needs a restart", || {
@@ -624,7 +628,7 @@
     }
     config["discovery"] = json!(third.address.to_string());
     (0..3).for_each(|_| proxy.reload(&config.to_string()));
-    third.tell(true, &[line("a", a.address, "ready", 0)]);
+    third.publish(true, &[line("a", a.address, "ready", 0)]);
     assert_eq!(ask(&proxy, &request("read", 7000)).body, b"a");
     proxy.terminate();
     proxy.reload(&config.to_string());
--- a/crates/gaugesaddle/tests/region.rs
+++ b/crates/gaugesaddle/tests/region.rs
@@ -58,7 +58,7 @@
             "[state]\nsocket = {:?}\n[region]\nenabled = true\nname = {:?}\n{}\n{}\n",
             folder.0.join("state.sock"),
             plan.name,
-            KeyFiles { folder: folder.0.clone() }.lines(),
+            KeyFiles { folder: folder.0.clone() }.to_toml(),
             plan.listen.map(|at| format!("listen = \"{at}\"")).unwrap_or_default(),
         );
         text += plan.more;
@@ -192,7 +192,7 @@
     let two = pair("back", &[], &[south.address; 3], WIDE);
     until("the north spills", || two.north.is("spilling"));
     assert_eq!(ask(&two.north.proxy, &request("vote", 7000)).body, b"south");
-    two.north.discovery.tell(true, &[line("n", home.address, "ready", 0)]);
+    two.north.discovery.publish(true, &[line("n", home.address, "ready", 0)]);
     until("home", || {
         ask(&two.north.proxy, &request("read", 7000));
         two.north.is("local")
@@ -243,7 +243,7 @@
     assert_eq!(north.count("sent"), before);
     // The exercise: backends at home, and all of what comes leaves all the same.
     let home = Backend::start(|_| ok("home"));
-    north.discovery.tell(true, &[line("n", home.address, "ready", 0)]);
+    north.discovery.publish(true, &[line("n", home.address, "ready", 0)]);
     switch("switch = \"now\"\nexercise_percent = 100");
     until("now", || north.state()["switch"] == "now");
     until("a vote that leaves", || ask(&north.proxy, &request("vote", 7000)).body == b"south");
@@ -342,7 +342,7 @@
 #[test]
 fn a_gateway_that_dies_or_falls_silent_with_requests_on_it() {
     for signal in ["-KILL", "-STOP"] {
-        let held = Backend::start(|_| Reply::Silence);
+        let held = Backend::start(|_| Reply::NoResponse);
         let two = pair(&format!("dies{signal}"), &[], &[held.address; 3], WIDE);
         until("the north spills", || two.north.is("spilling"));
         let ended = |class: &'static str| {
@@ -468,7 +468,7 @@
 
 #[test]
 fn a_client_that_leaves_takes_its_request_back_from_the_other_region() {
-    let held = Backend::start(|_| Reply::Silence);
+    let held = Backend::start(|_| Reply::NoResponse);
     let two = pair("leaves", &[], &[held.address; 3], WIDE);
     until("the north spills", || two.north.is("spilling"));
     let mut client = Client::open(two.north.proxy.address);
--- a/crates/gaugesaddle/tests/rules.rs
+++ b/crates/gaugesaddle/tests/rules.rs
@@ -2,7 +2,7 @@
 //! bed, which must see enough to judge and find nothing.
 
 use gaugesaddle_testbed::scenario::{Clients, Kind};
-use gaugesaddle_testbed::{program, run, Cast, Outcome, Program, Scenario, What};
+use gaugesaddle_testbed::{program, run, Cast, Disturbance, Outcome, Program, Scenario};
 
 /// Three proxies and nine nodes at moderate load.
 fn small(name: &str, seed: u64) -> Scenario {
@@ -49,33 +49,47 @@
 /// what is tested here, and a service that is not quite gone.
 #[test]
 fn rules_hold_while_nodes_come_go_and_fail() {
-    let crash = What::Crash { node: 1, back_after_s: Some(1.0) };
-    let hang = What::Hang { node: 4, for_s: 2.0 };
-    let deploy = What::Deploy { nodes: 4, group: 1, every_s: 0.8 };
+    let crash = Disturbance::Crash { node: 1, back_after_s: Some(1.0) };
+    let hang = Disturbance::Hang { node: 4, for_s: 2.0 };
+    let deploy = Disturbance::Deploy { nodes: 4, group: 1, every_s: 0.8 };
     clean(vec![
         (small("calm", 1), 0.95),
         (small("crash", 2).event(1.0, crash.clone()), 0.7),
         (
-            small("two crashes", 3).event(1.0, crash).event(1.5, What::Crash { node: 5, back_after_s: None }),
+            small("two crashes", 3)
+                .event(1.0, crash)
+                .event(1.5, Disturbance::Crash { node: 5, back_after_s: None }),
+            0.7,
+        ),
+        (
+            small("drain", 4)
+                .event(0.8, Disturbance::Drain { node: 0, over_s: 3.0, back_after_s: Some(0.2) }),
             0.7,
         ),
-        (small("drain", 4).event(0.8, What::Drain { node: 0, over_s: 3.0, back_after_s: Some(0.2) }), 0.7),
         (small("deploy", 5).event(0.5, deploy.clone()), 0.7),
-        (small("deploy in pairs", 6).event(0.5, What::Deploy { nodes: 6, group: 2, every_s: 1.5 }), 0.6),
-        (small("shrink", 7).event(0.5, What::Shrink { nodes: 4, over_s: 2.0 }), 0.6),
+        (
+            small("deploy in pairs", 6).event(0.5, Disturbance::Deploy { nodes: 6, group: 2, every_s: 1.5 }),
+            0.6,
+        ),
+        (small("shrink", 7).event(0.5, Disturbance::Shrink { nodes: 4, over_s: 2.0 }), 0.6),
         (small("hang", 8).event(1.0, hang.clone()), 0.7),
-        (small("slow", 9).event(1.0, What::Slow { node: 0, factor: 8.0, for_s: 3.0 }), 0.7),
-        (small("spoilt answers", 10).event(0.5, What::Spoil { node: 2, part: 0.3, for_s: 4.0 }), 0.7),
-        (small("resets", 11).event(0.5, What::Resets { node: 3, part: 0.3, for_s: 4.0 }), 0.7),
-        (small("a hall out", 12).event(1.0, What::HallOut { hall: 1, for_s: 2.0 }), 0.4),
+        (small("slow", 9).event(1.0, Disturbance::Slow { node: 0, factor: 8.0, for_s: 3.0 }), 0.7),
+        (
+            small("spoilt answers", 10).event(0.5, Disturbance::Spoil { node: 2, fraction: 0.3, for_s: 4.0 }),
+            0.7,
+        ),
+        (small("resets", 11).event(0.5, Disturbance::Resets { node: 3, fraction: 0.3, for_s: 4.0 }), 0.7),
+        (small("a hall out", 12).event(1.0, Disturbance::ZoneOutage { zone: 1, for_s: 2.0 }), 0.4),
         (
             small("burst and deploy", 13)
                 .event(0.5, deploy)
-                .event(2.0, What::Burst { factor: 3.0, for_s: 1.5 }),
+                .event(2.0, Disturbance::Burst { factor: 3.0, for_s: 1.5 }),
             0.3,
         ),
         (
-            small("hang in a burst", 14).event(1.0, hang).event(1.5, What::Burst { factor: 3.0, for_s: 1.0 }),
+            small("hang in a burst", 14)
+                .event(1.0, hang)
+                .event(1.5, Disturbance::Burst { factor: 3.0, for_s: 1.0 }),
             0.3,
         ),
     ]);
@@ -89,52 +103,52 @@
         s
     };
     let once = |mut s: Scenario| {
-        (s.clients.asking_once, s.limits.sockets, s.clients.connections) = (0.9, 192, 64);
+        (s.clients.single_request, s.limits.sockets, s.clients.connections) = (0.9, 192, 64);
         s
     };
     let asked = |mut s: Scenario| {
-        s.discovery.asked = true;
+        s.discovery.polled = true;
         s
     };
-    let cut = What::Cut { proxy: 0, node: 0, for_s: 2.0 };
-    let delay = What::Delay { proxy: 1, node: 1, by_ms: 40.0, for_s: 3.0 };
-    let kill = What::KillProxy { proxy: 0, back_after_s: 1.0 };
+    let cut = Disturbance::LinkPartition { proxy: 0, node: 0, for_s: 2.0 };
+    let delay = Disturbance::Delay { proxy: 1, node: 1, by_ms: 40.0, for_s: 3.0 };
+    let kill = Disturbance::KillProxy { proxy: 0, back_after_s: 1.0 };
     // Discovery is silent for seconds, two of three proxies die in the silence, and it comes back into a release.
     let lost_and_back = small("most killed while discovery is down, back into a release", 32)
-        .event(0.8, What::DiscoveryDown { for_s: 2.2 })
-        .event(1.3, What::KillProxy { proxy: 0, back_after_s: 0.4 })
-        .event(1.3, What::KillProxy { proxy: 2, back_after_s: 1.9 })
-        .event(2.8, What::Deploy { nodes: 6, group: 2, every_s: 0.9 });
-    let deploy = What::Deploy { nodes: 3, group: 1, every_s: 1.0 };
+        .event(0.8, Disturbance::DiscoveryDown { for_s: 2.2 })
+        .event(1.3, Disturbance::KillProxy { proxy: 0, back_after_s: 0.4 })
+        .event(1.3, Disturbance::KillProxy { proxy: 2, back_after_s: 1.9 })
+        .event(2.8, Disturbance::Deploy { nodes: 6, group: 2, every_s: 0.9 });
+    let deploy = Disturbance::Deploy { nodes: 3, group: 1, every_s: 1.0 };
     clean(
         vec![
             (small("a proxy killed", 21).event(1.5, kill.clone()), 0.7),
             (
                 small("all proxies killed in turn", 22)
                     .event(0.5, kill)
-                    .event(2.0, What::KillProxy { proxy: 1, back_after_s: 0.5 })
-                    .event(3.5, What::KillProxy { proxy: 2, back_after_s: 0.5 }),
+                    .event(2.0, Disturbance::KillProxy { proxy: 1, back_after_s: 0.5 })
+                    .event(3.5, Disturbance::KillProxy { proxy: 2, back_after_s: 0.5 }),
                 0.6,
             ),
-            (small("a restart in order", 23).event(1.0, What::RestartProxy { proxy: 1 }), 0.7),
+            (small("a restart in order", 23).event(1.0, Disturbance::RestartProxy { proxy: 1 }), 0.7),
             (
                 small("a restart amid a deploy", 24)
                     .event(0.5, deploy.clone())
-                    .event(1.0, What::RestartProxy { proxy: 0 }),
+                    .event(1.0, Disturbance::RestartProxy { proxy: 0 }),
                 0.6,
             ),
-            (small("a proxy stopped", 25).event(1.0, What::StopProxy { proxy: 2, for_s: 2.0 }), 0.3),
+            (small("a proxy stopped", 25).event(1.0, Disturbance::StopProxy { proxy: 2, for_s: 2.0 }), 0.3),
             (small("links cut and slow", 26).event(1.0, cut).event(1.0, delay), 0.6),
             (
                 small("discovery down in a deploy", 27)
                     .event(0.3, deploy.clone())
-                    .event(1.0, What::DiscoveryDown { for_s: 3.0 }),
+                    .event(1.0, Disturbance::DiscoveryDown { for_s: 3.0 }),
                 0.5,
             ),
             (
                 small("discovery moved in a deploy", 28)
                     .event(0.3, deploy.clone())
-                    .event(1.5, What::DiscoveryMove {}),
+                    .event(1.5, Disturbance::DiscoveryMove {}),
                 0.6,
             ),
             (small("an asked list", 29).event(0.5, deploy), 0.6),
--- a/crates/gaugesaddle/tests/service.rs
+++ b/crates/gaugesaddle/tests/service.rs
@@ -55,12 +55,12 @@
     let before = a.requests().len();
     serve(20);
     // Told anew as ready, and as restarted: the ban holds.
-    discovery.tell(true, &[line("a", a.address, "ready", 0), line("b", b.address, "ready", 0)]);
+    discovery.publish(true, &[line("a", a.address, "ready", 0), line("b", b.address, "ready", 0)]);
     let seen = discovery.calls();
     until("the list was taken", || discovery.calls() > seen);
     serve(20);
     assert_eq!(call(admin, "PUT /api/exclude?target=a"), 200, "twice is as good as once");
-    discovery.tell(false, &[line("a", a.address, "ready", 1_000)]);
+    discovery.publish(false, &[line("a", a.address, "ready", 1_000)]);
     until("the change was taken", || discovery.calls() > seen + 1);
     serve(20);
     assert_eq!(a.requests().len(), before);
@@ -221,7 +221,7 @@
     until("the two have met", || first.log().contains("another process is to replace this one"));
     assert_eq!(call(admin, "PUT /api/exclude?target=a"), 200);
     until("it was passed on", || second.log().contains("from the other process"));
-    silent.tell(true, &[line("a", a.address, "ready", 0), line("b", b.address, "ready", 0)]);
+    silent.publish(true, &[line("a", a.address, "ready", 0), line("b", b.address, "ready", 0)]);
     until("the second is ready", || call(admin_next, "GET /api/ready") == 200);
     first.terminate();
     assert!(first.exit().success());
@@ -249,8 +249,8 @@
     let temporary = [("TMPDIR", folder.0.as_os_str())];
     let mut first = Proxy::spawn_in(&config, &temporary);
     until("ready", || first.ready() == 200);
-    discovery.tell(true, &[line("a", a.address, "ready", 0), line("b", b.address, "ready", 0)]);
-    discovery.fall_silent();
+    discovery.publish(true, &[line("a", a.address, "ready", 0), line("b", b.address, "ready", 0)]);
+    discovery.stop_answering();
     let mut next = config.clone();
     let admin_next = free_address();
     next["admin"] = json!(admin_next.to_string());
@@ -265,7 +265,7 @@
         a.requests().len() > 5 && b.requests().len() > 5
     });
     let told = Instant::now();
-    discovery.come_back(false, &[line("a", a.address, "draining", 0)]);
+    discovery.resume(false, &[line("a", a.address, "draining", 0)]);
     std::thread::sleep((told + Duration::from_millis(550)).saturating_duration_since(Instant::now()));
     let (leaving, served) = (a.requests().len(), b.requests().len());
     serve(100);
--- a/crates/gaugesaddle/tests/shares.rs
+++ b/crates/gaugesaddle/tests/shares.rs
@@ -77,7 +77,7 @@
 fn each_side_of_a_cut_goes_by_its_own_and_all_by_all_after_the_heal() {
     let tier = Tier::start_with("parts-cut", 5, ON);
     until("all go by need", || by_need(&tier, &[0, 1, 2, 3, 4]));
-    tier.ways.set(Links { parts: vec![0, 0, 0, 1, 1], ..Links::default() });
+    tier.ways.set(Links { groups: vec![0, 0, 0, 1, 1], ..Links::default() });
     until("the sides go on", || by_need(&tier, &[0, 1, 2]) && by_need(&tier, &[3, 4]));
     assert!((shares(&tier, 3).even - 0.5).abs() < 1e-9);
     tier.ways.set(Links::default());
--- a/crates/gaugesaddle/tests/zones.rs
+++ b/crates/gaugesaddle/tests/zones.rs
@@ -110,7 +110,7 @@
     assert_eq!(ask(tier.proxy(0), &request("read", 7000)).status(), 200, "what comes is served by the west");
     let table = tier.table(0, "zones");
     assert!(table.contains("not ready: cut off from east, which most see"), "{table}");
-    discoveries[0].tell(true, &fleet.lines(&[]));
+    discoveries[0].publish(true, &fleet.lines(&[]));
     until("it is ready again", || tier.proxy(0).ready() == 200 && zones(&tier, 0).cut_off.is_none());
 }
 
@@ -120,7 +120,7 @@
     let (mut tier, discoveries, _asking) = start("zone-lost", 5, &fleet, &[]);
     let all = [0, 1, 2, 3, 4];
     until("all hold one decision", || trusted(&tier, &all, "west", |t| t == 1.0));
-    discoveries.iter().for_each(|d| d.tell(true, &fleet.lines(&["west"])));
+    discoveries.iter().for_each(|d| d.publish(true, &fleet.lines(&["west"])));
     until("all hold it lost", || trusted(&tier, &all, "west", |t| t == 0.0));
     for place in all {
         assert_eq!(tier.proxy(place).ready(), 200, "who sees what most see is ready");
@@ -131,7 +131,7 @@
     let before = zones(&tier, 1).epoch;
     tier.kill(0);
     let rest = [1, 2, 3, 4];
-    discoveries[1..].iter().for_each(|d| d.tell(true, &fleet.lines(&[])));
+    discoveries[1..].iter().for_each(|d| d.publish(true, &fleet.lines(&[])));
     until("the next one decides", || {
         trusted(&tier, &rest, "west", |t| t > 0.0) && zones(&tier, 1).by == Some(1)
     });
@@ -146,15 +146,15 @@
     until("all hold one decision", || trusted(&tier, &[0, 1, 2, 3, 4], "west", |t| t == 1.0));
     let before = zones(&tier, 0).epoch;
     // The decider is on the smaller side, and only there the west is lost.
-    tier.ways.set(Links { parts: vec![0, 0, 1, 1, 1], ..Links::default() });
+    tier.ways.set(Links { groups: vec![0, 0, 1, 1, 1], ..Links::default() });
     until("the sides have parted", || {
         tier.view(0).living == 2 && tier.view(4).living == 3 && tier.view(1).living == 2
     });
-    discoveries[..2].iter().for_each(|d| d.tell(true, &fleet.lines(&["west"])));
+    discoveries[..2].iter().for_each(|d| d.publish(true, &fleet.lines(&["west"])));
     until("the smaller side has its own", || trusted(&tier, &[0, 1], "west", |t| t == 0.0));
     assert!(zones(&tier, 0).round > 0, "a round and no epoch: {:?}", zones(&tier, 0));
     assert!(trusted(&tier, &[2, 3, 4], "west", |t| t == 1.0), "the greater side holds what it sees");
-    discoveries[2..].iter().for_each(|d| d.tell(true, &fleet.lines(&["east"])));
+    discoveries[2..].iter().for_each(|d| d.publish(true, &fleet.lines(&["east"])));
     until("the greater side decides anew", || trusted(&tier, &[2, 3, 4], "east", |t| t == 0.0));
     let greater = zones(&tier, 2);
     assert!(greater.by == Some(2) && greater.epoch > before, "{greater:?}");
@@ -186,9 +186,9 @@
     let all = [0, 1, 2];
     until("all hold one decision", || trusted(&tier, &all, "west", |t| t == 1.0));
     let waits = [0, 1, 2].map(|_| {
-        discoveries.iter().for_each(|d| d.tell(true, &fleet.lines(&["west"])));
+        discoveries.iter().for_each(|d| d.publish(true, &fleet.lines(&["west"])));
         until("it is lost", || trusted(&tier, &all, "west", |t| t == 0.0));
-        discoveries.iter().for_each(|d| d.tell(true, &fleet.lines(&[])));
+        discoveries.iter().for_each(|d| d.publish(true, &fleet.lines(&[])));
         until("it is back", || all.iter().all(|p| !zone(&tier, *p, "west").lost));
         let back = std::time::Instant::now();
         until("it is trusted", || trusted(&tier, &all, "west", |t| t > 0.0));
