--- a/crates/gaugesaddle-testbed/src/scripted/client.rs
+++ b/crates/gaugesaddle-testbed/src/scripted/client.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// A request of one of the classes in [`settings`], with an id of its own.
+/// A request of one of the classes in [`super::settings`], with an id of its own.
 pub fn request(class: &str, left_ms: u64) -> String {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     let id = NEXT.fetch_add(1, Ordering::Relaxed);
