--- a/crates/gaugesaddle-balancer/src/interface/config.rs
+++ b/crates/gaugesaddle-balancer/src/interface/config.rs
@@ -122,33 +122,25 @@
             (self.position < self.proxies, "position", "less than proxies"),
             (self.zones > 0, "zones", "at least 1"),
             (!classes.is_empty(), "classes", "at least one class"),
-            (classes.iter().all(|c| c.latency_objective.0 > 0), "latency_objective", "a time above 0"),
-            (classes.iter().all(|c| c.objective_stretch >= 0.0), "objective_stretch", "at least 0"),
-            (
-                classes.iter().all(|c| above_zero(c.priority_weight)),
-                "priority_weight",
-                "a finite number above 0",
-            ),
+            (classes.iter().all(|c| c.latency_objective.0 > 0), "aim", "a time above 0"),
+            (classes.iter().all(|c| c.objective_stretch >= 0.0), "aim_stretch", "at least 0"),
+            (classes.iter().all(|c| above_zero(c.priority_weight)), "worth", "a finite number above 0"),
             (
                 classes.iter().all(|c| fraction(c.late_weight_fraction)),
-                "late_weight_fraction",
+                "late_worth",
                 "a fraction from 0 to 1",
             ),
             (self.tenants.iter().all(|t| above_zero(t.quota_per_s)), "quota_per_s", "a finite rate above 0"),
-            (
-                fraction(self.over_quota_weight_fraction),
-                "over_quota_weight_fraction",
-                "a fraction from 0 to 1",
-            ),
-            (fraction(self.goal_total), "goal_total", "a fraction from 0 to 1"),
+            (fraction(self.over_quota_weight_fraction), "over_quota_worth", "a fraction from 0 to 1"),
+            (fraction(self.goal_total), "goal_whole", "a fraction from 0 to 1"),
             (fraction(self.goal_worst_class), "goal_worst_class", "a fraction from 0 to 1"),
             (self.cross_zone_cost >= 0.0, "cross_zone_cost", "at least 0"),
             (self.max_attempts > 0, "max_attempts", "at least 1"),
             (self.tick.0 > 0, "tick", "a time above 0"),
-            (fraction(self.initial_capacity), "initial_capacity", "a fraction from 0 to 1"),
+            (fraction(self.initial_capacity), "cold_from", "a fraction from 0 to 1"),
             (above_zero(self.fall_multiple), "fall_multiple", "a finite number above 0"),
-            (above_zero(self.limits.min), "limits.min", "a finite number above 0"),
-            (self.limits.max >= self.limits.min, "limits.max", "no less than limits.min"),
+            (above_zero(self.limits.min), "limits.least", "a finite number above 0"),
+            (self.limits.max >= self.limits.min, "limits.most", "no less than limits.least"),
         ];
         let failed = tests.into_iter().find(|t| !t.0);
         failed.map_or(Ok(()), |(_, field, expected)| Err(ConfigError { field, expected }))
@@ -213,7 +205,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: expected {expected}")]
 pub struct ConfigError {
-    /// The field at fault.
+    /// The setting at fault, by the name that operators know.
     pub field: &'static str,
     /// What was expected of it.
     pub expected: &'static str,
--- a/crates/gaugesaddle-balancer/src/lib.rs
+++ b/crates/gaugesaddle-balancer/src/lib.rs
@@ -22,11 +22,11 @@
 //!     request: RequestId(1),
 //!     class: ClassId(0),
 //!     tenant: None,
-//!     time_left: Micros::from_secs(2.0),
+//!     remaining: Micros::from_secs(2.0),
 //!     work_hint: None,
 //!     repeat: false,
-//!     out_of_turn: false,
-//!     foreign: false,
+//!     retried_early: false,
+//!     from_other_region: false,
 //! };
 //! balancer.handle(Time(1_000), Event::Request(arrival), &mut actions);
 //! assert!(actions.contains(&Action::Dispatch { request: RequestId(1), backend: BackendId(7) }));
--- a/crates/gaugesaddle-balancer/src/logic.rs
+++ b/crates/gaugesaddle-balancer/src/logic.rs
@@ -115,21 +115,16 @@
             let failed = |p: &BackendRecord| p.unresponsive || p.ejected.is_some();
             let lost = |s: &AttemptRecord| s.in_flight && self.backends.get(&s.backend.id).is_none_or(failed);
             let lost = matches!(&r.sent[..], [only] if lost(only));
-            let recheck =
-                if r.has_attempt_in_flight() { r.deadline } else { now + self.cfg.tick.times(QUEUE_TICKS) };
+            let is_queued = !r.has_attempt_in_flight();
+            let recheck = if is_queued { now + self.cfg.tick.times(QUEUE_TICKS) } else { r.deadline };
             self.due = self.due.min(recheck).min(Time(r.deadline.0.saturating_sub(self.cfg.tick.0)));
             let repeat = !self.pressure.hedging && r.value < LOW && r.sent.is_empty();
             let too_long = repeat && (now - r.arrived_at).secs() >= STORM_QUEUE_S;
-            if now + self.cfg.tick >= r.deadline
-                || (!r.has_attempt_in_flight() && (now + usual >= last_start || too_long))
-            {
+            if now + self.cfg.tick >= r.deadline || (is_queued && (now + usual >= last_start || too_long)) {
                 // The deadline's own tick would be too late to answer. A queued request that can no longer
                 // be served in time is refused while a retry elsewhere is still harmless.
                 over.push(id);
-            } else if self.offer.capacity(r.class) > 0
-                && !r.has_attempt_in_flight()
-                && by + usual >= r.objective_at
-            {
+            } else if self.offer.capacity(r.class) > 0 && is_queued && by + usual >= r.objective_at {
                 leaving.push((r.class, r.value, id)); // later the hop would take too long
             } else if lost && now + usual < r.objective_at && self.classes[r.class].extra >= 1.0 {
                 // Age alone is no reason: second attempts of heavy requests would overload every backend.
--- a/crates/gaugesaddle-balancer/src/logic/admission.rs
+++ b/crates/gaugesaddle-balancer/src/logic/admission.rs
@@ -37,20 +37,17 @@
         let tenant = new.tenant.and_then(|t| self.cfg.tenants.get(t.0).zip(self.buckets.get_mut(t.0)));
         let share = self.tier.traffic_fraction();
         let over_quota = tenant.is_some_and(|(t, bucket)| !bucket.take(now, t.quota_per_s * share));
-        let objective =
-            c.latency_objective.0 + new.work_hint.unwrap_or_default().times(c.objective_stretch).0;
-        let (objective_at, deadline) = (now + Micros(objective).min(new.remaining), now + new.remaining);
-        // A client's retry has mostly the weight of a late answer left, and serving it before a new request would make
-        // both late, all through a retry storm.
+        let target = c.latency_objective.0 + new.work_hint.unwrap_or_default().times(c.objective_stretch).0;
+        let (objective_at, deadline) = (now + Micros(target).min(new.remaining), now + new.remaining);
+        // A client's retry has mostly the weight of a late answer left, and serving it before a new request
+        // would make both late, all through a retry storm.
         let again = if new.repeat { c.late_weight_fraction.max(LATE_FLOOR) } else { 1.0 };
         let turn = if new.retried_early { OUT_OF_TURN } else { 1.0 };
         let turn = turn * if new.from_other_region { FOREIGN } else { 1.0 };
         let value = again * turn * if over_quota { self.cfg.over_quota_weight_fraction } else { 1.0 };
         let (class, arrived_at, streaming, sent) = (new.class.0, now, false, Vec::new());
-        self.requests.insert(
-            new.request,
-            Request { class, arrived_at, objective_at, deadline, value, streaming, sent },
-        );
+        let request = Request { class, arrived_at, objective_at, deadline, value, streaming, sent };
+        self.requests.insert(new.request, request);
         self.low += (f64::from(value < LOW) - self.low) / KIND_SAMPLES;
         // No draw without an offer: where there is no other region no other draw changes.
         let part = self.offer.direct_fraction.get(class).copied().unwrap_or(0.0);
@@ -62,8 +59,7 @@
         let admitted =
             self.admitted(class, value) && storm.is_none_or(|rate| self.storm_admission.take(now, rate));
         self.rate.add(now, f64::from(admitted));
-        // Where backends in slow start are limited to less than their fractions, the rest of the traffic has no
-        // backend.
+        // Where backends in slow start are limited to less than their fractions, the rest has no backend.
         let pull: f64 = self.kinds.values().map(|k| k.routed_fraction).sum();
         if !admitted {
             return self.give_up(now, new.request, GivenUp::Shed);
@@ -108,7 +104,7 @@
     pub(super) fn brisk(&self, backend: BackendId, class: usize) -> Micros {
         let objective = self.cfg.classes[class].latency_objective.secs();
         let kind = self.backends.get(&backend).and_then(|p| self.kinds.get(&p.entry.kind));
-        // Not known yet: no more than what a request usually takes, nor than the fraction of an objective for the rest.
+        // Not known yet: at most what a request usually takes, and that fraction of the objective.
         let usual = || self.usual(class).secs().min(objective * BRISK);
         let unloaded = kind.and_then(|k| k.unloaded.get(class)).unwrap_or_else(usual);
         Micros::from_secs(unloaded + (objective - unloaded).max(0.0) * BRISK)
--- a/crates/gaugesaddle-balancer/src/logic/dispatch.rs
+++ b/crates/gaugesaddle-balancer/src/logic/dispatch.rs
@@ -15,7 +15,7 @@
 /// Fraction of its fall budget that a proxy uses: the rest is for skew between proxies and heavy work.
 const FALL_MARGIN: f64 = 0.8;
 /// Minimum budget of one proxy in a window: where its fraction is below one request the random draw keeps the
-/// sum of all proxies near the capacity of a backend in slow start; less would send its fraction to the others.
+/// sum of all proxies near the capacity of a backend in slow start; less would send its part to others.
 const FALL_FLOOR: f64 = 3.0;
 
 impl Balancer {
@@ -139,12 +139,7 @@
             if let Some(p) = backend.and_then(|b| self.backends.get_mut(&b)) {
                 self.classes[r.class].extra -= f64::from(extra);
                 let (no, backend) = (AttemptNo(r.sent.len() as u32), p.entry.id);
-                r.sent.push(AttemptRecord {
-                    backend: p.entry.clone(),
-                    sent_at: now,
-                    in_flight: true,
-                    never_ran: false,
-                });
+                r.sent.push(AttemptRecord::sent(now, &p.entry));
                 let others = f64::from(self.tier.proxies - 1) * self.in_flight as f64 / self.ready.max(1.0);
                 let (class, sent, late) = (r.class, now, false);
                 let first = self.kinds.entry(p.entry.kind).or_default().unloaded.sent(now, class);
--- a/crates/gaugesaddle-balancer/src/logic/traffic.rs
+++ b/crates/gaugesaddle-balancer/src/logic/traffic.rs
@@ -132,9 +132,8 @@
         let used: f64 = self.kinds.values().filter(|k| k.own > 0.0).map(|k| k.traffic_fraction).sum();
         let part = |kinds: &BTreeMap<KindId, Kind>, p: &BackendRecord| {
             let ready = p.ready * p.weight();
-            kinds
-                .get(&p.entry.kind)
-                .map_or(0.0, |k| k.traffic_fraction / used.max(1e-9) * ready / k.own.max(1e-9))
+            let share = |k: &Kind| k.traffic_fraction / used.max(1e-9) * ready / k.own.max(1e-9);
+            kinds.get(&p.entry.kind).map_or(0.0, share)
         };
         let mut due: BTreeMap<ZoneId, f64> = BTreeMap::new();
         let ready = self.backends.values().filter(|p| p.used && p.ready > 0.0);
@@ -148,11 +147,9 @@
             .values_mut()
             .for_each(|k| (k.routed_fraction, k.cumulative) = (0.0, Vec::with_capacity(k.cumulative.len())));
         let length = self.turn;
-        let fall_fractions: Vec<f64> = self.backends.values().map(|p| self.fall_fraction(now, p)).collect();
+        let limits: Vec<f64> = self.backends.values().map(|p| self.fall_fraction(now, p)).collect();
         let (round, many) = (u64::from(self.tier.position) / self.groups, self.many());
-        for ((&id, p), fall_fraction) in
-            self.backends.iter_mut().zip(fall_fractions).filter(|(p, _)| p.1.used)
-        {
+        for ((&id, p), limit) in self.backends.iter_mut().zip(limits).filter(|(p, _)| p.1.used) {
             let here = due.get(&p.entry.zone).map_or(0.0, |d| d.max(1e-9));
             let far = (1.0 - own * zones).max(0.0) * (here * zones - 1.0).max(0.0) / rich.max(1e-9);
             let near = if p.entry.zone == self.cfg.zone { (own * zones).min(1.0) } else { far };
@@ -177,7 +174,7 @@
                 *all = (all.0 + 1.0, all.1 + p.limit);
             }
             // The small constant lets others take the overflow where all backends with a fraction are full.
-            p.traffic_fraction = (part(&self.kinds, p) * bias + p.ready * 1e-6).min(fall_fraction);
+            p.traffic_fraction = (part(&self.kinds, p) * bias + p.ready * 1e-6).min(limit);
             if p.ready > 0.0 {
                 let k = self.kinds.entry(p.entry.kind).or_default();
                 k.routed_fraction += p.traffic_fraction;
--- a/crates/gaugesaddle-balancer/src/records.rs
+++ b/crates/gaugesaddle-balancer/src/records.rs
@@ -140,6 +140,13 @@
     pub never_ran: bool,
 }
 
+impl AttemptRecord {
+    /// An attempt that is sent now.
+    pub fn sent(now: Time, backend: &Backend) -> AttemptRecord {
+        AttemptRecord { backend: backend.clone(), sent_at: now, in_flight: true, never_ran: false }
+    }
+}
+
 /// An attempt in flight.
 #[derive(Clone, Copy)]
 pub(crate) struct InFlightAttempt {
--- a/crates/gaugesaddle-balancer/tests/failures.rs
+++ b/crates/gaugesaddle-balancer/tests/failures.rs
@@ -40,13 +40,13 @@
     assert_eq!(bad(|c| c.proxies = 0), Some("proxies"));
     assert_eq!(bad(|c| c.zones = 0), Some("zones"));
     assert_eq!(bad(|c| c.classes.clear()), Some("classes"));
-    assert_eq!(bad(|c| c.classes[0].latency_objective = Micros(0)), Some("latency_objective"));
-    assert_eq!(bad(|c| c.classes[0].priority_weight = f64::NAN), Some("priority_weight"));
-    assert_eq!(bad(|c| c.classes[0].late_weight_fraction = 1.5), Some("late_weight_fraction"));
+    assert_eq!(bad(|c| c.classes[0].latency_objective = Micros(0)), Some("aim"));
+    assert_eq!(bad(|c| c.classes[0].priority_weight = f64::NAN), Some("worth"));
+    assert_eq!(bad(|c| c.classes[0].late_weight_fraction = 1.5), Some("late_worth"));
     assert_eq!(bad(|c| c.tenants.push(Tenant { quota_per_s: -1.0 })), Some("quota_per_s"));
     assert_eq!(bad(|c| c.max_attempts = 0), Some("max_attempts"));
     assert_eq!(bad(|c| c.tick = Micros(0)), Some("tick"));
-    assert_eq!(bad(|c| c.initial_capacity = -0.1), Some("initial_capacity"));
+    assert_eq!(bad(|c| c.initial_capacity = -0.1), Some("cold_from"));
     assert_eq!(bad(|c| c.fall_multiple = f64::INFINITY), Some("fall_multiple"));
     assert_eq!(bad(|_| ()), None);
 }
