--- a/crates/gaugesaddle-measure/src/region.rs
+++ b/crates/gaugesaddle-measure/src/region.rs
@@ -136,9 +136,10 @@
 fn play_hard_cases(scenarios: u64, lanes: usize) -> io::Result<(u64, Vec<String>)> {
     println!("{scenarios} scenarios of the hard cases");
     let (mut clean, mut not_clean) = (0, Vec::new());
-    let cases: Vec<Scenario> = (0..scenarios).map(|n| hard(n % CASES, n / CASES).1).collect();
-    for (n, outcome) in (0..scenarios).zip(play_all(&cases, lanes)?) {
-        let (name, seed) = (hard(n % CASES, n / CASES).0, n / CASES);
+    let cases = (0..scenarios).map(|n| hard(n % CASES, n / CASES));
+    let (names, cases): (Vec<&str>, Vec<Scenario>) = cases.unzip();
+    for ((n, name), outcome) in (0..scenarios).zip(names).zip(play_all(&cases, lanes)?) {
+        let seed = n / CASES;
         let verdict = &outcome.verdict;
         if verdict.is_clean() {
             clean += 1;
--- a/crates/gaugesaddle-testbed/src/audit.rs
+++ b/crates/gaugesaddle-testbed/src/audit.rs
@@ -48,6 +48,13 @@
     replied: bool,
 }
 
+impl<'a> Attempt<'a> {
+    /// An attempt of which nothing but its first byte has come.
+    fn arriving(arriving: &'a Record, boot: Boot, proxy: usize) -> Attempt<'a> {
+        Attempt { arriving, boot, proxy, received: None, work_us: 0, rejected: None, replied: false }
+    }
+}
+
 /// A state of a node, published by a proxy's discovery or delivered to that proxy.
 struct NodeReport<'a> {
     proxy: usize,
@@ -132,34 +139,6 @@
     }
 
     fn read_record(&mut self, record: &'a Record) {
-        match &record.event {
-            Event::ProxyUp { .. }
-            | Event::ProxyKilled { .. }
-            | Event::ProxyStopped { .. }
-            | Event::ProxyContinued { .. }
-            | Event::ProxyEnded { .. } => self.read_proxy(record),
-            Event::ProxyTerminated { .. } | Event::Network { .. } | Event::NodeDown { .. } => {}
-            Event::NodeUp { .. }
-            | Event::NodeFell { .. }
-            | Event::Published { .. }
-            | Event::Delivered { .. } => self.read_node(record),
-            Event::Arriving { .. }
-            | Event::Received { .. }
-            | Event::Rejected { .. }
-            | Event::Replied { .. } => self.read_attempt(record),
-            Event::RequestSent { .. }
-            | Event::Unreachable { .. }
-            | Event::Answered { .. }
-            | Event::Surplus { .. }
-            | Event::Broken { .. }
-            | Event::Unanswered { .. }
-            | Event::ClientDisconnected { .. } => self.read_client(record),
-            Event::Effect { key, .. } => *self.effects.entry(*key).or_default() += 1,
-            Event::Unexpected { .. } => self.verdict.unexpected += 1,
-        }
-    }
-
-    fn read_proxy(&mut self, record: &'a Record) {
         let at = record.at;
         match &record.event {
             Event::ProxyUp { proxy } => self.starts.push((*proxy, at)),
@@ -167,56 +146,46 @@
                 self.absences.push((*proxy, at, Moment::MAX));
             }
             Event::ProxyContinued { proxy } => {
-                if let Some(absence) = self.absences.iter_mut().rev().find(|a| a.0 == *proxy) {
-                    absence.2 = at;
-                }
+                let last = self.absences.iter_mut().rev().find(|absence| absence.0 == *proxy);
+                last.into_iter().for_each(|absence| absence.2 = at);
             }
             Event::ProxyEnded { proxy, clean: false } => {
                 let text = format!("proxy {proxy} ended by itself or had to be killed");
                 self.record_finding(Broken::Crash, text, vec![record]);
             }
-            _ => {}
-        }
-    }
-
-    fn read_node(&mut self, record: &'a Record) {
-        match &record.event {
+            Event::ProxyEnded { .. }
+            | Event::ProxyTerminated { .. }
+            | Event::Network { .. }
+            | Event::NodeDown { .. } => {}
             Event::NodeUp { boot, zone, speed, initial_capacity, slow_start_us } => {
-                let facts = NodeFacts {
-                    up: record.at,
-                    zone: *zone,
-                    speed: *speed,
-                    initial_capacity: *initial_capacity,
-                    slow_start_us: *slow_start_us as f64,
-                };
-                self.nodes.insert(*boot, facts);
+                let (zone, speed, initial_capacity) = (*zone, *speed, *initial_capacity);
+                let slow_start_us = *slow_start_us as f64;
+                self.nodes.insert(*boot, NodeFacts { up: at, zone, speed, initial_capacity, slow_start_us });
             }
             Event::NodeFell { .. } => self.verdict.fallen += 1,
             Event::Published { proxy, boot, state } => {
-                let (proxy, boot, state) = (*proxy, *boot, *state);
-                self.reports.push(NodeReport { proxy, boot, state, delivered: false, record });
+                self.read_report(record, (*proxy, *boot), *state, false);
             }
             Event::Delivered { proxy, boot, state } => {
-                let (proxy, boot, state) = (*proxy, *boot, *state);
-                self.reports.push(NodeReport { proxy, boot, state, delivered: true, record });
+                self.read_report(record, (*proxy, *boot), *state, true);
+            }
+            Event::RequestSent { proxy, id, first, class, patience_us, .. } => {
+                let (proxy, class, patience_us) = (*proxy, *class, *patience_us);
+                self.firsts.insert(*id, *first);
+                let sent = ClientAttempt { sent: record, proxy, class, patience_us, ended: Vec::new() };
+                self.client_attempts.entry(*id).or_default().push(sent);
+            }
+            Event::Unreachable { first, class, .. } => self.unreachable.push((at, *first, *class)),
+            Event::Answered { id, .. }
+            | Event::Surplus { id }
+            | Event::Broken { id, .. }
+            | Event::Unanswered { id }
+            | Event::ClientDisconnected { id } => {
+                let last = self.client_attempts.get_mut(id).and_then(|sent| sent.last_mut());
+                last.into_iter().for_each(|attempt| attempt.ended.push(record));
             }
-            _ => {}
-        }
-    }
-
-    fn read_attempt(&mut self, record: &'a Record) {
-        match &record.event {
             Event::Arriving { attempt, boot, proxy } => {
-                let arrived = Attempt {
-                    arriving: record,
-                    boot: *boot,
-                    proxy: *proxy,
-                    received: None,
-                    work_us: 0,
-                    rejected: None,
-                    replied: false,
-                };
-                self.attempts.insert(*attempt, arrived);
+                self.attempts.insert(*attempt, Attempt::arriving(record, *boot, *proxy));
             }
             Event::Received { attempt, id, work_us } => {
                 if let Some(known) = self.attempts.get_mut(attempt) {
@@ -226,39 +195,20 @@
                 }
             }
             Event::Rejected { attempt } => {
-                if let Some(known) = self.attempts.get_mut(attempt) {
-                    known.rejected = Some(record.at);
-                }
+                self.attempts.get_mut(attempt).into_iter().for_each(|known| known.rejected = Some(at));
             }
+            Event::Effect { key, .. } => *self.effects.entry(*key).or_default() += 1,
             Event::Replied { attempt, status } => {
-                if let Some(known) = self.attempts.get_mut(attempt) {
-                    known.replied = *status == 200;
-                }
+                self.attempts.get_mut(attempt).into_iter().for_each(|known| known.replied = *status == 200);
             }
-            _ => {}
+            Event::Unexpected { .. } => self.verdict.unexpected += 1,
         }
     }
 
-    fn read_client(&mut self, record: &'a Record) {
-        match &record.event {
-            Event::RequestSent { proxy, id, first, class, patience_us, .. } => {
-                let (proxy, class, patience_us) = (*proxy, *class, *patience_us);
-                self.firsts.insert(*id, *first);
-                let sent = ClientAttempt { sent: record, proxy, class, patience_us, ended: Vec::new() };
-                self.client_attempts.entry(*id).or_default().push(sent);
-            }
-            Event::Unreachable { first, class, .. } => self.unreachable.push((record.at, *first, *class)),
-            Event::Answered { id, .. }
-            | Event::Surplus { id }
-            | Event::Broken { id, .. }
-            | Event::Unanswered { id }
-            | Event::ClientDisconnected { id } => {
-                if let Some(last) = self.client_attempts.get_mut(id).and_then(|sent| sent.last_mut()) {
-                    last.ended.push(record);
-                }
-            }
-            _ => {}
-        }
+    fn read_report(
+        &mut self, record: &'a Record, (proxy, boot): (usize, Boot), state: NodeState, delivered: bool,
+    ) {
+        self.reports.push(NodeReport { proxy, boot, state, delivered, record });
     }
 
     fn record_finding(&mut self, broken: Broken, text: String, records: Vec<&Record>) {
--- a/crates/gaugesaddle-testbed/src/audit/answers.rs
+++ b/crates/gaugesaddle-testbed/src/audit/answers.rs
@@ -36,13 +36,9 @@
                 exchange.check(&mut found, &mut closed_unread);
             }
         }
-        let found: Vec<_> = found
-            .into_iter()
-            .map(|(broken, text, records)| (broken, text, records.into_iter().cloned().collect()))
-            .collect();
         self.verdict.closed_unread = closed_unread;
         for (broken, text, records) in found {
-            self.verdict.findings.push(super::Finding { broken, text, records });
+            self.record_finding(broken, text, records);
         }
     }
 
--- a/crates/gaugesaddle-testbed/src/plan.rs
+++ b/crates/gaugesaddle-testbed/src/plan.rs
@@ -223,15 +223,13 @@
 fn steps(s: &Scenario) -> Vec<(u64, Step)> {
     let mut schedule = Schedule { scenario: s, steps: Vec::new() };
     for event in &s.events {
-        schedule.add_node_steps(event.at_s, &event.disturbance);
-        schedule.add_network_steps(event.at_s, &event.disturbance);
-        schedule.add_proxy_steps(event.at_s, &event.disturbance);
+        schedule.add_disturbance(event.at_s, &event.disturbance);
     }
     schedule.steps.sort_by_key(|step| step.0);
     schedule.steps
 }
 
-/// Steps under construction. Each `add_` method takes the disturbances of its kind and ignores all others.
+/// Steps under construction.
 struct Schedule<'a> {
     scenario: &'a Scenario,
     steps: Vec<(u64, Step)>,
@@ -253,27 +251,19 @@
         self.scenario.discovery.notice_s[1] + self.scenario.rules.drain_grace_ms / 1e3 + 0.5
     }
 
-    fn add_node_steps(&mut self, at: f64, disturbance: &Disturbance) {
-        match *disturbance {
+    fn add_disturbance(&mut self, at: f64, disturbance: &Disturbance) {
+        match disturbance.clone() {
             Disturbance::Crash { node, back_after_s } => {
                 self.add(at, Step::NodeCrash(node));
-                if let Some(after) = back_after_s {
-                    self.add(at + after, Step::NodeStart(node));
-                }
+                self.add_successor(at, node, back_after_s);
             }
             Disturbance::Drain { node, over_s, back_after_s } => {
                 self.add_for(at, over_s, Step::NodeDrain(node), Step::NodeStop(node));
-                if let Some(after) = back_after_s {
-                    self.add(at + over_s + after, Step::NodeStart(node));
-                }
+                self.add_successor(at + over_s, node, back_after_s);
             }
             Disturbance::Deploy { nodes, group, every_s } => self.add_deploy(at, nodes, group, every_s),
             Disturbance::Shrink { nodes, over_s } => self.add_shrink(at, nodes, over_s),
-            Disturbance::ZoneOutage { zone, for_s } => {
-                for node in (0..self.scenario.nodes()).filter(|node| node % self.scenario.zones == zone) {
-                    self.add_for(at, for_s, Step::NodeVanish(node), Step::NodeStart(node));
-                }
-            }
+            Disturbance::ZoneOutage { zone, for_s } => self.add_zone_outage(at, zone, for_s),
             Disturbance::Slow { node, factor, for_s } => {
                 self.add_for(at, for_s, Step::NodeSlow(node, factor), Step::NodeSlow(node, 1.0));
             }
@@ -286,33 +276,8 @@
             Disturbance::Resets { node, fraction, for_s } => {
                 self.add_for(at, for_s, Step::NodeResets(node, fraction), Step::NodeResets(node, 0.0));
             }
-            _ => {}
-        }
-    }
-
-    fn add_deploy(&mut self, at: f64, nodes: usize, group: usize, every_s: f64) {
-        let known_s = self.drain_known_s();
-        for node in 0..nodes {
-            let at = at + (node / group) as f64 * every_s;
-            self.add_for(at, known_s, Step::NodeDrain(node), Step::NodeStop(node));
-            self.add(at + known_s + RESTART_AFTER_S, Step::NodeStart(node));
-        }
-    }
-
-    fn add_shrink(&mut self, at: f64, leaving: usize, over_s: f64) {
-        let known_s = self.drain_known_s();
-        for i in 0..leaving {
-            let node = self.scenario.nodes() - 1 - i;
-            let at = at + over_s * i as f64 / leaving as f64;
-            self.add_for(at, known_s, Step::NodeDrain(node), Step::NodeStop(node));
-        }
-    }
-
-    fn add_network_steps(&mut self, at: f64, disturbance: &Disturbance) {
-        match disturbance.clone() {
             Disturbance::LinkPartition { proxy, node, for_s } => {
-                let step = |on| Step::LinkPartition(proxy, node, on);
-                self.add_for(at, for_s, step(true), step(false));
+                self.add_link_partition(at, for_s, proxy, node);
             }
             Disturbance::Delay { proxy, node, by_ms, for_s } => {
                 let step = |by_us| Step::LinkDelay(proxy, node, by_us);
@@ -336,25 +301,6 @@
             Disturbance::NewKeys { times, every_s } => {
                 (0..times).for_each(|n| self.add(at + f64::from(n) * every_s, Step::NewKeys));
             }
-            _ => {}
-        }
-    }
-
-    /// Proxies reach no nodes in zones of another group.
-    fn add_zone_partitions(&mut self, at: f64, for_s: f64, links: &Links, zones: &[u8]) {
-        for proxy in 0..self.scenario.proxies {
-            for node in 0..self.scenario.nodes() {
-                let group = zones.get(node % self.scenario.zones);
-                if group.is_some_and(|group| *group != links.groups[proxy]) {
-                    let step = |on| Step::LinkPartition(proxy, node, on);
-                    self.add_for(at, for_s, step(true), step(false));
-                }
-            }
-        }
-    }
-
-    fn add_proxy_steps(&mut self, at: f64, disturbance: &Disturbance) {
-        match *disturbance {
             Disturbance::KillProxy { proxy, back_after_s } => {
                 self.add_for(at, back_after_s, Step::ProxyKill(proxy), Step::ProxyStart(proxy));
             }
@@ -365,12 +311,63 @@
             Disturbance::LoseProxy { proxy } => self.add(at, Step::ProxyKill(proxy)),
             Disturbance::LeaveProxy { proxy } => self.add(at, Step::ProxyLeave(proxy)),
             Disturbance::JoinProxy { proxy } => self.add(at, Step::ProxyStart(proxy)),
-            Disturbance::RollProxies { group, every_s } => {
-                for proxy in 0..self.scenario.proxies {
-                    self.add(at + (proxy / group) as f64 * every_s, Step::ProxyRestart(proxy));
+            Disturbance::RollProxies { group, every_s } => self.add_roll(at, group, every_s),
+            // Both are disturbances of the arrivals.
+            Disturbance::Burst { .. } | Disturbance::ReconnectStorm { .. } => {}
+        }
+    }
+
+    /// The start of a node's successor, if one follows.
+    fn add_successor(&mut self, at: f64, node: usize, after_s: Option<f64>) {
+        if let Some(after_s) = after_s {
+            self.add(at + after_s, Step::NodeStart(node));
+        }
+    }
+
+    fn add_zone_outage(&mut self, at: f64, zone: usize, for_s: f64) {
+        for node in (0..self.scenario.nodes()).filter(|node| node % self.scenario.zones == zone) {
+            self.add_for(at, for_s, Step::NodeVanish(node), Step::NodeStart(node));
+        }
+    }
+
+    fn add_roll(&mut self, at: f64, group: usize, every_s: f64) {
+        for proxy in 0..self.scenario.proxies {
+            self.add(at + (proxy / group) as f64 * every_s, Step::ProxyRestart(proxy));
+        }
+    }
+
+    fn add_link_partition(&mut self, at: f64, for_s: f64, proxy: usize, node: usize) {
+        let step = |on| Step::LinkPartition(proxy, node, on);
+        self.add_for(at, for_s, step(true), step(false));
+    }
+
+    fn add_deploy(&mut self, at: f64, nodes: usize, group: usize, every_s: f64) {
+        let known_s = self.drain_known_s();
+        for node in 0..nodes {
+            let at = at + (node / group) as f64 * every_s;
+            self.add_for(at, known_s, Step::NodeDrain(node), Step::NodeStop(node));
+            self.add(at + known_s + RESTART_AFTER_S, Step::NodeStart(node));
+        }
+    }
+
+    fn add_shrink(&mut self, at: f64, leaving: usize, over_s: f64) {
+        let known_s = self.drain_known_s();
+        for i in 0..leaving {
+            let node = self.scenario.nodes() - 1 - i;
+            let at = at + over_s * i as f64 / leaving as f64;
+            self.add_for(at, known_s, Step::NodeDrain(node), Step::NodeStop(node));
+        }
+    }
+
+    /// Proxies reach no nodes in zones of another group.
+    fn add_zone_partitions(&mut self, at: f64, for_s: f64, links: &Links, zones: &[u8]) {
+        for proxy in 0..self.scenario.proxies {
+            for node in 0..self.scenario.nodes() {
+                let group = zones.get(node % self.scenario.zones);
+                if group.is_some_and(|group| *group != links.groups[proxy]) {
+                    self.add_link_partition(at, for_s, proxy, node);
                 }
             }
-            _ => {}
         }
     }
 }
--- a/crates/gaugesaddle-testbed/src/world/steps.rs
+++ b/crates/gaugesaddle-testbed/src/world/steps.rs
@@ -10,61 +10,12 @@
 
 impl World {
     pub(super) async fn step(self: Rc<Self>, step: Step) {
-        match step {
-            Step::NodeStart(_)
-            | Step::NodeCrash(_)
-            | Step::NodeDrain(_)
-            | Step::NodeStop(_)
-            | Step::NodeVanish(_)
-            | Step::NodeSlow(..)
-            | Step::NodeHang(..)
-            | Step::NodeSpoil(..)
-            | Step::NodeResets(..) => self.node_step(step).await,
-            Step::LinkPartition(..)
-            | Step::LinkDelay(..)
-            | Step::DiscoveryDown(_)
-            | Step::RegionDelay(_)
-            | Step::RegionPartition(_)
-            | Step::Network(_) => self.network_step(step),
-            Step::DiscoveryMove => self.move_discovery().await,
-            Step::NewKeys => self.replace_keys(),
-            Step::ProxyKill(_)
-            | Step::ProxyStart(_)
-            | Step::ProxyStop(..)
-            | Step::ProxyLeave(_)
-            | Step::ProxyRestart(_) => self.proxy_step(step).await,
-        }
-    }
-
-    async fn node_step(&self, step: Step) {
-        let discovery = &self.s.discovery;
         match step {
             Step::NodeStart(slot) => self.replace_node(slot).await,
-            Step::NodeCrash(slot) => {
-                if let Some(node) = self.take_node(slot) {
-                    node.down(Down::Crash);
-                    self.publish(&node, NodeState::Departed, discovery.crash_notice_s);
-                }
-            }
-            Step::NodeDrain(slot) => {
-                self.slots.borrow_mut()[slot].draining = true;
-                if let Some(node) = self.node(slot) {
-                    self.publish(&node, NodeState::Draining, discovery.notice_s);
-                }
-            }
-            Step::NodeStop(slot) => {
-                if let Some(node) = self.take_node(slot) {
-                    self.publish(&node, NodeState::Departed, discovery.notice_s);
-                    node.down(Down::Leave);
-                }
-            }
-            Step::NodeVanish(slot) => {
-                if let Some(node) = self.node(slot) {
-                    node.hang(true);
-                    node.frozen.set(true);
-                    self.publish(&node, NodeState::Departed, discovery.crash_notice_s);
-                }
-            }
+            Step::NodeCrash(slot) => self.crash_node(slot),
+            Step::NodeDrain(slot) => self.drain_node(slot),
+            Step::NodeStop(slot) => self.stop_node(slot),
+            Step::NodeVanish(slot) => self.vanish_node(slot),
             Step::NodeSlow(slot, factor) => self.node(slot).iter().for_each(|node| node.slow(factor)),
             Step::NodeHang(slot, hung) => self.node(slot).iter().for_each(|node| node.hang(hung)),
             Step::NodeSpoil(slot, fraction) => {
@@ -73,7 +24,63 @@
             Step::NodeResets(slot, fraction) => {
                 self.node(slot).iter().for_each(|node| node.resets.set(fraction));
             }
-            _ => {}
+            Step::LinkPartition(proxy, node, partitioned) => {
+                self.relays.get(&(proxy, node)).iter().for_each(|relay| relay.block(partitioned));
+            }
+            Step::LinkDelay(proxy, node, by_us) => {
+                let delay = Duration::from_micros(by_us);
+                self.relays.get(&(proxy, node)).iter().for_each(|relay| relay.delay(delay));
+            }
+            Step::RegionDelay(by_us) => self.joined.iter().for_each(|joined| joined.delay(by_us)),
+            Step::RegionPartition(partitioned) => {
+                self.joined.iter().for_each(|joined| joined.partition(partitioned));
+            }
+            Step::NewKeys => self.replace_keys(),
+            Step::DiscoveryDown(down) => self.agents.iter().for_each(|agent| agent.set_down(down)),
+            Step::DiscoveryMove => self.move_discovery().await,
+            Step::ProxyKill(proxy) => self.kill_proxy(proxy).await,
+            Step::ProxyStart(proxy) => self.start_proxy_or_record(proxy).await,
+            Step::ProxyStop(proxy, stop) => self.stop_proxy(proxy, stop).await,
+            Step::ProxyLeave(proxy) => {
+                tokio::task::spawn_local(async move { self.end_proxy(proxy).await });
+            }
+            Step::ProxyRestart(proxy) => {
+                tokio::task::spawn_local(async move {
+                    self.end_proxy(proxy).await;
+                    self.start_proxy_or_record(proxy).await;
+                });
+            }
+            Step::Network(links) => self.set_network(links),
+        }
+    }
+
+    fn crash_node(&self, slot: usize) {
+        if let Some(node) = self.take_node(slot) {
+            node.down(Down::Crash);
+            self.publish(&node, NodeState::Departed, self.s.discovery.crash_notice_s);
+        }
+    }
+
+    fn drain_node(&self, slot: usize) {
+        self.slots.borrow_mut()[slot].draining = true;
+        if let Some(node) = self.node(slot) {
+            self.publish(&node, NodeState::Draining, self.s.discovery.notice_s);
+        }
+    }
+
+    fn stop_node(&self, slot: usize) {
+        if let Some(node) = self.take_node(slot) {
+            self.publish(&node, NodeState::Departed, self.s.discovery.notice_s);
+            node.down(Down::Leave);
+        }
+    }
+
+    /// A node stops answering; its connections stay open.
+    fn vanish_node(&self, slot: usize) {
+        if let Some(node) = self.node(slot) {
+            node.hang(true);
+            node.frozen.set(true);
+            self.publish(&node, NodeState::Departed, self.s.discovery.crash_notice_s);
         }
     }
 
@@ -88,28 +95,6 @@
         }
     }
 
-    fn network_step(&self, step: Step) {
-        match step {
-            Step::LinkPartition(proxy, node, partitioned) => {
-                if let Some(relay) = self.relays.get(&(proxy, node)) {
-                    relay.block(partitioned);
-                }
-            }
-            Step::LinkDelay(proxy, node, by_us) => {
-                if let Some(relay) = self.relays.get(&(proxy, node)) {
-                    relay.delay(Duration::from_micros(by_us));
-                }
-            }
-            Step::DiscoveryDown(down) => self.agents.iter().for_each(|agent| agent.set_down(down)),
-            Step::RegionDelay(by_us) => self.joined.iter().for_each(|joined| joined.delay(by_us)),
-            Step::RegionPartition(partitioned) => {
-                self.joined.iter().for_each(|joined| joined.partition(partitioned));
-            }
-            Step::Network(links) => self.set_network(links),
-            _ => {}
-        }
-    }
-
     /// The record of a change lies before it where the network gets worse, and after it where it gets better: the
     /// auditor of membership then assumes no more of the network than there was.
     fn set_network(&self, links: Links) {
@@ -134,24 +119,6 @@
         }
     }
 
-    async fn proxy_step(self: Rc<Self>, step: Step) {
-        match step {
-            Step::ProxyKill(proxy) => self.kill_proxy(proxy).await,
-            Step::ProxyStart(proxy) => self.start_proxy_or_record(proxy).await,
-            Step::ProxyStop(proxy, stop) => self.stop_proxy(proxy, stop).await,
-            Step::ProxyLeave(proxy) => {
-                tokio::task::spawn_local(async move { self.end_proxy(proxy).await });
-            }
-            Step::ProxyRestart(proxy) => {
-                tokio::task::spawn_local(async move {
-                    self.end_proxy(proxy).await;
-                    self.start_proxy_or_record(proxy).await;
-                });
-            }
-            _ => {}
-        }
-    }
-
     async fn start_proxy_or_record(&self, proxy: usize) {
         if let Err(error) = self.start_proxy(proxy).await {
             self.record_unexpected(format!("proxy {proxy} did not start: {error}"));
