--- a/crates/gaugesaddle-control/src/request_server.rs
+++ b/crates/gaugesaddle-control/src/request_server.rs
@@ -36,13 +36,12 @@
 fn log_malformed(core: &CoreHandle, from: SocketAddr, error: &LinkError) {
     let SocketAddr::V4(address) = from else { return };
     let ip = u32::from(*address.ip());
-    let count = core.with(|c| {
+    let line = core.with(|c| {
         let now = c.clock.now();
-        c.malformed_messages.record(now, ip, error)
+        c.malformed_messages.log_line(now, ip, error)
     });
-    if let Some(count) = count {
-        let cause = std::error::Error::source(error).map_or_else(|| error.to_string(), ToString::to_string);
-        warn!("message of {} cannot be read, {count} so far: {cause}", address.ip());
+    if let Some(line) = line {
+        warn!("{line}");
     }
 }
 
--- a/crates/gaugesaddle-edge/src/control_client.rs
+++ b/crates/gaugesaddle-edge/src/control_client.rs
@@ -40,9 +40,8 @@
 
 /// Logs an answer that could not be read, once a process and minute: another build serves there, or another protocol.
 fn log_malformed(state: &EdgeState, ip: u32, error: &LinkError) {
-    if let Some(count) = state.malformed_messages.borrow_mut().record(state.now(), ip, error) {
-        let cause = std::error::Error::source(error).map_or_else(|| error.to_string(), ToString::to_string);
-        warn!("message of {} cannot be read, {count} so far: {cause}", Ipv4Addr::from(ip));
+    if let Some(line) = state.malformed_messages.borrow_mut().log_line(state.now(), ip, error) {
+        warn!("{line}");
     }
 }
 
--- a/crates/gaugesaddle-transport/src/malformed.rs
+++ b/crates/gaugesaddle-transport/src/malformed.rs
@@ -3,6 +3,8 @@
 use crate::LinkError;
 use gaugesaddle_protocol::frame::FrameError;
 use std::collections::BTreeMap;
+use std::error::Error;
+use std::net::Ipv4Addr;
 
 /// Maximum number of peers that are counted one by one: a machine for each proxy of the largest fleet, with headroom.
 pub const MAX_PEERS: usize = 1024;
@@ -40,6 +42,13 @@
         count.logged_ms = Some(now);
         Some(count.messages)
     }
+
+    /// Counts an error as [`MalformedMessages::record`] does; the line to log, where there is one.
+    pub fn log_line(&mut self, now: u64, ip: u32, error: &LinkError) -> Option<String> {
+        let count = self.record(now, ip, error)?;
+        let cause = error.source().map_or_else(|| error.to_string(), ToString::to_string);
+        Some(format!("message of {} cannot be read, {count} so far: {cause}", Ipv4Addr::from(ip)))
+    }
 }
 
 /// Whether a message could not be read; errors of the socket and messages that cannot be encoded here are others.
