--- a/crates/gaugesaddle-allocation/src/allocator.rs
+++ b/crates/gaugesaddle-allocation/src/allocator.rs
@@ -1,7 +1,7 @@
 //! One proxy's fraction of the soft quantities and the backends that it uses, derived from its view of the tier.
 
 use crate::{allocate_by_demand, assign, AllocationLimits, BackendKey, Member, SmoothedValue, SubsetSize};
-use gaugesaddle_balancer::{mix, BackendId, KindId, Micros, Tier, Time, Use, ZoneId};
+use gaugesaddle_balancer::{mix, BackendAssignment, BackendId, KindId, Micros, Tier, Time, ZoneId};
 
 /// Until a proxy has been up for this long it does not know which others are live: the configured number of proxies stands,
 /// or what it knew last.
@@ -79,7 +79,7 @@
     weight: Option<SmoothedValue>,
     members: Vec<Member>,
     listed: Vec<Listed>,
-    uses: Vec<Use>,
+    uses: Vec<BackendAssignment>,
     range: (f64, f64),
 }
 
@@ -97,7 +97,7 @@
     }
 
     /// The backends that this proxy uses, as of the last [`Allocation::ByDemand`].
-    pub fn uses(&self) -> &[Use] {
+    pub fn uses(&self) -> &[BackendAssignment] {
         &self.uses
     }
 
@@ -148,7 +148,7 @@
         let backends: Vec<BackendKey> = listed.iter().map(key).collect();
         let assignments = assign(&members, &backends, &self.settings.subset);
         let of_this_proxy = assignments.into_iter().nth(own).unwrap_or_default();
-        let uses = of_this_proxy.into_iter().map(|assignment| Use {
+        let uses = of_this_proxy.into_iter().map(|assignment| BackendAssignment {
             backend: listed[assignment.backend].0,
             weight: assignment.weight,
             fraction: assignment.fraction,
--- a/crates/gaugesaddle-allocation/tests/turns.rs
+++ b/crates/gaugesaddle-allocation/tests/turns.rs
@@ -53,7 +53,7 @@
         let Allocation::ByDemand(tier) = proxy.dealer.observe(Time(at), &seen, listed) else {
             panic!("it knows")
         };
-        for event in [Event::Tier(tier), Event::Uses(proxy.dealer.uses().to_vec())] {
+        for event in [Event::Tier(tier), Event::Assignments(proxy.dealer.uses().to_vec())] {
             proxy.module.handle(Time(at), event, &mut Vec::new());
         }
     }
--- a/crates/gaugesaddle-balancer/src/interface/action.rs
+++ b/crates/gaugesaddle-balancer/src/interface/action.rs
@@ -24,7 +24,7 @@
     },
     /// Hand it to another region, within the last [`Offer`](super::Offer): the host owes its final answer
     /// from here on. No attempt of it is out, and none may have run unless a repeat is free.
-    Leave {
+    Forward {
         /// The request.
         request: RequestId,
     },
@@ -43,7 +43,7 @@
         after: Micros,
     },
     /// Subscribe to changes of the list of backends.
-    Follow,
+    SubscribeBackends,
     /// Write a line to the log.
     Log(String),
 }
--- a/crates/gaugesaddle-balancer/src/interface/config.rs
+++ b/crates/gaugesaddle-balancer/src/interface/config.rs
@@ -196,7 +196,7 @@
 pub enum Discovery {
     /// Changes are pushed.
     Push,
-    /// Changes arrive after [`Action::Follow`](super::Action::Follow); a proxy that does not subscribe counts
+    /// Changes arrive after [`Action::SubscribeBackends`](super::Action::SubscribeBackends); a proxy that does not subscribe counts
     /// as informed after this time.
     Subscribe(Micros),
 }
--- a/crates/gaugesaddle-balancer/src/interface/event.rs
+++ b/crates/gaugesaddle-balancer/src/interface/event.rs
@@ -140,7 +140,7 @@
 
 /// How this proxy uses a backend, as the live proxies have assigned it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Use {
+pub struct BackendAssignment {
     /// Which.
     pub backend: BackendId,
     /// Its weight in this proxy's traffic, relative to the mean of those of its kind that this one uses.
@@ -153,7 +153,7 @@
     pub users: u32,
 }
 
-impl Use {
+impl BackendAssignment {
     /// Whether the values are in their ranges; others are ignored.
     pub(crate) fn is_valid(&self) -> bool {
         let is_fraction = |x: f64| (0.0..=1.001).contains(&x);
@@ -173,7 +173,7 @@
 
 /// A retry storm as the host detects it, and the limits while it lasts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pressure {
+pub struct StormLimits {
     /// Requests per second that this proxy may admit; `None`: no storm, no limit.
     pub admit_per_s: Option<f64>,
     /// Second attempts may be sent while one is in flight.
@@ -219,13 +219,13 @@
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
     /// A retry storm began, changed or ended.
-    Pressure(Pressure),
+    StormLimits(StormLimits),
     /// The offer of other regions has changed.
     Offer(Offer),
     /// The live proxies, or their fractions of the traffic, have changed.
     Tier(Tier),
     /// All backends assigned to this proxy; none: it chooses them by the number of proxies.
-    Uses(Vec<Use>),
+    Assignments(Vec<BackendAssignment>),
     /// The client disconnected; no answer is due.
     ClientDisconnected {
         /// The request.
--- a/crates/gaugesaddle-balancer/src/lib.rs
+++ b/crates/gaugesaddle-balancer/src/lib.rs
@@ -45,7 +45,7 @@
 //! # Guarantees
 //!
 //! Every request whose client stays gets exactly one final answer: an attempt's, [`Action::Refuse`], [`Action::Fail`]
-//! or [`Action::Leave`]. A request that may have run is repeated only where its [`Effect`] permits, and refused only where
+//! or [`Action::Forward`]. A request that may have run is repeated only where its [`Effect`] permits, and refused only where
 //! a retry is harmless. The same events with the same seed give the same actions. Events of unknown ids have no effect.
 //!
 //! # Bounds
--- a/crates/gaugesaddle-balancer/src/logic.rs
+++ b/crates/gaugesaddle-balancer/src/logic.rs
@@ -40,15 +40,15 @@
                 }
             }
             Event::AttemptEnded(end) => self.ended(now, end),
-            Event::Pressure(pressure) => self.set_pressure(now, pressure),
+            Event::StormLimits(pressure) => self.set_pressure(now, pressure),
             Event::Offer(offer) => self.offer = offer,
             Event::Tier(tier) if tier.is_valid() && tier != self.tier => {
                 self.tier = tier;
                 self.choose();
             }
             Event::Tier(_) => {}
-            Event::Uses(uses) => {
-                let valid = uses.into_iter().filter(Use::is_valid);
+            Event::Assignments(uses) => {
+                let valid = uses.into_iter().filter(BackendAssignment::is_valid);
                 self.uses = valid.map(|u| (u.backend, u)).collect();
                 self.choose();
             }
@@ -101,7 +101,7 @@
             if now >= at {
                 // Without an answer until then the request itself was lost.
                 self.subscription.retry_at = Some(now + within.times(0.5));
-                self.actions.push(Action::Follow);
+                self.actions.push(Action::SubscribeBackends);
             }
         }
         self.wake_by(self.subscription.retry_at.unwrap_or(self.due));
--- a/crates/gaugesaddle-balancer/src/logic/admission.rs
+++ b/crates/gaugesaddle-balancer/src/logic/admission.rs
@@ -93,7 +93,7 @@
     }
 
     /// Applies a retry storm's limits. Its bucket starts empty: earlier requests are in flight.
-    pub(super) fn set_pressure(&mut self, now: Time, pressure: Pressure) {
+    pub(super) fn set_pressure(&mut self, now: Time, pressure: StormLimits) {
         if self.pressure.admit_per_s.is_none() {
             self.storm_admission = Bucket::empty(now);
         }
--- a/crates/gaugesaddle-balancer/src/logic/completion.rs
+++ b/crates/gaugesaddle-balancer/src/logic/completion.rs
@@ -18,7 +18,7 @@
         }
         *capacity -= 1;
         self.close(id, None); // attempts of a free request in flight are cancelled first
-        self.actions.push(Action::Leave { request: id });
+        self.actions.push(Action::Forward { request: id });
         true
     }
 
--- a/crates/gaugesaddle-balancer/src/logic/traffic.rs
+++ b/crates/gaugesaddle-balancer/src/logic/traffic.rs
@@ -44,7 +44,7 @@
         let own = if is_assigned {
             listed.iter().map(|l| l.0).filter(|id| self.uses.contains_key(id)).collect()
         } else {
-            subset::chosen(self.tier.position, self.tier.proxies, &listed)
+            subset::select(self.tier.position, self.tier.proxies, &listed)
         };
         for (id, p) in &mut self.backends {
             p.used = own.contains(id);
--- a/crates/gaugesaddle-balancer/src/records.rs
+++ b/crates/gaugesaddle-balancer/src/records.rs
@@ -53,7 +53,7 @@
     pub entry: Backend,
     /// Whether this proxy uses it, and its assignment, where the host gave one.
     pub used: bool,
-    pub assigned: Option<Use>,
+    pub assigned: Option<BackendAssignment>,
     /// From 0 (send nothing) to 1 (healthy, with its full capacity).
     pub ready: f64,
     /// Its fraction of this proxy's traffic.
--- a/crates/gaugesaddle-balancer/src/settings.rs
+++ b/crates/gaugesaddle-balancer/src/settings.rs
@@ -13,7 +13,7 @@
 }
 
 /// The number of an address, zone or kind: the same in every process.
-pub fn number(name: &str) -> u64 {
+pub fn stable_id(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
         (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3) // FNV-1a
     })
@@ -63,7 +63,7 @@
     },
     /// The value has another type or range.
     #[error("{path}: expected {expected}, got {got}")]
-    Unfit {
+    Invalid {
         /// The path of the value.
         path: String,
         /// What was expected.
@@ -73,7 +73,7 @@
     },
     /// A name that must be unique.
     #[error("{path}: the name stands twice")]
-    Twice {
+    Duplicate {
         /// The path of the second one.
         path: String,
     },
@@ -114,44 +114,44 @@
     ///
     /// # Errors
     /// Where it is `None`: names `what` as expected.
-    pub fn want<T>(&self, got: Option<T>, what: &str) -> Result<T, KeyError> {
+    pub fn require<T>(&self, got: Option<T>, what: &str) -> Result<T, KeyError> {
         got.ok_or_else(|| match self.value {
-            Some(v) => self.unfit(what, &v.to_string()),
+            Some(v) => self.invalid_value(what, &v.to_string()),
             None => KeyError::Missing { path: self.path.clone(), expected: what.into() },
         })
     }
     /// The error that `got` is not the expected `what`.
-    pub fn unfit(&self, what: &str, got: &str) -> KeyError {
+    pub fn invalid_value(&self, what: &str, got: &str) -> KeyError {
         let got = got.chars().take(SHOWN).collect();
-        KeyError::Unfit { path: self.path.clone(), expected: what.into(), got }
+        KeyError::Invalid { path: self.path.clone(), expected: what.into(), got }
     }
     /// Text.
     ///
     /// # Errors
     /// The value is no text.
     pub fn text(&self) -> Result<&'a str, KeyError> {
-        self.want(self.value.and_then(Value::as_str), "text")
+        self.require(self.value.and_then(Value::as_str), "text")
     }
     /// True or false.
     ///
     /// # Errors
     /// The value is neither true nor false.
     pub fn flag(&self) -> Result<bool, KeyError> {
-        self.want(self.value.and_then(Value::as_bool), "true or false")
+        self.require(self.value.and_then(Value::as_bool), "true or false")
     }
     /// A number.
     ///
     /// # Errors
     /// The value is no number.
     pub fn real(&self) -> Result<f64, KeyError> {
-        self.want(self.value.and_then(Value::as_f64), "a number")
+        self.require(self.value.and_then(Value::as_f64), "a number")
     }
     /// A span in integer microseconds.
     ///
     /// # Errors
     /// The value is no whole number of microseconds.
     pub fn micros(&self) -> Result<Micros, KeyError> {
-        self.want(self.value.and_then(Value::as_u64), "whole microseconds").map(Micros)
+        self.require(self.value.and_then(Value::as_u64), "whole microseconds").map(Micros)
     }
     /// A non-negative integer.
     ///
@@ -159,14 +159,14 @@
     /// The value is no whole number of 32 bits.
     pub fn count(&self) -> Result<u32, KeyError> {
         let got = self.value.and_then(Value::as_u64).and_then(|n| u32::try_from(n).ok());
-        self.want(got, "a whole number")
+        self.require(got, "a whole number")
     }
     /// The items of an array.
     ///
     /// # Errors
     /// The value is no list.
     pub fn list(&self) -> Result<Vec<Key<'a>>, KeyError> {
-        let items = self.want(self.value.and_then(Value::as_array), "an array")?;
+        let items = self.require(self.value.and_then(Value::as_array), "an array")?;
         Ok(items.iter().enumerate().map(|(n, value)| self.item(n, value)).collect())
     }
 }
@@ -183,9 +183,9 @@
     }
     names.zone = my_zone.text()?.into();
     if !names.zones.contains(&names.zone) {
-        return my_zone.want(None, "one of zones");
+        return my_zone.require(None, "one of zones");
     }
-    let zone = ZoneId(number(&names.zone));
+    let zone = ZoneId(stable_id(&names.zone));
     let mut classes = Vec::new();
     for key in root.get("profiles").list()? {
         classes.push(read_class(&key, &mut names)?);
@@ -199,13 +199,14 @@
     let discovery = match root.get("discovery").text()? {
         "automatic" => Discovery::Push,
         "subscribe" => Discovery::Subscribe(rules.get("must_ask_in_us").micros()?),
-        _ => return root.get("discovery").want(None, "automatic or subscribe"),
+        _ => return root.get("discovery").require(None, "automatic or subscribe"),
     };
     let (size, position) = (root.get("group_size"), root.get("position"));
-    let proxies = size.want(Some(size.count()?).filter(|n| *n > 0), "at least 1")?;
+    let proxies = size.require(Some(size.count()?).filter(|n| *n > 0), "at least 1")?;
     let config = Config {
         proxies,
-        position: position.want(Some(position.count()?).filter(|n| *n < proxies), "less than group_size")?,
+        position: position
+            .require(Some(position.count()?).filter(|n| *n < proxies), "less than group_size")?,
         zone,
         zones: names.zones.len() as u32,
         classes,
@@ -233,14 +234,14 @@
 fn read_class(class: &Key, names: &mut Names) -> Result<Class, KeyError> {
     let name = class.get("name");
     if names.classes.iter().any(|n| name.text().is_ok_and(|m| m == n)) {
-        return Err(KeyError::Twice { path: name.path });
+        return Err(KeyError::Duplicate { path: name.path });
     }
     names.classes.push(name.text()?.into());
     let effect = read_effect(class)?;
     let stretch = class.get("aim_stretch");
     let (objective, deadline) = (class.get("aim_us"), class.get("deadline_us"));
     if objective.micros()? > deadline.micros()? {
-        return objective.want(None, "no more than deadline_us");
+        return objective.require(None, "no more than deadline_us");
     }
     Ok(Class {
         latency_objective: objective.micros()?,
@@ -261,11 +262,11 @@
                 "all" => KeyScope::All,
                 "zone" => KeyScope::Zone,
                 "cell" => KeyScope::Cell,
-                _ => return scope.want(None, "all, zone or cell"),
+                _ => return scope.require(None, "all, zone or cell"),
             };
             Ok(Effect::Keyed(scope, class.get("window_us").micros()?))
         }
         "single_shot" => Ok(Effect::Unsafe),
-        _ => effect.want(None, "free, guarded or single_shot"),
+        _ => effect.require(None, "free, guarded or single_shot"),
     }
 }
--- a/crates/gaugesaddle-balancer/src/state.rs
+++ b/crates/gaugesaddle-balancer/src/state.rs
@@ -54,12 +54,12 @@
     /// Requests that arrived, admitted or not, and the tokens of a storm's rate limit.
     pub(crate) arrivals: Rate,
     pub(crate) storm_admission: Bucket,
-    pub(crate) pressure: Pressure,
+    pub(crate) pressure: StormLimits,
     pub(crate) offer: Offer,
     /// The proxies that share the traffic; by the settings until the host reports them.
     pub(crate) tier: Tier,
     /// Backends that the host assigned to this proxy.
-    pub(crate) uses: BTreeMap<BackendId, Use>,
+    pub(crate) uses: BTreeMap<BackendId, BackendAssignment>,
     /// Length of the backends' turns.
     pub(crate) turn: Micros,
     /// How often the traffic split is solved, and when it was last.
@@ -108,7 +108,7 @@
             rate: Rate::default(),
             arrivals: Rate::default(),
             storm_admission: Bucket::default(),
-            pressure: Pressure { admit_per_s: None, hedging: true, retry_ratio: RETRY_RATIO },
+            pressure: StormLimits { admit_per_s: None, hedging: true, retry_ratio: RETRY_RATIO },
             offer: Offer::default(),
             tier: Tier { proxies: cfg.proxies, position: cfg.position, weight: 1.0 },
             uses: BTreeMap::new(),
--- a/crates/gaugesaddle-balancer/src/subset.rs
+++ b/crates/gaugesaddle-balancer/src/subset.rs
@@ -24,7 +24,7 @@
 
 /// The backends that a proxy uses of those listed ready. Each kind is divided by itself, with its zones
 /// interleaved, so that groups have the same mix of both. A change of one backend moves few others.
-pub fn chosen(position: u32, proxies: u32, listed: &[(BackendId, KindId, ZoneId)]) -> BTreeSet<BackendId> {
+pub fn select(position: u32, proxies: u32, listed: &[(BackendId, KindId, ZoneId)]) -> BTreeSet<BackendId> {
     let groups = groups(proxies, listed.len());
     let (round, group) = (u64::from(position) / groups, u64::from(position) % groups);
     let mut zones: BTreeMap<(KindId, ZoneId), Vec<(u64, BackendId)>> = BTreeMap::new();
--- a/crates/gaugesaddle-balancer/src/subset/tests.rs
+++ b/crates/gaugesaddle-balancer/src/subset/tests.rs
@@ -7,7 +7,7 @@
 }
 
 fn users(proxies: u32, listed: &[(BackendId, KindId, ZoneId)]) -> Vec<BTreeSet<BackendId>> {
-    (0..proxies).map(|p| chosen(p, proxies, listed)).collect()
+    (0..proxies).map(|p| select(p, proxies, listed)).collect()
 }
 
 #[test]
--- a/crates/gaugesaddle-balancer/tests/common/mod.rs
+++ b/crates/gaugesaddle-balancer/tests/common/mod.rs
@@ -130,7 +130,7 @@
                 assert!(free || !ran, "refused what may have run");
                 assert!(r.answer.replace("refused").is_none(), "answered twice");
             }
-            Action::Leave { request } => {
+            Action::Forward { request } => {
                 let r = self.requests.get_mut(&request).expect("a known request");
                 let ran = r.tries.iter().any(Try::may_have_run);
                 assert!(
@@ -150,7 +150,7 @@
                 self.cancelled.push((request, attempt.0 as usize));
             }
             Action::SetTimer { token, after } => self.timers.push((self.now + after, token)),
-            Action::Follow => {
+            Action::SubscribeBackends => {
                 assert_ne!(self.cfg.discovery, Discovery::Push);
                 self.follows += 1;
             }
--- a/crates/gaugesaddle-balancer/tests/failures.rs
+++ b/crates/gaugesaddle-balancer/tests/failures.rs
@@ -641,7 +641,7 @@
 }
 
 fn storm(let_in_per_s: Option<f64>) -> Event {
-    Event::Pressure(Pressure {
+    Event::StormLimits(StormLimits {
         admit_per_s: let_in_per_s,
         hedging: let_in_per_s.is_none(),
         retry_ratio: 0.02,
--- a/crates/gaugesaddle-balancer/tests/leaving.rs
+++ b/crates/gaugesaddle-balancer/tests/leaving.rs
@@ -85,7 +85,7 @@
     while order.is_empty() && host.now < Time(1_000_400_000) {
         host.advance(5 * MS);
         let left = host.last.iter().filter_map(|a| match a {
-            Action::Leave { request } => Some(host.requests[request].class),
+            Action::Forward { request } => Some(host.requests[request].class),
             _ => None,
         });
         order.extend(left);
--- a/crates/gaugesaddle-federation/src/lib.rs
+++ b/crates/gaugesaddle-federation/src/lib.rs
@@ -15,7 +15,7 @@
 //! - [`credentials`] decides whether replaced certificates and keys may be taken into use.
 //!
 //! Which request is forwarded is the balancer's decision (`gaugesaddle_balancer::Offer`,
-//! `gaugesaddle_balancer::Action::Leave`). The host owns sockets, clock, files and random numbers.
+//! `gaugesaddle_balancer::Action::Forward`). The host owns sockets, clock, files and random numbers.
 //!
 //! # Example
 //!
--- a/crates/gaugesaddle-measure/src/subsets.rs
+++ b/crates/gaugesaddle-measure/src/subsets.rs
@@ -40,7 +40,7 @@
     let listed: Vec<_> =
         servers.iter().map(|s| (BackendId(s.hash_key), KindId(s.kind), ZoneId(s.zone))).collect();
     let row = |position: usize| {
-        let own = subset::chosen(position as u32, members.len() as u32, &listed);
+        let own = subset::select(position as u32, members.len() as u32, &listed);
         (0..servers.len()).filter(|s| own.contains(&listed[*s].0)).map(|s| (s, 1.0)).collect()
     };
     (0..members.len()).map(row).collect()
--- a/crates/gaugesaddle-overload/src/controller.rs
+++ b/crates/gaugesaddle-overload/src/controller.rs
@@ -4,7 +4,7 @@
 use crate::{
     RateLimiter, RetryAccounting, RetrySchedule, StormDetector, StormPhase, TrafficCounts, TrafficFigures,
 };
-use gaugesaddle_balancer::{ConfigError, Micros, Pressure, Time};
+use gaugesaddle_balancer::{ConfigError, Micros, StormLimits, Time};
 use std::collections::HashMap;
 
 /// Fraction of the sustained rate that retries of refused clients may fill; the rest is for new requests.
@@ -51,7 +51,7 @@
     /// The phase before it, if it changed.
     pub previous: Option<StormPhase>,
     /// For the balancer, if anything of it may have changed.
-    pub pressure: Option<Pressure>,
+    pub pressure: Option<StormLimits>,
 }
 
 /// Retry storms as one proxy sees them. See the first page.
@@ -195,9 +195,9 @@
         Some(Observation { previous, pressure })
     }
 
-    fn pressure(&self) -> Pressure {
+    fn pressure(&self) -> StormLimits {
         let damped = self.state().is_damping();
         let retry_ratio = if damped { STORM_RETRY_RATIO } else { RETRY_RATIO };
-        Pressure { admit_per_s: self.admitted_per_s(), hedging: !damped, retry_ratio }
+        StormLimits { admit_per_s: self.admitted_per_s(), hedging: !damped, retry_ratio }
     }
 }
--- a/crates/gaugesaddle-overload/src/lib.rs
+++ b/crates/gaugesaddle-overload/src/lib.rs
@@ -1,7 +1,7 @@
 //! Retry storms and reconnect storms, as one proxy sees them: detection and damping, decided without I/O, clock or threads.
 //!
 //! - [`OverloadController`] owns the rest. Its host tells it of arrivals, refusals and outcomes, and calls it a few times a
-//!   second for the [`gaugesaddle_balancer::Pressure`] to hand to the balancer. For each refusal it says when the client may
+//!   second for the [`gaugesaddle_balancer::StormLimits`] to hand to the balancer. For each refusal it says when the client may
 //!   retry.
 //! - [`StormDetector`] tells storms from growth by how much comes again, not by how much comes.
 //! - [`RateLimiter`] finds the rate that the fleet sustains during a storm.
--- a/crates/gaugesaddle-proxy-simulation/src/host.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/host.rs
@@ -175,7 +175,7 @@
             }
             Action::SetTimer { token, after } => self.timers.push(Reverse((now + after, token))),
             // There are no other regions, so none is ever offered.
-            Action::Follow | Action::Log(_) | Action::Leave { .. } => {}
+            Action::SubscribeBackends | Action::Log(_) | Action::Forward { .. } => {}
         }
     }
 
--- a/crates/gaugesaddle-proxy-simulation/src/world.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/world.rs
@@ -5,7 +5,7 @@
 
 use crate::host::Host;
 use gaugesaddle_allocation::{Allocation, Allocator, AllocatorSettings, DemandEstimator, TierView};
-use gaugesaddle_balancer::settings::{self, number, Key};
+use gaugesaddle_balancer::settings::{self, stable_id, Key};
 use gaugesaddle_balancer::{
     Arrival, AttemptNo, Backend, BackendId, BackendState, ClassId, ConfigError, Event, KindId, LimitBounds,
     ListUpdate, Micros, Outcome, RequestId, Time, ZoneId,
--- a/crates/gaugesaddle-proxy-simulation/src/world/nodes.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/world/nodes.rs
@@ -7,8 +7,8 @@
         let n = &self.nodes[node];
         Backend {
             id: BackendId(mix(7, node as u64)),
-            zone: ZoneId(number(&zone_name(node % self.s.zones))),
-            kind: KindId(number(&n.kind.name)),
+            zone: ZoneId(stable_id(&zone_name(node % self.s.zones))),
+            kind: KindId(stable_id(&n.kind.name)),
             state: [BackendState::Ready, BackendState::Draining, BackendState::Departed][standing as usize],
             booted: (n.booted > 0).then_some(Time(n.booted)),
             weight: 1.0,
--- a/crates/gaugesaddle-simulator-host/src/wire.rs
+++ b/crates/gaugesaddle-simulator-host/src/wire.rs
@@ -1,6 +1,6 @@
 //! Lines to events, actions to lines.
 
-use gaugesaddle_balancer::settings::{self, number, Key, Names};
+use gaugesaddle_balancer::settings::{self, stable_id, Key, Names};
 use gaugesaddle_balancer::*;
 use serde_json::Value;
 use std::collections::HashMap;
@@ -179,10 +179,10 @@
         v => Some(v.as_u64().ok_or_else(|| bad("a start time or null"))?),
     };
     let entry = Backend {
-        id: BackendId(number(address)),
-        zone: ZoneId(number(text(0, "a zone")?)),
+        id: BackendId(stable_id(address)),
+        zone: ZoneId(stable_id(text(0, "a zone")?)),
         cell: CellId(row[1].as_u64().ok_or_else(|| bad("a cell number"))?),
-        kind: KindId(number(text(2, "a kind")?)),
+        kind: KindId(stable_id(text(2, "a kind")?)),
         state,
         booted: booted.filter(|t| *t > 0).map(Time),
         weight: row[5].as_f64().filter(|w| *w >= 0.0).ok_or_else(|| bad("a weight of 0 or more"))?,
@@ -260,12 +260,12 @@
         Action::Refuse { request } => writeln!(reply, "[\"BOUNCE\",\"{who}\",\"{:016x}\",0]", request.0),
         Action::Fail { request } => writeln!(reply, "[\"LOSE\",\"{who}\",\"{:016x}\"]", request.0),
         // The simulator has no other region: none is ever offered.
-        Action::Leave { .. } => Ok(()),
+        Action::Forward { .. } => Ok(()),
         Action::Cancel { request, attempt } => {
             writeln!(reply, "[\"RECALL\",\"{who}\",\"{:016x}\",{}]", request.0, attempt.0)
         }
         Action::SetTimer { token, after } => writeln!(reply, "[\"AFTER\",\"{who}\",{},{}]", token.0, after.0),
-        Action::Follow => writeln!(reply, "[\"FOLLOW\",\"{who}\",true]"),
+        Action::SubscribeBackends => writeln!(reply, "[\"FOLLOW\",\"{who}\",true]"),
         Action::Log(text) => writeln!(reply, "{}", serde_json::json!(["WRITE_LOG", who, text])),
     };
 }
--- a/crates/gaugesaddle/src/application/startup.rs
+++ b/crates/gaugesaddle/src/application/startup.rs
@@ -283,7 +283,7 @@
         Some(tier.bind().map_err(ListenError::at("peers.listen", tier.listen()))?)
     };
     let registry = &common.registry;
-    let zones = names.zones().iter().map(|zone| ZoneId(gaugesaddle_balancer::settings::number(zone)));
+    let zones = names.zones().iter().map(|zone| ZoneId(gaugesaddle_balancer::settings::stable_id(zone)));
     let classes = &config.balancer.classes;
     extensions.push(Box::new(PeerWatch::new(tier.clone(), registry.clone(), zones.collect(), classes.len())));
     *registry.peers.borrow_mut() = Some(tier.clone());
--- a/crates/gaugesaddle/src/configuration/platform.rs
+++ b/crates/gaugesaddle/src/configuration/platform.rs
@@ -152,14 +152,14 @@
     let name = |document: &Value| document.get("name").unwrap_or(&Value::Null).to_string();
     let (own, other) = (name(running), name(&newer.document));
     if own != other {
-        return Err(Key::root(&newer.document).get("name").unfit(&own, &other).into());
+        return Err(Key::root(&newer.document).get("name").invalid_value(&own, &other).into());
     }
     Ok(newer)
 }
 
 fn address(key: &Key) -> Result<SocketAddr, KeyError> {
     let parsed = key.text()?.parse().ok();
-    key.want(parsed, "an IP address and a port")
+    key.require(parsed, "an IP address and a port")
 }
 
 /// Whether the key is present and not null.
@@ -220,8 +220,8 @@
         listen: address(&root.get("listen"))?,
         discovery: address(&root.get("discovery"))?,
         admin: admin(&root.get("admin"))?,
-        seed: seed.want(hex, "up to 16 hex digits")?,
-        sockets: sockets.want(enough, "at least 64")? as usize,
+        seed: seed.require(hex, "up to 16 hex digits")?,
+        sockets: sockets.require(enough, "at least 64")? as usize,
         memory,
         known,
         list_limits,
--- a/crates/gaugesaddle/src/discovery/backend_set.rs
+++ b/crates/gaugesaddle/src/discovery/backend_set.rs
@@ -49,7 +49,7 @@
     pub fn apply(
         &mut self, now: Time, name: &str, command: MaintenanceCommand, origin: CommandOrigin,
     ) -> (CommandOutcome, Option<Backend>) {
-        let id = BackendId(settings::number(name));
+        let id = BackendId(settings::stable_id(name));
         let outcome = match (command, origin) {
             (MaintenanceCommand::Exclude, CommandOrigin::OtherProcess) => {
                 self.maintenance.inherit_exclusion(now, id)
--- a/crates/gaugesaddle/src/discovery/list.rs
+++ b/crates/gaugesaddle/src/discovery/list.rs
@@ -1,7 +1,7 @@
 //! The list of backends as the discovery service sends it.
 
 use crate::serving::exchange::ListedBackend;
-use gaugesaddle_balancer::settings::{number, Key, KeyError};
+use gaugesaddle_balancer::settings::{stable_id, Key, KeyError};
 use gaugesaddle_balancer::{Backend, BackendId, BackendState, CellId, KindId, Time, ZoneId};
 use serde_json::value::RawValue;
 use serde_json::{json, Value};
@@ -51,11 +51,12 @@
     let head = json!({"index": document.index, "snapshot": document.snapshot});
     let root = Key::at(path.into(), &head);
     let endpoints = root.get("endpoints");
-    let raw = endpoints.want(document.endpoints, "an array")?.get();
-    let entries: Vec<&RawValue> = serde_json::from_str(raw).map_err(|_| endpoints.unfit("an array", raw))?;
+    let raw = endpoints.require(document.endpoints, "an array")?.get();
+    let entries: Vec<&RawValue> =
+        serde_json::from_str(raw).map_err(|_| endpoints.invalid_value("an array", raw))?;
     if entries.len() > limits.entries {
         let expected = format!("no more than {} lines for the memory told", limits.entries);
-        return Err(endpoints.unfit(&expected, &entries.len().to_string()).into());
+        return Err(endpoints.invalid_value(&expected, &entries.len().to_string()).into());
     }
     let mut targets = Vec::with_capacity(entries.len());
     for (n, entry) in entries.iter().enumerate() {
@@ -64,7 +65,7 @@
     }
     let index = root.get("index");
     let version = index.value().and_then(Value::as_u64);
-    Ok(List { index: index.want(version, "a version")?, full: root.get("snapshot").flag()?, targets })
+    Ok(List { index: index.require(version, "a version")?, full: root.get("snapshot").flag()?, targets })
 }
 
 /// Why a list is invalid.
@@ -83,23 +84,23 @@
         "ready" => BackendState::Ready,
         "draining" => BackendState::Draining,
         "gone" => BackendState::Departed,
-        _ => return status.want(None, "ready, draining or gone"),
+        _ => return status.require(None, "ready, draining or gone"),
     };
     let started =
-        since.want(since.value().map_or(Some(0), serde_json::Value::as_u64), "whole milliseconds")?;
+        since.require(since.value().map_or(Some(0), serde_json::Value::as_u64), "whole milliseconds")?;
     let address = entry.get("address");
     let (name, zone, kind) =
         (entry.get("name").text()?, entry.get("zone").text()?, entry.get("type").text()?);
     let (cell, weight) = (entry.get("group"), entry.get("weight"));
     let backend = Backend {
-        id: BackendId(number(name)),
-        zone: ZoneId(number(zone)),
-        cell: CellId(cell.want(cell.value().and_then(Value::as_u64), "a group number")?),
-        kind: KindId(number(kind)),
+        id: BackendId(stable_id(name)),
+        zone: ZoneId(stable_id(zone)),
+        cell: CellId(cell.require(cell.value().and_then(Value::as_u64), "a group number")?),
+        kind: KindId(stable_id(kind)),
         state,
         booted: Some(Time(started.saturating_mul(1000))).filter(|t| t.0 > 0),
-        weight: weight.want(Some(weight.real()?).filter(|w| *w >= 0.0), "a weight of 0 or more")?,
+        weight: weight.require(Some(weight.real()?).filter(|w| *w >= 0.0), "a weight of 0 or more")?,
     };
-    let address = address.want(address.text()?.parse().ok(), "an address")?;
+    let address = address.require(address.text()?.parse().ok(), "an address")?;
     Ok(ListedBackend { backend, address, name: name.into(), zone: zone.into(), kind: kind.into() })
 }
--- a/crates/gaugesaddle/src/membership/allocation.rs
+++ b/crates/gaugesaddle/src/membership/allocation.rs
@@ -142,7 +142,7 @@
             Allocation::ByDemand(tier) => {
                 // Reported each time: a balancer that was restarted knows nothing of it.
                 events.push(Event::Tier(tier));
-                events.push(Event::Uses(self.allocator.uses().to_vec()));
+                events.push(Event::Assignments(self.allocator.uses().to_vec()));
                 self.registry.live_proxies.set(tier.proxies);
                 let (preceding, fraction) = self.allocator.range();
                 let even = EvenAllocation { proxies: tier.proxies, position: tier.position };
--- a/crates/gaugesaddle/src/serving/driver.rs
+++ b/crates/gaugesaddle/src/serving/driver.rs
@@ -264,7 +264,7 @@
             Action::Dispatch { request, backend } => self.dispatch(now, request, backend),
             Action::Refuse { request } => self.reject(now, request, RequestEnd::RejectedByBalancer),
             Action::Fail { request } => self.answer(request, Answer::Failed, RequestEnd::FailedByBalancer),
-            Action::Leave { request } => self.forward(now, request),
+            Action::Forward { request } => self.forward(now, request),
             Action::Cancel { request, attempt } => {
                 let Some(r) = self.requests.get_mut(&request) else { return };
                 let Some(cancelled) = r.attempts.remove(&attempt) else { return };
@@ -276,7 +276,7 @@
                 self.mark_ended(request);
             }
             Action::SetTimer { token, after } => self.timers.push(Reverse((now + after, token))),
-            Action::Follow => self.follow.notify_one(),
+            Action::SubscribeBackends => self.follow.notify_one(),
             Action::Log(text) => tracing::info!("{text}"),
         }
     }
--- a/crates/gaugesaddle/src/serving/overload.rs
+++ b/crates/gaugesaddle/src/serving/overload.rs
@@ -34,7 +34,7 @@
             self.registry.storm.set(state);
         }
         if let Some(pressure) = observation.pressure {
-            events.push(Event::Pressure(pressure));
+            events.push(Event::StormLimits(pressure));
         }
         let mut seen = self.registry.storm_view.borrow_mut();
         let old = seen.take();
--- a/crates/gaugesaddle/src/serving/request_rules.rs
+++ b/crates/gaugesaddle/src/serving/request_rules.rs
@@ -4,7 +4,7 @@
 use crate::serving::body::MAX_BODY_BYTES;
 use crate::serving::client_socket::ClientSocket;
 use crate::serving::exchange::REMAINING_TIME;
-use gaugesaddle_balancer::settings::{number as number_of, Names};
+use gaugesaddle_balancer::settings::{stable_id, Names};
 use gaugesaddle_balancer::{Class, ClassId, Effect, Micros, TenantId};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, HOST, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
@@ -110,8 +110,8 @@
             remaining: Micros(remaining_ms.saturating_mul(1000)).min(self.longest),
             work_hint: number(headers, &WORK_HINT_HEADER)?.map(Micros),
             repeat: text(headers, &RETRY_HEADER)? == Some("1"),
-            key: key.map(number_of),
-            source: text(headers, &TENANT_HEADER)?.map(number_of),
+            key: key.map(stable_id),
+            source: text(headers, &TENANT_HEADER)?.map(stable_id),
         })
     }
 }
