--- a/crates/gaugesaddle-balancer/src/estimates.rs
+++ b/crates/gaugesaddle-balancer/src/estimates.rs
@@ -1,13 +1,13 @@
-//! Running estimates: means, rates, levels and token buckets. No decisions.
+//! Running estimates: means, rates, time-weighted means and token buckets.
 
 use crate::interface::Time;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// Samples in a kind's or class's mean: its error is then about a tenth of the spread.
+/// Maximum samples in the mean of a kind or class: its standard error is then a tenth of the standard deviation.
 pub(crate) const KIND_SAMPLES: f64 = 100.0;
 
-/// A proxy's random numbers, the same on every machine for the same seed.
+/// A proxy's random number generator: the same seed gives the same numbers on every machine.
 pub(crate) struct Rng(Pcg32);
 
 impl Rng {
@@ -20,7 +20,7 @@
         f64::from(self.0.next_u32()) / 4_294_967_296.0
     }
 
-    /// One of the items, with a probability proportional to its weight.
+    /// Picks an item with a probability proportional to its weight.
     pub fn pick<T: Copy>(&mut self, weighted: &[(T, f64)]) -> Option<T> {
         let mut remaining = self.unit() * weighted.iter().map(|w| w.1).sum::<f64>();
         let mut hit = |w: &&(T, f64)| {
@@ -31,7 +31,8 @@
     }
 }
 
-/// A mean over about the last `cap` samples: exact for the first ones, then exponential.
+/// A mean over about the last `max_samples` samples: arithmetic up to that number, then an exponential moving
+/// average.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Mean {
     pub value: f64,
@@ -39,8 +40,8 @@
 }
 
 impl Mean {
-    pub fn add(&mut self, sample: f64, cap: f64) {
-        self.count = (self.count + 1.0).min(cap);
+    pub fn add(&mut self, sample: f64, max_samples: f64) {
+        self.count = (self.count + 1.0).min(max_samples);
         self.value += (sample - self.value) / self.count;
     }
 
@@ -49,83 +50,84 @@
     }
 }
 
-/// Events per second with an exponential memory, [`RATE_MEMORY`] by default; unbiased from the start on.
+/// Events per second, exponentially weighted with a time constant, [`RATE_TIME_CONSTANT_S`] by default. Unbiased from
+/// the first event on.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Rate {
-    memory: f64,
+    time_constant_s: f64,
     events: f64,
-    seen: f64,
+    observed_s: f64,
     at: Option<Time>,
 }
 
-/// Memory of a rate in seconds: some hundred arrivals, yet short compared with a slow start or a failure.
-pub(crate) const RATE_MEMORY: f64 = 2.0;
+/// Default time constant of a rate: a few hundred arrivals, yet short compared with a slow start or a failure.
+pub(crate) const RATE_TIME_CONSTANT_S: f64 = 2.0;
 
 impl Default for Rate {
     fn default() -> Rate {
-        Rate::over(RATE_MEMORY)
+        Rate::with_time_constant(RATE_TIME_CONSTANT_S)
     }
 }
 
 impl Rate {
-    /// A rate with another memory, in seconds.
-    pub fn over(memory: f64) -> Rate {
-        Rate { memory, events: 0.0, seen: 0.0, at: None }
+    /// A rate with the given time constant in seconds.
+    pub fn with_time_constant(time_constant_s: f64) -> Rate {
+        Rate { time_constant_s, events: 0.0, observed_s: 0.0, at: None }
     }
 
-    /// Counts `events` at `now`; 0 only advances the time.
+    /// Records `events` at `now`; 0 only advances the time.
     pub fn add(&mut self, now: Time, events: f64) {
         let gap = self.at.map_or(0.0, |at| (now - at).secs());
-        let decay = (-gap / self.memory).exp();
+        let decay = (-gap / self.time_constant_s).exp();
         self.events = self.events * decay + events;
-        self.seen = self.seen * decay + (1.0 - decay) * self.memory;
+        self.observed_s = self.observed_s * decay + (1.0 - decay) * self.time_constant_s;
         self.at = Some(now);
     }
 
-    /// `None` until a twentieth of the memory has passed.
+    /// The rate; `None` until a twentieth of the time constant has passed.
     pub fn per_s(&self) -> Option<f64> {
-        (self.seen > self.memory / 20.0).then(|| self.events / self.seen)
+        (self.observed_s > self.time_constant_s / 20.0).then(|| self.events / self.observed_s)
     }
 }
 
-/// Memory of a level in seconds: a backend is overloaded by its mean over some seconds, and this acts before
-/// that.
-const LEVEL_MEMORY: f64 = 1.0;
+/// Time constant of a time-weighted mean. A backend becomes overloaded by its mean load over several seconds; a
+/// shorter time constant limits the load before that.
+const LEVEL_TIME_CONSTANT_S: f64 = 1.0;
 
-/// The mean of a level over about the last second.
+/// The mean of a quantity over about the last second, weighted by time.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Level {
+pub(crate) struct TimeWeightedMean {
     pub mean: f64,
     at: Option<Time>,
 }
 
-impl Level {
-    /// Updates the mean: the level has been `level` since the last call.
-    pub fn at(&mut self, now: Time, level: f64) -> f64 {
+impl TimeWeightedMean {
+    /// Updates the mean: the quantity has had the value `level` since the last call.
+    pub fn update(&mut self, now: Time, level: f64) -> f64 {
         let gap = self.at.map_or(0.0, |at| (now - at).secs());
-        self.mean += (level - self.mean) * (1.0 - (-gap / LEVEL_MEMORY).exp());
+        self.mean += (level - self.mean) * (1.0 - (-gap / LEVEL_TIME_CONSTANT_S).exp());
         self.at = Some(now);
         self.mean
     }
 }
 
-/// A token bucket: full at first, with the capacity of [`RATE_MEMORY`] at its rate.
+/// A token bucket: initially full, with a capacity of [`RATE_TIME_CONSTANT_S`] at its rate.
 #[derive(Default)]
-pub(crate) struct Bucket {
+pub(crate) struct TokenBucket {
     tokens: f64,
     at: Option<Time>,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// An empty bucket.
-    pub fn empty(now: Time) -> Bucket {
-        Bucket { tokens: 0.0, at: Some(now) }
+    pub fn empty(now: Time) -> TokenBucket {
+        TokenBucket { tokens: 0.0, at: Some(now) }
     }
 
-    /// Takes a token if there is one; `rate` tokens per second are added.
+    /// Takes a token if one is available; the bucket is refilled at `rate` tokens per second.
     pub fn take(&mut self, now: Time, rate: f64) -> bool {
         let gap = self.at.map_or(f64::MAX, |at| (now - at).secs());
-        self.tokens = (self.tokens + rate * gap).min((rate * RATE_MEMORY).max(1.0));
+        self.tokens = (self.tokens + rate * gap).min((rate * RATE_TIME_CONSTANT_S).max(1.0));
         self.at = Some(now);
         let within = self.tokens >= 1.0;
         self.tokens -= f64::from(within);
@@ -133,11 +135,11 @@
     }
 }
 
-/// Memory of a relative latency in seconds: some answers of one proxy among many, yet short compared with a
+/// Time constant of a relative latency: several answers even for one of many proxies, yet short compared with a
 /// fault.
-const RELATIVE_MEMORY: f64 = 8.0;
+const RELATIVE_TIME_CONSTANT_S: f64 = 8.0;
 
-/// A backend's latency relative to the expected one: an exponentially decaying mean of logarithms.
+/// A backend's latency relative to the expected latency: an exponentially decaying mean of logarithms.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RelativeLatency {
     sum: f64,
@@ -148,7 +150,7 @@
 impl RelativeLatency {
     fn decay(&mut self, now: Time) {
         let gap = self.at.map_or(0.0, |at| (now - at).secs());
-        let decay = (-gap / RELATIVE_MEMORY).exp();
+        let decay = (-gap / RELATIVE_TIME_CONSTANT_S).exp();
         (self.sum, self.count, self.at) = (self.sum * decay, self.count * decay, Some(now));
     }
 
@@ -158,8 +160,8 @@
         (self.sum, self.count) = (self.sum + logarithm, self.count + 1.0);
     }
 
-    /// The mean, with `prior` additional answers of the expected latency.
-    pub fn at(&mut self, now: Time, prior: f64) -> f64 {
+    /// The mean, shrunk towards 0 by `prior` additional answers of the expected latency.
+    pub fn mean(&mut self, now: Time, prior: f64) -> f64 {
         self.decay(now);
         self.sum / (self.count + prior)
     }
--- a/crates/gaugesaddle-balancer/src/interface.rs
+++ b/crates/gaugesaddle-balancer/src/interface.rs
@@ -1,4 +1,4 @@
-//! The whole interface of the decision module: configuration, events, actions, views. No decisions here.
+//! The public interface of the balancer: configuration, events, actions and views.
 
 mod action;
 mod config;
--- a/crates/gaugesaddle-balancer/src/interface/action.rs
+++ b/crates/gaugesaddle-balancer/src/interface/action.rs
@@ -1,45 +1,46 @@
-//! Actions: what the decision module requests of the host.
+//! Actions that the balancer requests of the host.
 
 use super::units::{AttemptNo, BackendId, Micros, RequestId, TimerToken};
 
-/// What the module requests of the host, in order.
+/// An action that the host carries out, in the order of the actions.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt; it may last until the client's deadline.
+    /// Send an attempt, which may last until the client's deadline.
     Dispatch {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The destination.
         backend: BackendId,
     },
-    /// Final answer: refused, a retry is harmless.
+    /// Final answer: the request is refused and a retry is harmless.
     Refuse {
         /// The request.
         request: RequestId,
     },
-    /// Final answer: failed, a retry may run the request twice.
+    /// Final answer: the request failed and a retry may run it twice.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Hand it to another region, within the last [`Offer`](super::Offer): the host owes its final answer
-    /// from here on. No attempt of it is out, and none may have run unless a repeat is free.
+    /// Forward the request to another region, within the last [`Offer`](super::Offer). From then on the host is
+    /// responsible for its final answer. No attempt is in flight, and none may have run unless the request is
+    /// idempotent.
     Forward {
         /// The request.
         request: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// Report an [`Event::Timer`](super::Event::Timer).
+    /// Report an [`Event::Timer`](super::Event::Timer) after a delay.
     SetTimer {
-        /// The token it is to carry.
+        /// The token of the event.
         token: TimerToken,
-        /// When, from now.
+        /// The delay from now.
         after: Micros,
     },
     /// Subscribe to changes of the list of backends.
--- a/crates/gaugesaddle-balancer/src/interface/config.rs
+++ b/crates/gaugesaddle-balancer/src/interface/config.rs
@@ -1,17 +1,17 @@
-//! Configuration: what a proxy is given at its start.
+//! Configuration of a proxy.
 
 use super::units::{Micros, ZoneId};
 
-/// What a proxy is given at its start.
+/// Configuration of a proxy, constant while it runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// How many proxies share the traffic, this one included.
+    /// Number of proxies that share the traffic, this one included.
     pub proxies: u32,
-    /// Which of them this one is, from 0.
+    /// Index of this proxy among them, from 0.
     pub position: u32,
     /// The proxy's own zone.
     pub zone: ZoneId,
-    /// How many zones there are.
+    /// Number of zones.
     pub zones: u32,
     /// The classes of requests.
     pub classes: Vec<Class>,
@@ -19,41 +19,42 @@
     pub tenants: Vec<Tenant>,
     /// Weight of a request over its tenant's quota, as a fraction of its class's priority weight.
     pub over_quota_weight_fraction: f64,
-    /// Weight of the total traffic in the operator's goal.
+    /// Weight of the total traffic in the operator's goal function.
     pub goal_total: f64,
-    /// Weight of the worst-served class in the operator's goal.
+    /// Weight of the worst-served class in the operator's goal function.
     pub goal_worst_class: f64,
-    /// Cost to the goal when every request crosses zones once.
+    /// Reduction of the goal function when every request crosses zones once.
     pub cross_zone_cost: f64,
-    /// Where the list of backends comes from.
+    /// Source of the list of backends.
     pub discovery: Discovery,
-    /// The list's weights are nominal size / (1 + requests in flight per core), with some delay.
+    /// The list's weights are nominal size / (1 + requests in flight per core), updated with some delay.
     pub live_weights: bool,
     /// Maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Two attempts of one request may be in flight at once.
+    /// Whether two attempts of one request may be in flight at once.
     pub hedging: bool,
     /// The shortest time between two timers.
     pub tick: Micros,
-    /// Fraction of its capacity that a backend has at least when it starts.
+    /// Minimum fraction of its capacity that a backend has when it starts.
     pub initial_capacity: f64,
-    /// Longest slow start: a backend has its full capacity after this time.
+    /// Maximum duration of slow start: a backend has its full capacity after this time.
     pub slow_start: Micros,
-    /// A backend in slow start that gets more than this multiple of its current capacity ...
+    /// Overload at which a backend in slow start fails: work over [`fall_window`](Self::fall_window) as a multiple of
+    /// its current capacity.
     pub fall_multiple: f64,
-    /// ... over this time fails.
+    /// Window over which that overload is measured.
     pub fall_window: Micros,
-    /// The operator's bounds of the learned limits.
+    /// The operator's bounds of the concurrency limits.
     pub limits: LimitBounds,
 }
 
-/// Bounds of the limit of one backend, in requests in flight of all proxies together; equal bounds make it
-/// constant.
+/// Bounds of the concurrency limit of one backend, in requests in flight of all proxies together. Equal bounds make
+/// the limit constant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitBounds {
-    /// Limits are learned; else each is the constant of four, no less than `min` and no more than `max`.
+    /// Whether limits are learned. If not, each is the constant of four, clamped to `min` and `max`.
     pub learned: bool,
     /// Minimum of a learned limit.
     pub min: f64,
@@ -62,21 +63,21 @@
 }
 
 impl LimitBounds {
-    /// The limit, clamped to these bounds.
+    /// Clamps a limit to these bounds.
     pub fn clamp(&self, limit: f64) -> f64 {
         limit.clamp(self.min, self.max)
     }
 }
 
 impl Default for LimitBounds {
-    /// At least one request, since nothing is learned without; at most a thousand cores.
+    /// At least one request, since without requests nothing is learned; at most a thousand cores.
     fn default() -> LimitBounds {
         LimitBounds { learned: false, min: 1.0, max: 1000.0 }
     }
 }
 
 impl Config {
-    /// A small valid configuration: one zone, three proxies, one class that is free to repeat.
+    /// A small valid configuration: one zone, three proxies and one idempotent class.
     pub fn example() -> Config {
         Config {
             proxies: 3,
@@ -112,7 +113,7 @@
     /// Checks the ranges of the fields.
     ///
     /// # Errors
-    /// The first field that is out of its range.
+    /// Returns the first field that is out of its range.
     pub fn validate(&self) -> Result<(), ConfigError> {
         let fraction = |x: f64| (0.0..=1.0).contains(&x);
         let above_zero = |x: f64| x > 0.0 && x.is_finite();
@@ -150,63 +151,64 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Latency objective: an answer within this time earns the full weight.
+    /// Latency objective: an answer within this time has the full weight in the goal.
     pub latency_objective: Micros,
     /// The objective grows by this multiple of the request's work hint.
     pub objective_stretch: f64,
-    /// What a second run would do.
+    /// Effect of running a request twice.
     pub effect: Effect,
-    /// Priority weight: what a served request earns.
+    /// Priority weight: contribution of a served request to the goal.
     pub priority_weight: f64,
-    /// Fraction of the weight that an answer after the objective earns.
+    /// Fraction of the weight that an answer after the objective has.
     pub late_weight_fraction: f64,
 }
 
-/// What running a request twice does.
+/// Effect of running a request twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing (idempotent): it may be repeated and refused at will.
+    /// None: the request is idempotent and may be repeated or refused at any time.
     Free,
-    /// The backends of one scope discard repeated keys for a time after the first send.
+    /// The request has an idempotency key: for this time after the first send the backends of one scope discard
+    /// repeated keys.
     Keyed(KeyScope, Micros),
-    /// A second run does harm.
+    /// Harmful: the request must not run twice.
     Unsafe,
 }
 
-/// Which backends discard each other's repeated keys.
+/// Scope within which backends discard repeated keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// All of them.
+    /// All backends.
     All,
-    /// Those of one zone.
+    /// The backends of one zone.
     Zone,
-    /// Those of one cell.
+    /// The backends of one cell.
     Cell,
 }
 
 /// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests per second, over all proxies, that earn the full weight.
+    /// Quota: requests per second, over all proxies, that have the full weight.
     pub quota_per_s: f64,
 }
 
-/// Where the list of backends comes from.
+/// Source of the list of backends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes are pushed.
+    /// The host reports changes without a subscription.
     Push,
-    /// Changes arrive after [`Action::SubscribeBackends`](super::Action::SubscribeBackends); a proxy that does not subscribe counts
-    /// as informed after this time.
+    /// The host reports changes after [`Action::SubscribeBackends`](super::Action::SubscribeBackends). A proxy that
+    /// does not subscribe counts as informed of a change after this time.
     Subscribe(Micros),
 }
 
-/// Why a configuration is not valid.
+/// An invalid value in a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: expected {expected}")]
 pub struct ConfigError {
-    /// The setting at fault, by the name that operators know.
+    /// The invalid setting, by its name in the operator's settings.
     pub field: &'static str,
-    /// What was expected of it.
+    /// The expected value.
     pub expected: &'static str,
 }
--- a/crates/gaugesaddle-balancer/src/interface/event.rs
+++ b/crates/gaugesaddle-balancer/src/interface/event.rs
@@ -1,11 +1,11 @@
-//! Events: what the host reports to the decision module.
+//! Events that the host reports to the balancer.
 
 use super::units::*;
 
 /// An entry of the list of backends.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Backend {
-    /// Which backend.
+    /// Its identifier.
     pub id: BackendId,
     /// Its zone.
     pub zone: ZoneId,
@@ -15,9 +15,9 @@
     pub kind: KindId,
     /// Whether it may be sent requests.
     pub state: BackendState,
-    /// When it last started; `None`: long ago.
+    /// Time of its last start; `None` if that was long ago.
     pub booted: Option<Time>,
-    /// The list's weight, compared within a kind only; read where
+    /// Its weight in the list, comparable within a kind only. Used only if
     /// [`Config::live_weights`](super::Config::live_weights) is set.
     pub weight: f64,
 }
@@ -25,11 +25,11 @@
 /// Whether a backend may be sent requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BackendState {
-    /// It may.
+    /// It accepts requests.
     Ready,
-    /// No new ones: it finishes those in flight.
+    /// It accepts no new requests and finishes those in flight.
     Draining,
-    /// None: it has departed.
+    /// It has departed.
     #[default]
     Departed,
 }
@@ -37,34 +37,34 @@
 /// The kind of an update of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// The entries that changed.
+    /// The entries that have changed.
     Changes,
-    /// The full list; what is absent has departed.
+    /// The full list; absent backends have departed.
     Full,
-    /// The full list as of before a restart, possibly out of date.
+    /// The full list stored before a restart, possibly out of date.
     Cached,
-    /// The call or the subscription failed; the last list stays.
+    /// The call or the subscription failed; the last list remains valid.
     Lost,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
     Ok,
-    /// An error answer; it may have run.
+    /// An error response; the attempt may have run.
     Error,
-    /// Rejected unprocessed.
+    /// The backend rejected the attempt unprocessed.
     Full,
-    /// No answer in time; it may have run or still run.
+    /// No answer in time; the attempt may have run or may still run.
     TimedOut,
-    /// No connection was made.
+    /// No connection was established.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection was reset; the attempt may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// Cancelled; the attempt may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NeverSent,
 }
 
@@ -84,43 +84,44 @@
     pub class: ClassId,
     /// Its tenant, if any.
     pub tenant: Option<TenantId>,
-    /// Time until the client gives up.
+    /// Time until the client's deadline.
     pub remaining: Micros,
-    /// The expected work, as time on a standard core.
+    /// Expected work, as time on a standard core.
     pub work_hint: Option<Micros>,
-    /// The client marks it as a retry.
+    /// Whether the client marks it as a retry.
     pub repeat: bool,
-    /// Its source did not wait for the retry time that it was given.
+    /// Whether its source retried before the `Retry-After` delay that it was given had passed.
     pub retried_early: bool,
-    /// It comes from another region that cannot serve it.
+    /// Whether another region forwarded it.
     pub from_other_region: bool,
 }
 
-/// Which requests may be handed to another region; the last offer is in force.
+/// Capacity that other regions offer for forwarded requests. A new offer replaces the previous one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Offer {
-    /// Number of requests of each class; empty: none.
+    /// Number of requests of each class that may be forwarded; empty means none.
     pub capacity: Vec<u32>,
-    /// Duration of the hop, without serving.
+    /// Time that forwarding adds to a request, without the service time.
     pub hop_duration: Micros,
-    /// Of each class the fraction that need not be attempted here first, 0 to 1: what the fleet here cannot serve.
+    /// Fraction of each class, 0 to 1, that is forwarded without a local attempt: the local fleet cannot serve it.
     pub direct_fraction: Vec<f64>,
 }
 
 impl Offer {
-    /// The number of requests of the class.
+    /// Number of requests of the class that may be forwarded.
     pub fn capacity(&self, class: usize) -> u32 {
         self.capacity.get(class).copied().unwrap_or(0)
     }
 }
 
-/// The proxies that share the traffic, as they are seen now. Without it, a proxy assumes the configured number
-/// and an even fraction. What all together may never exceed is divided by the configured number in any case.
+/// The live proxies that share the traffic. Without this event a proxy assumes the configured number of proxies and
+/// an even fraction. Budgets that all proxies together must never exceed are divided by at least the configured
+/// number.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tier {
-    /// How many are live, this one included.
+    /// Number of live proxies, this one included.
     pub proxies: u32,
-    /// Which of them this one is, from 0, in an order that all share.
+    /// Index of this proxy, from 0, in an order that all proxies share.
     pub position: u32,
     /// Its traffic relative to an even fraction.
     pub weight: f64,
@@ -138,18 +139,19 @@
     }
 }
 
-/// How this proxy uses a backend, as the live proxies have assigned it.
+/// Assignment of a backend to this proxy, as the live proxies have computed it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackendAssignment {
-    /// Which.
+    /// The backend.
     pub backend: BackendId,
-    /// Its weight in this proxy's traffic, relative to the mean of those of its kind that this one uses.
+    /// Its weight in this proxy's traffic, relative to the mean of this proxy's backends of the same kind.
     pub weight: f64,
     /// This proxy's fraction of the backend's limit.
     pub fraction: f64,
-    /// Sum of the fractions of the users before this one, in an order that all share: rotation goes by it.
+    /// Sum of the fractions of the backend's users that precede this proxy, in an order that all proxies share. The
+    /// rotation of slots depends on it.
     pub preceding: f64,
-    /// How many use it.
+    /// Number of proxies that use the backend.
     pub users: u32,
 }
 
@@ -163,41 +165,42 @@
             && self.users > 0
     }
 
-    /// The offset that rounds its fraction of the limit: the users' slots add up to the limit, and rotate.
-    pub(crate) fn coin(&self, limit: f64, turn: u64) -> f64 {
+    /// The offset that is added before this proxy's fraction of the limit is rounded down: the slots of all users
+    /// add up to the limit, and rotate among them.
+    pub(crate) fn rounding_offset(&self, limit: f64, turn: u64) -> f64 {
         let users = u64::from(self.users);
         let step = (self.backend.0.wrapping_add(turn) % users) as f64 + 0.5;
         (self.preceding * limit + step / users as f64).fract()
     }
 }
 
-/// A retry storm as the host detects it, and the limits while it lasts.
+/// Limits while the host detects a retry storm.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StormLimits {
-    /// Requests per second that this proxy may admit; `None`: no storm, no limit.
+    /// Requests per second that this proxy may admit; `None` means no storm and no limit.
     pub admit_per_s: Option<f64>,
-    /// Second attempts may be sent while one is in flight.
+    /// Whether a second attempt may be sent while the first is in flight.
     pub hedging: bool,
-    /// Retries for each new request of the class.
+    /// Retries per new request of a class.
     pub retry_ratio: f64,
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
     /// The request.
     pub request: RequestId,
     /// The attempt.
     pub attempt: AttemptNo,
-    /// How.
+    /// Its outcome.
     pub outcome: Outcome,
     /// Time since the dispatch.
     pub latency: Micros,
-    /// The request has had its final answer; the module gives none.
+    /// Whether the request has had its final answer; if so, the balancer gives none.
     pub answered: bool,
 }
 
-/// What the host reports to the module.
+/// An event that the host reports to the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// An update of the list of backends.
@@ -207,9 +210,9 @@
         /// The entries.
         backends: Vec<Backend>,
     },
-    /// A client's request: it gets one final answer.
+    /// A client's request, which gets exactly one final answer.
     Request(Arrival),
-    /// The answer has begun to stream: the attempt is the client's now and no time-out runs.
+    /// The answer has begun to stream to the client: from now on the attempt has no time-out.
     StreamStarted {
         /// The request.
         request: RequestId,
@@ -220,20 +223,20 @@
     AttemptEnded(AttemptEnd),
     /// A retry storm began, changed or ended.
     StormLimits(StormLimits),
-    /// The offer of other regions has changed.
+    /// The offer of the other regions has changed.
     Offer(Offer),
     /// The live proxies, or their fractions of the traffic, have changed.
     Tier(Tier),
-    /// All backends assigned to this proxy; none: it chooses them by the number of proxies.
+    /// All backends assigned to this proxy. If empty, the proxy selects its backends by the number of proxies.
     Assignments(Vec<BackendAssignment>),
     /// The client disconnected; no answer is due.
     ClientDisconnected {
         /// The request.
         request: RequestId,
     },
-    /// A timer fell due.
+    /// A timer expired.
     Timer {
-        /// Which.
+        /// The token of the timer.
         token: TimerToken,
     },
 }
--- a/crates/gaugesaddle-balancer/src/interface/view.rs
+++ b/crates/gaugesaddle-balancer/src/interface/view.rs
@@ -1,19 +1,19 @@
-//! Views: the state of a proxy, for operators and for other decisions of the host.
+//! Views of a proxy's state, for operators and for other decisions of the host.
 
 use super::units::BackendId;
 
-/// Why a backend's limit moved last.
+/// Reason for the last change of a backend's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitReason {
-    /// No sign of congestion yet, and no demand for more.
+    /// The limit has its initial value: neither congestion nor demand for a higher limit was observed.
     Start,
-    /// Higher concurrency did not raise latency: a step up.
+    /// Raised, since a higher concurrency did not raise latency.
     Flat,
-    /// Higher concurrency raised latency: a step down.
+    /// Lowered, since a higher concurrency raised latency.
     Congested,
-    /// The operator's minimum or maximum.
+    /// At the operator's minimum or maximum.
     Bound,
-    /// It is not learned.
+    /// The limit is not learned.
     Constant,
 }
 
@@ -33,17 +33,17 @@
 /// The limit of a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitView {
-    /// Which backend.
+    /// The backend.
     pub backend: BackendId,
-    /// Requests in flight of all proxies together, as this one knows it.
+    /// Limit of the requests in flight of all proxies together, as this proxy estimates it.
     pub limit: f64,
     /// Limit of this proxy.
     pub slots: u32,
     /// Requests of this proxy in flight.
     pub in_flight: u32,
-    /// Latency of its recent answers, and unloaded latency of the same requests, in seconds.
+    /// Mean latency of its recent answers, and mean unloaded latency of the same requests, in seconds.
     pub latency: Option<(f64, f64)>,
-    /// Why the limit moved last.
+    /// Reason for the last change of the limit.
     pub reason: LimitReason,
 }
 
@@ -59,24 +59,24 @@
 /// The backends of one zone, as this proxy uses them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ZoneCapacity {
-    /// Those that it uses.
+    /// Number of backends in use.
     pub backends: u32,
-    /// Of these, how many are unhealthy.
+    /// Number of these that are unhealthy.
     pub unhealthy: u32,
-    /// Capacity of the others for this proxy, in requests per second; infinite before any was served.
+    /// Capacity of the healthy ones for this proxy, in requests per second; infinite before any request was served.
     pub capacity_per_s: f64,
 }
 
-/// Why a request was given up.
+/// Reason for which a request was abandoned without being served here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GivenUp {
-    /// Load shedding did not admit it.
+pub enum AbandonReason {
+    /// Load shedding rejected it.
     Shed,
-    /// Only backends in slow start remained for it, beyond their capacity.
+    /// Only backends in slow start were left, and they were at their capacity.
     SlowStart,
-    /// It was queued until it could no longer be served in time.
-    Queued,
-    /// Its attempts ended without an answer and none may follow.
+    /// It exceeded its time in the queue or its deadline.
+    QueueTimeout,
+    /// Its attempts failed and no further attempt is allowed.
     Exhausted,
 }
 
@@ -89,7 +89,7 @@
     pub arrivals: f64,
     /// The fraction of the traffic that is admitted, 0 to 1.
     pub admit: f64,
-    /// Limit of the attempts in flight.
+    /// Maximum number of attempts in flight.
     pub pool: f64,
     /// Attempts in flight.
     pub in_flight: usize,
@@ -99,15 +99,15 @@
     pub ready: f64,
     /// The fraction of the traffic that has a backend, 0 to slightly above 1.
     pub routed_fraction: f64,
-    /// Requests given up so far, by [`GivenUp`].
-    pub given_up: [u64; 4],
+    /// Number of abandoned requests, by [`AbandonReason`].
+    pub abandoned: [u64; 4],
 }
 
 impl std::fmt::Display for BalancerStatus {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let BalancerStatus { rate, arrivals, admit, pool, in_flight, queued, ready, routed_fraction, .. } =
             self;
-        let [shed, slow_start, late, exhausted] = self.given_up;
+        let [shed, slow_start, late, exhausted] = self.abandoned;
         // The keys are read by operators' tools.
         write!(
             f,
--- a/crates/gaugesaddle-balancer/src/lib.rs
+++ b/crates/gaugesaddle-balancer/src/lib.rs
@@ -3,12 +3,12 @@
 //! It decides whether a request is admitted, which backend each attempt goes to, when an attempt is repeated or
 //! cancelled, which backends are ejected, and how many requests each may have in flight.
 //!
-//! - [`Balancer`]: the state machine of one proxy. It owns everything that is learned of backends, kinds (classes of
-//!   equally fast machines), request classes and tenants, and all requests without a final answer.
+//! - [`Balancer`]: the state machine of one proxy. It owns the estimates of backends, kinds (classes of equally fast
+//!   machines), request classes and tenants, and all requests without a final answer.
 //! - [`Event`] and [`Action`]: its interface. The host reports events in order, with the time at which they happened,
-//!   and carries out the actions that [`Balancer::handle`] appends. It has neither clock nor network nor threads.
-//! - [`Config`]: what a proxy is given at its start; [`settings`] reads it from a document.
-//! - [`halb_fractions`]: the split of the traffic over kinds; [`subset`]: which backends a proxy uses.
+//!   and carries out the actions that [`Balancer::handle`] appends. The balancer has no clock, network or threads.
+//! - [`Config`]: the configuration of a proxy; [`settings`] reads it from a document.
+//! - [`halb_fractions`]: the split of the traffic over kinds; [`subset`]: the selection of a proxy's backends.
 //!
 //! ```
 //! use gaugesaddle_balancer::*;
@@ -33,26 +33,27 @@
 //! # Ok::<(), ConfigError>(())
 //! ```
 //!
-//! A request's way through it:
+//! States of a request:
 //!
 //! ```text
 //!  Request --admitted--> queued --slot free--> in flight --served--> (the host has answered)
 //!     |                    |  ^                   |
 //!     |                    |  +-- may repeat -----+
-//!     +--shed--> Refuse or Leave <--too late------+--> Fail, where an attempt may have run
+//!     +--shed--> Refuse or Forward <--too late----+--> Fail, if an attempt may have run
 //! ```
 //!
 //! # Guarantees
 //!
 //! Every request whose client stays gets exactly one final answer: an attempt's, [`Action::Refuse`], [`Action::Fail`]
-//! or [`Action::Forward`]. A request that may have run is repeated only where its [`Effect`] permits, and refused only where
-//! a retry is harmless. The same events with the same seed give the same actions. Events of unknown ids have no effect.
+//! or [`Action::Forward`]. A request that may have run is repeated only if its [`Effect`] permits, and refused only
+//! if a retry is harmless. The same events with the same seed give the same actions. Events of unknown ids have no
+//! effect.
 //!
 //! # Bounds
 //!
-//! Requests leave the tables with their final answer, at their deadline at the latest, streams when they end. Departed
-//! backends leave with their last attempt in flight. A proxy's attempts in flight are bounded by the backends' limits. The host bounds
-//! the arrivals and the list of backends. Times are microseconds of the host's clock.
+//! A request is removed with its final answer, at its deadline at the latest; a stream is removed when it ends. A
+//! departed backend is removed when its last attempt in flight ends. The backends' limits bound a proxy's attempts in
+//! flight. The host bounds the arrivals and the list of backends. Times are microseconds of the host's clock.
 
 mod estimates;
 mod interface;
--- a/crates/gaugesaddle-balancer/src/logic/outcomes.rs
+++ b/crates/gaugesaddle-balancer/src/logic/outcomes.rs
@@ -1,53 +1,52 @@
-//! Outcomes of attempts: what they teach, and when a backend is ejected or counts as unresponsive.
+//! Outcomes of attempts: updates of the estimates, ejection of backends and detection of unresponsive ones.
 
 use crate::interface::*;
 use crate::limits::turn;
 use crate::records::InFlightAttempt;
 use crate::state::Balancer;
 
-/// Error fraction above which a backend is ejected: two errors close together reach it.
+/// Error fraction above which a backend is ejected: two errors in quick succession exceed it.
 const ERROR_LIMIT: f64 = 0.3;
-/// The same where the newest attempt was rejected unprocessed: a backend that accepts some remains in use.
+/// The same after an attempt that was rejected unprocessed: a backend that accepts some stays in use.
 const FULL_LIMIT: f64 = 0.7;
 /// Weight of the newest outcome in a backend's error fraction (exponential moving average).
 const ERROR_STEP: f64 = 0.2;
-/// Multiple of the usual latency after which an attempt marks its backend unresponsive without later answers.
+/// Multiple of the usual latency after which a backend without a later answer is marked unresponsive.
 const UNRESPONSIVE_AFTER: f64 = 6.0;
-/// Duration of the first ejection in seconds; it doubles with each failed return, twice at most.
-const EJECT_TERM_S: f64 = 1.0;
+/// Duration of the first ejection in seconds; it doubles with each further ejection, at most twice.
+const BASE_EJECTION_S: f64 = 1.0;
 
 impl Balancer {
-    pub(super) fn ended(&mut self, now: Time, mut end: AttemptEnd) {
+    pub(super) fn handle_attempt_end(&mut self, now: Time, mut end: AttemptEnd) {
         let id = end.request;
         let Some(flight) = self.attempts.remove(&(id, end.attempt)) else { return };
         let InFlightAttempt { backend, class, late, .. } = flight;
-        self.load_mean.at(now, self.in_flight as f64);
+        self.mean_in_flight.update(now, self.in_flight as f64);
         self.in_flight -= 1;
         if end.outcome == Outcome::Cancelled && end.latency > self.cfg.classes[class].latency_objective {
-            // Its client left after the objective: counts against the backend like a time-out.
+            // The client disconnected after the objective: counts as a time-out of the backend.
             end.outcome = Outcome::TimedOut;
         }
-        // A rejected attempt says nothing of load elsewhere: the backend drains, hangs or is out of
-        // connections.
+        // A rejected attempt is no sign of general load: the backend drains, hangs or lacks connections.
         let judged = matches!(end.outcome, Outcome::Ok | Outcome::TimedOut);
         if judged && !late {
-            self.adjust_admission(end.outcome == Outcome::Ok && end.latency < self.brisk(backend, class));
+            self.adjust_admission(end.outcome == Outcome::Ok && end.latency < self.fast_time(backend, class));
         }
-        self.learn(now, &flight, &end);
+        self.update_estimates(now, &flight, &end);
         let Some(r) = self.requests.get_mut(&id) else { return };
-        if let Some(s) = r.sent.get_mut(end.attempt.0 as usize) {
+        if let Some(s) = r.attempts.get_mut(end.attempt.0 as usize) {
             (s.in_flight, s.never_ran) = (false, end.outcome.never_ran());
         }
         if end.answered || end.outcome == Outcome::Ok {
             let in_time = end.outcome == Outcome::Ok && now <= r.objective_at;
-            self.close(id, Some(in_time));
+            self.close_request(id, Some(in_time));
         } else if !r.has_attempt_in_flight() && !self.queue.contains(&id) {
-            self.queue.push(id); // `pump` sends it again or gives it up
+            self.queue.push(id); // `dispatch_queued` sends it again or abandons it
         }
     }
 
-    /// Updates the estimates of the backend, its kind and its class by an outcome.
-    fn learn(&mut self, now: Time, flight: &InFlightAttempt, end: &AttemptEnd) {
+    /// Updates the estimates of the backend, its kind and the class from an outcome.
+    fn update_estimates(&mut self, now: Time, flight: &InFlightAttempt, end: &AttemptEnd) {
         let InFlightAttempt { backend: id, class, sent_at: sent, .. } = *flight;
         self.record_load(now, id);
         let took = end.latency.secs().max(1e-6);
@@ -62,8 +61,8 @@
             Outcome::Ok => {
                 p.answered = now;
                 p.errors *= 1.0 - ERROR_STEP;
-                p.strikes = 0;
-                // Only served requests update limits: errors may be fast.
+                p.ejections = 0;
+                // Only served requests are samples of the latency: errors may be fast.
                 let k = self.kinds.entry(kind).or_default();
                 let expected = usual * k.latency.get().unwrap_or(took) / self.overall.get().unwrap_or(took);
                 p.relative.add(now, (took / expected.max(1e-6)).ln());
@@ -71,14 +70,14 @@
                 let unloaded = k.unloaded.get(class);
                 p.limiter.served(took, usual, unloaded.unwrap_or(took));
                 if self.cfg.limits.learned {
-                    let (_, turn, settled) = turn(sent, id, self.turn);
+                    let (_, turn, settled) = turn(sent, id, self.turn_length);
                     let relative = took / (usual * p.limiter.relative()).max(1e-9);
-                    k.search.answered(settled.then_some(turn), relative);
+                    k.search.record_latency(settled.then_some(turn), relative);
                 }
                 self.record_served(kind, class, end.latency);
             }
             Outcome::Cancelled | Outcome::NeverSent => {}
-            // A time-out does not count where the backend answered since: the request may just be heavy.
+            // A time-out does not count if the backend answered since: the request may just be heavy.
             Outcome::TimedOut if p.answered >= sent => {}
             Outcome::Error | Outcome::Full | Outcome::Reset => {
                 p.answered = now;
@@ -93,18 +92,18 @@
     }
 
     fn eject(&mut self, now: Time, id: BackendId, cause: Outcome) {
-        let term = EJECT_TERM_S * (0.75 + 0.5 * self.rng.unit());
+        let duration_s = BASE_EJECTION_S * (0.75 + 0.5 * self.rng.unit());
         let Some(p) = self.backends.get_mut(&id) else { return };
         if p.ejected.is_none_or(|until| now >= until) {
-            p.ejected = Some(now + Micros::from_secs(term * f64::from(p.strikes.min(2)).exp2()));
-            (p.strikes, p.ready) = (p.strikes + 1, 0.0);
-            p.absent = cause == Outcome::ConnectFailed && p.strikes > 1;
-            self.wake_by(now + self.cfg.tick);
+            p.ejected = Some(now + Micros::from_secs(duration_s * f64::from(p.ejections.min(2)).exp2()));
+            (p.ejections, p.readiness) = (p.ejections + 1, 0.0);
+            p.absent = cause == Outcome::ConnectFailed && p.ejections > 1;
+            self.schedule_by(now + self.cfg.tick);
             self.log(now, format!("backend {} ejected: {cause:?}", id.0));
         }
     }
 
-    /// Marks the backends without an answer for much longer than usual as unresponsive.
+    /// Marks backends as unresponsive that have not answered for much longer than usual.
     pub(super) fn detect_unresponsive(&mut self, now: Time) {
         let before = std::mem::take(&mut self.unresponsive);
         for id in &before {
@@ -112,25 +111,25 @@
         }
         let mut attempts = std::mem::take(&mut self.attempts);
         for InFlightAttempt { backend, class, sent_at: sent, late, .. } in attempts.values_mut() {
-            // Lateness counts when the time is up: an overloaded backend answers only much later.
-            let limit = *sent + self.brisk(*backend, *class);
+            // A late attempt counts as soon as it is late: an overloaded backend answers only much later.
+            let limit = *sent + self.fast_time(*backend, *class);
             if !*late && now >= limit {
                 *late = true;
                 self.adjust_admission(false);
             }
-            let usual = self.usual(*class);
-            let from = *sent + usual.times(UNRESPONSIVE_AFTER);
-            let next = if now < from { from } else { now + usual };
-            self.wake_by(if *late { next } else { next.min(limit) });
-            let peer = self.backends.get_mut(backend).filter(|p| now >= from && p.answered <= *sent);
-            if let Some(p) = peer {
+            let usual = self.usual_latency(*class);
+            let suspect_at = *sent + usual.times(UNRESPONSIVE_AFTER);
+            let next = if now < suspect_at { suspect_at } else { now + usual };
+            self.schedule_by(if *late { next } else { next.min(limit) });
+            let silent = self.backends.get_mut(backend).filter(|p| now >= suspect_at && p.answered <= *sent);
+            if let Some(p) = silent {
                 p.unresponsive = true;
                 self.unresponsive.push(*backend);
             }
         }
         self.attempts = attempts;
         if self.attempts.is_empty() && !before.is_empty() {
-            self.blocked = 0.0; // no other event will report that the unresponsive backend has capacity again
+            self.blocked_below = 0.0; // no other event reports that the backend has capacity again
         }
     }
 }
--- a/crates/gaugesaddle-balancer/src/mix.rs
+++ b/crates/gaugesaddle-balancer/src/mix.rs
@@ -1,4 +1,4 @@
-//! Pseudo-random numbers that all proxies derive alike, without communication.
+//! Pseudo-random numbers that are the same at all proxies, without communication.
 
 /// A pseudo-random number derived from `a`: the finalizer of SplitMix64 (Steele, Lea, Flood 2014).
 pub fn mix(a: u64) -> u64 {
--- a/crates/gaugesaddle-balancer/src/settings.rs
+++ b/crates/gaugesaddle-balancer/src/settings.rs
@@ -1,9 +1,9 @@
-//! Reads the configuration, and the names of classes, tenants and zones, from an instance's settings.
+//! Reads the configuration and the names of classes, tenants and zones from the settings document of a proxy.
 
 use crate::interface::*;
 use serde_json::Value;
 
-/// Names of classes and tenants in the order of their numbers, and of zones in the order of the settings.
+/// Names of classes and tenants in the order of their indices, and of zones in the order of the settings.
 #[derive(Default)]
 pub struct Names {
     classes: Vec<String>,
@@ -12,7 +12,7 @@
     zone: String,
 }
 
-/// The number of an address, zone or kind: the same in every process.
+/// The identifier of an address, zone or kind: a hash of its name, the same in every process.
 pub fn stable_id(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
         (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3) // FNV-1a
@@ -20,7 +20,7 @@
 }
 
 impl Names {
-    /// The number of a class.
+    /// The index of a class.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         self.classes.iter().position(|n| n == name).map(ClassId)
     }
@@ -29,7 +29,7 @@
     pub fn has_tenants(&self) -> bool {
         !self.tenants.is_empty()
     }
-    /// The names of the classes, in the order of their numbers.
+    /// The names of the classes, in the order of their indices.
     pub fn classes(&self) -> &[String] {
         &self.classes
     }
@@ -44,45 +44,45 @@
         &self.zone
     }
 
-    /// The number of a tenant.
+    /// The index of a tenant.
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
         self.tenants.iter().position(|n| n == name).map(TenantId)
     }
 }
 
-/// Why a value of a document is not valid, with its path.
+/// An invalid value in a document, with its path.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
-    /// The key is missing.
+    /// A required key is missing.
     #[error("{path}: missing, expected {expected}")]
     Missing {
         /// The path of the key.
         path: String,
-        /// What was expected.
+        /// The expected value.
         expected: String,
     },
-    /// The value has another type or range.
+    /// The value has a wrong type or is out of its range.
     #[error("{path}: expected {expected}, got {got}")]
     Invalid {
         /// The path of the value.
         path: String,
-        /// What was expected.
+        /// The expected value.
         expected: String,
-        /// The value, truncated where it is long.
+        /// The value found, truncated to a maximum length.
         got: String,
     },
-    /// A name that must be unique.
-    #[error("{path}: the name stands twice")]
+    /// A name is not unique.
+    #[error("{path}: expected a unique name, got a duplicate")]
     Duplicate {
-        /// The path of the second one.
+        /// The path of the duplicate.
         path: String,
     },
 }
 
-/// Maximum characters of a value that an error shows.
+/// Maximum characters of a value in an error message.
 const SHOWN: usize = 120;
 
-/// A value inside a JSON document, with its path for errors.
+/// A value in a JSON document, with its path for error messages.
 pub struct Key<'a> {
     path: String,
     value: Option<&'a Value>,
@@ -93,7 +93,7 @@
     pub fn root(value: &'a Value) -> Key<'a> {
         Key { path: String::new(), value: Some(value) }
     }
-    /// A value that is read by itself, with its path in the document.
+    /// A value that was parsed separately, with its path in the document.
     pub fn at(path: String, value: &'a Value) -> Key<'a> {
         Key { path, value: Some(value) }
     }
@@ -113,50 +113,50 @@
     /// The parsed value.
     ///
     /// # Errors
-    /// Where it is `None`: names `what` as expected.
+    /// Returns an error that names `what` as expected if `got` is `None`.
     pub fn require<T>(&self, got: Option<T>, what: &str) -> Result<T, KeyError> {
         got.ok_or_else(|| match self.value {
             Some(v) => self.invalid_value(what, &v.to_string()),
             None => KeyError::Missing { path: self.path.clone(), expected: what.into() },
         })
     }
-    /// The error that `got` is not the expected `what`.
+    /// The error for the value `got` where `what` was expected.
     pub fn invalid_value(&self, what: &str, got: &str) -> KeyError {
         let got = got.chars().take(SHOWN).collect();
         KeyError::Invalid { path: self.path.clone(), expected: what.into(), got }
     }
-    /// Text.
+    /// The value as a string.
     ///
     /// # Errors
-    /// The value is no text.
+    /// The value is missing or not a string.
     pub fn text(&self) -> Result<&'a str, KeyError> {
         self.require(self.value.and_then(Value::as_str), "text")
     }
-    /// True or false.
+    /// The value as a boolean.
     ///
     /// # Errors
-    /// The value is neither true nor false.
+    /// The value is missing or not a boolean.
     pub fn flag(&self) -> Result<bool, KeyError> {
         self.require(self.value.and_then(Value::as_bool), "true or false")
     }
-    /// A number.
+    /// The value as a floating-point number.
     ///
     /// # Errors
-    /// The value is no number.
+    /// The value is missing or not a number.
     pub fn real(&self) -> Result<f64, KeyError> {
         self.require(self.value.and_then(Value::as_f64), "a number")
     }
-    /// A span in integer microseconds.
+    /// The value as a duration in integer microseconds.
     ///
     /// # Errors
-    /// The value is no whole number of microseconds.
+    /// The value is missing or not a whole number of microseconds.
     pub fn micros(&self) -> Result<Micros, KeyError> {
         self.require(self.value.and_then(Value::as_u64), "whole microseconds").map(Micros)
     }
-    /// A non-negative integer.
+    /// The value as a non-negative integer.
     ///
     /// # Errors
-    /// The value is no whole number of 32 bits.
+    /// The value is missing or not a non-negative integer of 32 bits.
     pub fn count(&self) -> Result<u32, KeyError> {
         let got = self.value.and_then(Value::as_u64).and_then(|n| u32::try_from(n).ok());
         self.require(got, "a whole number")
@@ -164,7 +164,7 @@
     /// The items of an array.
     ///
     /// # Errors
-    /// The value is no list.
+    /// The value is missing or not an array.
     pub fn list(&self) -> Result<Vec<Key<'a>>, KeyError> {
         let items = self.require(self.value.and_then(Value::as_array), "an array")?;
         Ok(items.iter().enumerate().map(|(n, value)| self.item(n, value)).collect())
@@ -174,7 +174,7 @@
 /// Reads the settings; unknown keys are ignored.
 ///
 /// # Errors
-/// The first value that is missing or not valid, by its path.
+/// Returns the first value that is missing or invalid, with its path.
 pub fn read(root: &Key) -> Result<(Config, Names), KeyError> {
     let mut names = Names::default();
     let my_zone = root.get("my_zone");
@@ -225,12 +225,12 @@
         slow_start: rules.get("ramp_time_us").micros()?,
         fall_multiple: rules.get("fall_multiple").real()?,
         fall_window: rules.get("tip_after_us").micros()?,
-        limits: LimitBounds::default(), // the operator's file has them
+        limits: LimitBounds::default(), // set from the operator's file
     };
     Ok((config, names))
 }
 
-/// Reads a class, and adds its name to `names`.
+/// Reads a class and adds its name to `names`.
 fn read_class(class: &Key, names: &mut Names) -> Result<Class, KeyError> {
     let name = class.get("name");
     if names.classes.iter().any(|n| name.text().is_ok_and(|m| m == n)) {
--- a/crates/gaugesaddle-balancer/src/subset.rs
+++ b/crates/gaugesaddle-balancer/src/subset.rs
@@ -1,7 +1,7 @@
-//! Subsetting: which backends a proxy uses where proxies are many. No clock, no I/O.
+//! Deterministic subsetting: the backends that a proxy uses where there are many proxies.
 //!
-//! If each of many proxies used every backend, it would keep connections to all that are hardly used, and
-//! learn too little of each. So proxies are assigned in rounds, as in deterministic subsetting (Site
+//! If each of many proxies used every backend, it would keep rarely used connections to all of them and have
+//! too few samples of each. So proxies are assigned in rounds, as in deterministic subsetting (Site
 //! Reliability Engineering, chapter 20): in a round the backends are shuffled and divided into as many groups
 //! as the round has proxies, and each proxy uses one group. Every backend is in one group of each round, so
 //! all have the same number of users, and two backends share few users: an unhealthy backend's load spreads
@@ -11,19 +11,19 @@
 use crate::mix::mix;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Approximate number of proxies that use a backend: few enough that each learns it from its own traffic, and
-/// enough for the sum of their traffic to be even.
+/// Approximate number of proxies that use a backend: few enough that each gets samples from its own traffic,
+/// and enough that the sum of their traffic is even.
 const TARGET_USERS: u32 = 20;
 /// Minimum backends of a proxy: with a third of them unhealthy it still has a choice in each of three zones.
 const MIN_BACKENDS: usize = 8;
 
-/// Number of groups in a round; 1: every proxy uses all backends.
+/// Number of groups in a round; with 1, every proxy uses all backends.
 pub fn groups(proxies: u32, backends: usize) -> u64 {
     u64::from(proxies / TARGET_USERS).min((backends / MIN_BACKENDS) as u64).max(1)
 }
 
-/// The backends that a proxy uses of those listed ready. Each kind is divided by itself, with its zones
-/// interleaved, so that groups have the same mix of both. A change of one backend moves few others.
+/// Selects a proxy's backends from those listed as ready. Each kind is divided separately, with its zones
+/// interleaved, so that all groups have the same mix of both. A change of one backend moves few others.
 pub fn select(position: u32, proxies: u32, listed: &[(BackendId, KindId, ZoneId)]) -> BTreeSet<BackendId> {
     let groups = groups(proxies, listed.len());
     let (round, group) = (u64::from(position) / groups, u64::from(position) % groups);
