--- a/crates/gaugesaddle-balancer/tests/common/mod.rs
+++ b/crates/gaugesaddle-balancer/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! A host for one balancer that carries out its actions and checks every rule as it goes.
+//! A host for one balancer that carries out its actions and checks the guarantees after each of them.
 #![allow(dead_code)]
 
 use gaugesaddle_balancer::*;
 use std::collections::BTreeMap;
 
 #[derive(Clone)]
-pub struct Try {
+pub struct Attempt {
     pub backend: BackendId,
     pub zone: ZoneId,
     pub cell: CellId,
@@ -13,17 +13,17 @@
     pub outcome: Option<Outcome>,
 }
 
-impl Try {
-    /// No outcome proves yet that it did not run.
+impl Attempt {
+    /// Whether no outcome proves that it did not run.
     pub fn may_have_run(&self) -> bool {
         self.outcome.is_none_or(|o| !o.never_ran())
     }
 }
 
-pub struct Open {
+pub struct TrackedRequest {
     pub class: usize,
     pub deadline: Time,
-    pub tries: Vec<Try>,
+    pub attempts: Vec<Attempt>,
     pub streaming: bool,
     pub answer: Option<&'static str>,
 }
@@ -33,14 +33,14 @@
     pub balancer: Balancer,
     pub now: Time,
     pub list: BTreeMap<BackendId, Backend>,
-    pub requests: BTreeMap<RequestId, Open>,
+    pub requests: BTreeMap<RequestId, TrackedRequest>,
     pub timers: Vec<(Time, TimerToken)>,
-    pub follows: u32,
+    pub subscriptions: u32,
     pub cancelled: Vec<(RequestId, usize)>,
     pub logs: Vec<String>,
-    pub last: Vec<Action>,
+    pub last_actions: Vec<Action>,
     pub repeat: bool,
-    next: u64,
+    last_id: u64,
 }
 
 pub fn backend(id: u32, zone: u32, kind: u32) -> Backend {
@@ -67,7 +67,7 @@
 
 impl Host {
     pub fn new(cfg: Config, seed: u64) -> Host {
-        let balancer = Balancer::new(cfg.clone(), seed).expect("sound");
+        let balancer = Balancer::new(cfg.clone(), seed).expect("a valid configuration");
         Host {
             cfg,
             balancer,
@@ -75,19 +75,19 @@
             list: BTreeMap::new(),
             requests: BTreeMap::new(),
             timers: Vec::new(),
-            follows: 0,
+            subscriptions: 0,
             cancelled: Vec::new(),
             logs: Vec::new(),
-            last: Vec::new(),
+            last_actions: Vec::new(),
             repeat: false,
-            next: 0,
+            last_id: 0,
         }
     }
 
     pub fn event(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
-        self.last = actions.clone();
+        self.last_actions = actions.clone();
         for action in actions {
             self.apply(action);
         }
@@ -96,63 +96,76 @@
     fn apply(&mut self, action: Action) {
         match action {
             Action::Dispatch { request, backend } => {
-                let r = self.requests.get_mut(&request).expect("dispatch of a known request");
-                assert!(r.answer.is_none(), "sent after the final answer");
-                let b = self.list.get(&backend).expect("a listed backend");
-                assert_eq!(b.state, BackendState::Ready, "sent to a backend that drains or is gone");
-                assert!(r.tries.len() < self.cfg.max_attempts as usize, "too many attempts");
-                assert!(self.cfg.hedging || r.tries.iter().all(|t| t.outcome.is_some()), "two at once");
-                for t in r.tries.iter().filter(|t| t.may_have_run()) {
+                let r = self.requests.get_mut(&request).expect("a known request is dispatched");
+                assert!(r.answer.is_none(), "dispatched after the final answer");
+                let b = self.list.get(&backend).expect("the backend is in the list");
+                assert_eq!(
+                    b.state,
+                    BackendState::Ready,
+                    "dispatched to a backend that is draining or departed"
+                );
+                assert!(r.attempts.len() < self.cfg.max_attempts as usize, "more attempts than max_attempts");
+                assert!(
+                    self.cfg.hedging || r.attempts.iter().all(|t| t.outcome.is_some()),
+                    "two attempts in flight without hedging"
+                );
+                for t in r.attempts.iter().filter(|t| t.may_have_run()) {
                     match self.cfg.classes[r.class].effect {
                         Effect::Free => {}
-                        Effect::Unsafe => panic!("an unsafe request was sent twice"),
+                        Effect::Unsafe => panic!("an unsafe request that may have run was dispatched again"),
                         Effect::Keyed(scope, window) => {
-                            assert!(self.now <= t.at + window, "a key was repeated after its window");
+                            assert!(
+                                self.now <= t.at + window,
+                                "an idempotency key was repeated after its window"
+                            );
                             let same = match scope {
                                 KeyScope::All => true,
                                 KeyScope::Zone => t.zone == b.zone,
                                 KeyScope::Cell => t.cell == b.cell,
                             };
-                            assert!(same, "a key was repeated outside its scope");
+                            assert!(same, "an idempotency key was repeated outside its scope");
                         }
                     }
                 }
                 let (zone, cell, at) = (b.zone, b.cell, self.now);
-                r.tries.push(Try { backend, zone, cell, at, outcome: None });
+                r.attempts.push(Attempt { backend, zone, cell, at, outcome: None });
             }
             Action::Refuse { request } => {
                 let r = self.requests.get_mut(&request).expect("a known request");
-                let ran = r.tries.iter().any(Try::may_have_run);
+                let may_have_run = r.attempts.iter().any(Attempt::may_have_run);
                 let free = matches!(
                     self.cfg.classes[r.class].effect,
                     Effect::Free | Effect::Keyed(KeyScope::All, _)
                 );
-                assert!(free || !ran, "refused what may have run");
-                assert!(r.answer.replace("refused").is_none(), "answered twice");
+                assert!(free || !may_have_run, "refused a request that may have run");
+                assert!(r.answer.replace("refused").is_none(), "two final answers");
             }
             Action::Forward { request } => {
                 let r = self.requests.get_mut(&request).expect("a known request");
-                let ran = r.tries.iter().any(Try::may_have_run);
+                let may_have_run = r.attempts.iter().any(Attempt::may_have_run);
                 assert!(
-                    !ran || self.cfg.classes[r.class].effect == Effect::Free,
-                    "left though it may have run"
+                    !may_have_run || self.cfg.classes[r.class].effect == Effect::Free,
+                    "forwarded a request that may have run"
                 );
-                assert!(r.answer.replace("left").is_none(), "left after its answer");
+                assert!(r.answer.replace("forwarded").is_none(), "forwarded after its final answer");
             }
             Action::Fail { request } => {
                 let r = self.requests.get_mut(&request).expect("a known request");
-                assert!(r.answer.replace("failed").is_none(), "answered twice");
+                assert!(r.answer.replace("failed").is_none(), "two final answers");
             }
             Action::Cancel { request, attempt } => {
-                assert!(self.cfg.cancel, "cancel is not allowed");
+                assert!(self.cfg.cancel, "cancelled although the configuration does not allow it");
                 let r = &self.requests[&request];
-                assert!((attempt.0 as usize) < r.tries.len(), "cancelled what was never sent");
+                assert!(
+                    (attempt.0 as usize) < r.attempts.len(),
+                    "cancelled an attempt that was never dispatched"
+                );
                 self.cancelled.push((request, attempt.0 as usize));
             }
             Action::SetTimer { token, after } => self.timers.push((self.now + after, token)),
             Action::SubscribeBackends => {
                 assert_ne!(self.cfg.discovery, Discovery::Push);
-                self.follows += 1;
+                self.subscriptions += 1;
             }
             Action::Log(text) => self.logs.push(text),
         }
@@ -168,21 +181,22 @@
         self.event(Event::Members { update, backends });
     }
 
-    pub fn arrive(&mut self, class: usize, left: u64) -> RequestId {
-        self.arrive_for(class, left, None)
+    pub fn arrive(&mut self, class: usize, remaining: u64) -> RequestId {
+        self.arrive_for(class, remaining, None)
     }
 
-    pub fn arrive_for(&mut self, class: usize, left: u64, tenant: Option<TenantId>) -> RequestId {
-        self.next += 1;
-        let id = RequestId(self.next);
-        let deadline = self.now + Micros(left);
-        let open = Open { class, deadline, tries: Vec::new(), streaming: false, answer: None };
-        self.requests.insert(id, open);
+    pub fn arrive_for(&mut self, class: usize, remaining: u64, tenant: Option<TenantId>) -> RequestId {
+        self.last_id += 1;
+        let id = RequestId(self.last_id);
+        let deadline = self.now + Micros(remaining);
+        let tracked =
+            TrackedRequest { class, deadline, attempts: Vec::new(), streaming: false, answer: None };
+        self.requests.insert(id, tracked);
         self.event(Event::Request(Arrival {
             request: id,
             class: ClassId(class),
             tenant,
-            remaining: Micros(left),
+            remaining: Micros(remaining),
             work_hint: None,
             repeat: self.repeat,
             retried_early: false,
@@ -191,13 +205,13 @@
         id
     }
 
-    /// So many requests at once.
-    pub fn burst(&mut self, count: usize, class: usize, left: u64) -> Vec<RequestId> {
-        (0..count).map(|_| self.arrive(class, left)).collect()
+    /// `count` requests that arrive at the same time.
+    pub fn burst(&mut self, count: usize, class: usize, remaining: u64) -> Vec<RequestId> {
+        (0..count).map(|_| self.arrive(class, remaining)).collect()
     }
 
-    /// One event of each sort about things that were never heard of.
-    pub fn nonsense(&mut self, request: RequestId, attempt: AttemptNo, token: TimerToken) {
+    /// Reports one event of each type with unknown ids.
+    pub fn send_unknown_ids(&mut self, request: RequestId, attempt: AttemptNo, token: TimerToken) {
         let (outcome, latency) = (Outcome::Error, Micros(5));
         self.event(Event::Timer { token });
         self.event(Event::ClientDisconnected { request });
@@ -205,38 +219,32 @@
         self.event(Event::AttemptEnded(AttemptEnd { request, attempt, outcome, latency, answered: false }));
     }
 
-    /// Ends an attempt that is out.
+    /// Ends an attempt in flight; no effect on any other.
     pub fn end(&mut self, id: RequestId, no: usize, outcome: Outcome) {
         let now = self.now;
         let Some(r) = self.requests.get_mut(&id) else { return };
-        let Some(t) = r.tries.get_mut(no).filter(|t| t.outcome.is_none()) else { return };
+        let Some(t) = r.attempts.get_mut(no).filter(|t| t.outcome.is_none()) else { return };
         t.outcome = Some(outcome);
         let latency = now - t.at;
         if outcome == Outcome::Ok && r.answer.is_none() {
             r.answer = Some("served");
         }
-        let settled = r.answer.is_some();
+        let answered = r.answer.is_some();
         let attempt = AttemptNo(no as u32);
-        self.event(Event::AttemptEnded(AttemptEnd {
-            request: id,
-            attempt,
-            outcome,
-            latency,
-            answered: settled,
-        }));
+        self.event(Event::AttemptEnded(AttemptEnd { request: id, attempt, outcome, latency, answered }));
     }
 
     pub fn start_stream(&mut self, id: RequestId, no: usize) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| r.answer.is_none() && !r.streaming) else {
             return;
         };
-        if r.tries.get(no).is_some_and(|t| t.outcome.is_none()) {
+        if r.attempts.get(no).is_some_and(|t| t.outcome.is_none()) {
             r.streaming = true;
             self.event(Event::StreamStarted { request: id, attempt: AttemptNo(no as u32) });
         }
     }
 
-    /// Lets time pass; timers and time-outs fire when due, and every deadline is checked.
+    /// Advances the time in ticks: fires timers and time-outs when they are due, and checks every deadline.
     pub fn advance(&mut self, span: u64) {
         let until = self.now + Micros(span);
         while self.now < until {
@@ -250,7 +258,7 @@
             for (id, no) in std::mem::take(&mut self.cancelled) {
                 self.end(id, no, Outcome::Cancelled);
             }
-            for (id, no) in self.out() {
+            for (id, no) in self.in_flight() {
                 let r = &self.requests[&id];
                 if r.deadline <= self.now && !r.streaming {
                     self.end(id, no, Outcome::TimedOut);
@@ -258,26 +266,29 @@
             }
             for (id, r) in &self.requests {
                 let open = r.answer.is_none() && !r.streaming;
-                assert!(!open || self.now < r.deadline + Micros(16_000), "no answer in time for {id:?}");
+                assert!(
+                    !open || self.now < r.deadline + Micros(16_000),
+                    "no final answer by the deadline of {id:?}"
+                );
             }
         }
     }
 
     pub fn sent_to(&self, id: RequestId) -> Vec<u32> {
-        self.requests[&id].tries.iter().map(|t| t.backend.0 as u32).collect()
+        self.requests[&id].attempts.iter().map(|t| t.backend.0 as u32).collect()
     }
 
-    /// Serves everything that is out, each after `span`.
+    /// Serves all attempts in flight after `span`.
     pub fn serve_all(&mut self, span: u64) {
         self.advance(span);
-        for (id, no) in self.out() {
+        for (id, no) in self.in_flight() {
             self.end(id, no, Outcome::Ok);
         }
     }
 
-    pub fn out(&self) -> Vec<(RequestId, usize)> {
+    pub fn in_flight(&self) -> Vec<(RequestId, usize)> {
         let each = self.requests.iter().flat_map(|(id, r)| {
-            r.tries.iter().enumerate().filter(|(_, t)| t.outcome.is_none()).map(|(no, _)| (*id, no))
+            r.attempts.iter().enumerate().filter(|(_, t)| t.outcome.is_none()).map(|(no, _)| (*id, no))
         });
         each.collect()
     }
--- a/crates/gaugesaddle-balancer/tests/invariants.rs
+++ b/crates/gaugesaddle-balancer/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The rules as invariants over generated sequences of events; `common::Host` checks each action.
+//! Invariants over generated sequences of events; `common::Host` checks each action.
 
 mod common;
 use common::{backend, class, Host};
@@ -11,11 +11,11 @@
     Arrive(usize, u64, Option<usize>),
     End(usize, Outcome),
     Stream(usize),
-    Gone(usize),
-    Pass(u64),
-    Member(u32, BackendState, bool),
-    Relist(u32, ListUpdate),
-    Nonsense(u64, u32, u64),
+    Disconnect(usize),
+    Advance(u64),
+    ChangeBackend(u32, BackendState, bool),
+    ReplaceList(u32, ListUpdate),
+    UnknownIds(u64, u32, u64),
 }
 
 fn outcome() -> impl Strategy<Value = Outcome> {
@@ -41,11 +41,11 @@
         10 => (0..6usize, 0..2_000_000u64, proptest::option::of(0..2usize)).prop_map(|(c, l, t)| Step::Arrive(c, l, t)),
         8 => (0..64usize, outcome()).prop_map(|(n, o)| Step::End(n, o)),
         1 => (0..64usize).prop_map(Step::Stream),
-        1 => (0..64usize).prop_map(Step::Gone),
-        8 => (0..150_000u64).prop_map(Step::Pass),
-        2 => (0..8u32, state, any::<bool>()).prop_map(|(b, s, r)| Step::Member(b, s, r)),
-        1 => (0..256u32, update).prop_map(|(m, u)| Step::Relist(m, u)),
-        1 => (0..200u64, 0..9u32, any::<u64>()).prop_map(|(r, a, t)| Step::Nonsense(r, a, t)),
+        1 => (0..64usize).prop_map(Step::Disconnect),
+        8 => (0..150_000u64).prop_map(Step::Advance),
+        2 => (0..8u32, state, any::<bool>()).prop_map(|(b, s, r)| Step::ChangeBackend(b, s, r)),
+        1 => (0..256u32, update).prop_map(|(m, u)| Step::ReplaceList(m, u)),
+        1 => (0..200u64, 0..9u32, any::<u64>()).prop_map(|(r, a, t)| Step::UnknownIds(r, a, t)),
     ]
 }
 
@@ -74,58 +74,58 @@
     cfg
 }
 
-/// Plays the steps and returns every action as text, for the test of repeatability.
-fn play(bits: u32, seed: u64, steps: &[Step]) -> Vec<String> {
+/// Runs the steps and returns the actions of each as text, for the test of determinism.
+fn run_steps(bits: u32, seed: u64, steps: &[Step]) -> Vec<String> {
     let mut host = Host::new(config(bits), seed);
     let mut trace = Vec::new();
     let fleet = |mask: u32| (0..8).filter(|i| mask >> i & 1 == 1).map(|i| backend(i, i % 3, i % 2)).collect();
     host.members(ListUpdate::Cached, fleet(0b0111_1011));
     for step in steps {
         match *step {
-            Step::Arrive(c, left, t) => {
-                host.arrive_for(c, left, t.map(TenantId));
+            Step::Arrive(c, remaining, t) => {
+                host.arrive_for(c, remaining, t.map(TenantId));
             }
             Step::End(n, o) => {
-                if let Some((id, no)) = nth(&host.out(), n) {
+                if let Some((id, no)) = nth(&host.in_flight(), n) {
                     host.end(id, no, o);
                 }
             }
             Step::Stream(n) => {
-                if let Some((id, no)) = nth(&host.out(), n) {
+                if let Some((id, no)) = nth(&host.in_flight(), n) {
                     host.start_stream(id, no);
                 }
             }
-            Step::Gone(n) => {
-                let open: Vec<RequestId> =
+            Step::Disconnect(n) => {
+                let unanswered: Vec<RequestId> =
                     host.requests.iter().filter(|(_, r)| r.answer.is_none()).map(|(id, _)| *id).collect();
-                if let Some(id) = nth(&open, n) {
-                    host.requests.get_mut(&id).unwrap().answer = Some("left");
+                if let Some(id) = nth(&unanswered, n) {
+                    host.requests.get_mut(&id).unwrap().answer = Some("disconnected");
                     host.event(Event::ClientDisconnected { request: id });
                 }
             }
-            Step::Pass(span) => host.advance(span),
-            Step::Member(b, state, restarted) => {
+            Step::Advance(span) => host.advance(span),
+            Step::ChangeBackend(b, state, restarted) => {
                 let booted = restarted.then_some(host.now);
                 host.members(
                     ListUpdate::Changes,
                     vec![Backend { state, booted, ..backend(b, b % 3, b % 2) }],
                 );
             }
-            Step::Relist(_, ListUpdate::Lost) => host.members(ListUpdate::Lost, Vec::new()),
-            Step::Relist(mask, update) => host.members(update, fleet(mask)),
-            Step::Nonsense(r, a, t) => {
-                host.nonsense(RequestId(1_000_000 + r), AttemptNo(a), TimerToken(t));
+            Step::ReplaceList(_, ListUpdate::Lost) => host.members(ListUpdate::Lost, Vec::new()),
+            Step::ReplaceList(mask, update) => host.members(update, fleet(mask)),
+            Step::UnknownIds(r, a, t) => {
+                host.send_unknown_ids(RequestId(1_000_000 + r), AttemptNo(a), TimerToken(t));
             }
         }
-        trace.push(format!("{:?}", host.last));
+        trace.push(format!("{:?}", host.last_actions));
     }
     host.advance(3_000_000);
-    let answered = |r: &common::Open| r.answer.is_some() || r.streaming;
-    assert!(host.requests.values().all(answered), "a request was left without an answer");
+    let answered = |r: &common::TrackedRequest| r.answer.is_some() || r.streaming;
+    assert!(host.requests.values().all(answered), "a request has no final answer");
     trace
 }
 
-/// Some item of the list, if it holds any.
+/// Item `n` modulo the length of the list, if the list is not empty.
 fn nth<T: Copy>(list: &[T], n: usize) -> Option<T> {
     list.get(n % list.len().max(1)).copied()
 }
@@ -136,10 +136,10 @@
 }
 
 #[test]
-fn rules_hold_over_generated_events() {
-    let all = (0..32u32, any::<u64>(), proptest::collection::vec(step(), 1..250));
-    let run = runner(300).run(&all, |(bits, seed, steps)| {
-        play(bits, seed, &steps);
+fn invariants_hold_over_generated_events() {
+    let inputs = (0..32u32, any::<u64>(), proptest::collection::vec(step(), 1..250));
+    let run = runner(300).run(&inputs, |(bits, seed, steps)| {
+        run_steps(bits, seed, &steps);
         Ok(())
     });
     run.unwrap();
@@ -147,9 +147,9 @@
 
 #[test]
 fn same_events_give_same_actions() {
-    let all = (0..32u32, any::<u64>(), proptest::collection::vec(step(), 1..120));
-    let run = runner(40).run(&all, |(bits, seed, steps)| {
-        prop_assert_eq!(play(bits, seed, &steps), play(bits, seed, &steps));
+    let inputs = (0..32u32, any::<u64>(), proptest::collection::vec(step(), 1..120));
+    let run = runner(40).run(&inputs, |(bits, seed, steps)| {
+        prop_assert_eq!(run_steps(bits, seed, &steps), run_steps(bits, seed, &steps));
         Ok(())
     });
     run.unwrap();
--- a/crates/gaugesaddle-balancer/tests/regressions.rs
+++ b/crates/gaugesaddle-balancer/tests/regressions.rs
@@ -1,4 +1,4 @@
-//! One small test for each behaviour and each failure found, through the public interface.
+//! One test for each behaviour and each regression, through the public interface.
 
 mod common;
 use common::{backend, class, Host};
@@ -61,7 +61,7 @@
 
 #[test]
 fn short_request_after_idle_time_is_answered_in_time() {
-    // Found by the invariants: the timer once ran ten ticks while no request was open.
+    // Regression, found by the invariants: the timer was set to ten ticks while there was no request.
     let mut host = host(Config::example(), Vec::new());
     host.advance(1_000_000);
     let id = host.arrive(0, 6_000);
@@ -92,31 +92,38 @@
 
 #[test]
 fn many_proxies_do_not_each_put_one_request_on_every_backend() {
-    // Incident i61ee64: eleven proxies with a minimum of one each overloaded every backend.
+    // Regression: eleven proxies with a minimum of one slot each overloaded every backend.
     let mut host = host(Config { proxies: 11, ..Config::example() }, fleet(22));
     host.burst(60, 0, 900_000);
-    let out = host.out().len();
-    assert!((2..=14).contains(&out), "{out} out on 22 backends, 4 of 11 parts would be 8");
+    let out = host.in_flight().len();
+    assert!(
+        (2..=14).contains(&out),
+        "{out} in flight on 22 backends; the limit of 4 divided by 11 proxies gives 8"
+    );
 }
 
 #[test]
-fn pool_bounds_total_load_of_many_proxies_without_closing_backends() {
-    // First score at full size: with a limit of 4 divided among hundreds, most backends had no slot for a
-    // given proxy, and requests were refused while backends were idle. 4 * 40 / 320 = 0.5 are due to each: a
-    // few may go.
+fn max_in_flight_bounds_load_of_many_proxies_without_excluding_backends() {
+    // Regression: with a limit of 4 divided among hundreds of proxies, most backends had no slot for a given proxy,
+    // and requests were refused while backends were idle. The mean limit of a proxy is 4 * 40 / 320 = 0.5; a few
+    // requests may be in flight.
     let mut host = host(Config { proxies: 320, ..Config::example() }, fleet(40));
     host.burst(2, 0, 900_000);
-    assert_eq!(host.out().len(), 2, "a request waits beside idle backends");
+    assert_eq!(host.in_flight().len(), 2, "a request is queued while backends are idle");
     host.burst(40, 0, 900_000);
-    assert!((2..=4).contains(&host.out().len()), "{} out", host.out().len());
+    assert!((2..=4).contains(&host.in_flight().len()), "{} in flight", host.in_flight().len());
     let backends: std::collections::BTreeSet<_> =
-        host.requests.values().flat_map(|r| &r.tries).map(|t| t.backend).collect();
-    assert_eq!(backends.len(), host.out().len(), "two on one backend while others are idle");
+        host.requests.values().flat_map(|r| &r.attempts).map(|t| t.backend).collect();
+    assert_eq!(
+        backends.len(),
+        host.in_flight().len(),
+        "two requests in flight on one backend while others are idle"
+    );
 }
 
 #[test]
-fn load_is_shed_while_answers_are_late_and_admitted_when_brisk() {
-    // Backends with too much in flight for all proxies together were overloaded and stayed slow.
+fn load_is_shed_while_answers_are_late_and_admitted_when_fast() {
+    // Regression: backends with too many requests in flight of all proxies together were overloaded and stayed slow.
     let mut host = host(Config { proxies: 300, ..Config::example() }, fleet(60));
     let refused = |host: &mut Host, time: u64| {
         let ids: Vec<RequestId> = (0..60)
@@ -129,23 +136,23 @@
             .collect();
         ids.iter().filter(|id| host.requests[id].answer == Some("refused")).count()
     };
-    assert_eq!(refused(&mut host, 100_000), 0, "brisk answers");
-    assert!(refused(&mut host, 450_000) > 20, "slow answers");
+    assert_eq!(refused(&mut host, 100_000), 0, "requests were refused while answers were fast");
+    assert!(refused(&mut host, 450_000) > 20, "load was not shed while answers were slow");
     (0..6).for_each(|_| assert!(refused(&mut host, 100_000) < 60));
-    assert!(refused(&mut host, 100_000) <= 10, "brisk answers again");
+    assert!(refused(&mut host, 100_000) <= 10, "requests are still refused after answers became fast again");
 }
 
 #[test]
-fn full_backend_is_drawn_again_and_excess_is_queued() {
+fn another_backend_is_drawn_for_a_full_one_and_excess_is_queued() {
     let mut host = host(Config { proxies: 1, ..Config::example() }, fleet(2));
     host.burst(20, 0, 900_000);
-    let out = host.out();
-    assert!((8..=10).contains(&out.len()), "{} out on two backends", out.len());
+    let out = host.in_flight();
+    assert!((8..=10).contains(&out.len()), "{} in flight on two backends", out.len());
     let (id, no) = out[0];
     host.advance(20_000);
-    let before = host.out().len();
+    let before = host.in_flight().len();
     host.end(id, no, Outcome::Ok);
-    assert_eq!(host.out().len(), before, "the room made is used at once");
+    assert_eq!(host.in_flight().len(), before, "the free slot is not used at once");
 }
 
 #[test]
@@ -153,30 +160,30 @@
     let mut host = host(config(vec![class(Effect::Free)]), fleet(6));
     serve(&mut host, 100, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
-    let hung = host.sent_to(id)[0];
+    let unresponsive = host.sent_to(id)[0];
     host.advance(50_000);
     assert_eq!(
         host.sent_to(id).len(),
         1,
-        "a copy of a merely heavy request: such copies crowd every backend"
+        "a second attempt of a request that is merely heavy: these would overload every backend"
     );
     host.advance(50_000);
     let chosen = serve(&mut host, 30, 0, |_| 5_000);
-    assert!(!chosen.contains(&hung));
+    assert!(!chosen.contains(&unresponsive));
     host.advance(10_000);
-    assert_eq!(host.sent_to(id).len(), 2, "no copy left");
-    assert_ne!(host.sent_to(id)[1], hung);
+    assert_eq!(host.sent_to(id).len(), 2, "no second attempt was sent");
+    assert_ne!(host.sent_to(id)[1], unresponsive);
 }
 
 #[test]
-fn lost_attempt_is_cancelled_first_without_second_copies() {
+fn lost_attempt_is_cancelled_before_its_retry_without_hedging() {
     let cfg = Config { hedging: false, ..config(vec![class(Effect::Free)]) };
     let mut host = host(cfg, fleet(6));
     serve(&mut host, 100, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
     host.advance(150_000);
     host.advance(20_000);
-    assert_eq!(host.requests[&id].tries[0].outcome, Some(Outcome::Cancelled));
+    assert_eq!(host.requests[&id].attempts[0].outcome, Some(Outcome::Cancelled));
     assert_eq!(host.sent_to(id).len(), 2);
 }
 
@@ -205,11 +212,11 @@
     host.advance(210_000);
     let sent = host.sent_to(id).len();
     (0..sent).for_each(|no| host.end(id, no, Outcome::Error));
-    assert_eq!(host.sent_to(id).len(), sent, "repeated after its window");
+    assert_eq!(host.sent_to(id).len(), sent, "a keyed request was retried after its window");
     assert_eq!(host.requests[&id].answer, Some("failed"));
 }
 
-/// Serves on all but the failing backend until that is ejected; returns its number.
+/// Serves requests on all backends except 3, which fails, until it is ejected; returns its id.
 fn eject_one(host: &mut Host) -> u32 {
     serve(host, 60, 0, |_| 10_000);
     for _ in 0..200 {
@@ -217,22 +224,22 @@
         let bad = host.sent_to(id)[0] == 3;
         host.advance(5_000);
         host.end(id, 0, if bad { Outcome::Error } else { Outcome::Ok });
-        let again = host.requests[&id].tries.len();
+        let again = host.requests[&id].attempts.len();
         host.end(id, again - 1, Outcome::Ok);
         if host.logs.iter().any(|l| l.contains("ejected")) {
             return 3;
         }
     }
-    panic!("never ejected");
+    panic!("the failing backend was not ejected");
 }
 
 #[test]
 fn failing_backend_is_ejected_and_returns_after_its_term() {
     let mut host = host(config(vec![class(Effect::Free)]), fleet(6));
     let bad = eject_one(&mut host);
-    assert!(!serve(&mut host, 40, 0, |_| 5_000).contains(&bad), "used during its term");
+    assert!(!serve(&mut host, 40, 0, |_| 5_000).contains(&bad), "the backend was used during its ejection");
     host.advance(2_000_000);
-    assert!(serve(&mut host, 60, 0, |_| 5_000).contains(&bad), "it never came back");
+    assert!(serve(&mut host, 60, 0, |_| 5_000).contains(&bad), "the backend was not used after its ejection");
 }
 
 #[test]
@@ -244,28 +251,29 @@
         let bad = host.sent_to(id).first().is_some_and(|b| *b != 0);
         host.advance(5_000);
         host.end(id, 0, if bad { Outcome::Error } else { Outcome::Ok });
-        let no = host.requests[&id].tries.len().saturating_sub(1);
+        let no = host.requests[&id].attempts.len().saturating_sub(1);
         host.end(id, no, Outcome::Ok);
     }
     let chosen = serve(&mut host, 80, 0, |_| 5_000);
-    assert!(chosen.iter().any(|b| *b != 0), "all load went to the one backend left");
+    assert!(chosen.iter().any(|b| *b != 0), "all load went to the only backend that was not ejected");
 }
 
 #[test]
-fn cold_backend_gets_less_than_its_budget() {
+fn backend_in_slow_start_gets_less_than_its_budget() {
     let cfg = Config { proxies: 1, initial_capacity: 0.1, fall_multiple: 2.0, ..Config::example() };
     let mut host = host(cfg, fleet(3));
     serve(&mut host, 200, 0, |_| 20_000);
     let cold = Backend { booted: Some(host.now), ..backend(9, 0, 0) };
     host.members(ListUpdate::Changes, vec![cold]);
-    let chosen = serve(&mut host, 100, 0, |_| 20_000); // two seconds, one fall window
+    let chosen = serve(&mut host, 100, 0, |_| 20_000); // two seconds: one fall window
     let sent = chosen.iter().filter(|b| **b == 9).count();
-    // One warm backend serves about 50 + 17 a second: at a tenth, two fold over two seconds, 27 at most.
-    assert!((1..=14).contains(&sent), "{sent} of 100 went to the cold backend");
+    // A backend with its full capacity serves about 50 + 17 per second. A tenth of that, doubled, over two seconds is
+    // 27 at most.
+    assert!((1..=14).contains(&sent), "{sent} of 100 went to the backend in slow start");
 }
 
 #[test]
-fn burst_does_not_exceed_cold_backend_budget() {
+fn burst_does_not_exceed_slow_start_budget() {
     let cfg = Config { proxies: 3, initial_capacity: 0.1, fall_multiple: 2.0, ..Config::example() };
     let mut host = host(cfg, fleet(12));
     serve(&mut host, 100, 0, |_| 20_000);
@@ -276,30 +284,34 @@
     for _ in 0..25 {
         host.burst(4, 0, 900_000);
         host.advance(20_000);
-        let out = host.out();
+        let out = host.in_flight();
         sent += out.len();
         out.into_iter().for_each(|(id, no)| host.end(id, no, Outcome::Ok));
     }
-    // Served in 20 ms: 100 a second at most; at a tenth, doubled, two seconds, a third: 13 each.
-    let tries = || host.requests.values().flat_map(|r| &r.tries).filter(|t| Some(t.at) >= booted);
-    let most = (0..12).map(|b| tries().filter(|t| t.backend == BackendId(b)).count()).max();
-    assert!(sent >= 1 && most <= Some(13), "{sent} sent, {most:?} to one cold backend");
+    // Served in 20 ms: 100 per second at most. A tenth of that, doubled, over two seconds, divided by three proxies is
+    // 13 each.
+    let attempts = || host.requests.values().flat_map(|r| &r.attempts).filter(|t| Some(t.at) >= booted);
+    let most = (0..12).map(|b| attempts().filter(|t| t.backend == BackendId(b)).count()).max();
+    assert!(sent >= 1 && most <= Some(13), "{sent} sent, {most:?} to one backend in slow start");
 }
 
 #[test]
 fn client_retry_is_queued_behind_first_attempts() {
-    // Incident ic9a8f4: retries counted as new and, newest first, made every request late.
+    // Regression: clients' retries counted as new requests and, since the newest is sent first, made all requests late.
     let mut host = host(Config { proxies: 1, ..Config::example() }, fleet(1));
-    let fill = host.burst(8, 0, 900_000);
+    let first_burst = host.burst(8, 0, 900_000);
     host.advance(5_000);
     let first = host.arrive(0, 900_000);
     host.repeat = true;
     let repeat = host.arrive(0, 900_000);
     host.advance(15_000);
-    fill.iter().for_each(|id| host.end(*id, 0, Outcome::Ok));
-    let at = |id: &RequestId| host.requests[id].tries.first().map(|t| t.at);
+    first_burst.iter().for_each(|id| host.end(*id, 0, Outcome::Ok));
+    let at = |id: &RequestId| host.requests[id].attempts.first().map(|t| t.at);
     assert!(at(&first).is_some());
-    assert!(at(&repeat).is_none_or(|t| t >= at(&first).unwrap()), "the repeat went first");
+    assert!(
+        at(&repeat).is_none_or(|t| t >= at(&first).unwrap()),
+        "the retry was sent before the first attempt"
+    );
 }
 
 #[test]
@@ -309,14 +321,14 @@
     let flood: Vec<RequestId> = (0..30).map(|_| host.arrive_for(0, 900_000, Some(TenantId(0)))).collect();
     let flooded = flood.iter().filter(|id| !host.sent_to(**id).is_empty()).count();
     let other = host.arrive_for(0, 900_000, Some(TenantId(1)));
-    assert!(flooded <= 6, "{flooded} of the flood went out");
-    assert_eq!(host.sent_to(other).len(), 1, "the other tenant waits behind the flood");
+    assert!(flooded <= 6, "{flooded} requests over quota were dispatched");
+    assert_eq!(host.sent_to(other).len(), 1, "the other tenant is queued behind requests over quota");
 }
 
 #[test]
-fn densest_worth_is_served_under_overload() {
-    let rich = Class { priority_weight: 8.0, ..class(Effect::Free) };
-    let mut host = host(Config { proxies: 1, ..config(vec![class(Effect::Free), rich]) }, fleet(1));
+fn class_of_highest_density_is_served_under_overload() {
+    let high = Class { priority_weight: 8.0, ..class(Effect::Free) };
+    let mut host = host(Config { proxies: 1, ..config(vec![class(Effect::Free), high]) }, fleet(1));
     let ids: Vec<RequestId> = (0..60).map(|n| host.arrive(n % 2, 900_000)).collect();
     for _ in 0..6 {
         host.serve_all(60_000);
@@ -324,11 +336,11 @@
     host.advance(900_000);
     let served =
         |c: usize| ids.iter().skip(c).step_by(2).filter(|i| host.requests[i].answer == Some("served"));
-    let (poor, rich) = (served(0).count(), served(1).count());
-    assert!(rich > poor, "{rich} rich and {poor} poor requests were served");
+    let (low, high) = (served(0).count(), served(1).count());
+    assert!(high > low, "{high} requests of high weight and {low} of low weight were served");
 }
 
-/// How many of 300 requests stay in the proxy's own zone, which has a third of the backends.
+/// Number of 300 requests that stay in the proxy's own zone, which has a third of the backends.
 fn zones(cost: f64, proxies: u32) -> usize {
     let cfg = Config { cross_zone_cost: cost, zones: 3, proxies, ..Config::example() };
     let mut host = host(cfg, (0..9).map(|i| backend(i, i % 3, 0)).collect());
@@ -342,9 +354,8 @@
     assert!((70..=130).contains(&all), "{all} of 300 stayed without a cost");
 }
 
-/// Serves periodic requests, each after `time` of its backend's requests in flight; returns the maximum of
-/// these.
-fn held_by_one(host: &mut Host, count: usize, every: u64, time: impl Fn(usize) -> u64) -> usize {
+/// Serves periodic requests; the latency of each is `time` of the requests in flight. Returns the maximum in flight.
+fn max_in_flight_of_one(host: &mut Host, count: usize, every: u64, time: impl Fn(usize) -> u64) -> usize {
     let mut due: Vec<(Time, RequestId, usize)> = Vec::new();
     let mut most = 0;
     for _ in 0..count {
@@ -356,7 +367,7 @@
         }
         host.advance((end - host.now).0);
         host.arrive(0, 900_000);
-        let out = host.out();
+        let out = host.in_flight();
         most = most.max(out.len());
         for (id, no) in &out {
             if !due.iter().any(|d| d.1 == *id && d.2 == *no) {
@@ -373,42 +384,45 @@
     Config { proxies: 1, limits, ..Config::example() }
 }
 
-/// A constant of 4 rejected what eight cores could serve: latency that stays flat raises the limit.
+/// Regression: a constant limit of 4 rejected requests that eight cores could serve. A flat latency raises the limit.
 #[test]
 fn limit_rises_for_parallel_backend() {
     let mut host = host(learning(), fleet(1));
-    // A single backend has its turns one after the other: the search takes some cycles of them.
-    let most = held_by_one(&mut host, 6_000, 5_000, |_| 60_000);
-    assert!(most >= 11, "{most} held where 12 come within an answer's time and 60 ms is all that each takes");
+    // A single backend has its turns one after the other, so the search takes several cycles.
+    let most = max_in_flight_of_one(&mut host, 6_000, 5_000, |_| 60_000);
+    assert!(
+        most >= 11,
+        "{most} in flight; 12 requests arrive during a latency of 60 ms that does not depend on the load"
+    );
     let served = |host: &Host| host.requests.values().filter(|r| r.answer == Some("served")).count();
     let before = served(&host);
-    held_by_one(&mut host, 2_000, 5_000, |_| 60_000);
+    max_in_flight_of_one(&mut host, 2_000, 5_000, |_| 60_000);
     let found = served(&host) - before;
-    assert!(found >= 1_900, "{found} of 2000 served once it is found");
+    assert!(found >= 1_900, "{found} of 2000 served after the limit was found");
 }
 
-/// One core under overload: each request slows all others, and the limit must not rise with its own
-/// congestion.
+/// One core under overload: each request slows all others, and the limit must not rise with the congestion that it
+/// causes.
 #[test]
 fn limit_stays_low_for_one_core_under_lasting_demand() {
     let mut host = host(learning(), fleet(1));
-    let most = held_by_one(&mut host, 3_000, 15_000, |held| 20_000 * held as u64);
-    // Four, and eight in a turn of a third of a second: too short to overload it.
-    assert!(most <= 8, "{most} held by one core");
+    let most = max_in_flight_of_one(&mut host, 3_000, 15_000, |in_flight| 20_000 * in_flight as u64);
+    // The limit is four, and eight in a turn of a third of a second, which is too short for overload.
+    assert!(most <= 8, "{most} requests in flight on one core");
     let served = host.requests.values().filter(|r| r.answer == Some("served")).count();
-    assert!(served >= 1_500, "{served} of 3000 served, at three quarters of what is asked it can do 2250");
+    assert!(served >= 1_500, "{served} of 3000 served; the capacity is three quarters of the demand, 2250");
 }
 
-/// Two proxies over three zones: traffic that stays in its zone would leave one zone without any.
+/// Two proxies in three zones: if all traffic stayed in its zone, one zone would have none.
 #[test]
 fn zones_with_different_numbers_of_proxies_use_all_backends() {
     let near = zones(0.05, 2);
     assert!((70..=130).contains(&near), "{near} of 300 stayed");
 }
 
-/// With its own zone out of use a proxy's traffic goes to all other zones.
+/// If its own zone has no backends, a proxy's traffic goes to all other zones.
 #[test]
-fn zone_without_backends_refuses_nothing() {
+fn proxy_in_zone_without_backends_refuses_nothing() {
     let cfg = Config { cross_zone_cost: 0.05, zones: 3, ..Config::example() };
     let mut host = host(cfg, (0..9).map(|i| backend(i, i % 3, 0)).collect());
     serve(&mut host, 50, 0, |_| 10_000);
@@ -418,7 +432,7 @@
 
 #[test]
 fn zone_with_few_backends_sends_excess_to_others() {
-    // Own zone holds one of seven backends; three zones' proxies bring a third each: 3/7 may stay.
+    // The own zone has one of seven backends and a third of the traffic: 3/7 of that may stay.
     let cfg = Config { cross_zone_cost: 0.05, zones: 3, ..Config::example() };
     let list = (0..7).map(|i| backend(i, if i == 0 { 0 } else { 1 + i % 2 }, 0)).collect();
     let mut host = host(cfg, list);
@@ -426,19 +440,19 @@
     assert!((120..=220).contains(&near), "{near} of 400 stayed on the one near backend");
 }
 
-/// Backends that accept only some requests, as under a rate limit: if each rejection ejected one, too few
-/// would remain, and retries of requests that never ran are no load to be limited.
+/// Backends that accept only some requests, as under a rate limit: if a rejection ejected its backend, too few would
+/// remain. Retries of requests that never ran cause no load and need no budget.
 #[test]
 fn backends_that_reject_some_requests_remain_in_use() {
     let mut host = host(config(vec![class(Effect::Unsafe)]), fleet(4));
-    let (mut asked, mut taken, mut served) = ([0; 4], [0; 4], 0);
+    let (mut received, mut accepted, mut served) = ([0; 4], [0; 4], 0);
     for _ in 0..400 {
         let id = host.arrive(0, 900_000);
         for no in 0..5 {
             let Some(&backend) = host.sent_to(id).get(no) else { continue };
-            asked[backend as usize] += 1;
-            let full = backend > 0 && asked[backend as usize] % 2 == 0;
-            taken[backend as usize] += u32::from(!full);
+            received[backend as usize] += 1;
+            let full = backend > 0 && received[backend as usize] % 2 == 0;
+            accepted[backend as usize] += u32::from(!full);
             host.advance(if full { 1_000 } else { 10_000 });
             host.end(id, no, if full { Outcome::Full } else { Outcome::Ok });
             host.advance(5_000);
@@ -446,10 +460,10 @@
         served += u32::from(host.requests[&id].answer == Some("served"));
     }
     assert!(served >= 390, "{served} of 400 served");
-    assert!(taken.iter().all(|n| *n >= 40), "{taken:?} taken");
+    assert!(accepted.iter().all(|n| *n >= 40), "requests accepted by each backend: {accepted:?}");
 }
 
-/// One broken connection does not mean a dead backend; a dead one refuses the next connection.
+/// A single connection reset does not mean that the backend has failed: a failed one refuses the next connection.
 #[test]
 fn single_reset_does_not_eject() {
     let sent_after = |resets: usize| {
@@ -467,7 +481,7 @@
         host.advance(500_000);
         serve(&mut host, 30, 0, |_| 5_000).iter().filter(|b| **b == 0).count()
     };
-    assert!(sent_after(1) >= 5, "{} of 30 after one", sent_after(1));
+    assert!(sent_after(1) >= 5, "{} of 30 requests after one reset", sent_after(1));
     assert_eq!(sent_after(4), 0);
 }
 
@@ -476,27 +490,27 @@
     let cfg = Config { discovery: Discovery::Subscribe(Micros(10_000_000)), ..Config::example() };
     let mut host = Host::new(cfg, 3);
     host.members(ListUpdate::Cached, fleet(2));
-    assert_eq!(host.follows, 1);
+    assert_eq!(host.subscriptions, 1);
     host.members(ListUpdate::Changes, fleet(3));
     host.advance(8_000_000);
-    assert_eq!(host.follows, 1, "a living subscription is not asked for again");
+    assert_eq!(host.subscriptions, 1, "an active subscription was requested again");
     host.event(Event::Members { update: ListUpdate::Lost, backends: Vec::new() });
     host.advance(400_000);
-    assert_eq!(host.follows, 2);
+    assert_eq!(host.subscriptions, 2);
     host.advance(6_000_000);
-    assert_eq!(host.follows, 3, "an unanswered call is repeated");
+    assert_eq!(host.subscriptions, 3, "an unanswered call was not repeated");
 }
 
-/// A server departs and another process takes its address while discovery is unreachable: the departure
-/// counts as reported after 6 s, though it was not. Before, the address was used again as soon as any process
-/// answered there.
+/// A server departs and another process takes its address while discovery is unreachable. The departure counts as
+/// reported after 6 s, although it was not. Regression: the address was used again as soon as any process answered
+/// there.
 #[test]
 fn absent_server_is_not_used_before_discovery_answers() {
     let subscribed = |list: Vec<Backend>| {
         let discovery = Discovery::Subscribe(Micros(10_000_000));
         host(Config { discovery, ..config(vec![class(Effect::Free)]) }, list)
     };
-    let gone_for_4_s = |host: &mut Host| {
+    let refuse_connections_for_4_s = |host: &mut Host| {
         let mut refused = 0;
         for _ in 0..400 {
             let id = host.arrive(0, 900_000);
@@ -514,15 +528,24 @@
         refused
     };
     let lost = || Event::Members { update: ListUpdate::Lost, backends: Vec::new() };
-    let mut unheard = subscribed(fleet(6));
-    unheard.event(lost());
-    assert!(gone_for_4_s(&mut unheard) >= 2, "it was tried");
-    assert!(!serve(&mut unheard, 600, 0, |_| 10_000).contains(&3), "used though nobody said so");
-    unheard.members(ListUpdate::Changes, Vec::new());
-    assert!(serve(&mut unheard, 200, 0, |_| 10_000).contains(&3), "heard, it serves again");
-    let mut heard = subscribed(fleet(6));
-    gone_for_4_s(&mut heard);
-    assert!(serve(&mut heard, 600, 0, |_| 10_000).contains(&3), "with a watch in force its term decides");
+    let mut without_discovery = subscribed(fleet(6));
+    without_discovery.event(lost());
+    assert!(refuse_connections_for_4_s(&mut without_discovery) >= 2, "the absent server got no request");
+    assert!(
+        !serve(&mut without_discovery, 600, 0, |_| 10_000).contains(&3),
+        "the address was used without a confirmation by discovery"
+    );
+    without_discovery.members(ListUpdate::Changes, Vec::new());
+    assert!(
+        serve(&mut without_discovery, 200, 0, |_| 10_000).contains(&3),
+        "the address was not used after discovery answered"
+    );
+    let mut with_discovery = subscribed(fleet(6));
+    refuse_connections_for_4_s(&mut with_discovery);
+    assert!(
+        serve(&mut with_discovery, 600, 0, |_| 10_000).contains(&3),
+        "with an active subscription the address was not used after its ejection"
+    );
 }
 
 #[test]
@@ -540,7 +563,7 @@
     let run = |noise: bool| {
         let mut host = host(config(vec![class(Effect::Free)]), fleet(3));
         if noise {
-            host.nonsense(RequestId(77), AttemptNo(3), TimerToken(u64::MAX));
+            host.send_unknown_ids(RequestId(77), AttemptNo(3), TimerToken(u64::MAX));
         }
         serve(&mut host, 50, 0, |_| 10_000)
     };
@@ -549,8 +572,8 @@
 
 #[test]
 fn congested_backend_is_drawn_less_with_live_weights() {
-    // Lisboa rough-1: hung and overloaded backends had tens of requests in flight; only the list's live
-    // weight showed it.
+    // Regression: hanging and overloaded backends had tens of requests in flight, which only the list's live weights
+    // showed.
     let part = |live_weights: bool| {
         let mut host = host(Config { live_weights, ..Config::example() }, fleet(4));
         serve(&mut host, 20, 0, |_| 10_000);
@@ -558,14 +581,13 @@
         host.advance(1_000_000);
         serve(&mut host, 200, 0, |_| 10_000).iter().filter(|b| **b == 0).count()
     };
-    assert!(part(true) <= 10, "{} of 200 went to the crowded one", part(true));
-    assert!(part(false) >= 30, "{} of 200 where weights are not live", part(false));
+    assert!(part(true) <= 10, "{} of 200 went to the congested backend", part(true));
+    assert!(part(false) >= 30, "{} of 200 went to it although weights are not live", part(false));
 }
 
 #[test]
 fn one_unhealthy_backend_does_not_slow_its_kind() {
-    // Narocila rough-2: a slow kind with one unhealthy backend stayed idle while requests for the fast kind
-    // were refused.
+    // Regression: a slow kind with one unhealthy backend stayed idle while requests for the fast kind were refused.
     let list = (0..12).map(|i| backend(i, 0, i % 2)).collect();
     let mut host = host(Config { proxies: 40, ..Config::example() }, list);
     let mut chosen = Vec::new();
@@ -580,31 +602,32 @@
 
 #[test]
 fn start_at_light_load_sheds_almost_nothing() {
-    // Lisboa quiet: with no unloaded latency known yet, answers well within the objective counted as late.
+    // Regression: while the unloaded latency was unknown, answers well within the objective counted as late.
     let mut host = host(Config { proxies: 300, ..Config::example() }, fleet(60));
     let before = serve(&mut host, 60, 0, |_| 150_000).len();
-    assert!(before >= 57, "{before} of 60 were sent");
+    assert!(before >= 57, "{before} of 60 were dispatched");
 }
 
 #[test]
 fn attempt_cancelled_after_objective_counts_against_backend() {
-    // Accra rough-2: clients left before their deadline, so overloaded backends showed only cancelled
-    // attempts.
+    // Regression: clients disconnected before their deadline, so all attempts at overloaded backends were cancelled.
     let mut host = host(config(vec![class(Effect::Unsafe)]), fleet(6));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
-    let ill = host.sent_to(id)[0];
+    let unhealthy = host.sent_to(id)[0];
     host.advance(450_000);
-    host.requests.get_mut(&id).unwrap().answer = Some("left");
+    host.requests.get_mut(&id).unwrap().answer = Some("disconnected");
     host.event(Event::ClientDisconnected { request: id });
     host.advance(20_000);
-    assert!(!serve(&mut host, 30, 0, |_| 5_000).contains(&ill), "it still gets its slice");
+    assert!(
+        !serve(&mut host, 30, 0, |_| 5_000).contains(&unhealthy),
+        "the unhealthy backend still gets requests"
+    );
 }
 
 #[test]
-fn lateness_counts_when_the_time_is_up() {
-    // Incident ic093af: under overload answers came a second or two late, and the fleet was overloaded
-    // meanwhile.
+fn attempt_counts_as_late_before_it_is_answered() {
+    // Regression: under overload, answers were one or two seconds late, and the fleet was overloaded until then.
     let mut host = host(Config { proxies: 300, ..Config::example() }, fleet(600));
     serve(&mut host, 60, 0, |_| 30_000);
     let mut refused = 0;
@@ -617,17 +640,12 @@
 }
 
 #[test]
-fn many_proxies_respect_cold_backend_budget_beside_congested_ones() {
-    // Incident ic093af: live weights were low on all warm backends, so the cold one got more of the draw than
-    // they.
-    let ramp = Micros(1_000_000_000);
-    let cfg = Config {
-        proxies: 126,
-        live_weights: true,
-        initial_capacity: 0.1,
-        slow_start: ramp,
-        ..Config::example()
-    };
+fn many_proxies_respect_slow_start_budget_beside_congested_backends() {
+    // Regression: live weights were low for all backends with full capacity, so the one in slow start was drawn more
+    // often than they.
+    let slow_start = Micros(1_000_000_000);
+    let cfg =
+        Config { proxies: 126, live_weights: true, initial_capacity: 0.1, slow_start, ..Config::example() };
     let mut host = host(Config { fall_multiple: 2.0, ..cfg }, fleet(36));
     serve(&mut host, 60, 0, |_| 30_000);
     let mut list: Vec<Backend> = (0..36).map(|i| Backend { weight: 0.02, ..backend(i, 0, 0) }).collect();
@@ -636,16 +654,12 @@
     let cold = serve(&mut host, 300, 0, |_| 30_000).iter().filter(|b| **b == 36).count();
     assert!(
         cold <= 5,
-        "{cold} of 300 went to the cold one, while its part of the capacity is under a hundredth"
+        "{cold} of 300 went to the backend in slow start, which has less than a hundredth of the capacity"
     );
 }
 
-fn storm(let_in_per_s: Option<f64>) -> Event {
-    Event::StormLimits(StormLimits {
-        admit_per_s: let_in_per_s,
-        hedging: let_in_per_s.is_none(),
-        retry_ratio: 0.02,
-    })
+fn storm(admit_per_s: Option<f64>) -> Event {
+    Event::StormLimits(StormLimits { admit_per_s, hedging: admit_per_s.is_none(), retry_ratio: 0.02 })
 }
 
 #[test]
@@ -661,20 +675,20 @@
             host.end(id, 0, Outcome::Ok);
         }
     }
-    // Five seconds at 20 a second.
+    // Five seconds at 20 per second.
     assert!((60..=101).contains(&sent), "{sent}");
     host.event(storm(None));
     let id = host.arrive(0, 900_000);
     host.advance(10_000);
-    assert_eq!(host.sent_to(id).len(), 1, "as many as come once it is over");
+    assert_eq!(host.sent_to(id).len(), 1, "a request was not dispatched after the storm");
 }
 
 #[test]
-fn no_second_copy_in_retry_storm() {
-    let copies = |pressed: bool| {
+fn no_hedging_in_retry_storm() {
+    let second_attempts = |in_storm: bool| {
         let mut host = host(Config { proxies: 1, ..config(vec![class(Effect::Free)]) }, fleet(4));
         serve(&mut host, 60, 0, |_| 10_000);
-        if pressed {
+        if in_storm {
             host.event(storm(Some(1000.0)));
             host.advance(100_000);
         }
@@ -682,15 +696,15 @@
         host.advance(5_000);
         let first = host.sent_to(id);
         assert_eq!(first.len(), 1);
-        // Its backend hangs: second attempts would go to others.
+        // Its backend hangs: a second attempt would go to another one.
         host.advance(300_000);
         host.sent_to(id).len() - 1
     };
-    assert_eq!((copies(false), copies(true)), (1, 0));
+    assert_eq!((second_attempts(false), second_attempts(true)), (1, 0));
 }
 
-/// The only backend stalls, counts as unresponsive, and answers: queued requests must be sent then, and not
-/// only at the next solve, which an objective of seconds delays for as long.
+/// The only backend stalls, is marked unresponsive, and answers: queued requests must be sent then, not only at the
+/// next solve, which an objective of several seconds delays by that time.
 #[test]
 fn backend_that_responds_again_gets_queued_requests() {
     let slow = Class { latency_objective: Micros(5_000_000), ..class(Effect::Free) };
@@ -699,9 +713,9 @@
     let first = host.arrive(0, 7_000_000);
     assert_eq!(host.sent_to(first).len(), 1);
     host.advance(200_000);
-    let held = host.arrive(0, 7_000_000);
-    assert!(host.sent_to(held).is_empty(), "it owes an answer for suspiciously long");
+    let queued = host.arrive(0, 7_000_000);
+    assert!(host.sent_to(queued).is_empty(), "dispatched to an unresponsive backend");
     host.end(first, 0, Outcome::Ok);
     host.advance(100_000);
-    assert_eq!(host.sent_to(held).len(), 1, "held beside an idle backend");
+    assert_eq!(host.sent_to(queued).len(), 1, "a request is queued while the backend is idle");
 }
--- a/crates/gaugesaddle-balancer/tests/slow_start.rs
+++ b/crates/gaugesaddle-balancer/tests/slow_start.rs
@@ -1,29 +1,29 @@
-//! A cold backend under the total work that all proxies send. Each proxy is a module of its own without
-//! knowledge of the others; the total is compared with what the settings allow, with 2 * sqrt(N) + 2
-//! attributed to chance.
+//! A backend in slow start under the total work that all proxies send. Each proxy has its own balancer and no state
+//! in common with the others. The total is compared with the budget from the settings, with a tolerance of
+//! 2 * sqrt(N) + 2 for random variation.
 
 mod common;
 use common::{backend, class, Host};
 use gaugesaddle_balancer::*;
 
-/// What a warm backend serves a second, one request after another.
-const SERVES: f64 = 40.0;
-const SERVICE: Micros = Micros(25_000);
-const STEP: u64 = 4_000;
+/// Requests per second that a backend with its full capacity serves, one after another.
+const CAPACITY_PER_S: f64 = 40.0;
+const SERVICE_TIME: Micros = Micros(25_000);
+const STEP_US: u64 = 4_000;
 
-/// A fleet of proxies in front of as many backends; one comes back cold.
+/// A fleet of proxies and backends, of which one backend restarts.
 struct Fleet {
     hosts: Vec<Host>,
-    /// Arrivals a second of each.
+    /// Arrivals per second at each proxy.
     rates: Vec<f64>,
     due: Vec<f64>,
     list: Vec<Backend>,
-    /// When something was sent to the cold one, by proxies that have ended.
+    /// Times of the attempts that proxies which have ended sent to the restarted backend.
     sent: Vec<Time>,
 }
 
 impl Fleet {
-    /// The busiest sixth has five times what the others have.
+    /// Every sixth proxy has five times the traffic of the others.
     fn new(proxies: u32, backends: u32, load: f64) -> Fleet {
         let cfg = |position| Config {
             proxies,
@@ -37,8 +37,9 @@
         };
         let list: Vec<Backend> = (0..backends).map(|i| backend(i, 0, 0)).collect();
         let parts: Vec<f64> = (0..proxies).map(|i| if i % 6 == 5 { 5.0 } else { 1.0 }).collect();
-        let whole: f64 = parts.iter().sum();
-        let rates: Vec<f64> = parts.iter().map(|p| p / whole * load * SERVES * f64::from(backends)).collect();
+        let total: f64 = parts.iter().sum();
+        let rates: Vec<f64> =
+            parts.iter().map(|p| p / total * load * CAPACITY_PER_S * f64::from(backends)).collect();
         let hosts = (0..proxies).map(|i| {
             let mut host = Host::new(cfg(i), u64::from(i) + 1);
             host.members(ListUpdate::Full, list.clone());
@@ -48,21 +49,22 @@
         Fleet { hosts: hosts.collect(), due, rates, list, sent: Vec::new() }
     }
 
-    /// So long at that many times the usual rate.
+    /// Runs the fleet at a multiple of the usual rate.
     fn run(&mut self, seconds: f64, factor: f64) {
-        for _ in 0..(seconds * 1e6) as u64 / STEP {
+        for _ in 0..(seconds * 1e6) as u64 / STEP_US {
             for (i, host) in self.hosts.iter_mut().enumerate() {
-                self.due[i] -= STEP as f64 / 1e6;
+                self.due[i] -= STEP_US as f64 / 1e6;
                 while self.due[i] <= 0.0 {
                     self.due[i] += 1.0 / (self.rates[i] * factor);
                     host.arrive(0, 900_000);
                 }
-                host.advance(STEP);
+                host.advance(STEP_US);
                 let now = host.now;
-                let over =
-                    |host: &Host, id: RequestId, no: usize| host.requests[&id].tries[no].at + SERVICE <= now;
-                for (id, no) in host.out() {
-                    if over(host, id, no) {
+                let is_served = |host: &Host, id: RequestId, no: usize| {
+                    host.requests[&id].attempts[no].at + SERVICE_TIME <= now
+                };
+                for (id, no) in host.in_flight() {
+                    if is_served(host, id, no) {
                         host.end(id, no, Outcome::Ok);
                     }
                 }
@@ -74,7 +76,7 @@
         self.hosts[0].now
     }
 
-    /// Backend 0 is there anew, cold, and half of the others leave: what they served looks for a place.
+    /// Restarts backend 0 and removes half of the others, whose traffic goes to the rest.
     fn restart_backend(&mut self) {
         let now = self.now();
         let leaving = 1 + self.list.len() / 2;
@@ -84,49 +86,51 @@
         self.hosts.iter_mut().for_each(|h| h.members(ListUpdate::Changes, changes.clone()));
     }
 
-    /// Every third proxy starts again, with the list and nothing else.
+    /// Restarts every third proxy, with the list of backends and no other state.
     fn restart_proxies(&mut self) {
         let (now, list) = (self.now(), self.list.clone());
         for (i, host) in self.hosts.iter_mut().enumerate().filter(|(i, _)| i % 3 == 0) {
-            let mut anew = Host::new(host.cfg.clone(), 1_000 + i as u64);
-            anew.now = now;
-            anew.members(ListUpdate::Full, list.clone());
-            let before = std::mem::replace(host, anew);
-            self.sent.extend(to_the_cold_one(&before, &list));
+            let mut restarted = Host::new(host.cfg.clone(), 1_000 + i as u64);
+            restarted.now = now;
+            restarted.members(ListUpdate::Full, list.clone());
+            let previous = std::mem::replace(host, restarted);
+            self.sent.extend(sent_to_restarted_backend(&previous, &list));
         }
     }
 
-    /// The most that it got in any window beyond what it is allowed then, and that allowance with its chance.
-    fn worst(mut self) -> (f64, f64) {
-        self.sent.extend(self.hosts.iter().flat_map(|h| to_the_cold_one(h, &self.list)));
+    /// The fall window with the most attempts relative to the budget: attempts, and the budget with its tolerance.
+    fn worst_window(mut self) -> (f64, f64) {
+        self.sent.extend(self.hosts.iter().flat_map(|h| sent_to_restarted_backend(h, &self.list)));
         self.sent.sort();
-        let booted = self.list[0].booted.expect("a cold one");
+        let booted = self.list[0].booted.expect("backend 0 has restarted");
         let cfg = &self.hosts[0].cfg;
         let allowed = |at: Time| {
-            let warm = cfg.initial_capacity
+            let fraction = cfg.initial_capacity
                 + (1.0 - cfg.initial_capacity) * ((at - booted).secs() / cfg.slow_start.secs()).min(1.0);
-            cfg.fall_multiple * warm * SERVES * cfg.fall_window.secs()
+            cfg.fall_multiple * fraction * CAPACITY_PER_S * cfg.fall_window.secs()
         };
         let windows = self.sent.iter().enumerate().map(|(i, at)| {
-            let since = self.sent[..=i].iter().rev().take_while(|t| *at - **t < cfg.fall_window).count();
+            let count = self.sent[..=i].iter().rev().take_while(|t| *at - **t < cfg.fall_window).count();
             let n = allowed(*at);
-            (since as f64, n + 2.0 * n.sqrt() + 2.0)
+            (count as f64, n + 2.0 * n.sqrt() + 2.0)
         });
-        windows.max_by(|a, b| (a.0 / a.1).total_cmp(&(b.0 / b.1))).expect("some were sent")
+        windows
+            .max_by(|a, b| (a.0 / a.1).total_cmp(&(b.0 / b.1)))
+            .expect("attempts were sent to the restarted backend")
     }
 }
 
-/// When that proxy sent something to the cold one since it is there.
-fn to_the_cold_one(host: &Host, list: &[Backend]) -> Vec<Time> {
-    let tries = host.requests.values().flat_map(|r| &r.tries);
-    let cold = tries.filter(|t| t.backend == list[0].id && Some(t.at) >= list[0].booted);
-    cold.map(|t| t.at).collect()
+/// Times of the attempts that a proxy sent to backend 0 since its restart.
+fn sent_to_restarted_backend(host: &Host, list: &[Backend]) -> Vec<Time> {
+    let attempts = host.requests.values().flat_map(|r| &r.attempts);
+    let attempts = attempts.filter(|t| t.backend == list[0].id && Some(t.at) >= list[0].booted);
+    attempts.map(|t| t.at).collect()
 }
 
-/// One, five, thirty and three hundred proxies, uneven traffic, a burst on the ramp, and a third of the
-/// proxies that start in the middle of it and know nothing of what was sent before.
+/// One, five, thirty and three hundred proxies with uneven traffic and a burst during slow start; a third of the
+/// proxies restarts in the middle of it, without a record of the work sent before.
 #[test]
-fn total_work_stays_within_cold_backend_budget() {
+fn total_work_of_all_proxies_stays_within_slow_start_budget() {
     for (proxies, backends) in [(1, 8), (5, 8), (30, 12), (300, 40)] {
         for restarts in [false, true].into_iter().skip(usize::from(proxies == 300)) {
             let mut fleet = Fleet::new(proxies, backends, 0.7);
@@ -139,13 +143,16 @@
             }
             fleet.run(0.5, 2.0);
             fleet.run(2.0, 1.0);
-            let (sent, allowed) = fleet.worst();
+            let (sent, allowed) = fleet.worst_window();
             println!("{proxies} proxies, restarts {restarts}: {sent} of {allowed:.0}");
             assert!(
                 sent <= allowed,
                 "{proxies} proxies, restarts {restarts}: {sent} of {allowed:.0} in a window"
             );
-            assert!(sent >= 3.0, "{proxies} proxies, restarts {restarts}: {sent} sent, it is hardly used");
+            assert!(
+                sent >= 3.0,
+                "{proxies} proxies, restarts {restarts}: {sent} sent, the backend is hardly used"
+            );
         }
     }
 }
--- a/crates/gaugesaddle-balancer/tests/spillover.rs
+++ b/crates/gaugesaddle-balancer/tests/spillover.rs
@@ -1,4 +1,4 @@
-//! Spillover to another region: which requests leave, when, in which order, and which never may.
+//! Spillover to another region: which requests are forwarded, when, in which order, and which must never be.
 
 mod common;
 use common::{backend, class, Host};
@@ -10,7 +10,7 @@
     Effect::Keyed(KeyScope::Zone, Micros(1_200_000))
 }
 
-/// A host with votes (worth 8, keyed), reads (free) and payments (unsafe), and so many backends.
+/// A host with three classes: votes (weight 8, keyed), reads (idempotent) and payments (unsafe).
 fn host(backends: u32) -> Host {
     let vote = Class { priority_weight: 8.0, ..class(keyed()) };
     let classes = vec![vote, class(Effect::Free), class(Effect::Unsafe)];
@@ -19,9 +19,12 @@
     host
 }
 
-fn offer(host: &mut Host, room: [u32; 3], at_once: f64) {
-    let offer =
-        Offer { capacity: room.to_vec(), hop_duration: Micros(40 * MS), direct_fraction: vec![at_once; 3] };
+fn offer(host: &mut Host, capacity: [u32; 3], direct_fraction: f64) {
+    let offer = Offer {
+        capacity: capacity.to_vec(),
+        hop_duration: Micros(40 * MS),
+        direct_fraction: vec![direct_fraction; 3],
+    };
     host.event(Event::Offer(offer));
 }
 
@@ -30,7 +33,7 @@
 }
 
 #[test]
-fn without_an_offer_nothing_leaves() {
+fn without_an_offer_nothing_is_forwarded() {
     let mut host = host(0);
     let ids = [host.arrive(0, 900_000), host.arrive(1, 900_000)];
     host.advance(500_000);
@@ -38,45 +41,50 @@
 }
 
 #[test]
-fn request_without_backend_leaves_while_it_can_be_served_in_time() {
+fn request_without_backend_is_forwarded_while_it_can_be_served_in_time() {
     let mut host = host(0);
     offer(&mut host, [9, 9, 9], 0.0);
     let id = host.arrive(0, 900_000);
-    assert_eq!(answer(&host, id), None, "a backend may come yet");
+    assert_eq!(answer(&host, id), None, "forwarded although a backend may still become ready");
     host.advance(400 * MS);
-    assert_eq!(answer(&host, id), Some("left"));
-    // An aim of 400 ms, a usual time of a quarter of that, and 40 ms of way.
+    assert_eq!(answer(&host, id), Some("forwarded"));
+    // The objective is 400 ms, the usual latency a quarter of that, and the hop takes 40 ms.
     let late = host.arrive(0, 130 * MS);
     host.advance(130 * MS);
-    assert_eq!(answer(&host, late), Some("refused"), "under the way and the work: not sent at all");
+    assert_eq!(
+        answer(&host, late),
+        Some("refused"),
+        "forwarded although less time remains than the hop and the work take"
+    );
 }
 
 #[test]
-fn request_offered_at_once_is_not_attempted_here() {
+fn request_in_direct_fraction_is_not_attempted_locally() {
     let mut host = host(3);
     offer(&mut host, [1, 1, 1], 1.0);
     let ids: Vec<_> = (0..3).map(|class| host.arrive(class, 900_000)).collect();
-    assert!(ids.iter().all(|id| answer(&host, *id) == Some("left") && host.sent_to(*id).is_empty()));
-    let more = host.arrive(0, 900_000);
-    assert_eq!(host.sent_to(more).len(), 1, "no place left: the backends here have it");
+    assert!(ids.iter().all(|id| answer(&host, *id) == Some("forwarded") && host.sent_to(*id).is_empty()));
+    let excess = host.arrive(0, 900_000);
+    assert_eq!(host.sent_to(excess).len(), 1, "beyond the offered capacity a request is dispatched locally");
 }
 
 #[test]
-fn offer_is_bounded_and_goes_to_highest_value() {
+fn offer_bounds_forwarded_requests_of_each_class() {
     let mut host = host(0);
     let (reads, votes) = (host.burst(4, 1, 900_000), host.burst(4, 0, 900_000));
     offer(&mut host, [3, 3, 3], 0.0);
     host.advance(380 * MS);
-    let left = |ids: &[RequestId]| ids.iter().filter(|id| answer(&host, **id) == Some("left")).count();
-    assert_eq!((left(&votes), left(&reads)), (3, 3));
-    let first = |class: usize| {
-        host.requests.iter().filter(|(_, r)| r.class == class && r.answer == Some("left")).count()
+    let forwarded =
+        |ids: &[RequestId]| ids.iter().filter(|id| answer(&host, **id) == Some("forwarded")).count();
+    assert_eq!((forwarded(&votes), forwarded(&reads)), (3, 3));
+    let forwarded_of = |class: usize| {
+        host.requests.iter().filter(|(_, r)| r.class == class && r.answer == Some("forwarded")).count()
     };
-    assert_eq!((first(0), first(1)), (3, 3), "each class within its own places");
+    assert_eq!((forwarded_of(0), forwarded_of(1)), (3, 3), "forwarded requests of each class");
 }
 
 #[test]
-fn highest_density_leaves_first() {
+fn highest_density_is_forwarded_first() {
     let mut host = host(0);
     host.burst(3, 1, 900_000);
     host.burst(3, 0, 900_000);
@@ -84,19 +92,19 @@
     let mut order = Vec::new();
     while order.is_empty() && host.now < Time(1_000_400_000) {
         host.advance(5 * MS);
-        let left = host.last.iter().filter_map(|a| match a {
+        let forwarded = host.last_actions.iter().filter_map(|a| match a {
             Action::Forward { request } => Some(host.requests[request].class),
             _ => None,
         });
-        order.extend(left);
+        order.extend(forwarded);
     }
     assert_eq!(order, [0, 0, 0, 1, 1, 1]);
 }
 
-/// Every cell: by effect, and by what is known of the attempts here.
+/// All combinations of effect and outcome of the local attempt.
 #[test]
-fn request_that_may_have_run_leaves_only_if_free() {
-    for (class, outcome, leaves) in [
+fn request_that_may_have_run_is_forwarded_only_if_idempotent() {
+    for (class, outcome, is_forwarded) in [
         (0, Outcome::ConnectFailed, true),
         (0, Outcome::Full, true),
         (0, Outcome::Reset, false),
@@ -116,8 +124,8 @@
         host.end(id, 0, outcome);
         host.advance(450 * MS);
         assert_eq!(
-            answer(&host, id) == Some("left"),
-            leaves,
+            answer(&host, id) == Some("forwarded"),
+            is_forwarded,
             "class {class}, {outcome:?}: {:?}",
             answer(&host, id)
         );
@@ -125,18 +133,18 @@
 }
 
 #[test]
-fn keyed_request_in_flight_does_not_leave() {
+fn keyed_request_in_flight_is_not_forwarded() {
     let mut host = host(1);
     let id = host.arrive(0, 900_000);
     offer(&mut host, [9, 9, 9], 1.0);
     host.advance(900 * MS);
-    assert_eq!(answer(&host, id), Some("failed"), "it may have run until the end");
+    assert_eq!(answer(&host, id), Some("failed"), "forwarded or refused although its attempt may have run");
 }
 
 #[test]
-fn foreign_requests_are_queued_behind_local_ones() {
+fn requests_of_other_regions_leave_capacity_for_local_ones() {
     let mut host = host(1);
-    let foreign = |request| Arrival {
+    let from_other_region = |request| Arrival {
         request: RequestId(request),
         class: ClassId(0),
         tenant: None,
@@ -148,27 +156,34 @@
     };
     let sent = |request: u64, host: &mut Host| {
         let mut actions = Vec::new();
-        host.balancer.handle(host.now, Event::Request(foreign(request)), &mut actions);
+        host.balancer.handle(host.now, Event::Request(from_other_region(request)), &mut actions);
         actions.iter().any(|a| matches!(a, Action::Dispatch { .. }))
     };
-    // One backend holds four; half of that is for others.
-    let foreigners = (1000..1010).filter(|n| sent(*n, &mut host)).count();
-    assert_eq!(foreigners, 2);
-    let own: Vec<_> = (0..2).map(|_| host.arrive(0, 900_000)).collect();
-    assert!(own.iter().all(|id| host.sent_to(*id).len() == 1), "the rest was kept for the own");
+    // One backend has four slots; half of them are available to other regions.
+    let dispatched = (1000..1010).filter(|n| sent(*n, &mut host)).count();
+    assert_eq!(dispatched, 2);
+    let local: Vec<_> = (0..2).map(|_| host.arrive(0, 900_000)).collect();
+    assert!(
+        local.iter().all(|id| host.sent_to(*id).len() == 1),
+        "the other half of the slots is not available to local requests"
+    );
 }
 
 #[test]
 fn capacity_counts_healthy_backends_only() {
     let mut host = host(4);
-    assert_eq!(host.balancer.capacity().capacity_per_s, f64::INFINITY, "nothing was served yet");
+    assert_eq!(
+        host.balancer.capacity().capacity_per_s,
+        f64::INFINITY,
+        "capacity is infinite before any request was served"
+    );
     for _ in 0..60 {
         let id = host.arrive(0, 900_000);
         host.advance(20 * MS);
         host.end(id, 0, Outcome::Ok);
     }
     let all = host.balancer.capacity();
-    // Four backends of four places each, 20 ms an answer.
+    // Four backends with four slots each, 20 ms per answer.
     assert!((600.0..=1000.0).contains(&all.capacity_per_s), "{all:?}");
     assert!(all.demand_per_s[0] > 15.0 && all.demand_per_s[2] < 1.0, "{all:?}");
     for _ in 0..40 {
@@ -176,10 +191,14 @@
         (0..5).for_each(|no| host.end(id, no, Outcome::ConnectFailed));
         host.advance(5 * MS);
     }
-    assert_eq!(host.balancer.capacity().capacity_per_s, 0.0, "all of them refused");
+    assert_eq!(host.balancer.capacity().capacity_per_s, 0.0, "all backends refused connections");
     host.advance(8_000 * MS);
     let id = host.arrive(0, 900_000);
-    assert_eq!(host.balancer.capacity().capacity_per_s, 0.0, "the end of a term alone proves nothing");
+    assert_eq!(
+        host.balancer.capacity().capacity_per_s,
+        0.0,
+        "a backend counts after its ejection time alone, before it has served a request"
+    );
     host.end(id, 0, Outcome::Ok);
-    assert!(host.balancer.capacity().capacity_per_s > 0.0, "a good answer does");
+    assert!(host.balancer.capacity().capacity_per_s > 0.0, "a served request does not restore the capacity");
 }
--- a/crates/gaugesaddle-simulator-host/tests/adapter.rs
+++ b/crates/gaugesaddle-simulator-host/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter on wire lines of our own.
+//! The adapter process on hand-written lines of the simulator's protocol.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -22,7 +22,7 @@
 ["VIEW","proxy-3",0,4,"warm_copy"]
 "#;
 
-/// Runs the adapter on `input`; gives its output, its error text and whether it ended well.
+/// Runs the adapter on `input`. Returns its standard output, its standard error and whether it exited successfully.
 fn run(input: &str) -> (String, String, bool) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_gaugesaddle-simulator-host"))
         .stdin(Stdio::piped())
@@ -31,7 +31,7 @@
         .spawn()
         .unwrap();
     let mut stdin = child.stdin.take().unwrap();
-    let _ = stdin.write_all(input.as_bytes()); // it may have ended on an early line
+    let _ = stdin.write_all(input.as_bytes()); // the process may have ended at an earlier line
     drop(stdin);
     let out = child.wait_with_output().unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
@@ -39,50 +39,50 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_clean() {
+fn empty_batch_gets_empty_reply_and_end_of_input_exits_successfully() {
     assert_eq!(run("[\"TICK\",5]\n[\"END\"]\n"), ("[\"YIELD\"]\n".into(), String::new(), true));
     assert_eq!(run(""), (String::new(), String::new(), true));
 }
 
 #[test]
-fn a_request_is_handed_off_and_its_answer_closes_it() {
+fn request_is_dispatched_once_and_closed_by_its_answer() {
     let job = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"read"]"#;
     let done = r#"["RETURNED","proxy-3","00000000000000ab",0,"10.0.0.1:80",1,900,true,{"active":3,"new":1}]"#;
     let input = format!(
         "[\"TICK\",1000]\n{}{LIST}[\"END\"]\n[\"TICK\",2000]\n{job}\n[\"END\"]\n[\"TICK\",3000]\n{done}\n[\"END\"]\n",
         create(SETTINGS)
     );
-    let (out, err, good) = run(&input);
-    assert!(good, "{err}");
+    let (out, err, success) = run(&input);
+    assert!(success, "{err}");
     let sent = "[\"HAND_OFF\",\"proxy-3\",\"00000000000000ab\",\"10.0.0.1:80\",0]";
     assert_eq!(out.matches(sent).count(), 1, "{out}");
     assert_eq!(out.lines().filter(|l| *l == "[\"YIELD\"]").count(), 3);
 }
 
 #[test]
-fn with_no_backend_a_request_is_refused_in_time() {
+fn request_without_backend_is_refused_in_time() {
     let job = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"pay"]"#;
     let mut input = format!("[\"TICK\",1000]\n{}{job}\n[\"END\"]\n", create(SETTINGS));
     for (at, token) in (1..200).map(|n| (1000 + n * 5000, n)) {
         input += &format!("[\"TICK\",{at}]\n[\"TIMEOUT_FIRED\",\"proxy-3\",{token}]\n[\"END\"]\n");
     }
-    let (out, err, good) = run(&input);
-    assert!(good, "{err}");
+    let (out, err, success) = run(&input);
+    assert!(success, "{err}");
     assert_eq!(out.matches("[\"BOUNCE\",\"proxy-3\",\"00000000000000ab\",0]").count(), 1, "{out}");
 }
 
 #[test]
-fn a_killed_instance_is_forgotten_and_may_come_again() {
+fn killed_instance_is_removed_and_can_be_created_again() {
     let (first, kill) = (create(SETTINGS), "[\"KILLED\",\"proxy-3\"]\n");
-    let (out, _, good) = run(&format!("[\"TICK\",5]\n{first}{kill}{first}{LIST}[\"END\"]\n"));
-    assert!(good && out.ends_with("[\"YIELD\"]\n"), "{out}");
-    let (_, err, good) = run(&format!("[\"TICK\",5]\n{first}{kill}{LIST}[\"END\"]\n"));
-    assert!(!good && err.contains("known instance"), "{err}");
+    let (out, _, success) = run(&format!("[\"TICK\",5]\n{first}{kill}{first}{LIST}[\"END\"]\n"));
+    assert!(success && out.ends_with("[\"YIELD\"]\n"), "{out}");
+    let (_, err, success) = run(&format!("[\"TICK\",5]\n{first}{kill}{LIST}[\"END\"]\n"));
+    assert!(!success && err.contains("known instance"), "{err}");
 }
 
-/// Each is told with its line number and what was expected, and ends the process.
+/// The error names the line number and the expected value, and the process ends with a failure.
 #[test]
-fn malformed_lines_are_told_and_end_the_process() {
+fn malformed_line_is_reported_and_ends_the_process() {
     let job = |rest: &str| format!("[\"JOB_IN\",\"proxy-3\",{rest}]");
     let cases = [
         ("no json".into(), "JSON"),
@@ -110,17 +110,17 @@
     ];
     for (line, expected) in cases {
         let line: String = line;
-        let (_, err, good) = run(&format!("[\"TICK\",1]\n{}{LIST}{line}\n[\"END\"]\n", create(SETTINGS)));
-        assert!(!good, "accepted {line}");
+        let (_, err, success) = run(&format!("[\"TICK\",1]\n{}{LIST}{line}\n[\"END\"]\n", create(SETTINGS)));
+        assert!(!success, "accepted {line}");
         assert!(err.contains("line 5:") && err.contains(expected), "{line}: {err}");
         assert!(!err.contains("panicked"), "{err}");
     }
-    let (_, err, good) = run("[\"END\"]\n");
-    assert!(!good && err.contains("TICK first"), "{err}");
+    let (_, err, success) = run("[\"END\"]\n");
+    assert!(!success && err.contains("TICK first"), "{err}");
 }
 
 #[test]
-fn bad_settings_are_a_fault_of_that_instance_that_names_the_key() {
+fn invalid_settings_are_reported_for_the_instance_with_the_key() {
     let cases = [
         ("\"group_size\":1,", "", "group_size"),
         ("\"group_size\":1,", "\"group_size\":0,", "group_size: expected at least 1"),
@@ -136,8 +136,8 @@
     for (from, to, key) in cases {
         assert!(SETTINGS.contains(from));
         let settings = SETTINGS.replacen(from, to, 1);
-        let (out, err, good) = run(&format!("[\"TICK\",1]\n{}{LIST}[\"END\"]\n", create(&settings)));
-        assert!(good, "{err}");
+        let (out, err, success) = run(&format!("[\"TICK\",1]\n{}{LIST}[\"END\"]\n", create(&settings)));
+        assert!(success, "{err}");
         assert!(out.starts_with("[\"BROKEN\",\"proxy-3\",") && out.contains(key), "{to}: {out}");
     }
 }
