--- a/crates/gaugesaddle-consensus/src/change.rs
+++ b/crates/gaugesaddle-consensus/src/change.rs
@@ -1,11 +1,11 @@
 //! Turns an operator's configuration change into a proposal, without I/O.
 //!
-//! - [`read`]: whether a change can be parsed at all; called by whichever process receives it.
+//! - [`parse_revision`]: whether a change can be parsed at all; called by whichever process receives it.
 //! - [`proposal`]: a leader's proposal on top of the configuration that it knows to be committed.
 //!
 //! A patch is identified like a full configuration, by base and body byte for byte, and is decided on top of a committed
 //! state. It is applied here, to the committed document, and the proposal names that document by digest: where another
-//! one is in effect when the replica decides, nothing is accepted ([`ProposedDocument::Edited`]). Two patches on one base
+//! one is in effect when the replica decides, nothing is accepted ([`ProposedDocument::Patched`]). Two patches on one base
 //! are therefore never merged: the second one builds on another revision than the current one and is rejected like any
 //! change that does.
 
@@ -19,7 +19,7 @@
 /// # Errors
 ///
 /// The findings of a body that cannot be parsed, or that has no revision.
-pub fn read(body: &ChangeBody) -> Result<u64, Findings> {
+pub fn parse_revision(body: &ChangeBody) -> Result<u64, Findings> {
     match body {
         ChangeBody::Full(document) => revision_of(document),
         ChangeBody::Patch(patch) => ConfigPatch::parse(patch).map(|patch| patch.revision),
@@ -42,7 +42,7 @@
         ChangeBody::Patch(body) => {
             let patch = ConfigPatch::parse(&body)?;
             let content = apply_patch(&patch, base, committed, validate)?;
-            Ok(Proposal::edit(base, patch.revision, &body, content))
+            Ok(Proposal::from_patch(base, patch.revision, &body, content))
         }
     }
 }
@@ -62,7 +62,7 @@
     }
     let document = patch.apply(current)?;
     validate(&document)?;
-    Ok(ProposedDocument::Edited { base: Digest::of(current), document })
+    Ok(ProposedDocument::Patched { base: Digest::of(current), document })
 }
 
 fn revision_of(document: &[u8]) -> Result<u64, Findings> {
--- a/crates/gaugesaddle-consensus/src/disk_format.rs
+++ b/crates/gaugesaddle-consensus/src/disk_format.rs
@@ -52,7 +52,7 @@
 }
 
 /// The records of a write, each with its slot.
-pub fn records(hard_state: &HardState, state: Option<&State>) -> Vec<(usize, Vec<u8>)> {
+pub fn encode_records(hard_state: &HardState, state: Option<&State>) -> Vec<(usize, Vec<u8>)> {
     let mut records = Vec::with_capacity(2);
     push(&mut records, HARD_STATE_SLOT, hard_state);
     if let Some(state) = state {
@@ -68,7 +68,9 @@
 ///
 /// # Errors
 /// A record cannot be decoded.
-pub fn read(slots: &[Option<Vec<u8>>; 2]) -> Result<(Option<HardState>, Option<State>), DiskFormatError> {
+pub fn decode_slots(
+    slots: &[Option<Vec<u8>>; 2],
+) -> Result<(Option<HardState>, Option<State>), DiskFormatError> {
     let [hard_state, state] = slots;
     let hard_state = decode(Record::HardState, hard_state.as_deref())?;
     let state = decode(Record::State, state.as_deref())?;
--- a/crates/gaugesaddle-consensus/src/proposal.rs
+++ b/crates/gaugesaddle-consensus/src/proposal.rs
@@ -8,7 +8,7 @@
     /// A complete document, independent of the current one.
     Full(Vec<u8>),
     /// A document computed by applying a patch to another one. It is accepted only on top of that very document.
-    Edited {
+    Patched {
         /// Digest of the document to which the patch was applied.
         base: Digest,
         /// The result.
@@ -44,7 +44,7 @@
     }
 
     /// A proposal made out of a patch; `body` is the patch as the operator sent it.
-    pub fn edit(base: u64, revision: u64, body: &[u8], content: ProposedDocument) -> Proposal {
+    pub fn from_patch(base: u64, revision: u64, body: &[u8], content: ProposedDocument) -> Proposal {
         let digest = Digest::of_concatenation(&[PATCH_DIGEST_PREFIX, &base.to_le_bytes(), body]);
         Proposal { base, revision, content, digest }
     }
@@ -53,7 +53,7 @@
     pub(crate) fn document_on(self, current: &[u8]) -> Option<Vec<u8>> {
         match self.content {
             ProposedDocument::Full(document) => Some(document),
-            ProposedDocument::Edited { base, document } => (base == Digest::of(current)).then_some(document),
+            ProposedDocument::Patched { base, document } => (base == Digest::of(current)).then_some(document),
             ProposedDocument::Unavailable => None,
         }
     }
--- a/crates/gaugesaddle-consensus/tests/golden_disk.rs
+++ b/crates/gaugesaddle-consensus/tests/golden_disk.rs
@@ -49,10 +49,10 @@
     let store = FileStore::open(&folder, SEGMENT_BYTES).expect("the store opens");
     let mut ring = Ring::open(store).expect("the ring opens");
     for index in 1..=5 {
-        ring.append(disk_format::records(&hard_state(index), Some(&state(index))))
+        ring.append(disk_format::encode_records(&hard_state(index), Some(&state(index))))
             .expect("the record is appended");
     }
-    ring.append(disk_format::records(&hard_state(6), None)).expect("the record is appended");
+    ring.append(disk_format::encode_records(&hard_state(6), None)).expect("the record is appended");
     for number in 0..SEGMENTS {
         let name = format!("segment-{number}");
         let written = fs::read(folder.join(&name)).expect("a segment");
@@ -70,6 +70,6 @@
     }
     let store = FileStore::open(&folder, SEGMENT_BYTES).expect("the store opens");
     let ring = Ring::open(store).expect("the ring opens");
-    let decoded = disk_format::read(ring.slots()).expect("both records are decoded");
+    let decoded = disk_format::decode_slots(ring.slots()).expect("both records are decoded");
     assert_eq!(decoded, (Some(hard_state(6)), Some(state(5))));
 }
--- a/crates/gaugesaddle-consensus/tests/proposals.rs
+++ b/crates/gaugesaddle-consensus/tests/proposals.rs
@@ -1,6 +1,6 @@
 //! The failure: a patch is applied to another configuration than its base, or a repeated change is not recognized.
 
-use gaugesaddle_consensus::change::{proposal, read};
+use gaugesaddle_consensus::change::{parse_revision, proposal};
 use gaugesaddle_consensus::ProposedDocument;
 use gaugesaddle_protocol::{ChangeBody, Configuration, ConfigurationChange, Digest, LogPosition};
 
@@ -22,7 +22,7 @@
     };
     let current = committed(4, DOCUMENT);
     let document = br#"{"revision":5,"routes":[{"name":"a"},{"name":"b"}]}"#.to_vec();
-    assert_eq!(on(Some(&current), 4), ProposedDocument::Edited { base: Digest::of(DOCUMENT), document });
+    assert_eq!(on(Some(&current), 4), ProposedDocument::Patched { base: Digest::of(DOCUMENT), document });
     assert_eq!(
         on(Some(&committed(3, DOCUMENT)), 4),
         ProposedDocument::Unavailable,
@@ -34,7 +34,7 @@
         "a newer state than its base"
     );
     assert_eq!(on(None, 4), ProposedDocument::Unavailable);
-    assert!(matches!(on(None, 0), ProposedDocument::Edited { .. }), "base 0 is the empty document");
+    assert!(matches!(on(None, 0), ProposedDocument::Patched { .. }), "base 0 is the empty document");
 }
 
 #[test]
@@ -64,6 +64,6 @@
     });
     assert!(validated.starts_with(br#"{"revision":5,"#), "the result is validated, not the patch");
     assert!(result.is_err(), "its routes have no service");
-    assert!(read(&ChangeBody::Patch(b"{}".to_vec())).is_err());
-    assert_eq!(read(&ChangeBody::Patch(PATCH.to_vec())).ok(), Some(5));
+    assert!(parse_revision(&ChangeBody::Patch(b"{}".to_vec())).is_err());
+    assert_eq!(parse_revision(&ChangeBody::Patch(PATCH.to_vec())).ok(), Some(5));
 }
--- a/crates/gaugesaddle-control/src/change_handler.rs
+++ b/crates/gaugesaddle-control/src/change_handler.rs
@@ -43,7 +43,7 @@
 fn validate(body: &ChangeBody) -> Result<(), Findings> {
     match body {
         ChangeBody::Full(document) => validate_document(document),
-        ChangeBody::Patch(_) => gaugesaddle_consensus::change::read(body).map(|_| ()),
+        ChangeBody::Patch(_) => gaugesaddle_consensus::change::parse_revision(body).map(|_| ()),
     }
 }
 
--- a/crates/gaugesaddle-control/src/disk.rs
+++ b/crates/gaugesaddle-control/src/disk.rs
@@ -100,7 +100,7 @@
 }
 
 fn read_records(ring: &Ring<FileStore>) -> DiskEvent {
-    match disk_format::read(ring.slots()) {
+    match disk_format::decode_slots(ring.slots()) {
         Ok((hard_state, state)) => DiskEvent::Opened { hard_state, state: state.map(Box::new) },
         Err(error) => {
             warn!("{error}: the disk counts as empty");
@@ -122,7 +122,7 @@
         let Some(last) = batch.last() else { continue };
         let write_id = last.write_id;
         let newest_state = batch.iter().rev().find_map(|write| write.state.as_deref());
-        let records = disk_format::records(&last.hard_state, newest_state);
+        let records = disk_format::encode_records(&last.hard_state, newest_state);
         ring.append(records)?;
         if events.send(DiskEvent::Persisted(write_id)).is_err() {
             return Ok(());
--- a/crates/gaugesaddle-simulation/src/control/replica.rs
+++ b/crates/gaugesaddle-simulation/src/control/replica.rs
@@ -25,7 +25,7 @@
         let drawn_id = ReplicaId { ip: self.ip, incarnation: self.random.next_u64() | 1 };
         let (hard_state, state) = if self.has_disk {
             let Ok(ring) = Ring::open(self.disk.clone()) else { return };
-            let (hard_state, state) = disk_format::read(ring.slots()).unwrap_or((None, None));
+            let (hard_state, state) = disk_format::decode_slots(ring.slots()).unwrap_or((None, None));
             self.ring = Some(ring);
             let initial_id = ReplicaId { ip: self.ip, incarnation: 0 };
             let is_first_start = hard_state.is_none();
@@ -164,7 +164,7 @@
     pub fn append_active_writes(&mut self) -> Result<(), LogError> {
         let newest_state = self.active_writes.iter().rev().find_map(|write| write.state.as_deref());
         let (Some(last), Some(ring)) = (self.active_writes.last(), &mut self.ring) else { return Ok(()) };
-        ring.append(disk_format::records(&last.hard_state, newest_state))
+        ring.append(disk_format::encode_records(&last.hard_state, newest_state))
     }
 
     /// Handles a failed disk.
