--- a/crates/gaugesaddle-catalog/src/catalog_replica.rs
+++ b/crates/gaugesaddle-catalog/src/catalog_replica.rs
@@ -174,7 +174,7 @@
 
     /// The registration that records the departure of a backend; `None` for a proxy. Where the identity is not known
     /// here, all but the identity is empty: other processes may know it.
-    pub fn departed(&self, id: &str) -> Option<Registration> {
+    pub fn departure_of(&self, id: &str) -> Option<Registration> {
         let mut registration = match self.catalog.get(id) {
             Some(entry) => entry.registration.clone(),
             None => Registration {
--- a/crates/gaugesaddle-catalog/tests/catalog_replica.rs
+++ b/crates/gaugesaddle-catalog/tests/catalog_replica.rs
@@ -115,7 +115,7 @@
     let mut all = processes();
     // The second process knows the backend, the first one has just started.
     let ready = all[1].record(NOW, registration("a", 7, Lifecycle::Ready)).expect("a change");
-    let departed = all[0].departed("a").expect("a backend");
+    let departed = all[0].departure_of("a").expect("a backend");
     let departure = all[0].record(NOW + 1, departed).expect("a change");
     assert_eq!(
         all[0].replication_status(NOW + 1, "a", VOTERS),
--- a/crates/gaugesaddle-config/src/boot.rs
+++ b/crates/gaugesaddle-config/src/boot.rs
@@ -64,7 +64,7 @@
     /// Window of the quotas, in s.
     pub quota_window_s: f64,
     /// Fraction by which a quota may be exceeded.
-    pub quota_over: f64,
+    pub quota_excess_fraction: f64,
     /// Tokens per window permitted in excess of the quota.
     pub quota_slack: f64,
     /// Deadline of the reply to an operator's configuration change, in ms.
@@ -72,7 +72,7 @@
     /// Time allowed to a restarted machine for catching up, in s.
     pub catch_up_s: f64,
     /// Fail closed: no request is executed with a revoked API key, even on a partitioned machine.
-    pub closed: bool,
+    pub fail_closed: bool,
     /// Time after an acknowledged configuration for which a key that it revoked may still be used, in ms.
     pub revoke_ms: u64,
 }
@@ -248,7 +248,7 @@
 
     /// Address at which the control process of the machine `ip` accepts frames: the port range is the same on all
     /// machines, and control processes use its first port.
-    pub fn control_process(&self, ip: u32) -> SocketAddrV4 {
+    pub fn control_process_address(&self, ip: u32) -> SocketAddrV4 {
         SocketAddrV4::new(Ipv4Addr::from(ip), self.ephemeral_ports.0)
     }
 
@@ -329,11 +329,11 @@
         budget_window_s: reader.optional_or("bounds.budgetWindowS", NUMBER, 10.0),
         budget_slack: reader.optional_or("bounds.budgetSlack", NUMBER, 0.0),
         quota_window_s: reader.optional_or("bounds.quotaWindowS", NUMBER, 8.0),
-        quota_over: reader.optional_or("bounds.quotaOver", NUMBER, 0.0),
+        quota_excess_fraction: reader.optional_or("bounds.quotaOver", NUMBER, 0.0),
         quota_slack: reader.optional_or("bounds.quotaSlack", NUMBER, 0.0),
         ack_ms: reader.optional_or("bounds.ackMs", INTEGER, 4000),
         catch_up_s: reader.optional_or("bounds.catchUpS", NUMBER, 4.0),
-        closed: reader.optional_or("bounds.closed", "true or false", false),
+        fail_closed: reader.optional_or("bounds.closed", "true or false", false),
         revoke_ms: reader.optional_or("bounds.revokeMs", INTEGER, 5000),
     }
 }
--- a/crates/gaugesaddle-config/src/table.rs
+++ b/crates/gaugesaddle-config/src/table.rs
@@ -40,9 +40,9 @@
     /// Deadline of a request, in ms, at least 1.
     pub timeout_ms: u64,
     /// Latency objective of a response, in ms.
-    pub target_ms: f64,
+    pub latency_objective_ms: f64,
     /// Objective for the gap between two events of a stream, in ms; 0: none.
-    pub gap_ms: f64,
+    pub gap_objective_ms: f64,
     /// Priority, 0 is highest.
     pub priority: u32,
     /// Services with their weights, at least one of which is above 0.
@@ -159,8 +159,8 @@
         name: route.name.clone(),
         kind,
         timeout_ms: route.timeout_ms.max(1.0) as u64,
-        target_ms: route.target_latency_ms.max(0.0),
-        gap_ms: route.event_gap_objective_ms.max(0.0),
+        latency_objective_ms: route.target_latency_ms.max(0.0),
+        gap_objective_ms: route.event_gap_objective_ms.max(0.0),
         priority: route.priority.max(0.0) as u32,
         split,
         attempts: route.max_attempts.max(1.0) as u32,
--- a/crates/gaugesaddle-config/tests/documents.rs
+++ b/crates/gaugesaddle-config/tests/documents.rs
@@ -38,7 +38,7 @@
     assert_eq!(boot.zones.len(), 2);
     assert!(boot.bootstrap);
     assert_eq!((boot.limits.disk_mb, boot.limits.max_fds), (0, 4100));
-    assert_eq!((boot.bounds.drain_ms, boot.bounds.quota_over), (2500, 0.1));
+    assert_eq!((boot.bounds.drain_ms, boot.bounds.quota_excess_fraction), (2500, 0.1));
 }
 
 #[test]
@@ -101,7 +101,7 @@
     assert_eq!(route("b.example", "/x/1"), None);
     let first = table.route("a.example", "/x/1").expect("r1");
     assert_eq!(first.kind, RouteKind::Streaming { resume: true });
-    assert_eq!((first.attempts, first.timeout_ms, first.gap_ms), (2, 12000, 400.0));
+    assert_eq!((first.attempts, first.timeout_ms, first.gap_objective_ms), (2, 12000, 400.0));
     assert_eq!(table.tenant("k2").map(|t| (t.name.as_str(), t.limit)), Some(("n", Some((1000.0, 1500.0)))));
     assert!(table.tenant("k3").is_none() && table.needs_keys());
 }
--- a/crates/gaugesaddle-config/tests/golden_documents.rs
+++ b/crates/gaugesaddle-config/tests/golden_documents.rs
@@ -35,9 +35,9 @@
     let bounds = &settings.bounds;
     assert_eq!((bounds.drain_ms, bounds.config_apply_ms, bounds.grace_period_s), (2100, 2200, 8.5));
     assert_eq!((bounds.retry_budget_ratio, bounds.budget_window_s, bounds.budget_slack), (0.15, 11.0, 3.0));
-    assert_eq!((bounds.quota_window_s, bounds.quota_over, bounds.quota_slack), (9.0, 0.05, 40.0));
+    assert_eq!((bounds.quota_window_s, bounds.quota_excess_fraction, bounds.quota_slack), (9.0, 0.05, 40.0));
     assert_eq!((bounds.ack_ms, bounds.catch_up_s), (4100, 4.5));
-    assert_eq!((bounds.closed, bounds.revoke_ms), (true, 5100));
+    assert_eq!((bounds.fail_closed, bounds.revoke_ms), (true, 5100));
 }
 
 #[test]
--- a/crates/gaugesaddle-control/src/change_handler.rs
+++ b/crates/gaugesaddle-control/src/change_handler.rs
@@ -103,7 +103,7 @@
 
 /// Calls the leader; `None` where there is none or the call fails.
 async fn call_leader(core: &CoreHandle, request: Request, timeout: Duration) -> Option<Reply> {
-    let address = core.with(|c| Some(c.boot.control_process(c.leader()?)))?;
+    let address = core.with(|c| Some(c.boot.control_process_address(c.leader()?)))?;
     let mut caller = Caller::open(address, CONNECT_TIMEOUT).await.ok()?;
     caller.call(&request, timeout).await.ok()
 }
--- a/crates/gaugesaddle-control/src/cli.rs
+++ b/crates/gaugesaddle-control/src/cli.rs
@@ -120,7 +120,7 @@
 
 /// Runs the program; exit code 0 on success, 1 on any error, 2 (by clap) on a malformed command line.
 pub fn main() -> ExitCode {
-    gaugesaddle_transport::log::start();
+    gaugesaddle_transport::log::set_level_from_environment();
     match run(&command().get_matches()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
--- a/crates/gaugesaddle-control/src/peer_connections.rs
+++ b/crates/gaugesaddle-control/src/peer_connections.rs
@@ -30,7 +30,7 @@
 
 /// Sends the messages queued for a peer, and connects again after each error, until the process ends.
 async fn send_queued(core: CoreHandle, ip: u32, mut messages: mpsc::Receiver<PeerMessage>) {
-    let address = core.with(|c| c.boot.control_process(ip));
+    let address = core.with(|c| c.boot.control_process_address(ip));
     loop {
         if let Err(e) = connect_and_send(&core, address, &mut messages).await {
             debug!("peer {address}: {:#}", eyre::Report::new(e));
--- a/crates/gaugesaddle-control/src/quota.rs
+++ b/crates/gaugesaddle-control/src/quota.rs
@@ -34,7 +34,8 @@
         let bounds = &self.boot.bounds;
         let slack = bounds.quota_slack * SLACK_FRACTION;
         let limit = |rate: f64, burst: f64| Limit {
-            rate: rate * (1.0 + EXCESS_FRACTION * bounds.quota_over) + slack / bounds.quota_window_s.max(1.0),
+            rate: rate * (1.0 + EXCESS_FRACTION * bounds.quota_excess_fraction)
+                + slack / bounds.quota_window_s.max(1.0),
             burst: burst.max(0.0) + slack,
         };
         let limited_tenants = config.tenants.into_iter().filter(|tenant| tenant.rate_per_s > 0.0);
--- a/crates/gaugesaddle-control/src/registrations.rs
+++ b/crates/gaugesaddle-control/src/registrations.rs
@@ -61,7 +61,7 @@
 
 /// Handles the deregistration of the backend `id`.
 pub async fn handle_deregister(core: &CoreHandle, id: &str) -> RegistrationOutcome {
-    match core.with(|c| c.catalog_replica.departed(id)) {
+    match core.with(|c| c.catalog_replica.departure_of(id)) {
         Some(registration) if !id.is_empty() => register(core, registration).await,
         _ => RegistrationOutcome::Malformed,
     }
--- a/crates/gaugesaddle-control/src/serve.rs
+++ b/crates/gaugesaddle-control/src/serve.rs
@@ -37,7 +37,7 @@
     for seed in boot.seeds.iter().filter(|seed| *seed.ip() != boot.ip) {
         peers.add(u32::from(*seed.ip()));
     }
-    let peer_address = boot.control_process(u32::from(boot.ip));
+    let peer_address = boot.control_process_address(u32::from(boot.ip));
     let has_disk = disk.is_some();
     info!(
         "listens at {control} for backends and operators, at {peer_address} for processes; disk: {has_disk}"
--- a/crates/gaugesaddle-edge/src/admission.rs
+++ b/crates/gaugesaddle-edge/src/admission.rs
@@ -81,7 +81,7 @@
         return Ok(());
     }
     let deficit = TokenDeficit::register(state, &tenant.name, cost);
-    let wait_ms = request.route.target_ms * TOKEN_WAIT_FRACTION;
+    let wait_ms = request.route.latency_objective_ms * TOKEN_WAIT_FRACTION;
     let wait_until = Instant::now() + Duration::from_secs_f64(wait_ms / 1000.0);
     loop {
         // Subscribed before the task is woken, or its grant could be missed.
--- a/crates/gaugesaddle-edge/src/api_key.rs
+++ b/crates/gaugesaddle-edge/src/api_key.rs
@@ -32,7 +32,7 @@
     pub fn new(state: &Rc<EdgeState>, key: Option<&str>, tenant: Option<&Tenant>) -> Option<ApiKeyGuard> {
         let key = key?.to_owned();
         let tenant = tenant?.name.clone();
-        let is_closed = state.boot.bounds.closed;
+        let is_closed = state.boot.bounds.fail_closed;
         is_closed.then(|| ApiKeyGuard { state: state.clone(), key, tenant })
     }
 
@@ -52,7 +52,7 @@
 
 /// Whether requests with keys will be accepted for a while; always true where the deployment is not closed.
 pub fn accepts_keys(state: &EdgeState) -> bool {
-    !state.boot.bounds.closed || is_proven(state, UNREADY_FRACTION)
+    !state.boot.bounds.fail_closed || is_proven(state, UNREADY_FRACTION)
 }
 
 fn is_proven(state: &EdgeState, fraction: f64) -> bool {
--- a/crates/gaugesaddle-edge/src/control_client.rs
+++ b/crates/gaugesaddle-edge/src/control_client.rs
@@ -60,7 +60,7 @@
 
 /// Pulls from one process until it fails or has lost contact with a majority.
 async fn follow(state: &Rc<EdgeState>, ip: u32) -> Result<(), LinkError> {
-    let address = state.boot.control_process(ip);
+    let address = state.boot.control_process_address(ip);
     let mut caller = Caller::open(address, CONNECT_TIMEOUT).await?;
     let mut wait_ms = 0;
     loop {
@@ -86,7 +86,7 @@
 /// Announces to the leader that this proxy leaves.
 pub async fn deregister(state: Rc<EdgeState>) {
     let Some(leader) = state.follower.borrow().leader() else { return };
-    let address = state.boot.control_process(leader);
+    let address = state.boot.control_process_address(leader);
     let Ok(mut caller) = Caller::open(address, DEREGISTER_TIMEOUT).await else { return };
     // If this call fails the lease runs out.
     let _ = caller.call(&pull_request(&state, Lifecycle::Departed, 0), DEREGISTER_TIMEOUT).await;
--- a/crates/gaugesaddle-edge/src/dispatch.rs
+++ b/crates/gaugesaddle-edge/src/dispatch.rs
@@ -195,7 +195,7 @@
         let proxies = self.state.proxies();
         let sizes = self.state.statistics.prompt_sizes(&self.service_name);
         let inflow_tokens = sizes.inflow_tokens(now, settings.report_delay_ms, proxies, candidates.len());
-        let view = FleetView { proxies, inflow_tokens, objective_ms: self.route.target_ms };
+        let view = FleetView { proxies, inflow_tokens, objective_ms: self.route.latency_objective_ms };
         let mut random = self.state.random.borrow_mut();
         let statistics = &self.state.statistics;
         let choice = statistics.with_chooser(&self.route, &self.service_name, |chooser| {
--- a/crates/gaugesaddle-edge/src/quota_client.rs
+++ b/crates/gaugesaddle-edge/src/quota_client.rs
@@ -39,7 +39,7 @@
     state: &EdgeState, caller: Option<Caller>, request: &Request, called_at: u64,
 ) -> Option<Caller> {
     let leader = state.follower.borrow().leader()?;
-    let address = state.boot.control_process(leader);
+    let address = state.boot.control_process_address(leader);
     let mut caller = Caller::reuse_or_open(caller, address, CONNECT_TIMEOUT).await.ok()?;
     match caller.call(request, ANSWER_TIMEOUT).await.ok()? {
         Reply::Quota { grants } => {
--- a/crates/gaugesaddle-edge/src/run.rs
+++ b/crates/gaugesaddle-edge/src/run.rs
@@ -30,7 +30,7 @@
 /// # Errors
 /// A boot file or setting that cannot be used, with place and expectation, or an address that cannot be bound.
 pub fn run(settings: &[String]) -> Result<()> {
-    gaugesaddle_transport::log::start();
+    gaugesaddle_transport::log::set_level_from_environment();
     let boot = BootSettings::read()?;
     let mut chooser_settings = ChooserSettings::default();
     for setting in settings {
--- a/crates/gaugesaddle-simulation/src/control/calls.rs
+++ b/crates/gaugesaddle-simulation/src/control/calls.rs
@@ -30,7 +30,7 @@
         match call {
             Call::Pull(pull) => self.receive_pull(now, waiter, pull),
             Call::Heartbeat(registration) => self.register(now, waiter, *registration),
-            Call::Deregister(id) => match self.catalog_replica.departed(&id) {
+            Call::Deregister(id) => match self.catalog_replica.departure_of(&id) {
                 Some(registration) => self.register(now, waiter, registration),
                 None => self.answer(waiter, Answer::Registered(RegistrationOutcome::NotAcknowledged)),
             },
--- a/crates/gaugesaddle-transport/src/log.rs
+++ b/crates/gaugesaddle-transport/src/log.rs
@@ -6,7 +6,7 @@
 pub const LEVEL_VARIABLE: &str = "GAUGESADDLE_LOG";
 
 /// Sets the level of the default logger: `info` where the variable is not set or has another value.
-pub fn start() {
+pub fn set_level_from_environment() {
     let level = match std::env::var(LEVEL_VARIABLE).as_deref() {
         Ok("debug") => Level::Debug,
         Ok("warn") => Level::Warn,
