--- a/crates/gaugesaddle-catalog/src/catalog.rs
+++ b/crates/gaugesaddle-catalog/src/catalog.rs
@@ -1,7 +1,7 @@
 //! The merged registrations, with the version vector of the changes that brought them.
 
 use crate::digest::{self, RANGES};
-use gaugesaddle_protocol::{CatalogDelta, Entry, Lifecycle, Origin, Registration, VersionVector};
+use gaugesaddle_protocol::{CatalogDelta, CatalogEntry, Lifecycle, Origin, Registration, VersionVector};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Maximum number of registrations: twice the largest supported fleet, so that a release may replace all of it at once.
@@ -12,7 +12,7 @@
 /// An entry, and when this process last changed it.
 #[derive(Clone, Debug)]
 struct StoredEntry {
-    entry: Entry,
+    entry: CatalogEntry,
     changed_at_ms: u64,
 }
 
@@ -48,12 +48,12 @@
     }
 
     /// All entries.
-    pub fn entries(&self) -> impl Iterator<Item = &Entry> {
+    pub fn entries(&self) -> impl Iterator<Item = &CatalogEntry> {
         self.entries.values().map(|stored| &stored.entry)
     }
 
     /// The entry of an identity.
-    pub fn get(&self, id: &str) -> Option<&Entry> {
+    pub fn get(&self, id: &str) -> Option<&CatalogEntry> {
         self.entries.get(id).map(|stored| &stored.entry)
     }
 
@@ -64,9 +64,9 @@
 
     /// Records a change that originates at this process, under the next number of `origin`; `None` where the known
     /// registration has precedence or the catalog is full. `now` in milliseconds.
-    pub fn accept(&mut self, now: u64, origin: Origin, registration: Registration) -> Option<Entry> {
+    pub fn accept(&mut self, now: u64, origin: Origin, registration: Registration) -> Option<CatalogEntry> {
         let change = self.vector.of(origin) + 1;
-        let entry = Entry { origin, change, registration };
+        let entry = CatalogEntry { origin, change, registration };
         if !self.put(now, entry.clone()) {
             return None;
         }
@@ -117,7 +117,7 @@
 
     /// The changes that a process with the vector `known` lacks.
     pub fn delta(&self, known: &VersionVector) -> CatalogDelta {
-        let is_unknown = |entry: &&Entry| entry.change > known.of(entry.origin);
+        let is_unknown = |entry: &&CatalogEntry| entry.change > known.of(entry.origin);
         CatalogDelta {
             entries: self.entries().filter(is_unknown).cloned().collect(),
             since: known.clone(),
@@ -171,7 +171,7 @@
     }
 
     /// Stores an entry unless the known one has precedence or the table is full; whether it was stored.
-    fn put(&mut self, now: u64, entry: Entry) -> bool {
+    fn put(&mut self, now: u64, entry: CatalogEntry) -> bool {
         if let Some(stored) = self.entries.get_mut(&entry.registration.id) {
             if !supersedes(&entry.registration, &stored.entry.registration) {
                 return false;
--- a/crates/gaugesaddle-catalog/tests/catalog_replica.rs
+++ b/crates/gaugesaddle-catalog/tests/catalog_replica.rs
@@ -237,7 +237,7 @@
     }
     // The proxy has a third backend from an earlier process that died with all its peers.
     let lost = CatalogDelta {
-        entries: vec![gaugesaddle_protocol::Entry {
+        entries: vec![gaugesaddle_protocol::CatalogEntry {
             origin: Origin(77),
             change: 1,
             registration: registration("lost", 3, Lifecycle::Ready),
--- a/crates/gaugesaddle-consensus/src/commit.rs
+++ b/crates/gaugesaddle-consensus/src/commit.rs
@@ -4,7 +4,7 @@
 use crate::read_index::UnconfirmedAnswer;
 use crate::settings::MAX_PENDING;
 use crate::{history, Output, Proposal, ProposalResult, Replica, Role};
-use gaugesaddle_protocol::{Accepted, Configuration, LogPosition, State};
+use gaugesaddle_protocol::{AcceptedChange, Configuration, LogPosition, State};
 
 impl Replica {
     pub(crate) fn handle_propose(
@@ -76,7 +76,7 @@
 
     /// Decides a proposal on top of a committed state.
     fn evaluate(&mut self, now: u64, request: u64, proposal: Proposal, out: &mut Vec<Output>) {
-        let accepted = Accepted { revision: proposal.revision, digest: proposal.digest };
+        let accepted = AcceptedChange { revision: proposal.revision, digest: proposal.digest };
         let current = self.state.revision;
         if self.state.accepted.contains(&accepted) {
             out.push(Output::Proposed(request, ProposalResult::Committed));
--- a/crates/gaugesaddle-consensus/src/history.rs
+++ b/crates/gaugesaddle-consensus/src/history.rs
@@ -1,7 +1,7 @@
 //! State updates for other replicas: a delta against a state that the receiver has, else the full state.
 
 use crate::settings::MAX_ACCEPTED;
-use gaugesaddle_protocol::{Accepted, DocumentUpdate, LogPosition, State, StateUpdate};
+use gaugesaddle_protocol::{AcceptedChange, DocumentUpdate, LogPosition, State, StateUpdate};
 use std::collections::VecDeque;
 
 /// Earlier states that are retained as bases of deltas.
@@ -45,7 +45,7 @@
     pub fn update(&self, received: Option<LogPosition>, state: &State) -> StateUpdate {
         let base = self.versions.iter().find(|version| Some(version.position) == received);
         // Revisions rise with each accepted change.
-        let is_new = |accepted: &&Accepted| base.is_none_or(|base| accepted.revision > base.revision);
+        let is_new = |accepted: &&AcceptedChange| base.is_none_or(|base| accepted.revision > base.revision);
         StateUpdate {
             base: base.map(|base| base.position),
             position: state.position,
@@ -61,7 +61,7 @@
 
 /// Drops the oldest accepted changes beyond [`MAX_ACCEPTED`], the same ones on every replica. Returns the highest
 /// revision that was dropped.
-pub(crate) fn drop_oldest(accepted: &mut Vec<Accepted>) -> Option<u64> {
+pub(crate) fn drop_oldest(accepted: &mut Vec<AcceptedChange>) -> Option<u64> {
     let surplus = accepted.len().saturating_sub(MAX_ACCEPTED);
     accepted.drain(..surplus).map(|accepted| accepted.revision).max()
 }
--- a/crates/gaugesaddle-consensus/tests/golden_disk.rs
+++ b/crates/gaugesaddle-consensus/tests/golden_disk.rs
@@ -5,7 +5,7 @@
 
 use gaugesaddle_consensus::disk_format;
 use gaugesaddle_log::{FileStore, Ring, SEGMENTS};
-use gaugesaddle_protocol::{Accepted, Digest, HardState, LogPosition, ReplicaId, State};
+use gaugesaddle_protocol::{AcceptedChange, Digest, HardState, LogPosition, ReplicaId, State};
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -24,7 +24,7 @@
         position: LogPosition { term: 3, index },
         revision: 10 + index,
         document: format!("{{\"revision\":{}}}", 10 + index).into_bytes(),
-        accepted: vec![Accepted { revision: 10 + index, digest: Digest([index as u8; 16]) }],
+        accepted: vec![AcceptedChange { revision: 10 + index, digest: Digest([index as u8; 16]) }],
         pruned_revision: 9,
         voters: vec![replica(1), replica(2), replica(3)],
         outgoing: vec![replica(4)],
--- a/crates/gaugesaddle-control/src/peer_connections.rs
+++ b/crates/gaugesaddle-control/src/peer_connections.rs
@@ -7,7 +7,7 @@
 use crate::peer_queues::UnconnectedPeer;
 use gaugesaddle_consensus::Input;
 use gaugesaddle_protocol::frame::FrameError;
-use gaugesaddle_protocol::{Opening, PeerMessage};
+use gaugesaddle_protocol::{ConnectionPreface, PeerMessage};
 use gaugesaddle_transport::{connect, Link, LinkError};
 use spdlog::debug;
 use std::net::SocketAddrV4;
@@ -45,7 +45,7 @@
     core: &CoreHandle, address: SocketAddrV4, messages: &mut mpsc::Receiver<PeerMessage>,
 ) -> Result<(), LinkError> {
     let mut link = Link::new(connect(address, CONNECT_TIMEOUT).await?);
-    link.send(&Opening::Peer, SEND_TIMEOUT).await?;
+    link.send(&ConnectionPreface::Peer, SEND_TIMEOUT).await?;
     let (hello, compare) = core.with(|c| (c.hello(), c.compare(true)));
     link.send(&hello, SEND_TIMEOUT).await?;
     link.send(&compare, SEND_TIMEOUT).await?;
--- a/crates/gaugesaddle-control/src/request_server.rs
+++ b/crates/gaugesaddle-control/src/request_server.rs
@@ -3,7 +3,7 @@
 use crate::core::CoreHandle;
 use crate::{change_handler, load_reports, peer_connections};
 use gaugesaddle_consensus::NotLeader;
-use gaugesaddle_protocol::{Opening, Pull, PullReply, Reply, Request};
+use gaugesaddle_protocol::{ConnectionPreface, Pull, PullReply, Reply, Request};
 use gaugesaddle_transport::{accept, Link, LinkError};
 use spdlog::{debug, warn};
 use std::net::SocketAddr;
@@ -47,8 +47,8 @@
 
 async fn serve_connection(core: CoreHandle, mut link: Link) -> Result<(), LinkError> {
     match link.receive_within(IDLE_TIMEOUT).await? {
-        Opening::Peer => peer_connections::receive(core, link).await,
-        Opening::Requests => loop {
+        ConnectionPreface::Peer => peer_connections::receive(core, link).await,
+        ConnectionPreface::Requests => loop {
             let request = link.receive_within(IDLE_TIMEOUT).await?;
             let reply = answer(&core, request).await;
             link.send(&reply, SEND_TIMEOUT).await?;
--- a/crates/gaugesaddle-protocol/src/catalog.rs
+++ b/crates/gaugesaddle-protocol/src/catalog.rs
@@ -86,7 +86,7 @@
 
 /// A registration with the change that created or updated it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Entry {
+pub struct CatalogEntry {
     /// The control process that accepted the change.
     pub origin: Origin,
     /// Number of the change at that origin.
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct CatalogDelta {
     /// The entries.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<CatalogEntry>,
     /// The changes that the receiver must already have, so that there is no gap.
     pub since: VersionVector,
     /// The changes that it has afterwards.
--- a/crates/gaugesaddle-protocol/src/consensus.rs
+++ b/crates/gaugesaddle-protocol/src/consensus.rs
@@ -38,7 +38,7 @@
 
 /// Record of an accepted change, by which a repetition of the same request is recognized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Accepted {
+pub struct AcceptedChange {
     /// The revision that it created.
     pub revision: u64,
     /// Digest of the request: of its base revision and its body, byte for byte.
@@ -56,7 +56,7 @@
     #[musli(bytes)]
     pub document: Vec<u8>,
     /// The newest accepted changes, oldest first.
-    pub accepted: Vec<Accepted>,
+    pub accepted: Vec<AcceptedChange>,
     /// The highest revision that was dropped from `accepted`. Whether a change up to it was accepted is not known.
     pub pruned_revision: u64,
     /// The replicas that vote.
@@ -119,7 +119,7 @@
     /// The configuration.
     pub document: DocumentUpdate,
     /// The accepted changes that the base does not have, oldest first.
-    pub accepted: Vec<Accepted>,
+    pub accepted: Vec<AcceptedChange>,
     /// As in [`State`].
     pub pruned_revision: u64,
     /// As in [`State`].
--- a/crates/gaugesaddle-protocol/src/core.rs
+++ b/crates/gaugesaddle-protocol/src/core.rs
@@ -244,7 +244,7 @@
 
 /// The first message on a connection to a control process: what follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub enum Opening {
+pub enum ConnectionPreface {
     /// [`Request`]s follow, each with its [`Reply`] in turn.
     Requests,
     /// [`PeerMessage`]s follow.
--- a/crates/gaugesaddle-protocol/src/lib.rs
+++ b/crates/gaugesaddle-protocol/src/lib.rs
@@ -7,8 +7,8 @@
 //!
 //! # Main types
 //!
-//! - [`Opening`] is the first message on a connection to a control process; [`Request`]s with their [`Reply`], or
-//!   [`PeerMessage`]s follow.
+//! - [`ConnectionPreface`] is the first message on a connection to a control process; [`Request`]s with their [`Reply`],
+//!   or [`PeerMessage`]s follow.
 //! - [`ReplicaMessage`] and [`State`]: consensus on the configuration ([`consensus`]).
 //! - [`Registration`], [`VersionVector`] and [`CatalogDelta`]: backends and proxies ([`catalog`]).
 //! - [`QuotaRequest`], [`QuotaGrant`] and [`BackendLoad`]: tokens of tenants and load of backends.
--- a/crates/gaugesaddle-protocol/tests/frames.rs
+++ b/crates/gaugesaddle-protocol/tests/frames.rs
@@ -39,7 +39,7 @@
             Some(b"{\"revision\":4,\"routes\":[]}"),
             b"{\"revision\":5,\"routes\":[]}",
         ),
-        accepted: vec![Accepted { revision: 5, digest: Digest([9; 16]) }],
+        accepted: vec![AcceptedChange { revision: 5, digest: Digest([9; 16]) }],
         pruned_revision: 2,
         voters: vec![id],
         outgoing: Vec::new(),
@@ -110,6 +110,6 @@
         let _ = decode::<Request>(&body);
         let _ = decode::<Reply>(&body);
         let _ = decode::<PeerMessage>(&body);
-        let _ = decode::<Opening>(&body);
+        let _ = decode::<ConnectionPreface>(&body);
     }
 }
--- a/crates/gaugesaddle-protocol/tests/golden_frames.rs
+++ b/crates/gaugesaddle-protocol/tests/golden_frames.rs
@@ -75,12 +75,12 @@
     VersionVector(vec![(Origin(5), 6), (Origin(7), 800)])
 }
 
-fn entries() -> Vec<Entry> {
+fn entries() -> Vec<CatalogEntry> {
     [Lifecycle::Ready, Lifecycle::Expired, Lifecycle::Draining, Lifecycle::Departed]
         .into_iter()
         .zip([backend(), Subject::Proxy, backend(), Subject::Proxy])
         .enumerate()
-        .map(|(at, (lifecycle, subject))| Entry {
+        .map(|(at, (lifecycle, subject))| CatalogEntry {
             origin: Origin(at as u64),
             change: 1000 + at as u64,
             registration: registration(subject, lifecycle),
@@ -101,7 +101,7 @@
         position: position(9),
         revision: 12,
         document: b"{\"revision\":12}".to_vec(),
-        accepted: vec![Accepted { revision: 12, digest: Digest([7; 16]) }],
+        accepted: vec![AcceptedChange { revision: 12, digest: Digest([7; 16]) }],
         pruned_revision: 4,
         voters: vec![replica(1), replica(2)],
         outgoing: vec![replica(3)],
@@ -146,8 +146,8 @@
     replies(&mut frames);
     replica_messages(&mut frames);
     peer_messages(&mut frames);
-    frames.check("opening requests", Opening::Requests);
-    frames.check("opening peer", Opening::Peer);
+    frames.check("opening requests", ConnectionPreface::Requests);
+    frames.check("opening peer", ConnectionPreface::Peer);
     frames.finish();
 }
 
--- a/crates/gaugesaddle-transport/src/caller.rs
+++ b/crates/gaugesaddle-transport/src/caller.rs
@@ -1,7 +1,7 @@
 //! Calls to a control process: one request and one reply at a time, over a connection that is reused.
 
 use crate::{connect, Link, LinkError};
-use gaugesaddle_protocol::{Opening, Reply, Request};
+use gaugesaddle_protocol::{ConnectionPreface, Reply, Request};
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     /// Where connecting or the announcement fails or takes longer than `timeout` each.
     pub async fn open(address: SocketAddrV4, timeout: Duration) -> Result<Caller, LinkError> {
         let mut link = Link::new(connect(address, timeout).await?);
-        link.send(&Opening::Requests, timeout).await?;
+        link.send(&ConnectionPreface::Requests, timeout).await?;
         Ok(Caller { address, link })
     }
 
--- a/crates/gaugesaddle-transport/src/lib.rs
+++ b/crates/gaugesaddle-transport/src/lib.rs
@@ -10,7 +10,7 @@
 //! - [`malformed`]: counts the messages that cannot be read, for the log.
 //!
 //! ```
-//! use gaugesaddle_protocol::Opening;
+//! use gaugesaddle_protocol::ConnectionPreface;
 //! use gaugesaddle_transport::{accept, connect, listen, Link, LinkError};
 //! use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 //! use std::time::Duration;
@@ -22,9 +22,9 @@
 //! let SocketAddr::V4(address) = listener.local_addr()? else { unreachable!("bound to IPv4") };
 //! let mut client = Link::new(connect(address, timeout).await?);
 //! let mut server = Link::new(accept(&listener).await.0);
-//! client.send(&Opening::Requests, timeout).await?;
-//! let opening: Opening = server.receive_within(timeout).await?;
-//! assert!(matches!(opening, Opening::Requests));
+//! client.send(&ConnectionPreface::Requests, timeout).await?;
+//! let preface: ConnectionPreface = server.receive_within(timeout).await?;
+//! assert!(matches!(preface, ConnectionPreface::Requests));
 //! # Ok(())
 //! # })
 //! # }
