--- a/crates/gaugesaddle-consensus/tests/golden_disk.rs
+++ b/crates/gaugesaddle-consensus/tests/golden_disk.rs
@@ -5,7 +5,7 @@
 
 use gaugesaddle_consensus::disk_format;
 use gaugesaddle_log::{FileStore, Ring, SEGMENTS};
-use gaugesaddle_protocol::{Accepted, Digest, HardState, LogPosition, ReplicaId, State};
+use gaugesaddle_protocol::{AcceptedChange, Digest, HardState, LogPosition, ReplicaId, State};
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -24,7 +24,7 @@
         position: LogPosition { term: 3, index },
         revision: 10 + index,
         document: format!("{{\"revision\":{}}}", 10 + index).into_bytes(),
-        accepted: vec![Accepted { revision: 10 + index, digest: Digest([index as u8; 16]) }],
+        accepted: vec![AcceptedChange { revision: 10 + index, digest: Digest([index as u8; 16]) }],
         pruned_revision: 9,
         voters: vec![replica(1), replica(2), replica(3)],
         outgoing: vec![replica(4)],
@@ -49,10 +49,10 @@
     let store = FileStore::open(&folder, SEGMENT_BYTES).expect("the store opens");
     let mut ring = Ring::open(store).expect("the ring opens");
     for index in 1..=5 {
-        ring.append(disk_format::records(&hard_state(index), Some(&state(index))))
+        ring.append(disk_format::encode_records(&hard_state(index), Some(&state(index))))
             .expect("the record is appended");
     }
-    ring.append(disk_format::records(&hard_state(6), None)).expect("the record is appended");
+    ring.append(disk_format::encode_records(&hard_state(6), None)).expect("the record is appended");
     for number in 0..SEGMENTS {
         let name = format!("segment-{number}");
         let written = fs::read(folder.join(&name)).expect("a segment");
@@ -70,6 +70,6 @@
     }
     let store = FileStore::open(&folder, SEGMENT_BYTES).expect("the store opens");
     let ring = Ring::open(store).expect("the ring opens");
-    let decoded = disk_format::read(ring.slots()).expect("both records are decoded");
+    let decoded = disk_format::decode_slots(ring.slots()).expect("both records are decoded");
     assert_eq!(decoded, (Some(hard_state(6)), Some(state(5))));
 }
--- a/crates/gaugesaddle-control/src/change_handler.rs
+++ b/crates/gaugesaddle-control/src/change_handler.rs
@@ -43,7 +43,7 @@
 fn validate(body: &ChangeBody) -> Result<(), Findings> {
     match body {
         ChangeBody::Full(document) => validate_document(document),
-        ChangeBody::Patch(_) => gaugesaddle_consensus::change::read(body).map(|_| ()),
+        ChangeBody::Patch(_) => gaugesaddle_consensus::change::parse_revision(body).map(|_| ()),
     }
 }
 
@@ -103,7 +103,7 @@
 
 /// Calls the leader; `None` where there is none or the call fails.
 async fn call_leader(core: &CoreHandle, request: Request, timeout: Duration) -> Option<Reply> {
-    let address = core.with(|c| Some(c.boot.control_process(c.leader()?)))?;
+    let address = core.with(|c| Some(c.boot.control_process_address(c.leader()?)))?;
     let mut caller = Caller::open(address, CONNECT_TIMEOUT).await.ok()?;
     caller.call(&request, timeout).await.ok()
 }
