--- a/crates/gaugesaddle-balancer/src/lib.rs
+++ b/crates/gaugesaddle-balancer/src/lib.rs
@@ -44,10 +44,10 @@
 //!
 //! # Guarantees
 //!
-//! Every request whose client stays gets exactly one final answer: an attempt's, [`Action::Refuse`], [`Action::Fail`]
-//! or [`Action::Forward`]. A request that may have run is repeated only if its [`Effect`] permits, and refused only
-//! if a retry is harmless. The same events with the same seed give the same actions. Events of unknown ids have no
-//! effect.
+//! Every request whose client stays connected gets exactly one final answer: an attempt's, [`Action::Refuse`],
+//! [`Action::Fail`] or [`Action::Forward`]. A request that may have run is repeated only if its [`Effect`] permits, and
+//! refused only if a retry is harmless. The same events with the same seed give the same actions. Events of unknown
+//! ids have no effect.
 //!
 //! # Bounds
 //!
--- a/crates/gaugesaddle-balancer/src/logic/traffic.rs
+++ b/crates/gaugesaddle-balancer/src/logic/traffic.rs
@@ -80,8 +80,9 @@
         self.solved_at = now;
         self.blocked_below = 0.0;
         let listed = self.backends.values().filter(|p| p.used && p.entry.state == BackendState::Ready);
-        let (all, out) = listed.fold((0.0, 0.0), |n, p| (n.0 + 1.0, n.1 + f64::from(p.ejected.is_some())));
-        self.usable = all - out;
+        let (all, ejected) =
+            listed.fold((0.0, 0.0), |n, p| (n.0 + 1.0, n.1 + f64::from(p.ejected.is_some())));
+        self.usable = all - ejected;
         self.kinds.values_mut().for_each(|k| (k.readiness, k.own_ready) = (0.0, 0.0));
         for p in self.backends.values_mut() {
             // Without discovery it is unknown whether the process now at that address may be used.
@@ -95,7 +96,7 @@
             k.idle_weight = k.idle_weight.max(p.entry.weight);
             let health = match p.ejected {
                 _ if p.entry.state != BackendState::Ready => 0.0,
-                Some(_) => f64::from(out > all * PANIC_THRESHOLD),
+                Some(_) => f64::from(ejected > all * PANIC_THRESHOLD),
                 None => {
                     // With few proxies, errors and time-outs reveal a slow backend soon enough.
                     let slower =
--- a/crates/gaugesaddle-balancer/src/state.rs
+++ b/crates/gaugesaddle-balancer/src/state.rs
@@ -171,7 +171,7 @@
     pub fn capacity(&self) -> Capacity {
         let concurrency: f64 =
             self.backends.values().filter(|p| p.is_healthy()).map(|p| p.limit * p.limit_fraction).sum();
-        let capacity_per_s = self.throughput_at(concurrency);
+        let capacity_per_s = self.rate_at(concurrency);
         let arrivals = self.arrivals.per_s().unwrap_or(0.0);
         Capacity { capacity_per_s, demand_per_s: self.classes.iter().map(|c| c.demand * arrivals).collect() }
     }
@@ -183,7 +183,7 @@
     }
 
     /// Requests per second at a number of requests in flight (Little's law).
-    fn throughput_at(&self, concurrency: f64) -> f64 {
+    fn rate_at(&self, concurrency: f64) -> f64 {
         match self.overall.get() {
             _ if concurrency <= 0.0 => 0.0,
             Some(latency) => concurrency / latency.max(1e-6),
@@ -195,15 +195,13 @@
     pub fn zones(&self) -> BTreeMap<ZoneId, ZoneCapacity> {
         let mut zones: BTreeMap<ZoneId, (ZoneCapacity, f64)> = BTreeMap::new();
         for p in self.backends.values().filter(|p| p.used && p.entry.state == BackendState::Ready) {
-            let (zone, concurrency) = zones.entry(p.entry.zone).or_default();
+            let (zone, limit) = zones.entry(p.entry.zone).or_default();
             zone.backends += 1;
             zone.unhealthy += u32::from(!p.is_healthy());
-            *concurrency += if p.is_healthy() { p.limit * p.limit_fraction } else { 0.0 };
+            *limit += if p.is_healthy() { p.limit * p.limit_fraction } else { 0.0 };
         }
-        let to_capacity = |(id, (zone, concurrency))| {
-            (id, ZoneCapacity { capacity_per_s: self.throughput_at(concurrency), ..zone })
-        };
-        zones.into_iter().map(to_capacity).collect()
+        let view = |(id, (zone, limit))| (id, ZoneCapacity { capacity_per_s: self.rate_at(limit), ..zone });
+        zones.into_iter().map(view).collect()
     }
 
     /// The limit of each backend.
--- a/crates/gaugesaddle-balancer/src/subset.rs
+++ b/crates/gaugesaddle-balancer/src/subset.rs
@@ -4,8 +4,7 @@
 //! too few samples of each. So proxies are assigned in rounds, as in deterministic subsetting (Site
 //! Reliability Engineering, chapter 20): in a round the backends are shuffled and divided into as many groups
 //! as the round has proxies, and each proxy uses one group. Every backend is in one group of each round, so
-//! all have the same number of users, and two backends share few users: an unhealthy backend's load spreads
-//! over the fleet.
+//! all have the same number of users, and two backends share few: an unhealthy backend's load is spread.
 
 use crate::interface::*;
 use crate::mix::mix;
--- a/crates/gaugesaddle-balancer/tests/regressions.rs
+++ b/crates/gaugesaddle-balancer/tests/regressions.rs
@@ -207,7 +207,7 @@
     let id = host.arrive(0, 900_000);
     host.end(id, 0, Outcome::Error);
     let sent = host.sent_to(id);
-    assert!(sent.len() == 2 && sent[0] % 2 == sent[1] % 2, "{sent:?}");
+    assert!(sent.len() == 2 && sent[0] % 2 == sent[1] % 2, "attempts at backends {sent:?}");
     let id = host.arrive(0, 900_000);
     host.advance(210_000);
     let sent = host.sent_to(id).len();
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn failing_backend_is_ejected_and_returns_after_its_term() {
+fn failing_backend_is_ejected_and_used_again_after_its_ejection() {
     let mut host = host(config(vec![class(Effect::Free)]), fleet(6));
     let bad = eject_one(&mut host);
     assert!(!serve(&mut host, 40, 0, |_| 5_000).contains(&bad), "the backend was used during its ejection");
@@ -432,7 +432,7 @@
 
 #[test]
 fn zone_with_few_backends_sends_excess_to_others() {
-    // The own zone has one of seven backends and a third of the traffic: 3/7 of that may stay.
+    // The proxy's zone has one of seven backends and a third of the traffic: 3/7 of that may stay.
     let cfg = Config { cross_zone_cost: 0.05, zones: 3, ..Config::example() };
     let list = (0..7).map(|i| backend(i, if i == 0 { 0 } else { 1 + i % 2 }, 0)).collect();
     let mut host = host(cfg, list);
@@ -676,7 +676,7 @@
         }
     }
     // Five seconds at 20 per second.
-    assert!((60..=101).contains(&sent), "{sent}");
+    assert!((60..=101).contains(&sent), "{sent} requests were dispatched in 5 s");
     host.event(storm(None));
     let id = host.arrive(0, 900_000);
     host.advance(10_000);
--- a/crates/gaugesaddle-balancer/tests/slow_start.rs
+++ b/crates/gaugesaddle-balancer/tests/slow_start.rs
@@ -8,7 +8,7 @@
 
 /// Requests per second that a backend with its full capacity serves, one after another.
 const CAPACITY_PER_S: f64 = 40.0;
-const SERVICE_TIME: Micros = Micros(25_000);
+const WORK: Micros = Micros(25_000);
 const STEP_US: u64 = 4_000;
 
 /// A fleet of proxies and backends, of which one backend restarts.
@@ -60,9 +60,8 @@
                 }
                 host.advance(STEP_US);
                 let now = host.now;
-                let is_served = |host: &Host, id: RequestId, no: usize| {
-                    host.requests[&id].attempts[no].at + SERVICE_TIME <= now
-                };
+                let is_served =
+                    |host: &Host, id: RequestId, no: usize| host.requests[&id].attempts[no].at + WORK <= now;
                 for (id, no) in host.in_flight() {
                     if is_served(host, id, no) {
                         host.end(id, no, Outcome::Ok);
--- a/crates/gaugesaddle-simulator-host/src/wire.rs
+++ b/crates/gaugesaddle-simulator-host/src/wire.rs
@@ -120,24 +120,24 @@
             }
             _ => {}
         }
-        let instance_name = f.text(0, "an instance")?;
+        let proxy = f.text(0, "an instance")?;
         if name == "KILLED" {
-            self.instances.remove(instance_name).ok_or_else(|| f.invalid(0, "a known instance"))?;
+            self.instances.remove(proxy).ok_or_else(|| f.invalid(0, "a known instance"))?;
             return Ok(false);
         }
-        let slot = self.instances.get_mut(instance_name).ok_or_else(|| f.invalid(0, "a known instance"))?;
+        let slot = self.instances.get_mut(proxy).ok_or_else(|| f.invalid(0, "a known instance"))?;
         let Some(instance) = slot else { return Ok(false) };
         let Some(event) = parse_event(&f, &instance.names, &self.rosters)? else { return Ok(false) };
         instance.balancer.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
-            write_action(instance_name, &self.addresses, &action, reply);
+            write_action(proxy, &self.addresses, &action, reply);
         }
         Ok(false)
     }
 
     fn create_instance(&mut self, f: &Fields, reply: &mut Vec<u8>) -> Result<(), String> {
-        let instance_name = f.text(0, "an instance")?;
-        let is_valid = instance_name.strip_prefix("proxy-").is_some_and(|n| n.parse::<u64>().is_ok());
+        let proxy = f.text(0, "an instance")?;
+        let is_valid = proxy.strip_prefix("proxy-").is_some_and(|n| n.parse::<u64>().is_ok());
         if !is_valid {
             return Err(f.invalid(0, "an instance such as proxy-3"));
         }
@@ -148,15 +148,12 @@
         let instance = match created {
             Ok((balancer, names)) => Some(Instance { balancer, names }),
             Err(error) => {
-                eprintln!("gaugesaddle-simulator-host: settings of {instance_name}: {error}");
-                write_line(
-                    reply,
-                    &serde_json::json!(["BROKEN", instance_name, format!("settings: {error}")]),
-                );
+                eprintln!("gaugesaddle-simulator-host: settings of {proxy}: {error}");
+                write_line(reply, &serde_json::json!(["BROKEN", proxy, format!("settings: {error}")]));
                 None
             }
         };
-        self.instances.insert(instance_name.into(), instance);
+        self.instances.insert(proxy.into(), instance);
         Ok(())
     }
 }
@@ -254,29 +251,23 @@
     let _ = writeln!(reply, "{value}");
 }
 
-fn write_action(
-    instance_name: &str, addresses: &HashMap<BackendId, String>, action: &Action, reply: &mut Vec<u8>,
-) {
-    let address = |id: &BackendId| addresses.get(id).map_or("", String::as_str);
+fn write_action(id: &str, addresses: &HashMap<BackendId, String>, action: &Action, reply: &mut Vec<u8>) {
+    let address = |backend: &BackendId| addresses.get(backend).map_or("", String::as_str);
     // Instance names and addresses were checked and contain no characters that JSON escapes.
     let _ = match action {
         Action::Dispatch { request, backend } => {
             let to = address(backend);
-            writeln!(reply, "[\"HAND_OFF\",\"{instance_name}\",\"{:016x}\",\"{to}\",0]", request.0)
+            writeln!(reply, "[\"HAND_OFF\",\"{id}\",\"{:016x}\",\"{to}\",0]", request.0)
         }
-        Action::Refuse { request } => {
-            writeln!(reply, "[\"BOUNCE\",\"{instance_name}\",\"{:016x}\",0]", request.0)
-        }
-        Action::Fail { request } => writeln!(reply, "[\"LOSE\",\"{instance_name}\",\"{:016x}\"]", request.0),
+        Action::Refuse { request } => writeln!(reply, "[\"BOUNCE\",\"{id}\",\"{:016x}\",0]", request.0),
+        Action::Fail { request } => writeln!(reply, "[\"LOSE\",\"{id}\",\"{:016x}\"]", request.0),
         // The simulator has no other region, so no request is ever forwarded.
         Action::Forward { .. } => Ok(()),
         Action::Cancel { request, attempt } => {
-            writeln!(reply, "[\"RECALL\",\"{instance_name}\",\"{:016x}\",{}]", request.0, attempt.0)
-        }
-        Action::SetTimer { token, after } => {
-            writeln!(reply, "[\"AFTER\",\"{instance_name}\",{},{}]", token.0, after.0)
+            writeln!(reply, "[\"RECALL\",\"{id}\",\"{:016x}\",{}]", request.0, attempt.0)
         }
-        Action::SubscribeBackends => writeln!(reply, "[\"FOLLOW\",\"{instance_name}\",true]"),
-        Action::Log(text) => writeln!(reply, "{}", serde_json::json!(["WRITE_LOG", instance_name, text])),
+        Action::SetTimer { token, after } => writeln!(reply, "[\"AFTER\",\"{id}\",{},{}]", token.0, after.0),
+        Action::SubscribeBackends => writeln!(reply, "[\"FOLLOW\",\"{id}\",true]"),
+        Action::Log(text) => writeln!(reply, "{}", serde_json::json!(["WRITE_LOG", id, text])),
     };
 }
