--- a/crates/gaugesaddle-edge/src/api_key.rs
+++ b/crates/gaugesaddle-edge/src/api_key.rs
@@ -36,7 +36,7 @@
         is_closed.then(|| ApiKeyGuard { state: state.clone(), key, tenant })
     }
 
-    fn is_still_the_tenants(&self) -> bool {
+    fn key_identifies_tenant(&self) -> bool {
         let table = self.state.routing_table();
         table.is_some_and(|table| table.tenant(&self.key).is_some_and(|t| t.name == self.tenant))
     }
@@ -46,7 +46,7 @@
     /// Whether a request with this key may be sent now: the configuration in force was the newest one less than
     /// `revokeMs` ago, and the key still belongs to that tenant.
     fn may_send(&self) -> bool {
-        is_proven(&self.state, PROOF_FRACTION) && self.is_still_the_tenants()
+        is_proven(&self.state, PROOF_FRACTION) && self.key_identifies_tenant()
     }
 }
 
--- a/crates/gaugesaddle-edge/src/dispatch.rs
+++ b/crates/gaugesaddle-edge/src/dispatch.rs
@@ -155,13 +155,13 @@
     /// better sent elsewhere.
     pub fn record_failure(&self, backend: &Backend) {
         let number = load_reporter::backend_number(backend.identity);
-        self.state.load_view.borrow_mut().failed(self.state.now(), number);
+        self.state.load_view.borrow_mut().record_failed_request(self.state.now(), number);
     }
 
     /// Counts a success in what is reported to the other proxies.
     pub fn record_success(&self, backend: &Backend) {
         let number = load_reporter::backend_number(backend.identity);
-        self.state.load_view.borrow_mut().served(self.state.now(), number);
+        self.state.load_view.borrow_mut().record_served_request(self.state.now(), number);
     }
 
     /// Learns the latency of a response, for the choice of backends.
@@ -218,7 +218,7 @@
         if backends.iter().any(is_healthy) {
             backends.retain(is_healthy);
         }
-        self.leave_out_failing(now, &mut backends);
+        self.exclude_failing(now, &mut backends);
         if settings.isolate_long_prompts {
             self.separate_long_prompts(&mut backends);
         }
@@ -226,7 +226,7 @@
     }
 
     /// Leaves out backends at which requests of any proxy fail, unless that leaves too few.
-    fn leave_out_failing(&self, now: u64, backends: &mut Vec<Rc<Backend>>) {
+    fn exclude_failing(&self, now: u64, backends: &mut Vec<Rc<Backend>>) {
         if !self.state.chooser_settings.shared_health {
             return;
         }
--- a/crates/gaugesaddle-edge/src/load_reporter.rs
+++ b/crates/gaugesaddle-edge/src/load_reporter.rs
@@ -54,7 +54,7 @@
     let proxy = affinity::identity(&state.proxy_id);
     let mut caller: Option<Caller> = None;
     loop {
-        if !state.load_view.borrow_mut().wants_to_report(state.now()) {
+        if !state.load_view.borrow_mut().is_report_due(state.now()) {
             state.load_changed.notified().await;
         }
         caller = report(&state, caller.take(), proxy).await;
--- a/crates/gaugesaddle-edge/src/relay.rs
+++ b/crates/gaugesaddle-edge/src/relay.rs
@@ -110,7 +110,7 @@
                 self.stage = Stage::Relaying(Box::new(ActiveResponse { started, dispatch }));
                 Step::Continue
             }
-            _ => Step::Return(self.break_off()),
+            _ => Step::Return(self.abort_response()),
         }
     }
 
@@ -128,10 +128,10 @@
             }
             Poll::Ready(None) => Step::Return(self.finish()),
             Poll::Ready(Some(Err(_))) => {
-                if self.resume_elsewhere() {
+                if self.resume_at_another_backend() {
                     Step::Continue
                 } else {
-                    Step::Return(self.break_off())
+                    Step::Return(self.abort_response())
                 }
             }
             Poll::Pending => self.poll_timer(context),
@@ -143,9 +143,9 @@
             return Step::Return(Poll::Pending);
         }
         if Instant::now() >= self.deadline {
-            return Step::Return(self.break_off());
+            return Step::Return(self.abort_response());
         }
-        if !self.resume_elsewhere() {
+        if !self.resume_at_another_backend() {
             self.timer.as_mut().reset(self.deadline);
         }
         Step::Continue
@@ -186,7 +186,7 @@
     }
 
     /// Asks another backend to resume behind the last event that was passed on; false where that is not allowed.
-    fn resume_elsewhere(&mut self) -> bool {
+    fn resume_at_another_backend(&mut self) -> bool {
         let Stage::Relaying(active) = &mut self.stage else { return false };
         if self.scanner.is_none() || !active.dispatch.record_broken_stream() {
             return false;
@@ -206,7 +206,7 @@
         true
     }
 
-    fn break_off(&mut self) -> PollChunk {
+    fn abort_response(&mut self) -> PollChunk {
         self.stage = Stage::Finished;
         Poll::Ready(Some(Err(BrokenResponse)))
     }
@@ -215,7 +215,7 @@
     fn finish(&mut self) -> PollChunk {
         let rest = self.scanner.as_mut().map(EventScanner::finish).unwrap_or_default();
         if let Stage::Relaying(active) = std::mem::replace(&mut self.stage, Stage::Finished) {
-            keep_connection(*active);
+            return_connection_to_pool(*active);
         }
         if rest.is_empty() {
             Poll::Ready(None)
@@ -233,7 +233,7 @@
 }
 
 /// Puts the connection of a complete response aside for the next request.
-fn keep_connection(active: ActiveResponse) {
+fn return_connection_to_pool(active: ActiveResponse) {
     let ActiveResponse { started, dispatch } = active;
     let StartedResponse { response, backend, .. } = started;
     let mut connection = response.connection;
--- a/crates/gaugesaddle-edge/src/retry/tests.rs
+++ b/crates/gaugesaddle-edge/src/retry/tests.rs
@@ -28,7 +28,7 @@
     }
 }
 
-fn promises(rejection: Rejection) -> bool {
+fn guarantees_not_executed(rejection: Rejection) -> bool {
     [429, 503, 408, 421].contains(&rejection.status().as_u16())
 }
 
@@ -51,7 +51,11 @@
                         idempotent || runs == 0 || ran(&path.last().expect("a step")),
                         "{path:?} goes on"
                     );
-                    assert_eq!(promises(rejection), runs == 0, "{path:?} ends with {rejection:?}");
+                    assert_eq!(
+                        guarantees_not_executed(rejection),
+                        runs == 0,
+                        "{path:?} ends with {rejection:?}"
+                    );
                     let sent =
                         path.iter().filter(|failure| **failure != AttemptFailure::NeverSent).count() as u32;
                     assert!(sent <= max_attempts, "{path:?} goes to {sent} backends of {max_attempts}");
@@ -69,6 +73,8 @@
         state.record_response();
         assert!(state.is_retry());
         assert_eq!(state.record_broken_stream(), resumes);
-        assert!(!promises(state.no_backend()) && !promises(state.deadline_passed()));
+        assert!(
+            !guarantees_not_executed(state.no_backend()) && !guarantees_not_executed(state.deadline_passed())
+        );
     }
 }
--- a/crates/gaugesaddle-edge/src/run.rs
+++ b/crates/gaugesaddle-edge/src/run.rs
@@ -16,7 +16,7 @@
 
 /// Clients may still be sent here for this long after SIGTERM: the platform checks readiness every second and acts on the
 /// second failure.
-const CLIENTS_ARRIVE_FOR: Duration = Duration::from_millis(2600);
+const READINESS_PROPAGATION_TIME: Duration = Duration::from_millis(2600);
 /// Reserved at the end of the grace period for the exit itself.
 const EXIT_MARGIN: Duration = Duration::from_millis(500);
 /// Between two checks whether requests are still under way.
@@ -65,12 +65,12 @@
         tokio::task::spawn_local(load_reporter::run(state.clone()));
     }
     let http_server = tokio::task::spawn_local(http_server::serve(state.clone(), listener, closing));
-    until_sigterm(&state).await?;
+    wait_for_sigterm(&state).await?;
     shut_down(&state, &close, AbortableTasks { control_client, http_server }).await;
     Ok(())
 }
 
-async fn until_sigterm(state: &EdgeState) -> Result<()> {
+async fn wait_for_sigterm(state: &EdgeState) -> Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hang_up = signal(SignalKind::hangup())?;
     loop {
@@ -90,7 +90,7 @@
     let begun = Instant::now();
     // Connections close after their present request; new ones are accepted until the platform sends no more.
     let _ = close.send(true);
-    tokio::time::sleep_until(begun + CLIENTS_ARRIVE_FOR.min(grace_period)).await;
+    tokio::time::sleep_until(begun + READINESS_PROPAGATION_TIME.min(grace_period)).await;
     tasks.http_server.abort();
     tasks.control_client.abort();
     control_client::deregister(state.clone()).await;
--- a/crates/gaugesaddle-edge/src/state.rs
+++ b/crates/gaugesaddle-edge/src/state.rs
@@ -19,7 +19,7 @@
 use tokio::sync::Notify;
 
 /// Fraction of the quotas' slack that all proxies together may use without a leader.
-const UNLED_SLACK_FRACTION: f64 = 0.4;
+const LEADERLESS_SLACK_FRACTION: f64 = 0.4;
 /// Fraction of a service's connections that is divided among the known proxies; the rest is for those not known yet.
 const CONNECTION_FRACTION: f64 = 0.9;
 
@@ -189,7 +189,7 @@
         let limited = table.tenants.iter().filter(|tenant| tenant.limit.is_some());
         let names: Vec<String> = limited.map(|tenant| tenant.name.clone()).collect();
         let bounds = &self.boot.bounds;
-        let unled_rate = bounds.quota_slack * UNLED_SLACK_FRACTION / bounds.quota_window_s.max(1.0);
-        self.allowance.borrow_mut().configure(&names, unled_rate / self.proxies() as f64);
+        let leaderless_rate = bounds.quota_slack * LEADERLESS_SLACK_FRACTION / bounds.quota_window_s.max(1.0);
+        self.allowance.borrow_mut().configure(&names, leaderless_rate / self.proxies() as f64);
     }
 }
--- a/crates/gaugesaddle-inference/tests/choice.rs
+++ b/crates/gaugesaddle-inference/tests/choice.rs
@@ -30,7 +30,7 @@
 }
 
 /// How often each of the candidates is drawn.
-fn draws(
+fn selection_counts(
     chooser: &Chooser, candidates: &[Candidate], prompt: Prompt, proxies: usize,
 ) -> BTreeMap<usize, usize> {
     let mut random = Pcg64Mcg::seed_from_u64(3);
@@ -52,7 +52,10 @@
         let mut two = Chooser::new(ChooserSettings::default());
         one.record_arrival(NOW - 100, Some(prefix));
         two.record_arrival(NOW - 900, Some(prefix));
-        let (a, b) = (draws(&one, &backends, prompt(prefix), 12), draws(&two, &backends, prompt(prefix), 12));
+        let (a, b) = (
+            selection_counts(&one, &backends, prompt(prefix), 12),
+            selection_counts(&two, &backends, prompt(prefix), 12),
+        );
         assert_eq!(a.len(), 1, "prefix {prefix} is spread at low load");
         assert_eq!(a.keys().next(), b.keys().next());
     }
@@ -65,7 +68,7 @@
     for at in 0..200 {
         chooser.record_arrival(NOW - 10_000 + at * 50, Some(1));
     }
-    let counts = draws(&chooser, &backends, prompt(1), 1);
+    let counts = selection_counts(&chooser, &backends, prompt(1), 1);
     assert!((2..=6).contains(&counts.len()), "{} backends for 20 requests a second", counts.len());
     let (lowest, highest) = (counts.values().min().copied(), counts.values().max().copied());
     let even = 4000 / counts.len();
@@ -77,7 +80,7 @@
 
 /// The table of prefixes is full of prefixes in use: the rate of one of them must still be followed.
 #[test]
-fn the_rate_of_a_known_prefix_is_followed_while_the_table_is_full() {
+fn a_tracked_prefix_is_updated_while_the_table_is_full() {
     let backends = candidates(18);
     let mut chooser = Chooser::new(ChooserSettings::default());
     for prefix in 1..=8192 {
@@ -86,7 +89,7 @@
     for at in 0..200 {
         chooser.record_arrival(NOW - 10_000 + at * 50, Some(1));
     }
-    let counts = draws(&chooser, &backends, prompt(1), 1);
+    let counts = selection_counts(&chooser, &backends, prompt(1), 1);
     assert!((2..=6).contains(&counts.len()), "{} backends for 20 requests a second", counts.len());
 }
 
@@ -94,12 +97,12 @@
 fn cached_and_fallback(chooser: &Chooser, backends: &[Candidate], prompt: Prompt) -> (usize, usize) {
     let identities: Vec<u64> = backends.iter().map(|b| b.identity).collect();
     let ranked = affinity::ranked(prompt.prefix.expect("a prefix"), &identities, 2);
-    assert_eq!(draws(chooser, backends, prompt, 9).keys().next(), Some(&ranked[0]));
+    assert_eq!(selection_counts(chooser, backends, prompt, 9).keys().next(), Some(&ranked[0]));
     (ranked[0], ranked[1])
 }
 
 /// A chooser that has learned that a token takes a fiftieth of a millisecond.
-fn learned(backends: &[Candidate], prompt: Prompt) -> Chooser {
+fn trained_chooser(backends: &[Candidate], prompt: Prompt) -> Chooser {
     let mut chooser = Chooser::new(ChooserSettings::default());
     let view = FleetView { proxies: 9, inflow_tokens: INFLOW_TOKENS, objective_ms: 800.0 };
     let mut random = Pcg64Mcg::seed_from_u64(5);
@@ -113,20 +116,20 @@
 #[test]
 fn a_backlog_moves_a_prompt_only_if_its_response_would_be_late() {
     let mut backends = candidates(18);
-    let chooser = learned(&backends, prompt(5));
+    let chooser = trained_chooser(&backends, prompt(5));
     let (cached, fallback) = cached_and_fallback(&chooser, &backends, prompt(5));
     // 20,000 tokens take 400 ms of the objective of 800: computing 5,000 shared ones elsewhere would gain nothing.
     backends[cached].backlog_tokens = 20_000.0;
-    assert_eq!(draws(&chooser, &backends, prompt(5), 9).len(), 1);
+    assert_eq!(selection_counts(&chooser, &backends, prompt(5), 9).len(), 1);
     backends[cached].backlog_tokens = 200_000.0;
-    let moved = draws(&chooser, &backends, prompt(5), 9);
+    let moved = selection_counts(&chooser, &backends, prompt(5), 9);
     assert_eq!(
         moved.keys().copied().collect::<Vec<_>>(),
         [fallback],
         "the next in rank, the same one at all proxies"
     );
     backends[fallback].backlog_tokens = 200_000.0;
-    let spread = draws(&chooser, &backends, prompt(5), 9);
+    let spread = selection_counts(&chooser, &backends, prompt(5), 9);
     assert!(spread.len() == 16 && !spread.contains_key(&cached), "{spread:?}");
 }
 
@@ -136,9 +139,9 @@
     for (at, backend) in backends.iter_mut().enumerate() {
         backend.backlog_tokens = 1000.0 * at as f64;
     }
-    let chooser = learned(&backends, Prompt { prefix: None, shared_tokens: 0, total_tokens: 40_000 });
+    let chooser = trained_chooser(&backends, Prompt { prefix: None, shared_tokens: 0, total_tokens: 40_000 });
     let prompt = Prompt { prefix: None, shared_tokens: 0, total_tokens: 40_000 };
-    let counts = draws(&chooser, &backends, prompt, 91);
+    let counts = selection_counts(&chooser, &backends, prompt, 91);
     assert!((15..=30).contains(&counts.len()), "{} of 60", counts.len());
     let highest = counts.values().max().copied().unwrap_or(0);
     assert!(highest < 2 * 4000 / counts.len(), "one of them gets {highest} of 4,000");
@@ -165,7 +168,7 @@
 #[test]
 fn requests_without_a_prompt_are_spread_evenly() {
     let chooser = Chooser::new(ChooserSettings::default());
-    let counts = draws(&chooser, &candidates(4), Prompt::default(), 3);
+    let counts = selection_counts(&chooser, &candidates(4), Prompt::default(), 3);
     assert_eq!(counts.len(), 4);
     assert!(counts.values().all(|n| (850..1150).contains(n)), "{counts:?}");
     let mut random = Pcg64Mcg::seed_from_u64(3);
--- a/crates/gaugesaddle-load-report/src/view.rs
+++ b/crates/gaugesaddle-load-report/src/view.rs
@@ -92,7 +92,7 @@
     /// When the report was sent that was answered by `others`, in milliseconds.
     others_ms: Option<u64>,
     /// Whether the last report had any backend.
-    has_reported: bool,
+    last_report_has_load: bool,
 }
 
 impl LoadView {
@@ -112,26 +112,26 @@
     }
 
     /// Records that a backend answered a request.
-    pub fn served(&mut self, now: u64, backend: u32) {
+    pub fn record_served_request(&mut self, now: u64, backend: u32) {
         self.observed.entry(backend).or_default().served.add(now);
     }
 
     /// Records that a request failed at a backend, which need not be the backend's fault.
-    pub fn failed(&mut self, now: u64, backend: u32) {
+    pub fn record_failed_request(&mut self, now: u64, backend: u32) {
         self.observed.entry(backend).or_default().failed.add(now);
     }
 
     /// Whether a report is due: there is load to report, or the last report had some that has since ended.
-    pub fn wants_to_report(&mut self, now: u64) -> bool {
+    pub fn is_report_due(&mut self, now: u64) -> bool {
         self.observed.retain(|_, observed| !observed.is_idle(now));
-        self.has_reported || !self.observed.is_empty()
+        self.last_report_has_load || !self.observed.is_empty()
     }
 
     /// The report to send at `now` (milliseconds).
     pub fn report(&mut self, now: u64) -> Vec<BackendLoad> {
         let observed = self.observed.iter();
         let loads = heaviest(observed.map(|(backend, observed)| observed.load(now, *backend)).collect());
-        self.has_reported = !loads.is_empty();
+        self.last_report_has_load = !loads.is_empty();
         self.reported = loads.iter().map(|load| (load.backend, *load)).collect();
         loads
     }
--- a/crates/gaugesaddle-load-report/tests/sharing.rs
+++ b/crates/gaugesaddle-load-report/tests/load_reports.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn every_proxy_sees_the_total_work_and_its_own_at_once() {
+fn every_proxy_counts_the_total_work_and_its_own_immediately() {
     let mut proxies = vec![LoadView::default(); 91];
     let mut aggregators = vec![LoadAggregator::default(); 8];
     for proxy in &mut proxies {
@@ -72,17 +72,17 @@
 }
 
 #[test]
-fn backend_is_failing_where_many_requests_fail_and_few_are_answered() {
+fn backend_is_failing_if_many_requests_fail_and_few_are_served() {
     let mut proxies = vec![LoadView::default(); 91];
     let mut aggregators = vec![LoadAggregator::default(); 8];
     for proxy in proxies.iter_mut().take(3) {
-        proxy.failed(NOW, 5);
-        proxy.failed(NOW, 6);
+        proxy.record_failed_request(NOW, 5);
+        proxy.record_failed_request(NOW, 6);
     }
     for proxy in proxies.iter_mut().skip(3).take(12) {
-        proxy.served(NOW, 6);
+        proxy.record_served_request(NOW, 6);
     }
-    proxies[0].failed(NOW, 8);
+    proxies[0].record_failed_request(NOW, 8);
     exchange(NOW, &mut proxies, &mut aggregators);
     assert!(proxies.iter().all(|p| p.health(NOW, 5).is_failing()), "three failed, none was answered");
     assert!(proxies.iter().all(|p| !p.health(NOW, 6).is_failing()), "most are answered");
@@ -107,7 +107,7 @@
     assert!(proxies.iter().all(|p| !p.health(soon, 5).is_failing()));
     let later = NOW + 1100;
     for proxy in proxies.iter_mut().skip(10).take(10) {
-        proxy.served(later, 6);
+        proxy.record_served_request(later, 6);
     }
     exchange(later, &mut proxies, &mut aggregators);
     assert!(proxies.iter().all(|p| p.health(later, 5).is_failing()));
@@ -117,14 +117,14 @@
 #[test]
 fn empty_report_is_sent_once() {
     let mut proxy = LoadView::default();
-    assert!(!proxy.wants_to_report(NOW), "there is no load");
+    assert!(!proxy.is_report_due(NOW), "there is no load");
     proxy.begin(NOW, 1, 5.0);
-    assert!(proxy.wants_to_report(NOW));
+    assert!(proxy.is_report_due(NOW));
     assert_eq!(proxy.report(NOW).len(), 1);
     proxy.end(1, NOW, 5.0);
-    assert!(proxy.wants_to_report(NOW), "the end of the load must be reported");
+    assert!(proxy.is_report_due(NOW), "the end of the load must be reported");
     assert!(proxy.report(NOW).is_empty());
-    assert!(!proxy.wants_to_report(NOW));
+    assert!(!proxy.is_report_due(NOW));
 }
 
 #[test]
