--- a/crates/gaugesaddle-edge/src/admission.rs
+++ b/crates/gaugesaddle-edge/src/admission.rs
@@ -1,4 +1,4 @@
-//! What a request must pass before it is sent: route, key, quota.
+//! Admission of a request before it is sent: route, API key and quota.
 
 use crate::headers::{self, API_KEY, DEADLINE, PREFIX_HASH, TOKEN_USAGE};
 use crate::rejection::Rejection;
@@ -11,22 +11,22 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Fraction of its latency objective that a request waits for tokens.
+/// Fraction of its latency objective for which a request waits for tokens.
 const TOKEN_WAIT_FRACTION: f64 = 0.24;
-/// Priorities that one step of a tenant's rank is worth: a tenant's rank goes before a route's.
+/// Number of priority levels per step of a tenant's priority: the tenant's priority takes precedence over the route's.
 const TENANT_PRIORITY_STEP: u32 = 3;
-/// The least urgent priority that backends know.
+/// The least urgent priority that backends support.
 const LEAST_URGENT_PRIORITY: u32 = 9;
 
-/// A request that may be sent, with what is known of it.
+/// A request that may be sent, with its attributes.
 pub struct AdmittedRequest<'a> {
     pub route: &'a Route,
-    /// `None` on public routes and where no keys are needed.
+    /// `None` if no known API key was given, which is permitted on public routes and if the configuration requires no keys.
     pub tenant: Option<&'a Tenant>,
     pub prompt: Prompt,
-    /// When its client or its route gives it up.
+    /// The earlier of the client's deadline and the route's timeout.
     pub deadline: Instant,
-    /// Sent to backends, 0 most urgent.
+    /// Sent to backends; 0 is the most urgent.
     pub priority: u32,
 }
 
@@ -54,7 +54,7 @@
     })
 }
 
-/// The time that the client asks for, at most the route's time-out.
+/// The time limit that the client requests, at most the route's timeout.
 fn time_limit(route: &Route, head: &Parts) -> Duration {
     let requested_ms = headers::text(&head.headers, &DEADLINE).and_then(|text| text.parse::<f64>().ok());
     let route_ms = route.timeout_ms as f64;
@@ -68,7 +68,8 @@
     (tenant_rank * TENANT_PRIORITY_STEP + route_rank).min(LEAST_URGENT_PRIORITY)
 }
 
-/// Takes the request's tokens from its tenant's allowance, waiting a moment for the leader to grant more.
+/// Takes the request's tokens from its tenant's allowance; if they do not suffice, waits for a limited time for the leader
+/// to grant more.
 ///
 /// # Errors
 /// [`Rejection::OverQuota`].
@@ -84,7 +85,7 @@
     let wait_ms = request.route.target_ms * TOKEN_WAIT_FRACTION;
     let wait_until = Instant::now() + Duration::from_secs_f64(wait_ms / 1000.0);
     loop {
-        // Subscribed before the task is woken, or its grant could be missed.
+        // Created before the quota task is notified; otherwise its grant could be missed.
         let granted = state.tokens_granted.notified();
         state.tokens_needed.notify_one();
         let in_time = tokio::time::timeout_at(wait_until, granted).await.is_ok();
@@ -102,7 +103,7 @@
     state.allowance.borrow_mut().take(state.now(), tenant, cost) == Admission::Granted
 }
 
-/// Tokens that a waiting request needs, counted until this is dropped.
+/// Tokens needed by a waiting request, counted in the tenant's deficit until this is dropped.
 struct TokenDeficit<'a> {
     state: &'a EdgeState,
     tenant: &'a str,
@@ -122,7 +123,7 @@
     }
 }
 
-/// What a request takes from its tenant's quota: its tokens, or one request.
+/// The cost of a request in its tenant's quota: its tokens, or 1 if the quota counts requests.
 fn cost(head: &Parts, tenant: &Tenant) -> u64 {
     if !tenant.counts_tokens {
         return 1;
--- a/crates/gaugesaddle-edge/src/attempt.rs
+++ b/crates/gaugesaddle-edge/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request sent to one backend.
+//! One attempt: sends a request to one backend.
 
 use crate::api_key::ApiKeyGuard;
 use crate::backend::{Backend, BackendConnection};
@@ -19,21 +19,21 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Time to open a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Bytes that stay unacknowledged for this long end a connection (`TCP_USER_TIMEOUT`, RFC 5482).
+/// A connection is closed if sent data remains unacknowledged for this long (`TCP_USER_TIMEOUT`, RFC 5482).
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Response heads are read up to this size.
+/// Maximum size of a response head.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// A response whose head has arrived.
+/// A backend's response whose head has been received.
 pub struct UpstreamResponse {
     pub head: Parts,
     pub body: Incoming,
     pub connection: BackendConnection,
 }
 
-/// Checked right before the first byte of the request.
+/// The conditions for sending the request, checked right before its first byte is written.
 struct AttemptGuard {
     backend: Rc<Backend>,
     deadline: Instant,
@@ -50,7 +50,7 @@
 /// Sends a request to a backend and waits for the head of its response.
 ///
 /// # Errors
-/// How the attempt failed, and so whether the request may have run.
+/// The way in which the attempt failed, which determines whether the request may have been executed.
 pub async fn send_attempt(
     state: &EdgeState, backend: &Rc<Backend>, request: Request<Full<Bytes>>, deadline: Instant,
     key: Option<ApiKeyGuard>,
@@ -58,7 +58,7 @@
     let request_id = request.headers().get(REQUEST_ID).cloned();
     let mut connection = obtain_connection(state, backend).await.ok_or(AttemptFailure::NeverSent)?;
     connection.progress.restart(true);
-    // The response is relayed as it comes, whatever its length.
+    // The response is relayed as it is received, so its length is not limited.
     connection.progress.max_response_bytes.set(usize::MAX);
     connection.progress.set_guard(Rc::new(AttemptGuard { backend: backend.clone(), deadline, key }));
     let sending = connection.with_sender(async |sender| sender.send_request(request).await);
@@ -74,7 +74,7 @@
         Ok(Ok(response)) => {
             let (head, body) = response.into_parts();
             if is_for_another_request(request_id.as_ref(), &head) {
-                // The connection is dropped: the response to this request may still come on it.
+                // The connection is dropped: the response to this request may still arrive on it.
                 return Err(AttemptFailure::MayHaveRun);
             }
             apply_keep_alive(backend, &head);
@@ -83,8 +83,8 @@
     }
 }
 
-/// Whether a response belongs to another request, whatever its status. Backends send the request's id back; only a failure
-/// may come without one.
+/// Whether a response belongs to another request, regardless of its status. Backends return the request's ID; only an
+/// unsuccessful response may omit it.
 fn is_for_another_request(request_id: Option<&HeaderValue>, head: &Parts) -> bool {
     match head.headers.get(REQUEST_ID) {
         Some(returned) => request_id.is_some_and(|id| id != returned),
@@ -106,7 +106,7 @@
     Ok(response)
 }
 
-/// Takes over the idle time-out that a backend announces (`Keep-Alive: timeout=SECONDS`).
+/// Applies the idle timeout that a backend announces (`Keep-Alive: timeout=SECONDS`).
 fn apply_keep_alive(backend: &Backend, head: &Parts) {
     let Some(keep_alive) = headers::text(&head.headers, &KEEP_ALIVE) else { return };
     let mut parameters = keep_alive.split(',').map(str::trim);
@@ -116,7 +116,7 @@
     }
 }
 
-/// An idle connection, or a new one; `None` where none could be opened.
+/// An idle connection, or else a new one; `None` if no connection can be opened.
 async fn obtain_connection(state: &EdgeState, backend: &Rc<Backend>) -> Option<BackendConnection> {
     if let Some(connection) = backend.take_idle(state.now()).await {
         return Some(connection);
@@ -131,7 +131,7 @@
             return None;
         }
     };
-    // Without it a backend that hangs is noticed only later.
+    // Without this timeout, a backend whose host does not respond is detected only later.
     let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
     BackendConnection::open(stream, MAX_HEAD_BYTES, permit).await.ok()
 }
--- a/crates/gaugesaddle-edge/src/backend.rs
+++ b/crates/gaugesaddle-edge/src/backend.rs
@@ -1,4 +1,4 @@
-//! What a proxy knows of one backend by itself: connections, failures, requests in flight.
+//! A proxy's own state of one backend: connections, failures and requests in flight.
 
 use bytes::Bytes;
 use gaugesaddle_http_connection::{Connection, CountedPermit};
@@ -11,18 +11,18 @@
 /// A connection to a backend.
 pub type BackendConnection = Connection<Full<Bytes>, CountedPermit>;
 
-/// A backend is avoided for this long after a failure, in ms; the time doubles with each further one.
+/// Time for which a backend is avoided after a failure, in ms; doubles with each consecutive failure.
 const FAILURE_BACKOFF_MS: u64 = 400;
-/// A backend is avoided for this long at most, in ms.
+/// Maximum time for which a backend is avoided, in ms.
 const MAX_FAILURE_BACKOFF_MS: u64 = 6400;
-/// Doublings after which the backoff has surely reached its maximum.
+/// Maximum number of doublings of the backoff; enough for it to exceed [`MAX_FAILURE_BACKOFF_MS`] without an overflow.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
-/// Failures in a row that are counted.
+/// Maximum count of consecutive failures.
 const MAX_FAILURES: u32 = 16;
-/// An idle connection is not reused after this time unless the backend allows longer, in ms.
+/// Time after which an idle connection is not reused, unless the backend announces a timeout, in ms.
 const DEFAULT_IDLE_MS: u64 = 4000;
-/// Fraction of the idle time-out that a backend announces for which a connection is reused: the backend must not close it
-/// while a request is on its way.
+/// Fraction of the idle timeout announced by a backend for which a connection is reused: the backend must not close it while
+/// a request is being sent.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 
 struct IdleConnection {
@@ -37,15 +37,15 @@
     pub identity: u64,
     pub service: String,
     pub address: SocketAddrV4,
-    /// Requests that it runs at once.
+    /// Number of requests that the backend processes concurrently.
     pub slots: u32,
-    /// New requests may be sent to it: it has not announced that it leaves.
+    /// Whether new requests may be sent to the backend: it has not announced that it is leaving.
     pub accepts_requests: Cell<bool>,
-    /// Its lease has run out.
+    /// Whether the lease of its registration has expired.
     pub lease_expired: Cell<bool>,
     in_flight: Rc<Cell<usize>>,
     open_sockets: Rc<Cell<usize>>,
-    /// Most recently used last.
+    /// In the order of last use, most recently used last.
     idle: RefCell<Vec<IdleConnection>>,
     idle_timeout_ms: Cell<u64>,
     avoided_until_ms: Cell<u64>,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// It has announced that it leaves: no new request is sent to it.
+    /// Stops new requests to the backend and closes its idle connections; called when it announces that it is leaving.
     pub fn close(&self) {
         self.accepts_requests.set(false);
         self.idle.borrow_mut().clear();
@@ -95,7 +95,7 @@
         CountedPermit::acquire(&self.open_sockets)
     }
 
-    /// The most recently used idle connection that the backend has not closed.
+    /// Takes the most recently used idle connection that has not timed out and that the backend has not closed.
     pub async fn take_idle(&self, now: u64) -> Option<BackendConnection> {
         loop {
             let IdleConnection { since_ms, mut connection } = self.idle.borrow_mut().pop()?;
@@ -106,25 +106,26 @@
         }
     }
 
-    /// Keeps a connection for the next request.
+    /// Adds a connection to the idle pool, unless the backend is leaving.
     pub fn put_idle(&self, now: u64, connection: BackendConnection) {
         if self.accepts_requests.get() {
             self.idle.borrow_mut().push(IdleConnection { since_ms: now, connection });
         }
     }
 
-    /// Closes connections that have been idle too long.
+    /// Closes connections that have exceeded their idle timeout.
     pub fn close_stale_connections(&self, now: u64) {
         let timeout = self.idle_timeout_ms.get();
         self.idle.borrow_mut().retain(|idle| now < idle.since_ms + timeout);
     }
 
-    /// The backend announced how long it keeps an idle connection, in seconds.
+    /// Applies the backend's announced idle timeout, in seconds.
     pub fn set_announced_idle_timeout(&self, seconds: f64) {
         self.idle_timeout_ms.set((seconds * 1000.0 * IDLE_TIMEOUT_FRACTION) as u64);
     }
 
-    /// It could not be reached, broke a connection, or is another incarnation.
+    /// Records that the backend could not be reached, that a connection failed, or that another incarnation responded; starts
+    /// or extends the backoff.
     pub fn record_failure(&self, now: u64) {
         let failures = self.consecutive_failures.get();
         self.consecutive_failures.set((failures + 1).min(MAX_FAILURES));
@@ -133,13 +134,13 @@
         self.idle.borrow_mut().clear();
     }
 
-    /// It responded.
+    /// Records a response of the backend; ends the backoff.
     pub fn record_success(&self) {
         self.consecutive_failures.set(0);
         self.avoided_until_ms.set(0);
     }
 
-    /// Whether it failed a moment ago.
+    /// Whether the backend is avoided because of a recent failure.
     pub fn is_avoided(&self, now: u64) -> bool {
         now < self.avoided_until_ms.get()
     }
--- a/crates/gaugesaddle-edge/src/backend_set.rs
+++ b/crates/gaugesaddle-edge/src/backend_set.rs
@@ -1,4 +1,4 @@
-//! The backends and the number of proxies, as the catalog of registrations names them.
+//! The set of backends and the number of proxies, derived from the catalog of registrations.
 
 use crate::backend::Backend;
 use gaugesaddle_catalog::Catalog;
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// Backends by identity and by service. An entry leaves when its registration announces that it leaves, or is forgotten.
+/// Backends by ID and by service. A backend is removed when its registration is leaving or is no longer in the catalog.
 pub struct BackendSet {
     by_id: RefCell<BTreeMap<String, Rc<Backend>>>,
     by_service: RefCell<HashMap<String, Vec<Rc<Backend>>>>,
@@ -15,17 +15,17 @@
 }
 
 impl BackendSet {
-    /// No backends, and this proxy alone.
+    /// Creates a set without backends, with this proxy as the only one.
     pub fn new() -> BackendSet {
         BackendSet { by_id: RefCell::default(), by_service: RefCell::default(), proxies: Cell::new(1) }
     }
 
-    /// Live proxies, this one included.
+    /// Number of live proxies, including this one.
     pub fn proxies(&self) -> usize {
         self.proxies.get()
     }
 
-    /// Takes the registrations over. Returns whether the number of proxies changed.
+    /// Updates the set from the catalog. Returns whether the number of proxies changed.
     pub fn update(&self, catalog: &Catalog) -> bool {
         let mut by_id = self.by_id.borrow_mut();
         let mut by_service: HashMap<String, Vec<Rc<Backend>>> = HashMap::new();
@@ -45,7 +45,7 @@
         self.proxies.replace(proxies) != proxies
     }
 
-    /// Backends of a service that may get new requests, whatever their health.
+    /// Backends of a service that accept new requests, regardless of their health.
     pub fn of_service(&self, service: &str) -> Vec<Rc<Backend>> {
         let by_service = self.by_service.borrow();
         let backends = by_service.get(service).into_iter().flatten();
@@ -57,13 +57,13 @@
         self.by_service.borrow().get(service).is_some_and(|backends| !backends.is_empty())
     }
 
-    /// Closes connections that have been idle too long.
+    /// Closes connections that have exceeded their idle timeout.
     pub fn close_stale_connections(&self, now: u64) {
         self.by_id.borrow().values().for_each(|backend| backend.close_stale_connections(now));
     }
 }
 
-/// The backend of a registration, brought up to date; `None` where no new request is sent to it.
+/// Creates or updates the backend of a registration; `None` if it is leaving or its address is invalid.
 fn update_backend(
     by_id: &mut BTreeMap<String, Rc<Backend>>, registration: &Registration,
 ) -> Option<Rc<Backend>> {
--- a/crates/gaugesaddle-edge/src/control_client.rs
+++ b/crates/gaugesaddle-edge/src/control_client.rs
@@ -1,4 +1,5 @@
-//! Follows the control plane: makes the calls of this proxy's [`Follower`](gaugesaddle_distribution::Follower).
+//! Pulls configuration and registrations from the control plane, for this proxy's
+//! [`Follower`](gaugesaddle_distribution::Follower).
 
 use crate::state::EdgeState;
 use gaugesaddle_config::BootSettings;
@@ -9,17 +10,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time to open a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// A control process without changes delays its answer for this long, in ms.
+/// Time for which a control process without changes delays its reply (long polling), in ms.
 const LONG_POLL_MS: u32 = 350;
-/// Time for an answer to begin beyond that.
+/// Timeout for the reply to begin, in addition to the long-polling delay.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(450);
-/// A large answer may take this much longer to arrive; one that is read later still is discarded, in ms.
+/// Additional time for the transfer of a large reply, in ms; a reply that is processed later is discarded.
 const MAX_TRANSFER_MS: u64 = 4000;
-/// Time before another process is called.
+/// Delay before the next control process is called.
 const RETRY_DELAY: Duration = Duration::from_millis(40);
-/// Time for the call that announces the end of this proxy.
+/// Timeout of the call that deregisters this proxy.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Runs until the task is aborted.
@@ -30,7 +31,7 @@
         if let Some(ip) = chosen {
             if let Err(e) = follow(&state, ip).await {
                 log_malformed(&state, ip, &e);
-                debug!("control process {}: {:#}", Ipv4Addr::from(ip), eyre::Report::new(e));
+                debug!("pull from control process {} failed: {:#}", Ipv4Addr::from(ip), eyre::Report::new(e));
             }
             state.follower.borrow_mut().record_failure(state.now(), ip);
         }
@@ -38,27 +39,29 @@
     }
 }
 
-/// Logs an answer that could not be read, once a process and minute: another build serves there, or another protocol.
+/// Logs a reply that cannot be decoded, at most once per minute and process: the address is served by an incompatible build
+/// or by another protocol.
 fn log_malformed(state: &EdgeState, ip: u32, error: &LinkError) {
     if let Some(line) = state.malformed_messages.borrow_mut().log_line(state.now(), ip, error) {
         warn!("{line}");
     }
 }
 
-/// Reads the seeds of the boot file again, which may have changed, while no process in contact with a majority answers.
+/// Reads the seeds from the boot file again, which may have changed, if no control process in contact with a majority
+/// replies.
 fn refresh_seeds(state: &EdgeState) {
     let now = state.now();
     if !state.follower.borrow_mut().needs_discovery(now) {
         return;
     }
-    // A file that cannot be read now is read again later.
+    // If the file cannot be read now, the next attempt follows when discovery is due again.
     if let Ok(boot) = BootSettings::read() {
         let seeds = boot.seeds.iter().map(|seed| u32::from(*seed.ip()));
         state.follower.borrow_mut().add_seeds(now, seeds);
     }
 }
 
-/// Pulls from one process until it fails or has lost contact with a majority.
+/// Pulls from one control process until a call fails or the process has lost contact with a majority.
 async fn follow(state: &Rc<EdgeState>, ip: u32) -> Result<(), LinkError> {
     let address = state.boot.control_process(ip);
     let mut caller = Caller::open(address, CONNECT_TIMEOUT).await?;
@@ -69,7 +72,7 @@
         let request = pull_request(state, Lifecycle::Ready, wait_ms);
         let Reply::Pull(reply) = caller.call(&request, timeout).await? else { return Ok(()) };
         if wait_ms == 0 && reply.fresh {
-            info!("follows control process {}", address.ip());
+            info!("pulling configuration from control process {}", address.ip());
         }
         let valid_ms = timeout.as_millis() as u64 + MAX_TRANSFER_MS;
         if !state.apply_pull_reply(called_at, valid_ms, *reply) {
@@ -83,11 +86,11 @@
     Request::Pull(Box::new(state.follower.borrow_mut().pull(state.now(), lifecycle, wait_ms)))
 }
 
-/// Announces to the leader that this proxy leaves.
+/// Announces to the leader that this proxy is leaving.
 pub async fn deregister(state: Rc<EdgeState>) {
     let Some(leader) = state.follower.borrow().leader() else { return };
     let address = state.boot.control_process(leader);
     let Ok(mut caller) = Caller::open(address, DEREGISTER_TIMEOUT).await else { return };
-    // If this call fails the lease runs out.
+    // If this call fails, the registration ends when its lease expires.
     let _ = caller.call(&pull_request(&state, Lifecycle::Departed, 0), DEREGISTER_TIMEOUT).await;
 }
--- a/crates/gaugesaddle-edge/src/dispatch.rs
+++ b/crates/gaugesaddle-edge/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends an admitted request to backends until one responds or no further attempt is allowed.
+//! Sends an admitted request to backends until one responds or no further attempt is permitted.
 
 use crate::admission::AdmittedRequest;
 use crate::api_key::ApiKeyGuard;
@@ -21,11 +21,11 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Failing backends are left out only while at least this fraction is healthy; else all are used, since the fault may be
-/// on this side.
+/// Failing backends are excluded only if at least this fraction of the backends is healthy; otherwise all are used, since
+/// the fault may be on the side of the proxies.
 const MIN_HEALTHY_FRACTION: f64 = 0.5;
 
-/// A request with all that further attempts need.
+/// An admitted request with the state of its attempts.
 pub struct Dispatch {
     pub state: Rc<EdgeState>,
     pub route: Route,
@@ -37,13 +37,13 @@
     key: Option<ApiKeyGuard>,
     head: Parts,
     body: Bytes,
-    /// Identities of the backends that were tried.
+    /// Hashes of the IDs of the backends that were attempted.
     attempted: Vec<u64>,
     retry: RetryState,
     _active: CountedPermit,
 }
 
-/// A backend's response whose head has arrived, with what must be recorded when its body arrives.
+/// A backend's response whose head has been received, with the data to record when its body begins.
 pub struct StartedResponse {
     pub response: UpstreamResponse,
     pub backend: Rc<Backend>,
@@ -55,7 +55,7 @@
 }
 
 impl StartedResponse {
-    /// Time since the request was sent, in ms.
+    /// Time since the request was sent to the backend, in ms.
     pub fn latency_ms(&self) -> f64 {
         self.sent_at.elapsed().as_secs_f64() * 1000.0
     }
@@ -65,7 +65,7 @@
     /// Prepares the first attempt of an admitted request.
     ///
     /// # Errors
-    /// [`Rejection::Unavailable`] where the route has no service.
+    /// [`Rejection::Unavailable`] if the route has no service.
     pub fn new(
         state: Rc<EdgeState>, table: Rc<RoutingTable>, admitted: AdmittedRequest, mut head: Parts,
         body: Bytes,
@@ -92,15 +92,15 @@
         })
     }
 
-    /// The first response of a backend.
+    /// Sends the request and returns the first response of a backend.
     ///
     /// # Errors
-    /// The rejection for the client where no backend responds.
+    /// The rejection for the client if no backend responds.
     pub async fn first_response(&mut self) -> Result<StartedResponse, Rejection> {
         self.send(None).await
     }
 
-    /// Another backend's response behind the last event that the client has.
+    /// Resumes a broken stream: returns another backend's response, which begins after the last event that the client has.
     ///
     /// # Errors
     /// As [`Dispatch::first_response`].
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Whether an attempt may begin now: deadline, key, retry budget.
+    /// Checks the deadline, the API key and the retry budget before an attempt.
     fn check_attempt_allowed(&self) -> Result<(), Rejection> {
         if Instant::now() >= self.deadline {
             return Err(self.retry.deadline_passed());
@@ -151,20 +151,20 @@
         Ok(())
     }
 
-    /// Counts a failure in what is reported to the other proxies: whether the backend refused or broke off, requests are
-    /// better sent elsewhere.
+    /// Counts a failure in the load report to the other proxies, whether the backend refused the request or failed while
+    /// processing it: in both cases requests should be sent to other backends.
     pub fn record_failure(&self, backend: &Backend) {
         let number = load_reporter::backend_number(backend.identity);
         self.state.load_view.borrow_mut().record_failed_request(self.state.now(), number);
     }
 
-    /// Counts a success in what is reported to the other proxies.
+    /// Counts a success in the load report to the other proxies.
     pub fn record_success(&self, backend: &Backend) {
         let number = load_reporter::backend_number(backend.identity);
         self.state.load_view.borrow_mut().record_served_request(self.state.now(), number);
     }
 
-    /// Learns the latency of a response, for the choice of backends.
+    /// Records the latency of a response for the choice of backends.
     pub fn record_latency(&self, choice: &Choice, latency_ms: f64) {
         let statistics = &self.state.statistics;
         statistics.with_chooser(&self.route, &self.service_name, |chooser| {
@@ -172,12 +172,12 @@
         });
     }
 
-    /// A response broke off inside a stream. Returns whether another backend may resume it.
+    /// Records that a stream was interrupted. Returns whether it may be resumed at another backend.
     pub fn record_broken_stream(&mut self) -> bool {
         self.retry.record_broken_stream()
     }
 
-    /// Draws a backend that was not tried yet: a healthy one where there is any.
+    /// Selects a backend that was not attempted yet, a healthy one if there is any.
     fn choose_backend(&self) -> Option<(Rc<Backend>, Choice)> {
         let now = self.state.now();
         let backends = self.eligible_backends(now);
@@ -204,7 +204,7 @@
         backends.get(choice.index).map(|backend| (backend.clone(), choice))
     }
 
-    /// The backends that a choice is made among.
+    /// The backends among which the choice is made.
     fn eligible_backends(&self, now: u64) -> Vec<Rc<Backend>> {
         let settings = &self.state.chooser_settings;
         let max_connections = self.state.max_connections(&self.table, self.service);
@@ -225,7 +225,7 @@
         backends
     }
 
-    /// Leaves out backends at which requests of any proxy fail, unless that leaves too few.
+    /// Excludes backends that are failing according to all proxies' reports, unless too few backends would remain.
     fn exclude_failing(&self, now: u64, backends: &mut Vec<Rc<Backend>>) {
         if !self.state.chooser_settings.shared_health {
             return;
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Leaves only the backends reserved for long prompts, or only the others, by this prompt's length.
+    /// Retains only the backends reserved for long prompts if this prompt is long, and only the other ones if it is not.
     fn separate_long_prompts(&self, backends: &mut Vec<Rc<Backend>>) {
         let sizes = self.state.statistics.prompt_sizes(&self.service_name);
         let identities: Vec<u64> = backends.iter().map(|backend| backend.identity).collect();
@@ -270,7 +270,7 @@
     }
 }
 
-/// Replaces the headers that only this system may set.
+/// Removes the headers that clients may not set, and sets those that the proxy sends to backends.
 fn set_system_headers(head: &mut Parts, admitted: &AdmittedRequest) {
     let headers = &mut head.headers;
     strip_connection_headers(headers);
@@ -293,7 +293,7 @@
     });
 }
 
-/// Draws one of the route's services by weight.
+/// Selects one of the route's services at random, by weight.
 fn pick_service(state: &EdgeState, route: &Route) -> Option<ServiceIndex> {
     let total: f64 = route.split.iter().map(|(_, weight)| weight).sum();
     let uniform = f64::from(state.random.borrow_mut().next_u32()) / (f64::from(u32::MAX) + 1.0);
@@ -304,7 +304,7 @@
         }
         remaining -= weight;
     }
-    // Rounding may leave a rest: the last service with a weight.
+    // Rounding errors may leave a remainder; the last service with a positive weight takes it.
     let mut weighted = route.split.iter().rev().filter(|(_, weight)| *weight > 0.0);
     weighted.next().map(|(service, _)| *service)
 }
--- a/crates/gaugesaddle-edge/src/http_server.rs
+++ b/crates/gaugesaddle-edge/src/http_server.rs
@@ -1,4 +1,4 @@
-//! Connections of clients, and the way of one request through the proxy.
+//! Client connections, and the processing of a request from its arrival to its response.
 
 use crate::admission;
 use crate::dispatch::{Dispatch, StartedResponse};
@@ -26,18 +26,18 @@
 use tokio::sync::{watch, Semaphore};
 use tokio::time::Instant;
 
-/// Time for a head, and for an idle connection, before a configuration sets them.
+/// Timeout for a request head and for an idle connection before a configuration is received.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Fraction of the file descriptors that client connections may take; the others are for backends.
+/// Fraction of the file descriptors available to client connections; the others are for connections to backends.
 const CLIENT_DESCRIPTOR_FRACTION: f64 = 0.55;
-/// File descriptors that are not for connections.
+/// Number of file descriptors that are not available to connections.
 const RESERVED_DESCRIPTORS: u64 = 250;
-/// Client connections that are accepted however few file descriptors there are.
+/// Minimum limit on client connections, regardless of the number of file descriptors.
 const MIN_CLIENT_CONNECTIONS: usize = 16;
-/// Fraction of the memory that buffered request bodies may take.
+/// Limit on the announced lengths of the request bodies that are being read, as a fraction of the memory.
 const BODY_MEMORY_FRACTION: f64 = 0.25;
 
-/// Accepts clients until the task is aborted; open connections end gracefully once `closing` is true.
+/// Accepts client connections until the task is aborted; shuts open connections down gracefully once `closing` is true.
 pub async fn serve(state: Rc<EdgeState>, listener: TcpListener, closing: watch::Receiver<bool>) {
     let descriptors = state.boot.limits.max_fds.saturating_sub(RESERVED_DESCRIPTORS) as f64;
     let max_connections = (descriptors * CLIENT_DESCRIPTOR_FRACTION) as usize;
@@ -66,7 +66,7 @@
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new()).header_read_timeout(idle_timeout);
     let mut serving = pin!(builder.serve_connection(TokioIo::new(stream), service));
-    // An error of the connection concerns its client only.
+    // Errors are ignored: they affect only this connection's client.
     tokio::select! {
         _ = serving.as_mut() => return,
         _ = closing.wait_for(|closing| *closing) => serving.as_mut().graceful_shutdown(),
@@ -93,7 +93,7 @@
     forward(started, dispatch, last_event_id).await
 }
 
-/// Bytes of a request body that are counted while it is read.
+/// The announced length of a request body, counted in [`EdgeState::buffered_bytes`] while the body is being read.
 struct BufferedBytes<'a> {
     state: &'a EdgeState,
     bytes: usize,
@@ -133,7 +133,7 @@
     }
 }
 
-/// A backend's response for the client: buffered where it is short and no stream, else relayed.
+/// Forwards a backend's response to the client: buffered if it is short and not a stream, otherwise relayed.
 async fn forward(
     mut started: StartedResponse, dispatch: Dispatch, last_event_id: Option<String>,
 ) -> Result<Response<ResponseBody>, Rejection> {
@@ -153,7 +153,7 @@
     Ok(response)
 }
 
-/// Reads a response body to its end, so that a broken one never reaches the client as a complete one.
+/// Reads a response body completely before it is forwarded, so that a truncated one never looks complete to the client.
 async fn read_response(started: StartedResponse, dispatch: &Dispatch) -> Result<Bytes, Rejection> {
     let StartedResponse { response, backend, choice, work, sent_at, in_flight } = started;
     let mut connection = response.connection;
--- a/crates/gaugesaddle-edge/src/lib.rs
+++ b/crates/gaugesaddle-edge/src/lib.rs
@@ -1,4 +1,4 @@
-//! The data plane of a router fleet: takes clients' requests, and sends each to a backend of its route's service.
+//! The data plane of a router fleet: accepts client requests and forwards each to a backend of its route's service.
 //!
 //! ```text
 //!  clients --> http_server --> admission (route, key, quota) --> dispatch --> attempt --> backends
@@ -10,31 +10,32 @@
 //!           <--> load_reporter  (backends' load)               --> state
 //! ```
 //!
-//! This crate is the host: sockets, timers, headers. What is decided stands in crates without I/O, and here in
-//! `retry`, the rule that says whether another backend may get a request:
+//! This crate does the I/O: sockets, timers, headers. Decisions are made in crates without I/O, and in the module `retry`
+//! of this crate, which decides whether a request may be sent to another backend:
 //!
-//! - `gaugesaddle-inference` chooses a backend and splits streams into events;
-//! - `gaugesaddle-distribution` follows the control plane;
+//! - `gaugesaddle-inference` selects a backend and splits streams into events;
+//! - `gaugesaddle-distribution` tracks the configuration and the registrations of the control plane;
 //! - `gaugesaddle-quota` accounts for tenants' tokens and retries;
-//! - `gaugesaddle-load-report` merges what all proxies see of the backends;
-//! - `gaugesaddle-http-connection` knows whether a request has begun on a connection.
+//! - `gaugesaddle-load-report` aggregates the load and failures of the backends that all proxies observe;
+//! - `gaugesaddle-http-connection` tracks whether any byte of a request was written to a connection.
 //!
-//! The only public item is [`run`]: it reads the boot file that `GAUGESADDLE_BOOT` names and serves until SIGTERM.
+//! The only public item is [`run`]: it reads the boot file named by `GAUGESADDLE_BOOT` and serves until SIGTERM.
 //!
 //! ```no_run
-//! // What `gaugesaddle edge` runs; the arguments are those of its option `--set`.
+//! // `gaugesaddle edge` calls this with the values of its option `--set`.
 //! gaugesaddle_edge::run(&["copies=2".to_owned()])?;
 //! # Ok::<(), eyre::Report>(())
 //! ```
 //!
-//! **Guarantees.** A response of 429, 503 or 408 says that the request has not run and never will; from the first byte
-//! that may have reached a backend on, it gets the backend's own response, 502 or 504. A non-idempotent request is
-//! sent again only if it cannot have run. A response that breaks off never looks complete to its client. On a deployment
-//! with `bounds.closed` no request is sent on a key without recent proof that the key is valid.
+//! **Guarantees.** The proxy itself responds with 429, 503 or 408 only if the request has not been executed and will not
+//! be. Once any byte of a request may have reached a backend, the client receives the backend's own response, 502 or 504. A
+//! non-idempotent request is retried only if it cannot have been executed. A truncated response never looks complete to
+//! its client. In a deployment with `bounds.closed`, no request is sent for an API key without recent proof that the key is
+//! valid.
 //!
-//! **Bounds.** Client connections by a part of the file descriptors, buffered bodies by a part of the memory, connections
-//! to a backend by its service's `maxConnections`, table entries by the configuration and by the catalog. One thread runs
-//! everything.
+//! **Bounds.** A fraction of the file descriptors limits client connections, and a fraction of the memory limits the
+//! request bodies being read. A service's `maxConnections` limits the connections to each backend. The configuration and
+//! the catalog limit the number of table entries. All tasks run on one thread.
 
 mod admission;
 mod api_key;
--- a/crates/gaugesaddle-edge/src/load_reporter.rs
+++ b/crates/gaugesaddle-edge/src/load_reporter.rs
@@ -1,4 +1,4 @@
-//! Reports what this proxy sees of the backends' load, and receives what all proxies see.
+//! Reports the load of the backends that this proxy observes, and receives the sums over all proxies.
 
 use crate::state::EdgeState;
 use gaugesaddle_inference::affinity;
@@ -7,23 +7,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Between two reports while there is anything to report. A backend that reads some 70 tokens a millisecond finishes a few
-/// prompts in this time; half of it costs twice as many calls.
+/// Interval between reports while there is load to report. A backend that processes about 70 prompt tokens per millisecond
+/// finishes a few prompts within one interval; half the interval would double the number of calls.
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
-/// Time to open a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// Time for an answer.
+/// Timeout of a call.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Delay after a call that failed.
+/// Delay after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The number under which a backend is reported: the low half of its identity.
+/// The number that identifies a backend in load reports: the lower 32 bits of the hash of its ID.
 pub fn backend_number(identity: u64) -> u32 {
     identity as u32
 }
 
-/// Work that was sent to a backend; it counts as backlog until this is dropped, when the response begins or the attempt
-/// fails.
+/// Work sent to a backend. It counts as the backend's backlog until this is dropped, when the response body begins or the
+/// attempt fails.
 pub struct WorkInFlight {
     state: Rc<EdgeState>,
     backend: u32,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Runs for as long as the process lives.
+/// Runs until the process exits.
 pub async fn run(state: Rc<EdgeState>) {
     let proxy = affinity::identity(&state.proxy_id);
     let mut caller: Option<Caller> = None;
@@ -63,7 +63,7 @@
     }
 }
 
-/// Sends one report; returns the connection if it can be used again.
+/// Sends one report; returns the connection if it can be reused.
 async fn report(state: &EdgeState, caller: Option<Caller>, proxy: u64) -> Option<Caller> {
     let ip = state.follower.borrow().choose(state.now())?;
     let address = state.boot.control_process(ip);
--- a/crates/gaugesaddle-edge/src/quota_client.rs
+++ b/crates/gaugesaddle-edge/src/quota_client.rs
@@ -1,4 +1,4 @@
-//! Requests tenants' tokens from the leader.
+//! Requests quota tokens of tenants from the leader of the control plane.
 
 use crate::state::EdgeState;
 use gaugesaddle_protocol::{Reply, Request};
@@ -6,16 +6,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time to open a connection to the leader.
+/// Timeout for opening a connection to the leader.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time for an answer.
+/// Timeout of a call.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Between two calls while no request waits for tokens.
+/// Interval between calls while no request waits for tokens.
 const CALL_INTERVAL: Duration = Duration::from_millis(300);
-/// Between two calls while requests wait for tokens.
+/// Interval between calls while requests wait for tokens.
 const DEFICIT_CALL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs for as long as the process lives.
+/// Runs until the process exits.
 pub async fn run(state: Rc<EdgeState>) {
     let mut caller: Option<Caller> = None;
     loop {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Makes one call; returns the connection if it can be used again.
+/// Makes one call to the leader; returns the connection if it can be reused.
 async fn call_leader(
     state: &EdgeState, caller: Option<Caller>, request: &Request, called_at: u64,
 ) -> Option<Caller> {
--- a/crates/gaugesaddle-edge/src/readiness.rs
+++ b/crates/gaugesaddle-edge/src/readiness.rs
@@ -1,4 +1,4 @@
-//! The readiness endpoint: whether the platform may send clients to this proxy.
+//! The readiness endpoint: reports whether the platform may route clients to this proxy.
 
 use crate::api_key;
 use crate::state::EdgeState;
@@ -14,13 +14,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A connection without a request for this long is closed.
+/// Time without a request after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers for as long as the process lives.
+/// Serves readiness checks until the process exits.
 ///
 /// # Errors
-/// Those of listening at the address.
+/// The address cannot be bound.
 pub async fn serve(state: Rc<EdgeState>, address: SocketAddrV4) -> std::io::Result<()> {
     let listener = listen(address)?;
     loop {
@@ -40,8 +40,8 @@
     }
 }
 
-/// Ready with a configuration and backends. A proxy that was ready stays so without a control plane, unless keys may soon
-/// not be used without it.
+/// Whether the proxy has a configuration and backends, is not shutting down, and has recent enough proof for API keys.
+/// Losing contact with the control plane alone does not make a proxy unready before that proof is too old.
 fn is_ready(state: &EdgeState) -> bool {
     let can_serve = state.routing_table().is_some() && state.has_backends();
     can_serve && !state.terminating.get() && api_key::accepts_keys(state)
--- a/crates/gaugesaddle-edge/src/relay.rs
+++ b/crates/gaugesaddle-edge/src/relay.rs
@@ -1,12 +1,12 @@
-//! Relays a response as it comes, and resumes a stream at another backend where its route allows it.
+//! Relays a response as it is received, and resumes a broken stream at another backend if its route permits it.
 //!
 //! ```text
-//!              broken, or silent too long, and another backend may resume it
+//!              broken or silent for too long, and resumption is permitted
 //!   Relaying ---------------------------------------------------------------> Resuming
 //!    |   ^                                                                     |    |
 //!    |   +------------------------- success -----------------------------------+    |
 //!    |                                                                              |
-//!    +--- end of the response, or broken and not to be resumed ---> Finished <------+ no backend responds
+//!    +--- response complete, or broken without resumption ---> Finished <-----------+ no backend responds
 //! ```
 
 use crate::dispatch::{Dispatch, StartedResponse};
@@ -22,15 +22,15 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep};
 
-/// A resumable stream that is silent for this long is resumed elsewhere.
+/// A resumable stream without data for this long is resumed at another backend.
 const STREAM_SILENCE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// The next bytes for the client; `None` at the end.
+/// The next bytes for the client; `None` at the end of the response.
 type PollChunk = Poll<Option<Result<Bytes, BrokenResponse>>>;
 
 type Resumption = Pin<Box<dyn Future<Output = (Dispatch, Result<StartedResponse, Rejection>)>>>;
 
-/// A backend that responds, and the request that it responds to.
+/// A response that is being relayed, with its request.
 struct ActiveResponse {
     started: StartedResponse,
     dispatch: Dispatch,
@@ -38,28 +38,28 @@
 
 enum Stage {
     Relaying(Box<ActiveResponse>),
-    /// Another backend is asked to resume the stream.
+    /// The request to resume the stream is being sent to another backend.
     Resuming(Resumption),
-    /// Complete or broken off.
+    /// The response is complete or was aborted.
     Finished,
 }
 
-/// A response on its way to a client.
+/// A response that is relayed to a client.
 pub struct Relay {
     stage: Stage,
     /// Splits a resumable stream into events; `None` for other responses.
     scanner: Option<EventScanner>,
-    /// The last event that the client has.
+    /// ID of the last event that was forwarded to the client.
     last_event_id: Option<String>,
     content_length: Option<u64>,
-    /// Fires at the silence time-out of a resumable stream, and at the deadline.
+    /// Fires at the silence timeout of a resumable stream, or at the deadline.
     timer: Pin<Box<Sleep>>,
     deadline: Instant,
     latency_recorded: bool,
 }
 
 impl Relay {
-    /// Relays a response; `last_event_id` is the event that the client said it had.
+    /// Relays a response; `last_event_id` is the request's `Last-Event-Id`.
     pub fn new(started: StartedResponse, dispatch: Dispatch, last_event_id: Option<String>) -> Relay {
         let is_resumable = dispatch.route.kind == RouteKind::Streaming { resume: true };
         let content_length = if is_resumable { None } else { started.response.body.size_hint().exact() };
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The length of the body, where the backend gave it.
+    /// The length of the body, if the backend announced it and the stream cannot be resumed.
     pub fn content_length(&self) -> Option<u64> {
         self.content_length
     }
@@ -104,7 +104,7 @@
         };
         match result {
             Ok(started) if started.response.head.status.is_success() => {
-                // The new backend begins with a whole event.
+                // The new backend's response begins with a complete event, so the incomplete one is discarded.
                 self.scanner = self.scanner.take().map(|_| EventScanner::default());
                 self.restart_silence_timer();
                 self.stage = Stage::Relaying(Box::new(ActiveResponse { started, dispatch }));
@@ -151,7 +151,7 @@
         Step::Continue
     }
 
-    /// Takes received bytes; returns those that may be passed on now.
+    /// Processes received bytes; returns the bytes that can be forwarded now.
     fn accept(&mut self, bytes: Bytes) -> Option<Bytes> {
         self.record_first_bytes();
         let Some(scanner) = &mut self.scanner else { return Some(bytes) };
@@ -171,7 +171,8 @@
         self.timer.as_mut().reset(timeout);
     }
 
-    /// The response body has begun: its work is no backlog any more, and the first one of a request gives its latency.
+    /// Records that the response body has begun: its work no longer counts as backlog. Latency and success are recorded only
+    /// once per request, for its first response.
     fn record_first_bytes(&mut self) {
         let Stage::Relaying(active) = &mut self.stage else { return };
         let ActiveResponse { started, dispatch } = active.as_mut();
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Asks another backend to resume behind the last event that was passed on; false where that is not allowed.
+    /// Starts to resume the stream at another backend, after the last forwarded event; false if this is not permitted.
     fn resume_at_another_backend(&mut self) -> bool {
         let Stage::Relaying(active) = &mut self.stage else { return false };
         if self.scanner.is_none() || !active.dispatch.record_broken_stream() {
@@ -211,7 +212,7 @@
         Poll::Ready(Some(Err(BrokenResponse)))
     }
 
-    /// The backend's response is complete: what the scanner still has is passed on, and the connection is kept.
+    /// Ends a complete response: forwards the bytes that remain in the scanner and returns the connection to the pool.
     fn finish(&mut self) -> PollChunk {
         let rest = self.scanner.as_mut().map(EventScanner::finish).unwrap_or_default();
         if let Stage::Relaying(active) = std::mem::replace(&mut self.stage, Stage::Finished) {
@@ -225,14 +226,14 @@
     }
 }
 
-/// What a poll of the present stage leads to.
+/// The result of polling the current stage.
 enum Step {
-    /// The stage or its input has changed: poll again.
+    /// The stage or its input has changed and must be polled again.
     Continue,
     Return(PollChunk),
 }
 
-/// Puts the connection of a complete response aside for the next request.
+/// Returns the connection of a complete response to the backend's idle pool, if it can be reused.
 fn return_connection_to_pool(active: ActiveResponse) {
     let ActiveResponse { started, dispatch } = active;
     let StartedResponse { response, backend, .. } = started;
--- a/crates/gaugesaddle-edge/src/response_body.rs
+++ b/crates/gaugesaddle-edge/src/response_body.rs
@@ -10,22 +10,22 @@
 use std::task::{Context, Poll};
 use thiserror::Error;
 
-/// A response cannot be relayed to its end; the client's connection is broken off, so that the response does not look
+/// The response cannot be relayed completely. The client's connection is aborted, so that the response does not look
 /// complete.
 #[derive(Debug, Error)]
-#[error("the response broke off")]
+#[error("relaying the response failed: the upstream response is incomplete")]
 pub struct BrokenResponse;
 
 /// The body of a response to a client.
 pub enum ResponseBody {
-    /// All bytes are there.
+    /// The complete body; `None` once it was returned.
     Buffered(Option<Bytes>),
-    /// Passed on as a backend sends it.
+    /// Forwarded as the backend sends it.
     Relayed(Box<Relay>),
 }
 
 impl ResponseBody {
-    /// A body without bytes.
+    /// An empty body.
     pub fn empty() -> ResponseBody {
         ResponseBody::Buffered(Some(Bytes::new()))
     }
@@ -65,7 +65,7 @@
     }
 }
 
-/// The response to a request that is rejected here.
+/// The response to a request that this proxy rejects.
 pub fn rejection_response(rejection: Rejection) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::empty());
     *response.status_mut() = rejection.status();
--- a/crates/gaugesaddle-edge/src/retry.rs
+++ b/crates/gaugesaddle-edge/src/retry.rs
@@ -1,37 +1,40 @@
-//! Whether another backend may get a request after an attempt, decided without I/O.
+//! Decides whether a request may be sent to another backend after an attempt, without I/O.
 //!
 //! ```text
-//!             unreachable             not executed, another backend there         may have run
-//!  retry <------------------ attempt ------------------------------> retry if the route ------> retry if idempotent
-//!        (a few times)          |                                    and the budget allow       and both allow
-//!                               +-- response, or deadline passed: final
+//!                                            another attempt
+//!  attempt --+-- unreachable, not sent   --> until MAX_UNREACHABLE such attempts
+//!            +-- not executed            --> within the route's attempts and the retry budget
+//!            +-- may have been executed  --> within the same limits, and only if the request is idempotent
+//!            +-- stream interrupted      --> within the same limits, and only if the stream is resumable
+//!            +-- other response, or deadline passed --> never
 //! ```
 
 use crate::rejection::Rejection;
 use gaugesaddle_config::Route;
 
-/// Backends that could not even be reached before the request is given up.
+/// Maximum number of attempts in which no byte of the request was sent, before the request is rejected.
 const MAX_UNREACHABLE: u32 = 4;
 
-/// How an attempt without a response ended.
+/// The failure of an attempt that ended without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
     /// No byte of the request was sent.
     NeverSent,
-    /// The backend states that it has not run the request and never will, or it is not the one that was meant.
+    /// The backend has not executed the request and will not, or it is not the incarnation that the request was intended
+    /// for.
     NotExecuted,
-    /// The request may have run: no response, a broken connection, or the response to another request.
+    /// The request may have been executed: the connection failed, or it returned the response to another request.
     MayHaveRun,
-    /// The deadline has passed, and the request may have run.
+    /// The deadline has passed, and the request may have been executed.
     TimedOut,
 }
 
 /// The attempts of one request so far.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryState {
-    /// The request may run more than once.
+    /// Whether the request may be executed more than once.
     idempotent: bool,
-    /// Backends that it may be sent to.
+    /// Maximum number of attempts in which the request is sent.
     max_attempts: u32,
     sent: u32,
     unreachable: u32,
@@ -39,7 +42,7 @@
 }
 
 impl RetryState {
-    /// The state of a request that was not sent yet.
+    /// The state of a request before its first attempt.
     pub fn new(route: &Route) -> RetryState {
         RetryState::with_limits(route.kind.is_idempotent(), route.attempts)
     }
@@ -48,26 +51,26 @@
         RetryState { idempotent, max_attempts, sent: 0, unreachable: 0, may_have_run: false }
     }
 
-    /// Whether the next attempt is a retry, which the budget that all proxies share must allow.
+    /// Whether the next attempt is a retry, which requires the retry budget shared by all proxies.
     pub fn is_retry(&self) -> bool {
         self.sent > 0
     }
 
-    /// A backend has responded.
+    /// Records that a backend has responded.
     pub fn record_response(&mut self) {
         self.sent += 1;
     }
 
-    /// A backend's response broke off inside a stream. Returns whether another backend may resume it.
+    /// Records that a backend's stream was interrupted. Returns whether it may be resumed at another backend.
     pub fn record_broken_stream(&mut self) -> bool {
         self.may_have_run = true;
         self.idempotent && self.sent < self.max_attempts
     }
 
-    /// An attempt ended without a response.
+    /// Records an attempt that ended without a response.
     ///
     /// # Errors
-    /// The rejection for the client, where no further attempt may be made.
+    /// The rejection for the client, if no further attempt is permitted.
     pub fn record_failure(&mut self, failure: AttemptFailure) -> Result<(), Rejection> {
         match failure {
             AttemptFailure::NeverSent => self.unreachable += 1,
@@ -87,7 +90,7 @@
         }
     }
 
-    /// The rejection where no further attempt is made. Only what has never run is promised not to have.
+    /// The rejection if no further attempt is made. It guarantees that the request was not executed only if that is certain.
     pub fn no_backend(&self) -> Rejection {
         if self.may_have_run {
             Rejection::UpstreamFailed
@@ -96,7 +99,7 @@
         }
     }
 
-    /// The rejection where the key may not be used any more without newer proof.
+    /// The rejection if the API key may not be used without newer proof of its validity.
     pub fn key_unproven(&self) -> Rejection {
         if self.may_have_run {
             Rejection::UpstreamFailed
@@ -105,7 +108,7 @@
         }
     }
 
-    /// The rejection where the deadline passes before an attempt.
+    /// The rejection if the deadline passes before an attempt.
     pub fn deadline_passed(&self) -> Rejection {
         if self.may_have_run {
             Rejection::TimedOut
--- a/crates/gaugesaddle-edge/src/retry/tests.rs
+++ b/crates/gaugesaddle-edge/src/retry/tests.rs
@@ -1,5 +1,5 @@
-//! Guards against: a non-idempotent request that is sent again after a reset or no response, or is promised not to have
-//! run though it may have.
+//! Failures guarded against: a non-idempotent request is sent again after a reset or without a response, or a rejection
+//! guarantees that a request was not executed although it may have been.
 
 use super::*;
 
@@ -9,14 +9,14 @@
     AttemptFailure::MayHaveRun,
     AttemptFailure::TimedOut,
 ];
-/// Longer than any request lasts: each attempt is counted in one of two bounds.
+/// More attempts than any request makes: each attempt counts towards one of two limits.
 const MAX_STEPS: u32 = 9;
 
-/// Calls `visit` with every path that a request can go, to its end.
+/// Calls `visit` with each possible sequence of failures of a request and its final rejection.
 fn visit_every_path(
     state: RetryState, path: &mut Vec<AttemptFailure>, visit: &mut impl FnMut(&[AttemptFailure], Rejection),
 ) {
-    assert!(path.len() < MAX_STEPS as usize, "{path:?} goes on for ever");
+    assert!(path.len() < MAX_STEPS as usize, "{path:?} does not end within {MAX_STEPS} attempts");
     for failure in ALL {
         let mut next = state;
         path.push(failure);
@@ -46,10 +46,15 @@
                         matches!(failure, AttemptFailure::MayHaveRun | AttemptFailure::TimedOut)
                     };
                     let runs = path.iter().filter(ran).count();
-                    assert!(idempotent || runs <= 1, "{path:?}");
                     assert!(
-                        idempotent || runs == 0 || ran(&path.last().expect("a step")),
-                        "{path:?} goes on"
+                        idempotent || runs <= 1,
+                        "{path:?}: {runs} possible executions of a non-idempotent request"
+                    );
+                    assert!(
+                        idempotent
+                            || runs == 0
+                            || ran(&path.last().expect("the path has at least one attempt")),
+                        "{path:?} continues after an attempt that may have been executed"
                     );
                     assert_eq!(
                         guarantees_not_executed(rejection),
@@ -58,12 +63,15 @@
                     );
                     let sent =
                         path.iter().filter(|failure| **failure != AttemptFailure::NeverSent).count() as u32;
-                    assert!(sent <= max_attempts, "{path:?} goes to {sent} backends of {max_attempts}");
+                    assert!(
+                        sent <= max_attempts,
+                        "{path:?}: {sent} attempts were sent, the limit is {max_attempts}"
+                    );
                 },
             );
         }
     }
-    assert!(paths > 500, "{paths}");
+    assert!(paths > 500, "only {paths} paths were visited");
 }
 
 #[test]
--- a/crates/gaugesaddle-edge/src/run.rs
+++ b/crates/gaugesaddle-edge/src/run.rs
@@ -1,4 +1,4 @@
-//! Start, operation and shutdown of the process.
+//! Startup, operation and shutdown of the process.
 
 use crate::state::EdgeState;
 use crate::{control_client, http_server, load_reporter, quota_client, readiness};
@@ -14,21 +14,22 @@
 use tokio::task::{JoinHandle, LocalSet};
 use tokio::time::Instant;
 
-/// Clients may still be sent here for this long after SIGTERM: the platform checks readiness every second and acts on the
-/// second failure.
+/// Time after SIGTERM for which the platform may still route clients to this proxy: it checks readiness every second and
+/// acts on the second failed check.
 const READINESS_PROPAGATION_TIME: Duration = Duration::from_millis(2600);
-/// Reserved at the end of the grace period for the exit itself.
+/// Part of the grace period that is reserved for the exit of the process.
 const EXIT_MARGIN: Duration = Duration::from_millis(500);
-/// Between two checks whether requests are still under way.
+/// Interval between checks for active requests during shutdown.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Between two sweeps of idle connections.
+/// Interval between sweeps of idle connections.
 const IDLE_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Serves until SIGTERM, as the boot file says that `GAUGESADDLE_BOOT` names. `settings` are settings of the choice of
-/// backends, of the form `KEY=VALUE`.
+/// Serves until SIGTERM, configured by the boot file that `GAUGESADDLE_BOOT` names. `settings` are parameters of the choice
+/// of backends, in the form `KEY=VALUE`.
 ///
 /// # Errors
-/// A boot file or setting that cannot be used, with place and expectation, or an address that cannot be bound.
+/// The boot file or a setting is invalid (the error names the place and the expected value), or an address cannot be
+/// bound.
 pub fn run(settings: &[String]) -> Result<()> {
     gaugesaddle_transport::log::start();
     let boot = BootSettings::read()?;
@@ -40,7 +41,7 @@
     LocalSet::new().block_on(&runtime, serve(boot, chooser_settings))
 }
 
-/// Tasks that are aborted at the shutdown.
+/// Tasks that are aborted at shutdown.
 struct AbortableTasks {
     control_client: JoinHandle<()>,
     http_server: JoinHandle<()>,
@@ -51,12 +52,12 @@
     let ready_address = boot.ready.ok_or_else(|| eyre!("bind.ready: expected an address"))?;
     let listener = listen(front_address).wrap_err_with(|| format!("listening at {front_address}"))?;
     let state = Rc::new(EdgeState::new(boot, chooser_settings));
-    info!("proxy {} at {front_address}", state.proxy_id);
+    info!("proxy {} listens at {front_address}", state.proxy_id);
     let (close, closing) = watch::channel(false);
     let readiness_state = state.clone();
     tokio::task::spawn_local(async move {
         if let Err(e) = readiness::serve(readiness_state, ready_address).await {
-            error!("listening at {ready_address}: {e}");
+            error!("listening at {ready_address} failed, readiness is not reported: {e}");
         }
     });
     let control_client = tokio::task::spawn_local(control_client::run(state.clone()));
@@ -76,19 +77,20 @@
     loop {
         tokio::select! {
             () = tokio::time::sleep(IDLE_SWEEP_INTERVAL) => state.close_stale_connections(),
-            _ = hang_up.recv() => info!("SIGHUP: the boot file is read at the next start"),
+            _ = hang_up.recv() => info!("SIGHUP ignored: the boot file is read at the next start"),
             _ = terminate.recv() => return Ok(()),
         }
     }
 }
 
-/// Lets requests under way end within the grace period.
+/// Waits for active requests to complete, within the grace period.
 async fn shut_down(state: &Rc<EdgeState>, close: &watch::Sender<bool>, tasks: AbortableTasks) {
     let grace_period = Duration::from_secs_f64(state.boot.bounds.grace_period_s);
-    info!("SIGTERM: {} requests under way", state.active_requests.get());
+    info!("SIGTERM received: shutting down, {} active requests", state.active_requests.get());
     state.terminating.set(true);
     let begun = Instant::now();
-    // Connections close after their present request; new ones are accepted until the platform sends no more.
+    // Open connections are closed after their current request. New ones are accepted until the platform has observed that
+    // this proxy is not ready.
     let _ = close.send(true);
     tokio::time::sleep_until(begun + READINESS_PROPAGATION_TIME.min(grace_period)).await;
     tasks.http_server.abort();
@@ -97,5 +99,5 @@
     while state.active_requests.get() > 0 && begun.elapsed() + EXIT_MARGIN < grace_period {
         tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
     }
-    info!("exits with {} requests under way", state.active_requests.get());
+    info!("shutdown complete: {} active requests are abandoned", state.active_requests.get());
 }
--- a/crates/gaugesaddle-edge/src/service_statistics.rs
+++ b/crates/gaugesaddle-edge/src/service_statistics.rs
@@ -1,4 +1,4 @@
-//! What the proxy learns of each service from the requests that it sees.
+//! Statistics of each service, from the requests that this proxy handles.
 
 use gaugesaddle_config::boot::Bounds;
 use gaugesaddle_config::Route;
@@ -10,8 +10,8 @@
 /// A route and one of its services, by name.
 type RouteService = (String, String);
 
-/// Latencies, prompt sizes and retry budgets. The tables are bounded by the routes and services of the configurations that
-/// were in force.
+/// Latencies, prompt sizes and retry budgets. The size of the tables is bounded by the routes and services of all
+/// configurations applied so far.
 pub struct ServiceStatistics {
     chooser_settings: ChooserSettings,
     retry_settings: RetrySettings,
@@ -21,7 +21,7 @@
 }
 
 impl ServiceStatistics {
-    /// Nothing is learned yet; `bounds` gives the retry budget.
+    /// Creates empty statistics; `bounds` contains the parameters of the retry budget.
     pub fn new(chooser_settings: ChooserSettings, bounds: &Bounds) -> ServiceStatistics {
         ServiceStatistics {
             chooser_settings,
@@ -43,22 +43,22 @@
         action(choosers.entry(key).or_insert_with(|| Chooser::new(self.chooser_settings)))
     }
 
-    /// Adds a prompt to the sizes of a service's prompts.
+    /// Records a prompt in the prompt sizes of a service.
     pub fn record_prompt(&self, now: u64, service: &str, prompt: Prompt) {
         self.prompt_sizes.borrow_mut().entry(service.to_owned()).or_default().record(now, prompt);
     }
 
-    /// The sizes of a service's prompts.
+    /// The prompt sizes of a service.
     pub fn prompt_sizes(&self, service: &str) -> PromptSizes {
         self.prompt_sizes.borrow().get(service).copied().unwrap_or_default()
     }
 
-    /// Counts a client's request for a service, which earns a part of a retry.
+    /// Counts a client's request for a service, which adds a fraction of a retry to the budget.
     pub fn record_request(&self, now: u64, service: &str) {
         self.with_retry_budget(service, |budget| budget.record_request(now));
     }
 
-    /// Takes one retry from the budget that so many proxies share; false where none is left.
+    /// Takes one retry from the budget shared by `proxies` proxies; false if the budget is exhausted.
     pub fn take_retry(&self, now: u64, service: &str, proxies: usize) -> bool {
         self.with_retry_budget(service, |budget| budget.take(now, proxies))
     }
--- a/crates/gaugesaddle-edge/src/state.rs
+++ b/crates/gaugesaddle-edge/src/state.rs
@@ -1,4 +1,4 @@
-//! The state that all tasks of the process share: configuration, backends, quotas, and what was learned.
+//! State shared by all tasks of the process: configuration, backends, quotas and service statistics.
 
 use crate::backend::Backend;
 use crate::backend_set::BackendSet;
@@ -20,46 +20,47 @@
 
 /// Fraction of the quotas' slack that all proxies together may use without a leader.
 const LEADERLESS_SLACK_FRACTION: f64 = 0.4;
-/// Fraction of a service's connections that is divided among the known proxies; the rest is for those not known yet.
+/// Fraction of a service's connection limit that is divided among the known proxies; the remainder is reserved for proxies
+/// that are not known yet.
 const CONNECTION_FRACTION: f64 = 0.9;
 
-/// Shared by all tasks of the process, on one thread.
+/// Shared by all tasks of the process; they run on one thread.
 pub struct EdgeState {
     pub boot: BootSettings,
     pub clock: Clock,
-    /// Name of this incarnation of the proxy.
+    /// ID of this incarnation of the proxy.
     pub proxy_id: String,
-    /// Messages of control processes that could not be read.
+    /// Counts of the replies of control processes that could not be decoded.
     pub malformed_messages: RefCell<MalformedMessages>,
-    /// What was received from the control plane.
+    /// The configuration and the registrations received from the control plane.
     pub follower: RefCell<Follower>,
-    /// SIGTERM was received.
+    /// Whether SIGTERM was received.
     pub terminating: Cell<bool>,
-    /// Requests under way.
+    /// Number of requests that are dispatched or whose responses are being relayed.
     pub active_requests: Rc<Cell<usize>>,
-    /// Bytes of request bodies that are buffered.
+    /// Sum of the announced lengths of the request bodies that are being read.
     pub buffered_bytes: Cell<usize>,
     /// Tokens leased from the leader, by tenant.
     pub allowance: RefCell<TokenAllowance>,
-    /// Wakes requests that wait for tokens.
+    /// Notifies requests that wait for tokens.
     pub tokens_granted: Notify,
-    /// Wakes the task that requests tokens.
+    /// Notifies the task that requests tokens.
     pub tokens_needed: Notify,
     pub random: RefCell<Pcg64Mcg>,
-    /// Settings of the choice of backends.
+    /// Parameters of the choice of a backend.
     pub chooser_settings: ChooserSettings,
-    /// The backends' load and failures, as all proxies see them.
+    /// The load and failures of the backends, as observed by all proxies.
     pub load_view: RefCell<LoadView>,
-    /// Wakes the task that reports load.
+    /// Notifies the task that reports load.
     pub load_changed: Notify,
-    /// What was learned of each service.
+    /// Statistics of each service.
     pub statistics: ServiceStatistics,
     routing_table: RefCell<Option<Rc<RoutingTable>>>,
     backends: BackendSet,
 }
 
 impl EdgeState {
-    /// The state of a process that has just started.
+    /// Creates the initial state of the process.
     pub fn new(boot: BootSettings, chooser_settings: ChooserSettings) -> EdgeState {
         let seed = OsRng.try_next_u64().unwrap_or_else(|_| u64::from(std::process::id()));
         let clock = Clock::default();
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Milliseconds on the steady clock.
+    /// The time of the steady clock, in milliseconds.
     pub fn now(&self) -> u64 {
         self.clock.now()
     }
@@ -110,12 +111,12 @@
         self.follower.borrow().is_proven_within(self.now(), bound_ms)
     }
 
-    /// Live proxies, this one included.
+    /// Number of live proxies, including this one.
     pub fn proxies(&self) -> usize {
         self.backends.proxies()
     }
 
-    /// Backends of a service that may get new requests, whatever their health.
+    /// Backends of a service that accept new requests, regardless of their health.
     pub fn backends(&self, service: &str) -> Vec<Rc<Backend>> {
         self.backends.of_service(service)
     }
@@ -126,12 +127,12 @@
         table.services.iter().any(|service| self.backends.has_service(&service.name))
     }
 
-    /// Closes connections that have been idle too long.
+    /// Closes backend connections that have exceeded their idle timeout.
     pub fn close_stale_connections(&self) {
         self.backends.close_stale_connections(self.now());
     }
 
-    /// Connections that this proxy may open to one backend of a service.
+    /// Maximum number of connections from this proxy to one backend of a service.
     pub fn max_connections(&self, table: &RoutingTable, service: ServiceIndex) -> usize {
         let shared_limit = table.services.get(service.0).map_or(0.0, |s| s.max_connections);
         if shared_limit <= 0.0 {
@@ -140,13 +141,13 @@
         ((shared_limit * CONNECTION_FRACTION / self.proxies() as f64) as usize).max(1)
     }
 
-    /// Takes one retry from the budget that all proxies share; false where none is left.
+    /// Takes one retry from the budget shared by all proxies; false if the budget is exhausted.
     pub fn take_retry(&self, service: &str) -> bool {
         self.statistics.take_retry(self.now(), service, self.proxies())
     }
 
-    /// Applies the answer of a control process to a call made at `called_at` whose answer is valid for `valid_ms`. Returns
-    /// whether the same process should be called again.
+    /// Applies a control process's reply to a call made at `called_at`, if not more than `valid_ms` milliseconds have passed
+    /// since the call. Returns whether the same process should be called again.
     pub fn apply_pull_reply(&self, called_at: u64, valid_ms: u64, reply: PullReply) -> bool {
         let applied = self.follower.borrow_mut().apply(self.now(), called_at, valid_ms, reply);
         if applied.registrations {
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Puts the newest received configuration in force.
+    /// Activates the newest received configuration.
     fn apply_configuration(&self) {
         let follower = self.follower.borrow();
         let Some(configuration) = follower.configuration() else { return };
@@ -175,15 +176,17 @@
         }
         let config = match OperatorConfig::parse(&configuration.document) {
             Ok(config) => config,
-            Err(findings) => return warn!("configuration revision {revision} cannot be read: {findings}"),
+            Err(findings) => {
+                return warn!("configuration revision {revision} is invalid and is not applied: {findings}")
+            }
         };
         let table = RoutingTable::new(config);
-        info!("configuration revision {} is in force", table.revision);
+        info!("configuration revision {} applied", table.revision);
         *self.routing_table.borrow_mut() = Some(Rc::new(table));
         self.configure_allowance();
     }
 
-    /// Sets the tenants with a limit, and what each may use without a leader.
+    /// Configures the tenants that have a limit, and the rate that each may use without a leader.
     fn configure_allowance(&self) {
         let Some(table) = self.routing_table() else { return };
         let limited = table.tenants.iter().filter(|tenant| tenant.limit.is_some());
--- a/crates/gaugesaddle-http-connection/src/connection.rs
+++ b/crates/gaugesaddle-http-connection/src/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a backend, driven only by its user: dropping it closes the socket at once.
+//! A connection to a backend that is driven only by its owner: dropping it closes the socket immediately.
 
 use crate::guarded_stream::{GuardedStream, RequestProgress};
 use bytes::Bytes;
@@ -14,13 +14,13 @@
 
 type Driver<B> = Pin<Box<http1::Connection<TokioIo<GuardedStream>, B>>>;
 
-/// An HTTP/1.1 connection that sends bodies of type `B` and holds a permit of type `P` while it is open.
+/// An HTTP/1.1 connection that sends bodies of type `B` and owns a permit of type `P` while it is open.
 pub struct Connection<B: Body + 'static, P> {
     sender: SendRequest<B>,
     driver: Driver<B>,
-    /// How far the present request has come.
+    /// The progress of the current request.
     pub progress: Rc<RequestProgress>,
-    /// The driver has run to its end; it must not be polled again.
+    /// Whether the driver has completed; it must not be polled again then.
     ended: bool,
     _permit: P,
 }
@@ -31,10 +31,10 @@
     B::Data: Send,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
-    /// Opens HTTP/1.1 on a connected socket; response heads are read up to `max_head_bytes`.
+    /// Starts HTTP/1.1 on a connected socket. `max_head_bytes` limits the size of a response head.
     ///
     /// # Errors
-    /// Those of `hyper`'s handshake.
+    /// The errors of `hyper`'s handshake.
     pub async fn open(
         stream: TcpStream, max_head_bytes: usize, permit: P,
     ) -> Result<Connection<B, P>, hyper::Error> {
@@ -46,14 +46,14 @@
         Ok(Connection { sender, driver: Box::pin(driver), progress, ended: false, _permit: permit })
     }
 
-    /// Drives the connection as far as it goes without waiting.
+    /// Drives the connection as far as possible without blocking.
     pub fn poll_drive(&mut self, context: &mut Context) {
         if !self.ended {
             self.ended = self.driver.as_mut().poll(context).is_ready();
         }
     }
 
-    /// Runs `use_sender` while driving the connection, whose own end shows in what `use_sender` returns.
+    /// Runs `use_sender` while driving the connection. The end of the connection is visible in the result of `use_sender`.
     pub async fn with_sender<T>(&mut self, use_sender: impl AsyncFnOnce(&mut SendRequest<B>) -> T) -> T {
         let Connection { sender, driver, ended, .. } = self;
         let mut using = std::pin::pin!(use_sender(sender));
@@ -75,10 +75,10 @@
         .await
     }
 
-    /// Whether it can take another request: the backend has not closed it and the last response is complete.
+    /// Whether the connection can send another request: the backend has not closed it and the last response is complete.
     ///
-    /// An ended driver is never polled again: it would not wake its caller, and a good response would wait until its
-    /// deadline.
+    /// A completed driver is never polled again: it would not wake its caller, and a valid response would be delayed until
+    /// its deadline.
     pub async fn is_reusable(&mut self) -> bool {
         if !self.ended {
             self.ended = poll_fn(|context| Poll::Ready(self.driver.as_mut().poll(context).is_ready())).await;
--- a/crates/gaugesaddle-http-connection/src/counted.rs
+++ b/crates/gaugesaddle-http-connection/src/counted.rs
@@ -1,9 +1,9 @@
-//! Counts of resources in use.
+//! Counts resources in use.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// One unit of a counted resource; it is released when the permit is dropped.
+/// One unit of a counted resource; the unit is released when the permit is dropped.
 pub struct CountedPermit(Rc<Cell<usize>>);
 
 impl CountedPermit {
--- a/crates/gaugesaddle-http-connection/src/guarded_stream.rs
+++ b/crates/gaugesaddle-http-connection/src/guarded_stream.rs
@@ -1,4 +1,4 @@
-//! A socket to a backend that knows how far the present request and its response have come.
+//! A socket to a backend that tracks the progress of the current request and its response.
 
 use crate::BUFFERED_BODY_BYTES;
 use socket2::SockRef;
@@ -11,36 +11,37 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A response that is buffered is read up to this many bytes on the wire. Chunked encoding in the smallest chunks and
-/// 1xx responses ahead of it count too, hence the factor.
+/// Maximum number of bytes on the wire that are read of a buffered response. The factor allows for the overhead of chunked
+/// encoding with the smallest chunks and for preceding 1xx responses, which count too.
 pub const MAX_RESPONSE_BYTES: usize = 8 * BUFFERED_BODY_BYTES;
 
-/// Decides, right before the first byte of a request, whether it may still be sent.
+/// Decides, right before the first byte of a request is written, whether the request may still be sent.
 pub trait SendGuard {
     /// Whether the request may be sent now.
     fn may_send(&self) -> bool;
 }
 
-/// What has happened on a connection since the present request was given to it.
+/// The state of a connection since the start of the current request.
 #[derive(Default)]
 pub struct RequestProgress {
-    /// Some byte of the request was written to the socket: from now on it may run.
+    /// Whether any byte of the request was written to the socket, after which the request may be executed.
     pub begun: Cell<bool>,
-    /// The last byte was written: hyper flushes the socket only after its buffer is empty.
+    /// Whether the last byte of the request was written. Set when hyper flushes the socket, which it does only after its
+    /// buffer is empty.
     pub fully_sent: Cell<bool>,
-    /// The backend has ended the connection, or it broke.
+    /// Whether the backend has closed the connection, or the connection has failed.
     pub broken: Cell<bool>,
-    /// The client's body was handed to hyper in full.
+    /// Whether the complete client body was passed to hyper.
     pub body_complete: Cell<bool>,
-    /// The client broke its body off, which says nothing about the backend.
+    /// Whether the client aborted its body, which is no failure of the backend.
     pub client_aborted: Cell<bool>,
-    /// The guard refused, and no byte was written.
+    /// Whether the guard refused the request; no byte of it was written.
     pub refused: Cell<bool>,
-    /// Response bytes that may be read.
+    /// Maximum number of response bytes to read.
     pub max_response_bytes: Cell<usize>,
-    /// Response bytes read so far.
+    /// Number of response bytes read so far.
     response_bytes: Cell<usize>,
-    /// The guard of the present request; without one nothing is sent.
+    /// The guard of the current request; without a guard, no request is sent.
     guard: RefCell<Option<Rc<dyn SendGuard>>>,
 }
 
@@ -50,7 +51,7 @@
         *self.guard.borrow_mut() = Some(guard);
     }
 
-    /// Prepares for the next request. `body_complete`: its body is already there in full.
+    /// Resets the state for the next request. `body_complete` states whether its body is already available completely.
     pub fn restart(&self, body_complete: bool) {
         self.begun.set(false);
         self.fully_sent.set(false);
@@ -62,7 +63,7 @@
     }
 }
 
-/// A socket that asks the guard before the first byte of each request.
+/// A socket that consults the guard before the first byte of each request.
 pub(crate) struct GuardedStream {
     stream: TcpStream,
     pub(crate) progress: Rc<RequestProgress>,
@@ -73,23 +74,27 @@
         GuardedStream { stream, progress: Rc::default() }
     }
 
-    /// Refuses the first byte of a request that may not be sent any more, and of one on a connection with unread bytes: they
-    /// belong to no response of this request, and nothing in a response names its request. The runtime may not
-    /// have seen them yet, so the socket itself is asked.
+    /// Refuses the first byte of a request that may no longer be sent, or on a connection that is closed or has unread bytes.
+    /// Unread bytes cannot belong to the response to this request, but an HTTP/1.1 response does not identify its request
+    /// and they would be taken for it. The socket itself is checked, since the runtime may not have received the bytes yet.
     fn check_first_byte(&self) -> io::Result<()> {
         if self.progress.begun.get() {
             return Ok(());
         }
         if !self.progress.guard.borrow().as_ref().is_some_and(|guard| guard.may_send()) {
             self.progress.refused.set(true);
-            return Err(io::Error::new(ErrorKind::ConnectionAborted, "the attempt may not begin any more"));
+            return Err(io::Error::new(
+                ErrorKind::ConnectionAborted,
+                "request not sent: the send guard refused it",
+            ));
         }
         match SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]) {
             Err(e) if e.kind() == ErrorKind::WouldBlock => Ok(()),
             Err(e) => Err(e),
-            Ok(_) => {
-                Err(io::Error::new(ErrorKind::ConnectionReset, "closed, or unread bytes of another response"))
-            }
+            Ok(_) => Err(io::Error::new(
+                ErrorKind::ConnectionReset,
+                "request not sent: the connection is closed or has unread bytes of an earlier response",
+            )),
         }
     }
 
@@ -115,7 +120,10 @@
         progress.broken.set(result.is_err() || (read == 0 && capacity > 0));
         progress.response_bytes.set(progress.response_bytes.get() + read);
         if progress.response_bytes.get() > progress.max_response_bytes.get() {
-            return Poll::Ready(Err(io::Error::new(ErrorKind::InvalidData, "the response is too long")));
+            return Poll::Ready(Err(io::Error::new(
+                ErrorKind::InvalidData,
+                "the response exceeds the limit on its size",
+            )));
         }
         Poll::Ready(result)
     }
--- a/crates/gaugesaddle-http-connection/src/headers.rs
+++ b/crates/gaugesaddle-http-connection/src/headers.rs
@@ -1,15 +1,15 @@
-//! Headers that a proxy must not forward.
+//! Removes the headers that a proxy must not forward.
 
 use hyper::header::{
     HeaderMap, HeaderName, CONNECTION, CONTENT_LENGTH, TE, TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 
-/// Headers without a constant in `hyper` that concern one connection only.
+/// Connection-specific header without a constant in `hyper`.
 const KEEP_ALIVE: &str = "keep-alive";
-/// Answered hop by hop: the client's `Expect` is answered here.
+/// The client's `Expect` is answered by the proxy itself, so it is not forwarded.
 const EXPECT: &str = "expect";
 
-/// Removes the headers that concern one connection only (RFC 9110, section 7.6.1), those that `Connection` names included.
+/// Removes connection-specific headers (RFC 9110, section 7.6.1), including those listed in `Connection`.
 pub fn strip_connection_headers(headers: &mut HeaderMap) {
     let connection_values: Vec<_> = headers.get_all(CONNECTION).iter().cloned().collect();
     for value in connection_values {
--- a/crates/gaugesaddle-http-connection/src/lib.rs
+++ b/crates/gaugesaddle-http-connection/src/lib.rs
@@ -1,13 +1,13 @@
-//! HTTP/1.1 connections to backends, for callers that must know whether a request may have run.
+//! HTTP/1.1 connections to backends, for callers that must know whether a request may have been executed.
 //!
-//! A proxy may send a request to a second backend only if the first one cannot have run it, or if running it twice is
-//! harmless. These types answer the first question from the socket itself, not from what an HTTP client reports:
+//! A proxy may retry a request at another backend only if the first backend cannot have executed it, or if the request is
+//! idempotent. These types determine the former from the socket itself, not from the errors that an HTTP client reports:
 //!
-//! - [`Connection`]: one connection, driven only by its user. Dropping it closes the socket at once.
-//! - [`RequestProgress`]: how far the present request and its response have come on that connection.
-//! - [`SendGuard`]: asked right before the first byte of a request whether it may still be sent.
+//! - [`Connection`]: one connection, driven only by its owner. Dropping it closes the socket immediately.
+//! - [`RequestProgress`]: the progress of the current request and its response on that connection.
+//! - [`SendGuard`]: decides, right before the first byte of a request is written, whether the request may still be sent.
 //! - [`CountedPermit`]: a counted resource (a request in flight, an open socket) that is released on drop.
-//! - [`strip_connection_headers`]: removes the headers that concern one connection only.
+//! - [`strip_connection_headers`]: removes connection-specific headers.
 //!
 //! ```
 //! use gaugesaddle_http_connection::CountedPermit;
@@ -21,10 +21,10 @@
 //! ```
 //!
 //! **Guarantees.** A request whose [`RequestProgress::begun`] is false has not reached the backend. No request is written
-//! on a connection that the backend has closed or on which unread bytes are waiting, as far as the socket can tell.
+//! on a connection that the backend has closed or that has unread bytes, as far as the local socket has received them.
 //!
-//! **Bounds.** A response that is buffered is read up to [`MAX_RESPONSE_BYTES`]; response heads up to the limit that the
-//! caller of [`Connection::open`] gives.
+//! **Bounds.** [`MAX_RESPONSE_BYTES`] limits a buffered response; the caller of [`Connection::open`] sets the limit on the
+//! size of response heads.
 
 mod connection;
 mod counted;
@@ -38,15 +38,15 @@
 
 use std::io;
 
-/// Bodies up to this size are buffered whole before they are passed on.
+/// Maximum size of a body that is buffered completely before it is forwarded, in bytes.
 pub const BUFFERED_BODY_BYTES: usize = 64 << 10;
 
-/// `ENFILE`: the system's table of open files is full.
+/// `ENFILE`: the system-wide limit on open files is reached.
 const ENFILE: i32 = 23;
-/// `EMFILE`: the process has no file descriptor left.
+/// `EMFILE`: the process's limit on file descriptors is reached.
 const EMFILE: i32 = 24;
 
-/// Whether a connection failed for want of file descriptors here, which says nothing about the backend.
+/// Whether a connection failed because this host is out of file descriptors, which is no failure of the backend.
 pub fn is_out_of_descriptors(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(ENFILE | EMFILE))
 }
--- a/crates/gaugesaddle-inference/src/chooser.rs
+++ b/crates/gaugesaddle-inference/src/chooser.rs
@@ -1,4 +1,4 @@
-//! The choice of a backend: HALB's shares for the speed classes, and a uniform draw within one.
+//! Selects a backend: a speed class by its HALB traffic share, then a backend of that class uniformly at random.
 
 use crate::settings::ChooserSettings;
 use crate::speed_class::{work_tokens, BackendSize, CacheState, Members, SpeedClass, OVERHEAD_TOKENS};
@@ -7,46 +7,46 @@
 use rand_core::RngCore;
 use std::collections::BTreeMap;
 
-/// Prefixes whose rate is remembered. A new prefix drops idle ones from a full table; while it stays full, arrivals are
-/// recorded for no prefix.
+/// Maximum number of prefixes whose arrival rates are tracked. When the table is full, a new prefix evicts the idle ones;
+/// if none is idle, the new prefix is not tracked.
 const MAX_PREFIXES: usize = 8192;
-/// Rate, in requests per second, up to which a prefix is dropped from a full table.
+/// Rate, in requests per second, up to which a prefix is idle and is evicted from a full table.
 const IDLE_PREFIX_RATE_PER_S: f64 = 0.01;
-/// Lower limit on the time of a token, in milliseconds, against a division by 0.
+/// Lower limit on the time per token, in milliseconds; prevents a division by 0.
 const MIN_TOKEN_MS: f64 = 1e-6;
 
-/// A backend that may get the request.
+/// A backend that is eligible for the request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// Hash of its identity, see [`affinity::identity`].
+    /// Hash of the backend's ID, see [`affinity::identity`].
     pub identity: u64,
-    /// Number of requests that it processes concurrently. Backends with equal numbers are treated as equally fast.
+    /// Number of requests that the backend processes concurrently. Backends with equal numbers are treated as equally fast.
     pub slots: u32,
-    /// Work that is queued there, in tokens.
+    /// Work queued at the backend, in tokens.
     pub backlog_tokens: f64,
 }
 
-/// The backend that was drawn, and what is expected of it.
+/// The selected backend and the expected cost of the request there.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice {
-    /// Its index among the candidates.
+    /// Index of the backend among the candidates.
     pub index: usize,
-    /// The size for which its latency is recorded.
+    /// The size class under which the latency of the request is recorded.
     pub size: BackendSize,
-    /// Work that the request adds there, in tokens.
+    /// Work that the request adds to the backend, in tokens.
     pub work_tokens: f64,
-    /// The same plus the work queued before it, in tokens.
+    /// `work_tokens` plus the work queued before the request, in tokens.
     pub work_until_done_tokens: f64,
-    /// Whether it is expected to have the prompt's shared prefix in its cache.
+    /// Whether the backend is expected to have the prompt's shared prefix in its cache.
     pub is_cached: bool,
 }
 
 /// The state of the fleet at the time of a choice.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetView {
-    /// Number of proxies over which arrivals are spread.
+    /// Number of proxies among which arrivals are divided.
     pub proxies: usize,
-    /// Work that arrives at one backend while a load report travels, in tokens.
+    /// Work that arrives at one backend within the delay of a load report, in tokens.
     pub inflow_tokens: f64,
     /// Latency objective of the request, in milliseconds.
     pub objective_ms: f64,
@@ -56,14 +56,14 @@
 #[derive(Clone, Debug)]
 pub struct Chooser {
     settings: ChooserSettings,
-    /// Learned milliseconds per token.
+    /// Smoothed observed time per token, in milliseconds.
     token_ms: BTreeMap<BackendSize, f64>,
     arrivals: Rate,
     prefix_arrivals: BTreeMap<u64, Rate>,
 }
 
 impl Chooser {
-    /// A chooser that has learned nothing yet.
+    /// Creates a chooser without observations.
     pub fn new(settings: ChooserSettings) -> Chooser {
         Chooser {
             settings,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Records an arrival at this proxy at `now` milliseconds, with the prompt's shared prefix.
+    /// Records an arrival at this proxy at `now` (milliseconds) with the prompt's shared prefix, if it has one.
     pub fn record_arrival(&mut self, now: u64, prefix: Option<u64>) {
         let smoothing_ms = self.settings.rate_smoothing_ms;
         self.arrivals.record(now, smoothing_ms);
@@ -84,20 +84,21 @@
         if self.prefix_arrivals.len() >= MAX_PREFIXES {
             self.prefix_arrivals.retain(|_, rate| rate.at(now, smoothing_ms) > IDLE_PREFIX_RATE_PER_S);
         }
-        // Where all are in use a new prefix is not counted: its prompts go to the backend that ranks first for it.
+        // If all tracked prefixes are active, the new one is not tracked: its rate counts as 0, and its prompts go to the
+        // backend that ranks first for it.
         if self.prefix_arrivals.len() < MAX_PREFIXES {
             self.prefix_arrivals.entry(prefix).or_default().record(now, smoothing_ms);
         }
     }
 
-    /// Records the latency of a served request in milliseconds; for a stream that of its first event.
+    /// Records the latency of a served request, in milliseconds; for a stream, the latency of its first event.
     pub fn record_latency(&mut self, choice: &Choice, latency_ms: f64) {
         let sample = latency_ms / choice.work_until_done_tokens.max(OVERHEAD_TOKENS);
         let learned = self.token_ms.entry(choice.size).or_insert(sample);
         *learned += self.settings.latency_weight * (sample - *learned);
     }
 
-    /// Draws a backend; `None` without candidates.
+    /// Selects a backend; `None` without candidates.
     pub fn choose(
         &self, now: u64, candidates: &[Candidate], prompt: Prompt, view: FleetView, random: &mut impl RngCore,
     ) -> Option<Choice> {
@@ -116,7 +117,7 @@
         })
     }
 
-    /// Rate of similar requests at this proxy: with the same prefix, or of all requests without one.
+    /// Arrival rate at this proxy: of requests with the prompt's prefix, or of all requests if the prompt has no prefix.
     fn local_rate_per_s(&self, now: u64, prompt: Prompt) -> f64 {
         let smoothing_ms = self.settings.rate_smoothing_ms;
         let Some(prefix) = prompt.prefix else { return self.arrivals.at(now, smoothing_ms) };
@@ -148,7 +149,7 @@
         latency_bands::assign(&backlogs, width, self.settings.least_loaded_fraction)
     }
 
-    /// Whether each candidate is expected to have a prefix in its cache.
+    /// For each candidate, whether it is expected to have the prefix in its cache.
     fn cache_states(
         &self, candidates: &[Candidate], prefix: Option<u64>, rate_per_s: f64,
     ) -> Vec<CacheState> {
@@ -167,8 +168,8 @@
         states
     }
 
-    /// The fraction of the traffic for each class, by HALB's clamped formula. Each slot of a backend is one of the formula's
-    /// servers.
+    /// The fraction of the traffic for each class, by HALB's clamped formula. Each slot of a backend counts as one server in
+    /// the formula.
     fn shares(
         &self, classes: &[(SpeedClass, Members)], prompt: Prompt, rate_per_s: f64, objective_ms: f64,
     ) -> Vec<f64> {
@@ -177,7 +178,8 @@
         };
         let total_servers: f64 = classes.iter().map(servers).sum();
         let rate_per_server = rate_per_s / total_servers.max(1.0);
-        // Latencies are learned under the present load. In M/G/1/PS the latency is 1 / (speed - rate), so the speed is:
+        // Latencies are observed under the current load. In M/G/1/PS the latency is 1 / (speed - rate), hence the speed is
+        // 1 / latency + rate.
         let speed = |(class, members): &(SpeedClass, Members)| {
             let latency_s = self.expected_latency_s(class, members, prompt, objective_ms);
             1.0 / latency_s + rate_per_server
@@ -186,12 +188,13 @@
         halb_fractions(&table, Some(rate_per_s))
     }
 
-    /// The latency that a class counts with. Its backlog counts only as far as it delays the response beyond the objective:
-    /// up to there all classes are equally good for this request, and the one that computes least is best for the others.
+    /// The expected latency of a class. The backlog counts only for the part by which it delays the response beyond the
+    /// objective: up to the objective all classes serve this request equally well, and the class that computes the fewest
+    /// tokens delays other requests least.
     fn expected_latency_s(
         &self, class: &SpeedClass, members: &Members, prompt: Prompt, objective_ms: f64,
     ) -> f64 {
-        // A size without samples counts as the slowest of the others.
+        // A size without samples is assumed to be as slow as the slowest observed one.
         let slowest_ms = self.token_ms.values().copied().reduce(f64::max).unwrap_or(1.0);
         let learned_ms = self.token_ms.get(&BackendSize::from(class)).copied();
         let token_ms = learned_ms.unwrap_or(slowest_ms).max(MIN_TOKEN_MS);
@@ -203,7 +206,7 @@
     }
 }
 
-/// An index, with probabilities in proportion to the weights; `None` without a positive weight.
+/// A random index with probability proportional to its weight; `None` without a positive weight.
 fn draw_weighted(weights: &[f64], random: &mut impl RngCore) -> Option<usize> {
     let mut remaining = draw_unit(random) * weights.iter().sum::<f64>();
     for (index, weight) in weights.iter().enumerate() {
@@ -212,16 +215,16 @@
         }
         remaining -= weight;
     }
-    // Rounding may leave a remainder.
+    // Rounding errors may leave a remainder; the last index with a positive weight takes it.
     weights.iter().rposition(|weight| *weight > 0.0)
 }
 
-/// A number from 0 to below 1.
+/// A uniformly distributed number in [0, 1).
 fn draw_unit(random: &mut impl RngCore) -> f64 {
     (random.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// A number from 0 to below `n`; 0 where `n` is 0.
+/// A uniformly distributed number in [0, `n`); 0 if `n` is 0.
 fn draw_below(n: usize, random: &mut impl RngCore) -> usize {
     ((draw_unit(random) * n as f64) as usize).min(n.saturating_sub(1))
 }
--- a/crates/gaugesaddle-inference/src/event_scanner.rs
+++ b/crates/gaugesaddle-inference/src/event_scanner.rs
@@ -1,18 +1,18 @@
-//! Server-sent events: where each event of a stream ends, and the ID of the last complete one.
+//! Server-sent events: finds the end of each event of a stream, and the ID of the last complete event.
 
-/// Limit on the bytes of an incomplete event, in bytes. A longer one is forwarded incomplete.
+/// Maximum size of an incomplete event that is buffered, in bytes. A longer event is forwarded incomplete.
 pub const MAX_EVENT_BYTES: usize = 256 << 10;
 
 /// Splits a stream into complete events.
 #[derive(Clone, Debug, Default)]
 pub struct EventScanner {
-    /// The beginning of an incomplete event.
+    /// The bytes of an incomplete event.
     buffer: Vec<u8>,
     last_id: Option<String>,
 }
 
 impl EventScanner {
-    /// Adds bytes of the stream and returns those of the events that are complete now, in order.
+    /// Adds bytes of the stream and returns the bytes of the events that are now complete, in order.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<u8> {
         self.buffer.extend_from_slice(bytes);
         let Some(end) = end_of_events(&self.buffer) else {
--- a/crates/gaugesaddle-inference/src/lib.rs
+++ b/crates/gaugesaddle-inference/src/lib.rs
@@ -1,19 +1,20 @@
-//! Which backend gets a request: HALB over speed classes, and a uniform draw within the class, without I/O.
+//! Selects the backend for an inference request, without I/O: HALB divides the traffic among speed classes, and a backend
+//! is drawn uniformly within the class.
 //!
 //! A speed class is a group of backends that are treated as equally fast. For one prompt, a backend that has the prompt's
-//! shared prefix in its cache is faster than one that has to compute it again. So the cached and the uncached backends of
-//! a service are different classes for that prompt. Each has an expected latency (learned per token, times the tokens that
-//! it would have to compute), and the formula decides how much traffic spills from cached to uncached backends as the
-//! prompt's own traffic grows. Which backends cache a prefix needs no message: all proxies rank the backends by the
-//! same hash of prefix and backend ([`affinity`]).
+//! shared prefix in its cache is faster than one that has to compute it again, so the cached and the uncached backends of
+//! a service are different classes for that prompt. The expected latency of a class is the observed time per token times
+//! the number of tokens to compute. HALB's formula determines how much traffic spills over from cached to uncached
+//! backends as the request rate of the prefix grows. The proxies agree on the backends that cache a prefix without
+//! communication: all of them rank the backends by the same hash of prefix and backend ([`affinity`]).
 //!
 //! # Main types
 //!
-//! - [`Chooser`] owns learned latencies and arrival rates of one service and route, and draws a [`Choice`] among
+//! - [`Chooser`] owns the observed latencies and arrival rates of one service and route, and makes a [`Choice`] among
 //!   [`Candidate`]s, given a [`FleetView`]. [`ChooserSettings`] are its parameters.
-//! - [`PromptBlocks`] is a request's prompt as its client describes it, [`Prompt`] what a choice needs of it.
+//! - [`PromptBlocks`] describes a request's prompt as its client reports it; [`Prompt`] is the summary used for a choice.
 //! - [`PromptSizes`] reserves backends for long prompts.
-//! - [`EventScanner`] splits a stream into complete events, to forward and to resume it.
+//! - [`EventScanner`] splits a stream into complete events, so that it can be resumed after the last forwarded one.
 //!
 //! # Example
 //!
@@ -42,12 +43,12 @@
 //!
 //! # Guarantees
 //!
-//! Two proxies with the same candidates agree on which of them cache a prefix. Where a candidate disappears, only the
-//! prompts that it cached move. Clients' headers are parsed without a panic.
+//! Two proxies with the same candidates agree on the candidates that cache a prefix. If a candidate is removed, only the
+//! prompts that it cached move. Parsing client headers never panics.
 //!
 //! # Bounds
 //!
-//! A [`Chooser`] remembers the rates of at most 8192 prefixes, a [`PromptBlocks`] has at most 64 blocks, an
+//! A [`Chooser`] tracks the rates of at most 8192 prefixes, a [`PromptBlocks`] has at most 64 blocks, an
 //! [`EventScanner`] buffers at most [`MAX_EVENT_BYTES`] and the bytes of one call.
 
 pub mod affinity;
--- a/crates/gaugesaddle-inference/src/prompt.rs
+++ b/crates/gaugesaddle-inference/src/prompt.rs
@@ -1,6 +1,6 @@
-//! What a client reports of a request's prompt in its headers.
+//! The description of a request's prompt that the client sends in headers.
 
-/// Limit on the blocks that are parsed; further ones do not improve a choice.
+/// Maximum number of blocks that are parsed; further blocks do not improve a choice.
 const MAX_BLOCKS: usize = 64;
 
 /// A block of a prompt, such as a system prompt or a document.
@@ -27,17 +27,17 @@
         blocks.map(PromptBlocks)
     }
 
-    /// ID of the last block that may be shared; of the only block where there is one.
+    /// ID of the last block that may be shared, or of the only block; `None` without blocks.
     pub fn shared_prefix(&self) -> Option<u64> {
         let shared = self.0.len().checked_sub(1)?;
         self.0.get(shared.saturating_sub(1)).map(|block| block.id)
     }
 }
 
-/// What a choice needs to know of a prompt.
+/// The properties of a prompt that the choice of a backend depends on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// ID of its last block that may be shared; `None` without blocks.
+    /// ID of the last block that may be shared, or of the only block; `None` without blocks.
     pub prefix: Option<u64>,
     /// Tokens of the blocks that may be shared.
     pub shared_tokens: u64,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Tokens of a request.
+/// Token counts of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TokenUsage {
     /// Tokens of the prompt.
@@ -76,7 +76,7 @@
         Some(TokenUsage { prompt: prompt.trim().parse().ok()?, output: output.trim().parse().ok()? })
     }
 
-    /// Prompt and output together.
+    /// Sum of prompt and output tokens.
     pub fn total(&self) -> u64 {
         self.prompt.saturating_add(self.output)
     }
--- a/crates/gaugesaddle-inference/src/settings.rs
+++ b/crates/gaugesaddle-inference/src/settings.rs
@@ -1,46 +1,45 @@
-//! Parameters of the choice. Each mechanism can be switched off or set alone, for measurements.
+//! Parameters of the choice of a backend. Each mechanism can be disabled or tuned separately, for measurements.
 
 use std::str::FromStr;
 use thiserror::Error;
 
-/// Parameters of the choice. The key by which [`ChooserSettings::set`] knows each one is in parentheses.
+/// Parameters of the choice of a backend. The key of each parameter for [`ChooserSettings::set`] is in parentheses.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChooserSettings {
     /// Time constant of the smoothed arrival rates, in milliseconds (`rate_smoothing`).
     pub rate_smoothing_ms: f64,
     /// Weight of one sample in the smoothed latency, from 0 to 1 (`latency_part`).
     pub latency_weight: f64,
-    /// Least number of backends that cache a prefix; 0 if none is expected to (`copies`).
+    /// Minimum number of backends that cache a prefix; 0 disables cache affinity (`copies`).
     pub min_cached_backends: usize,
-    /// Rate of one prefix over the fleet, in requests per second, for each further backend that caches it
-    /// (`rate_for_copy`).
+    /// Fleet-wide rate of a prefix, in requests per second, per additional backend that caches it (`rate_for_copy`).
     pub rate_per_cached_backend: f64,
-    /// Number of backends next in rank that are preferred to all others where those that cache the prefix are overloaded
-    /// (`next_copies`).
+    /// Number of backends next in rank that are preferred over the remaining ones if the backends that cache the prefix are
+    /// overloaded (`next_copies`).
     pub fallback_backends: usize,
-    /// Arrivals of one prefix at one proxy that count as chance (`chance`). A few observations at one proxy say little
-    /// about the fleet, and would be multiplied by the number of proxies.
+    /// Arrivals of a prefix at one proxy that are attributed to chance and subtracted from its rate (`chance`). The rate at
+    /// one proxy is multiplied by the number of proxies, which would amplify the error of a few observations.
     pub chance_arrivals: f64,
-    /// Weight of a shared token that a backend computes although another one has it cached, against an own token
+    /// Weight of a shared token that an uncached backend computes again, relative to a token that is not shared
     /// (`read_again`).
     pub recompute_weight: f64,
     /// Whether backends are reserved for long prompts (`long_apart`).
     pub isolate_long_prompts: bool,
-    /// Whether backends with a larger backlog are speed classes of their own (`backlog`).
+    /// Whether backends are divided into speed classes by their backlogs (`backlog`).
     pub use_backlog: bool,
-    /// Whether work that other proxies sent counts as backlog (`shared_load`).
+    /// Whether work sent by other proxies counts as backlog (`shared_load`).
     pub shared_load: bool,
-    /// Whether failures that other proxies observed count (`shared_health`).
+    /// Whether failures observed by other proxies count (`shared_health`).
     pub shared_health: bool,
-    /// Width of a latency band, as a multiple of what arrives at one backend while a load report travels (`band`).
+    /// Width of a latency band, as a multiple of the work that arrives at one backend within `report_delay_ms` (`band`).
     pub band_width: f64,
-    /// Fraction of the backends, those with the least backlog, that always count as equally fast (`light_part`).
+    /// Fraction of the backends, those with the smallest backlogs, that are always treated as equally fast (`light_part`).
     pub least_loaded_fraction: f64,
-    /// Time until other proxies' work is reported, in milliseconds (`news`).
+    /// Delay until other proxies' work is reported, in milliseconds (`news`).
     pub report_delay_ms: f64,
-    /// Whether a backend that failed is avoided for a time (`avoid`).
+    /// Whether a backend is avoided for a backoff period after a failure (`avoid`).
     pub avoid_failed: bool,
-    /// Fraction of the latency objective up to which the backlog of a backend does not count (`target_part`).
+    /// Fraction of the latency objective up to which a backend's backlog is ignored (`target_part`).
     pub objective_fraction: f64,
 }
 
@@ -67,24 +66,24 @@
     }
 }
 
-/// A text that sets nothing: without a known key, or with a value of another type.
+/// A setting that cannot be applied: it has no known key, or its value cannot be parsed as the key's type.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{text}: expected KEY=VALUE, a known key and a value of its kind")]
+#[error("{text}: expected KEY=VALUE with a known key and a value of the key's type")]
 pub struct InvalidSetting {
-    /// The text.
+    /// The rejected setting.
     text: String,
 }
 
 impl ChooserSettings {
-    /// Sets one parameter by a text of the form `KEY=VALUE`.
+    /// Sets one parameter from a text of the form `KEY=VALUE`.
     ///
     /// # Errors
     ///
-    /// [`InvalidSetting`]; nothing is changed then.
+    /// [`InvalidSetting`]; no parameter is changed then.
     pub fn set(&mut self, text: &str) -> Result<(), InvalidSetting> {
         let invalid = || InvalidSetting { text: text.to_owned() };
         let (key, value) = text.split_once('=').ok_or_else(invalid)?;
-        // The keys are part of the operators' interface and stay when a field is renamed.
+        // The keys are part of the operators' interface and do not change when a field is renamed.
         let parsed = match key {
             "rate_smoothing" => parse_into(value, &mut self.rate_smoothing_ms),
             "latency_part" => parse_into(value, &mut self.latency_weight),
--- a/crates/gaugesaddle-inference/src/speed_class.rs
+++ b/crates/gaugesaddle-inference/src/speed_class.rs
@@ -1,34 +1,34 @@
-//! Speed classes: groups of backends that are treated as equally fast for one prompt.
+//! Speed classes: groups of backends that are treated as equally fast for a prompt.
 
 use crate::Prompt;
 
 /// Fixed cost of a request, expressed in tokens that could be computed in the same time.
 pub const OVERHEAD_TOKENS: f64 = 300.0;
-/// Fraction of the shared tokens that a fallback backend is expected to compute: it has them cached if it got the prompt
+/// Fraction of the shared tokens that a fallback backend is expected to compute: it has them cached if it served the prefix
 /// before.
 const FALLBACK_UNCACHED_FRACTION: f64 = 0.5;
 
 /// Whether a backend is expected to have a prompt's shared prefix in its cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CacheState {
-    /// It has the prefix.
+    /// The backend has the prefix.
     Cached,
-    /// It has the prefix if the backends that cache it were overloaded before.
+    /// The backend has the prefix if traffic spilled over to it while the backends that cache the prefix were overloaded.
     PossiblyCached,
-    /// It does not have it.
+    /// The backend does not have the prefix.
     Uncached,
 }
 
-/// A speed class, for one request.
+/// Key of a speed class, for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SpeedClass {
     pub slots: u32,
     pub cache: CacheState,
-    /// Number of the latency band of its backlog.
+    /// Latency band of the backlog.
     pub band: u32,
 }
 
-/// The key under which latencies are learned. A backend takes the same time for a token whatever is cached and queued.
+/// The key under which latencies are recorded. The time per token does not depend on the cache state or the backlog.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BackendSize {
     slots: u32,
@@ -43,9 +43,9 @@
 /// The backends of a class.
 #[derive(Debug, Default)]
 pub struct Members {
-    /// Their indices among the candidates.
+    /// Indices of the members among the candidates.
     pub indices: Vec<usize>,
-    /// Mean of their backlogs, in tokens.
+    /// Mean backlog of the members, in tokens.
     pub mean_backlog: f64,
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// Work of a request at a backend, in tokens. Shared tokens that are computed again count `recompute_weight` times.
+/// Work of a request at a backend, in tokens. Shared tokens that have to be computed count `recompute_weight` times.
 pub fn work_tokens(prompt: Prompt, cache: CacheState, recompute_weight: f64) -> f64 {
     let own = prompt.own_tokens() as f64;
     let shared = prompt.shared_tokens as f64;
--- a/crates/gaugesaddle-inference/tests/choice.rs
+++ b/crates/gaugesaddle-inference/tests/choice.rs
@@ -1,5 +1,5 @@
-//! The failure: a prompt is computed again although a backend has it cached, a backend is overloaded beside idle ones, or
-//! a stream is forwarded with an incomplete event.
+//! Failures guarded against: a prompt is computed again although a backend has it cached, a backend is overloaded while
+//! others are idle, or a stream is forwarded with an incomplete event.
 
 use gaugesaddle_inference::{
     affinity, Candidate, Chooser, ChooserSettings, EventScanner, FleetView, Prompt, PromptBlocks,
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 const NOW: u64 = 1_000_000;
-/// Work that arrives at a backend while a load report travels.
+/// Work that arrives at a backend within the delay of a load report.
 const INFLOW_TOKENS: f64 = 4000.0;
 
 fn candidates(count: usize) -> Vec<Candidate> {
@@ -29,7 +29,7 @@
     Prompt { prefix: Some(prefix), shared_tokens: 5000, total_tokens: 8000 }
 }
 
-/// How often each of the candidates is drawn.
+/// Number of times each candidate is selected, in 4000 choices.
 fn selection_counts(
     chooser: &Chooser, candidates: &[Candidate], prompt: Prompt, proxies: usize,
 ) -> BTreeMap<usize, usize> {
@@ -56,7 +56,7 @@
             selection_counts(&one, &backends, prompt(prefix), 12),
             selection_counts(&two, &backends, prompt(prefix), 12),
         );
-        assert_eq!(a.len(), 1, "prefix {prefix} is spread at low load");
+        assert_eq!(a.len(), 1, "prefix {prefix} is sent to several backends at low load");
         assert_eq!(a.keys().next(), b.keys().next());
     }
 }
@@ -69,16 +69,20 @@
         chooser.record_arrival(NOW - 10_000 + at * 50, Some(1));
     }
     let counts = selection_counts(&chooser, &backends, prompt(1), 1);
-    assert!((2..=6).contains(&counts.len()), "{} backends for 20 requests a second", counts.len());
+    assert!(
+        (2..=6).contains(&counts.len()),
+        "{} backends are selected for 20 requests per second",
+        counts.len()
+    );
     let (lowest, highest) = (counts.values().min().copied(), counts.values().max().copied());
     let even = 4000 / counts.len();
     assert!(
         lowest > Some(even * 8 / 10) && highest < Some(even * 12 / 10),
-        "the draw within a speed class is uniform"
+        "expected a uniform selection within a speed class"
     );
 }
 
-/// The table of prefixes is full of prefixes in use: the rate of one of them must still be followed.
+/// The rate of a tracked prefix must be updated even if the table is full of active prefixes.
 #[test]
 fn a_tracked_prefix_is_updated_while_the_table_is_full() {
     let backends = candidates(18);
@@ -90,24 +94,28 @@
         chooser.record_arrival(NOW - 10_000 + at * 50, Some(1));
     }
     let counts = selection_counts(&chooser, &backends, prompt(1), 1);
-    assert!((2..=6).contains(&counts.len()), "{} backends for 20 requests a second", counts.len());
+    assert!(
+        (2..=6).contains(&counts.len()),
+        "{} backends are selected for 20 requests per second",
+        counts.len()
+    );
 }
 
-/// The backend that caches a prompt's prefix, and the one next in rank.
+/// The indices of the backend that caches the prompt's prefix and of the backend next in rank.
 fn cached_and_fallback(chooser: &Chooser, backends: &[Candidate], prompt: Prompt) -> (usize, usize) {
     let identities: Vec<u64> = backends.iter().map(|b| b.identity).collect();
-    let ranked = affinity::ranked(prompt.prefix.expect("a prefix"), &identities, 2);
+    let ranked = affinity::ranked(prompt.prefix.expect("the prompt has a prefix"), &identities, 2);
     assert_eq!(selection_counts(chooser, backends, prompt, 9).keys().next(), Some(&ranked[0]));
     (ranked[0], ranked[1])
 }
 
-/// A chooser that has learned that a token takes a fiftieth of a millisecond.
+/// A chooser with recorded latencies of a fiftieth of a millisecond per token.
 fn trained_chooser(backends: &[Candidate], prompt: Prompt) -> Chooser {
     let mut chooser = Chooser::new(ChooserSettings::default());
     let view = FleetView { proxies: 9, inflow_tokens: INFLOW_TOKENS, objective_ms: 800.0 };
     let mut random = Pcg64Mcg::seed_from_u64(5);
     for _ in 0..100 {
-        let choice = chooser.choose(NOW, backends, prompt, view, &mut random).expect("a backend");
+        let choice = chooser.choose(NOW, backends, prompt, view, &mut random).expect("a backend is selected");
         chooser.record_latency(&choice, choice.work_until_done_tokens / 50.0);
     }
     chooser
@@ -118,7 +126,8 @@
     let mut backends = candidates(18);
     let chooser = trained_chooser(&backends, prompt(5));
     let (cached, fallback) = cached_and_fallback(&chooser, &backends, prompt(5));
-    // 20,000 tokens take 400 ms of the objective of 800: computing 5,000 shared ones elsewhere would gain nothing.
+    // 20,000 tokens take 400 ms, within the objective of 800 ms: computing 5,000 shared tokens at another backend would
+    // not improve the response.
     backends[cached].backlog_tokens = 20_000.0;
     assert_eq!(selection_counts(&chooser, &backends, prompt(5), 9).len(), 1);
     backends[cached].backlog_tokens = 200_000.0;
@@ -126,7 +135,7 @@
     assert_eq!(
         moved.keys().copied().collect::<Vec<_>>(),
         [fallback],
-        "the next in rank, the same one at all proxies"
+        "the prompt must move to the backend next in rank, which is the same at all proxies"
     );
     backends[fallback].backlog_tokens = 200_000.0;
     let spread = selection_counts(&chooser, &backends, prompt(5), 9);
@@ -142,24 +151,24 @@
     let chooser = trained_chooser(&backends, Prompt { prefix: None, shared_tokens: 0, total_tokens: 40_000 });
     let prompt = Prompt { prefix: None, shared_tokens: 0, total_tokens: 40_000 };
     let counts = selection_counts(&chooser, &backends, prompt, 91);
-    assert!((15..=30).contains(&counts.len()), "{} of 60", counts.len());
+    assert!((15..=30).contains(&counts.len()), "{} of 60 backends are selected", counts.len());
     let highest = counts.values().max().copied().unwrap_or(0);
-    assert!(highest < 2 * 4000 / counts.len(), "one of them gets {highest} of 4,000");
+    assert!(highest < 2 * 4000 / counts.len(), "one backend receives {highest} of 4,000 requests");
     assert!(
         counts.keys().all(|at| backends[*at].backlog_tokens < 30_000.0),
-        "a backend with a large backlog is drawn"
+        "a backend with a large backlog is selected"
     );
 }
 
 #[test]
 fn settings_are_set_by_their_keys_or_rejected() {
     let mut settings = ChooserSettings::default();
-    settings.set("copies=3").expect("a known key");
-    settings.set("long_apart=true").expect("a known key");
+    settings.set("copies=3").expect("the key is known");
+    settings.set("long_apart=true").expect("the key is known");
     assert_eq!((settings.min_cached_backends, settings.isolate_long_prompts), (3, true));
     let before = settings;
-    for bad in ["copies", "copies=x", "long_apart=1", "=", "nobody=1"] {
-        let error = settings.set(bad).expect_err("it is rejected").to_string();
+    for bad in ["copies", "copies=x", "long_apart=1", "=", "unknown=1"] {
+        let error = settings.set(bad).expect_err("the setting is invalid").to_string();
         assert!(error.starts_with(bad), "{error}");
     }
     assert_eq!(settings, before);
@@ -190,7 +199,10 @@
     let mut moved = 0;
     for prefix in 0..1000 {
         let at = |all: &[u64]| {
-            all[affinity::is_among_highest(prefix, all, 1).iter().position(|is| *is).expect("one backend")]
+            all[affinity::is_among_highest(prefix, all, 1)
+                .iter()
+                .position(|is| *is)
+                .expect("one backend ranks highest")]
         };
         moved += usize::from(at(&identities) != at(fewer) && at(&identities) != identities[0]);
     }
@@ -207,15 +219,15 @@
     }
     assert!(sizes.is_long(long) && !sizes.is_long(short));
     let reserved = sizes.reserved_count(18);
-    assert!((4..=9).contains(&reserved), "{reserved} of 18 for 29 in 100 of the work");
-    assert_eq!(sizes.reserved_count(3), 0, "too few to divide");
+    assert!((4..=9).contains(&reserved), "{reserved} of 18 backends are reserved for 29% of the work");
+    assert_eq!(sizes.reserved_count(3), 0, "too few backends for a reservation");
     let identities: Vec<u64> = candidates(18).iter().map(|c| c.identity).collect();
     assert_eq!(sizes.reserved_backends(&identities).iter().filter(|is| **is).count(), reserved);
 }
 
 #[test]
 fn prompt_headers_are_parsed_or_rejected() {
-    let blocks = PromptBlocks::parse("5c1e07a2:800,91bd3f06:410,e4402b7d:250").expect("a valid header");
+    let blocks = PromptBlocks::parse("5c1e07a2:800,91bd3f06:410,e4402b7d:250").expect("the header is valid");
     assert_eq!(blocks.shared_prefix(), Some(0x91bd_3f06));
     assert_eq!(
         Prompt::from(&blocks),
@@ -228,13 +240,13 @@
     assert_eq!(TokenUsage::parse("1460"), None);
 }
 
-/// Cases are the same in each run.
+/// Fixed, so that each run tests the same cases.
 const SEED: RngSeed = RngSeed::Fixed(20_261_202);
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, rng_seed: SEED, ..ProptestConfig::default() })]
 
-    /// However the stream is split, only complete events are returned, in order, and none is lost.
+    /// However the stream is split into chunks, only complete events are returned, in order, and none is lost.
     #[test]
     fn only_complete_events_are_forwarded(
         events in proptest::collection::vec("[a-z ]{0,30}", 1..20),
--- a/crates/gaugesaddle-load-report/src/aggregator.rs
+++ b/crates/gaugesaddle-load-report/src/aggregator.rs
@@ -1,11 +1,11 @@
-//! The control process's side: reports of proxies and their sums.
+//! The control process's side: stores the proxies' reports and computes their sums.
 
 use crate::heaviest::heaviest;
 use crate::{MAX_BACKENDS, MAX_PROCESSES, MAX_PROXIES, REPORT_TTL_MS};
 use gaugesaddle_protocol::BackendLoad;
 use std::collections::BTreeMap;
 
-/// A report or sum, and when it was received.
+/// A report or a set of sums, with the time at which it was received.
 #[derive(Clone, Debug)]
 struct Received {
     at_ms: u64,
@@ -18,23 +18,23 @@
     }
 }
 
-/// The newest report of each proxy that calls this process, and the newest sums of the other processes.
+/// Stores the newest report of each proxy that calls this process, and the newest sums of the other control processes.
 #[derive(Clone, Debug, Default)]
 pub struct LoadAggregator {
-    /// By the proxy's number.
+    /// Keyed by the proxy's number.
     proxies: BTreeMap<u64, Received>,
-    /// By the IPv4 address of the process's machine.
+    /// Keyed by the IPv4 address of the process's machine.
     processes: BTreeMap<u32, Received>,
 }
 
 impl LoadAggregator {
-    /// Records the report of a proxy at `now` (milliseconds); it replaces the proxy's last one. Dropped where the table is
-    /// full of live reports.
+    /// Records the report of a proxy received at `now` (milliseconds); it replaces the proxy's previous report. The report
+    /// of a new proxy is dropped if the table is full of live reports.
     pub fn record_report(&mut self, now: u64, proxy: u64, loads: Vec<BackendLoad>) {
         insert_bounded(&mut self.proxies, MAX_PROXIES, now, proxy, loads);
     }
 
-    /// Records the sums that another control process sent of its own proxies; they replace its last ones.
+    /// Records another control process's sums over the proxies that call it; they replace its previous sums.
     pub fn record_sums(&mut self, now: u64, process: u32, loads: Vec<BackendLoad>) {
         insert_bounded(&mut self.processes, MAX_PROCESSES, now, process, loads);
     }
@@ -50,7 +50,7 @@
     }
 }
 
-/// Inserts loads received at `now`. A full table first drops what is no longer live.
+/// Inserts loads received at `now`. A full table first evicts expired entries; if it stays full, a new key is dropped.
 fn insert_bounded<K: Ord>(
     table: &mut BTreeMap<K, Received>, max: usize, now: u64, key: K, mut loads: Vec<BackendLoad>,
 ) {
@@ -64,7 +64,7 @@
     table.insert(key, Received { at_ms: now, loads });
 }
 
-/// The sum for each backend over what is live.
+/// The sum for each backend over the live entries.
 fn sums<'a>(now: u64, received: impl Iterator<Item = &'a Received>) -> Vec<BackendLoad> {
     let mut sums: BTreeMap<u32, BackendLoad> = BTreeMap::new();
     for received in received.filter(|received| received.is_live(now)) {
--- a/crates/gaugesaddle-load-report/src/decaying.rs
+++ b/crates/gaugesaddle-load-report/src/decaying.rs
@@ -1,10 +1,10 @@
 //! Counts that decay exponentially.
 
-/// Time constant of the decay, in milliseconds: long enough to see a few events a second at one backend, short enough that
-/// a backend that has recovered is soon used again.
+/// Time constant of the decay, in milliseconds: long enough to register a few events per second at one backend, short
+/// enough that a recovered backend is soon used again.
 const DECAY_MS: f64 = 1500.0;
 
-/// A count of events whose weight decays exponentially.
+/// A count of events whose weights decay exponentially with time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingCount {
     count: f64,
--- a/crates/gaugesaddle-load-report/src/lib.rs
+++ b/crates/gaugesaddle-load-report/src/lib.rs
@@ -1,17 +1,17 @@
-//! Load reporting: what all proxies together see of the backends' load and failures, without I/O.
+//! Load reporting: aggregates the load and failures of backends that all proxies observe, without I/O.
 //!
-//! One proxy of many sees a small fraction of a backend's work, and a backend reports its load only in its answers. So
-//! each proxy reports the work that it has sent and its outcome, and receives the sums over all proxies:
+//! One proxy of many observes a small fraction of a backend's work, and a backend reports its load only in its responses.
+//! Each proxy therefore reports the work that it has sent and the outcomes, and receives the sums over all proxies:
 //!
 //! ```text
 //!  proxy (LoadView) --report--> control process (LoadAggregator) --sums of its proxies--> other control processes
 //!                   <--sums of all proxies--
 //! ```
 //!
-//! It decides which backends are reported, which reports count, and whether a backend is failing.
+//! This crate decides which backends are reported, which reports count, and whether a backend is failing.
 //!
-//! - [`LoadView`]: at a proxy. It owns the proxy's own observations and the last sums of the others; [`Health`] is what it
-//!   says of one backend.
+//! - [`LoadView`]: at a proxy. It owns the proxy's own observations and the latest sums over the other proxies. [`Health`]
+//!   summarizes the recent outcomes at one backend.
 //! - [`LoadAggregator`]: at a control process. It owns the newest report of each proxy that calls it, and the newest sums
 //!   of the other control processes.
 //!
@@ -31,9 +31,9 @@
 //!
 //! # Guarantees
 //!
-//! Reports are complete, never differences: a lost one is replaced by the next, and a repeated one counts once. A proxy
-//! never counts its own work twice. All of it is an estimate with an age: a report that is not renewed within
-//! [`REPORT_TTL_MS`] no longer counts, and a proxy without sums relies on its own observations.
+//! Each report contains the full state, not a difference: a lost report is superseded by the next one, and a duplicate
+//! counts once. A proxy never counts its own work twice. All values are estimates with a limited age: a report that is not
+//! renewed within [`REPORT_TTL_MS`] no longer counts, and a proxy without current sums uses its own observations only.
 //!
 //! # Bounds
 //!
@@ -49,11 +49,11 @@
 pub use aggregator::LoadAggregator;
 pub use view::{Health, LoadView};
 
-/// How long a report or sum counts unless it is renewed, in milliseconds: several report intervals.
+/// Time for which a report or sum counts unless it is renewed, in milliseconds: several report intervals.
 pub const REPORT_TTL_MS: u64 = 1000;
-/// Maximum number of backends in one report or sum; those with the most work are included.
+/// Maximum number of backends in one report or sum; the backends with the most work are included.
 pub const MAX_BACKENDS: usize = 256;
-/// Maximum number of proxies whose reports a control process retains.
+/// Maximum number of proxies whose reports a control process stores.
 pub const MAX_PROXIES: usize = 1024;
-/// Maximum number of control processes whose sums are retained.
+/// Maximum number of control processes whose sums are stored.
 pub const MAX_PROCESSES: usize = 64;
--- a/crates/gaugesaddle-load-report/src/view.rs
+++ b/crates/gaugesaddle-load-report/src/view.rs
@@ -1,4 +1,4 @@
-//! The proxy's side: its own observations and the sums over the other proxies.
+//! The proxy's side: combines its own observations with the sums over the other proxies.
 
 use crate::decaying::DecayingCount;
 use crate::heaviest::heaviest;
@@ -6,19 +6,19 @@
 use gaugesaddle_protocol::BackendLoad;
 use std::collections::HashMap;
 
-/// Units that one request counts for in a report: reports are integers, decayed counts are not.
+/// Units per request in a report: reports contain integers, while decayed counts are fractional.
 const UNITS_PER_REQUEST: f64 = 16.0;
-/// A request without an answer for this long counts as a failure until it is answered, in milliseconds: a backend that
-/// hangs is detected before its clients time out, while one that is merely loaded goes on answering others.
+/// A request without a response for this long counts as failed until the response begins, in milliseconds. A hanging backend
+/// is thus detected before its clients time out; a backend that is merely loaded continues to respond to other requests.
 const STALL_TIMEOUT_MS: u64 = 1000;
-/// Minimum number of failures of a failing backend: fewer may be the fault of a client or a link.
+/// Minimum decayed number of failures of a failing backend: fewer may be caused by a client or a network link.
 const MIN_FAILURES: f64 = 2.5;
-/// Fraction of a backend's requests above which it is failing.
+/// Fraction of failed requests above which a backend is failing.
 const FAILING_FRACTION: f64 = 0.3;
-/// Decayed counts below this are not reported.
+/// Decayed counts below this value are treated as 0: they would be reported as 0 units.
 const NEGLIGIBLE_COUNT: f64 = 1.0 / UNITS_PER_REQUEST;
 
-/// A request without an answer.
+/// A request whose response has not begun.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct InFlight {
     sent_ms: u64,
@@ -26,10 +26,10 @@
     work: f64,
 }
 
-/// What this proxy observes of one backend.
+/// This proxy's observations of one backend.
 #[derive(Clone, Debug, Default)]
 struct Observed {
-    /// The oldest first.
+    /// In the order of sending.
     in_flight: Vec<InFlight>,
     failed: DecayingCount,
     served: DecayingCount,
@@ -41,7 +41,7 @@
         self.in_flight.iter().map(|request| request.work).sum()
     }
 
-    /// Requests that failed, and those in flight for so long that they count as failed.
+    /// The decayed number of failed requests, plus the stalled requests in flight.
     fn failures(&self, now: u64) -> f64 {
         let is_stalled = |request: &&InFlight| now >= request.sent_ms + STALL_TIMEOUT_MS;
         let stalled = self.in_flight.iter().take_while(is_stalled).count();
@@ -64,45 +64,45 @@
     }
 }
 
-/// The recent outcomes of a backend's requests, over all proxies with a live report.
+/// The recent outcomes of a backend's requests at all proxies with a live report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Health {
-    /// Requests that failed, decayed.
+    /// Decayed number of failed requests.
     pub failed: f64,
-    /// Requests that were answered, decayed.
+    /// Decayed number of served requests.
     pub served: f64,
 }
 
 impl Health {
-    /// Whether so many requests fail that other backends should be preferred.
+    /// Whether the backend fails so many requests that other backends should be preferred.
     pub fn is_failing(&self) -> bool {
         let total = self.failed + self.served;
         self.failed >= MIN_FAILURES && self.failed > FAILING_FRACTION * total
     }
 }
 
-/// What a proxy knows of the backends' load.
+/// A proxy's estimate of the backends' load and health.
 #[derive(Clone, Debug, Default)]
 pub struct LoadView {
     observed: HashMap<u32, Observed>,
-    /// The last report. Sums that answer it include it.
+    /// The latest report, which the sums in its reply include.
     reported: HashMap<u32, BackendLoad>,
     /// The sums over the other proxies.
     others: HashMap<u32, BackendLoad>,
-    /// When the report was sent that was answered by `others`, in milliseconds.
+    /// Time at which the report was sent whose reply contained `others`, in milliseconds.
     others_ms: Option<u64>,
-    /// Whether the last report had any backend.
+    /// Whether the latest report contained any backend.
     last_report_has_load: bool,
 }
 
 impl LoadView {
-    /// Records that `work` tokens are sent to a backend at `now` (milliseconds).
+    /// Records that a request of `work` tokens is sent to a backend at `now` (milliseconds).
     pub fn begin(&mut self, now: u64, backend: u32, work: f64) {
         let request = InFlight { sent_ms: now, work };
         self.observed.entry(backend).or_default().in_flight.push(request);
     }
 
-    /// Records that the answer to work sent at `sent_ms` has begun, or never will.
+    /// Records that the response to a request sent at `sent_ms` has begun, or that the attempt has ended without one.
     pub fn end(&mut self, backend: u32, sent_ms: u64, work: f64) {
         let Some(observed) = self.observed.get_mut(&backend) else { return };
         let ended = InFlight { sent_ms, work };
@@ -111,23 +111,23 @@
         }
     }
 
-    /// Records that a backend answered a request.
+    /// Records that a backend served a request.
     pub fn record_served_request(&mut self, now: u64, backend: u32) {
         self.observed.entry(backend).or_default().served.add(now);
     }
 
-    /// Records that a request failed at a backend, which need not be the backend's fault.
+    /// Records that a request failed at a backend, whether or not the backend caused the failure.
     pub fn record_failed_request(&mut self, now: u64, backend: u32) {
         self.observed.entry(backend).or_default().failed.add(now);
     }
 
-    /// Whether a report is due: there is load to report, or the last report had some that has since ended.
+    /// Whether a report must be sent: there is load to report, or the latest report contained load that has since ended.
     pub fn is_report_due(&mut self, now: u64) -> bool {
         self.observed.retain(|_, observed| !observed.is_idle(now));
         self.last_report_has_load || !self.observed.is_empty()
     }
 
-    /// The report to send at `now` (milliseconds).
+    /// Creates the report to send at `now` (milliseconds).
     pub fn report(&mut self, now: u64) -> Vec<BackendLoad> {
         let observed = self.observed.iter();
         let loads = heaviest(observed.map(|(backend, observed)| observed.load(now, *backend)).collect());
@@ -136,7 +136,7 @@
         loads
     }
 
-    /// Records the sums over all proxies that answer the last report, sent at `reported_ms`.
+    /// Records the sums over all proxies from the reply to the latest report, which was sent at `reported_ms`.
     pub fn record_sums(&mut self, reported_ms: u64, sums: Vec<BackendLoad>) {
         self.others.clear();
         for mut sum in sums.into_iter().take(MAX_BACKENDS) {
@@ -149,7 +149,7 @@
         self.others_ms = Some(reported_ms);
     }
 
-    /// The load that the other proxies report of a backend; none where their sums are too old.
+    /// The load of a backend that the other proxies report; zero if their sums have expired.
     fn others_load(&self, now: u64, backend: u32) -> BackendLoad {
         let is_live = self.others_ms.is_some_and(|at| now < at + REPORT_TTL_MS);
         if !is_live {
@@ -158,12 +158,12 @@
         self.others.get(&backend).copied().unwrap_or_default()
     }
 
-    /// Work of this proxy in flight at a backend, in tokens.
+    /// Work in flight from this proxy at a backend, in tokens.
     pub fn own_work(&self, backend: u32) -> f64 {
         self.observed.get(&backend).map_or(0.0, Observed::work)
     }
 
-    /// Work of all proxies in flight at a backend, in tokens, as far as it is known.
+    /// Work in flight from all proxies at a backend, as far as reported, in tokens.
     pub fn work(&self, now: u64, backend: u32) -> f64 {
         self.own_work(backend) + f64::from(self.others_load(now, backend).work)
     }
--- a/crates/gaugesaddle-load-report/tests/load_reports.rs
+++ b/crates/gaugesaddle-load-report/tests/load_reports.rs
@@ -1,5 +1,5 @@
-//! Failures guarded against: a proxy counts old or repeated reports as work in flight, counts its own work twice, or takes
-//! one proxy's report for a backend's failure; or tables grow without a bound.
+//! Failures guarded against: a proxy counts expired or repeated reports as work in flight, counts its own work twice, or
+//! treats a backend as failing because of a single proxy's failure; or tables grow without bound.
 
 use gaugesaddle_load_report::{LoadAggregator, LoadView, MAX_BACKENDS, MAX_PROXIES, REPORT_TTL_MS};
 use gaugesaddle_protocol::BackendLoad;
@@ -8,8 +8,8 @@
 
 const NOW: u64 = 1_000_000;
 
-/// One exchange of reports: each proxy reports to its process, the processes exchange sums, and each proxy receives the
-/// totals.
+/// One exchange of reports: each proxy reports to its control process, the processes exchange sums, and each proxy receives
+/// the totals.
 fn exchange(now: u64, proxies: &mut [LoadView], aggregators: &mut [LoadAggregator]) {
     for (number, proxy) in proxies.iter_mut().enumerate() {
         aggregators[number % aggregators.len()].record_report(now, number as u64, proxy.report(now));
@@ -33,9 +33,9 @@
         proxy.begin(NOW, 7, 100.0);
     }
     exchange(NOW, &mut proxies, &mut aggregators);
-    assert!(proxies.iter().all(|p| p.work(NOW, 7) == 9100.0), "every request counts once");
+    assert!(proxies.iter().all(|p| p.work(NOW, 7) == 9100.0), "every request must count once");
     proxies[3].begin(NOW, 7, 50.0);
-    assert_eq!(proxies[3].work(NOW, 7), 9150.0, "its own work counts before it is reported");
+    assert_eq!(proxies[3].work(NOW, 7), 9150.0, "a proxy's own work must count before it is reported");
     proxies[3].end(7, NOW, 50.0);
     proxies[3].end(7, NOW, 100.0);
     assert_eq!(proxies[3].work(NOW, 7), 9000.0);
@@ -53,7 +53,7 @@
     proxies[1].begin(NOW, 1, 1000.0);
     exchange(NOW, &mut proxies, &mut aggregators);
     assert_eq!(proxies[0].work(NOW + REPORT_TTL_MS - 1, 1), 1010.0);
-    assert_eq!(proxies[0].work(NOW + REPORT_TTL_MS, 1), 10.0, "sums that are not renewed no longer count");
+    assert_eq!(proxies[0].work(NOW + REPORT_TTL_MS, 1), 10.0, "expired sums must not count");
 }
 
 #[test]
@@ -62,7 +62,7 @@
     let mut aggregators = vec![LoadAggregator::default(); 2];
     proxies[1].begin(NOW, 1, 1000.0);
     exchange(NOW, &mut proxies, &mut aggregators);
-    // The second proxy is killed; its process receives no more reports.
+    // The second proxy is killed: its control process receives no further reports.
     let later = NOW + REPORT_TTL_MS;
     aggregators[0].record_report(later, 0, proxies[0].report(later));
     let sums = aggregators[1].local_sums(later);
@@ -84,10 +84,13 @@
     }
     proxies[0].record_failed_request(NOW, 8);
     exchange(NOW, &mut proxies, &mut aggregators);
-    assert!(proxies.iter().all(|p| p.health(NOW, 5).is_failing()), "three failed, none was answered");
-    assert!(proxies.iter().all(|p| !p.health(NOW, 6).is_failing()), "most are answered");
-    assert!(proxies.iter().all(|p| !p.health(NOW, 8).is_failing()), "one failure is not enough");
-    // Half-open: failures decay, so the backend is used again.
+    assert!(
+        proxies.iter().all(|p| p.health(NOW, 5).is_failing()),
+        "three requests failed and none was served"
+    );
+    assert!(proxies.iter().all(|p| !p.health(NOW, 6).is_failing()), "most requests are served");
+    assert!(proxies.iter().all(|p| !p.health(NOW, 8).is_failing()), "one failure is below the minimum");
+    // The failures decay, so the backend becomes eligible again (half-open).
     let later = NOW + 3000;
     exchange(later, &mut proxies, &mut aggregators);
     assert!(proxies.iter().all(|p| !p.health(later, 5).is_failing()));
@@ -99,7 +102,7 @@
     let mut aggregators = vec![LoadAggregator::default(); 8];
     for proxy in proxies.iter_mut().take(3) {
         proxy.begin(NOW, 5, 3000.0);
-        // In flight for as long, but others are answered: the backend is merely loaded.
+        // Backend 6 has a request in flight for as long, but serves others: it is merely loaded.
         proxy.begin(NOW, 6, 3000.0);
     }
     let soon = NOW + 900;
@@ -122,7 +125,7 @@
     assert!(proxy.is_report_due(NOW));
     assert_eq!(proxy.report(NOW).len(), 1);
     proxy.end(1, NOW, 5.0);
-    assert!(proxy.is_report_due(NOW), "the end of the load must be reported");
+    assert!(proxy.is_report_due(NOW), "a report without load must follow a report with load");
     assert!(proxy.report(NOW).is_empty());
     assert!(!proxy.is_report_due(NOW));
 }
@@ -152,7 +155,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(29), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// After an exchange every proxy sees the sum of all work in flight, whatever happened before.
+    /// After an exchange every proxy sees the sum of all work in flight, for any preceding sequence of operations.
     #[test]
     fn all_proxies_see_the_same_sum_after_an_exchange(steps in prop::collection::vec((0usize..9, 0u32..5, 1u32..500, any::<bool>()), 0..120)) {
         let mut proxies = vec![LoadView::default(); 9];
