--- a/crates/gaugesaddle-edge/src/state.rs
+++ b/crates/gaugesaddle-edge/src/state.rs
@@ -176,9 +176,7 @@
         }
         let config = match OperatorConfig::parse(&configuration.document) {
             Ok(config) => config,
-            Err(findings) => {
-                return warn!("configuration revision {revision} is invalid and is not applied: {findings}")
-            }
+            Err(findings) => return warn!("configuration revision {revision} is rejected: {findings}"),
         };
         let table = RoutingTable::new(config);
         info!("configuration revision {} applied", table.revision);
--- a/crates/gaugesaddle-http-connection/src/guarded_stream.rs
+++ b/crates/gaugesaddle-http-connection/src/guarded_stream.rs
@@ -93,7 +93,7 @@
             Err(e) => Err(e),
             Ok(_) => Err(io::Error::new(
                 ErrorKind::ConnectionReset,
-                "request not sent: the connection is closed or has unread bytes of an earlier response",
+                "connection closed or has unread response bytes",
             )),
         }
     }
