--- a/crates/gaugesaddle-control/src/peer_connections.rs
+++ b/crates/gaugesaddle-control/src/peer_connections.rs
@@ -7,7 +7,7 @@
 use crate::peer_queues::UnconnectedPeer;
 use gaugesaddle_consensus::Input;
 use gaugesaddle_protocol::frame::FrameError;
-use gaugesaddle_protocol::{Opening, PeerMessage};
+use gaugesaddle_protocol::{ConnectionPreface, PeerMessage};
 use gaugesaddle_transport::{connect, Link, LinkError};
 use spdlog::debug;
 use std::net::SocketAddrV4;
@@ -30,7 +30,7 @@
 
 /// Sends the messages queued for a peer, and connects again after each error, until the process ends.
 async fn send_queued(core: CoreHandle, ip: u32, mut messages: mpsc::Receiver<PeerMessage>) {
-    let address = core.with(|c| c.boot.control_process(ip));
+    let address = core.with(|c| c.boot.control_process_address(ip));
     loop {
         if let Err(e) = connect_and_send(&core, address, &mut messages).await {
             debug!("peer {address}: {:#}", eyre::Report::new(e));
@@ -45,7 +45,7 @@
     core: &CoreHandle, address: SocketAddrV4, messages: &mut mpsc::Receiver<PeerMessage>,
 ) -> Result<(), LinkError> {
     let mut link = Link::new(connect(address, CONNECT_TIMEOUT).await?);
-    link.send(&Opening::Peer, SEND_TIMEOUT).await?;
+    link.send(&ConnectionPreface::Peer, SEND_TIMEOUT).await?;
     let (hello, compare) = core.with(|c| (c.hello(), c.compare(true)));
     link.send(&hello, SEND_TIMEOUT).await?;
     link.send(&compare, SEND_TIMEOUT).await?;
--- a/crates/gaugesaddle-edge/src/api_key.rs
+++ b/crates/gaugesaddle-edge/src/api_key.rs
@@ -33,7 +33,7 @@
     pub fn new(state: &Rc<EdgeState>, key: Option<&str>, tenant: Option<&Tenant>) -> Option<ApiKeyGuard> {
         let key = key?.to_owned();
         let tenant = tenant?.name.clone();
-        let is_closed = state.boot.bounds.closed;
+        let is_closed = state.boot.bounds.fail_closed;
         is_closed.then(|| ApiKeyGuard { state: state.clone(), key, tenant })
     }
 
@@ -53,7 +53,7 @@
 
 /// Whether the proof is recent enough for the proxy to be ready; always true if the deployment is not closed.
 pub fn accepts_keys(state: &EdgeState) -> bool {
-    !state.boot.bounds.closed || is_proven(state, UNREADY_FRACTION)
+    !state.boot.bounds.fail_closed || is_proven(state, UNREADY_FRACTION)
 }
 
 /// Whether the proof is more recent than a fraction of `revokeMs`.
--- a/crates/gaugesaddle-edge/src/control_client.rs
+++ b/crates/gaugesaddle-edge/src/control_client.rs
@@ -63,7 +63,7 @@
 
 /// Pulls from one control process until a call fails or the process has lost contact with a majority.
 async fn follow(state: &Rc<EdgeState>, ip: u32) -> Result<(), LinkError> {
-    let address = state.boot.control_process(ip);
+    let address = state.boot.control_process_address(ip);
     let mut caller = Caller::open(address, CONNECT_TIMEOUT).await?;
     let mut wait_ms = 0;
     loop {
@@ -89,7 +89,7 @@
 /// Announces to the leader that this proxy is leaving.
 pub async fn deregister(state: Rc<EdgeState>) {
     let Some(leader) = state.follower.borrow().leader() else { return };
-    let address = state.boot.control_process(leader);
+    let address = state.boot.control_process_address(leader);
     let Ok(mut caller) = Caller::open(address, DEREGISTER_TIMEOUT).await else { return };
     // If this call fails, the registration ends when its lease expires.
     let _ = caller.call(&pull_request(&state, Lifecycle::Departed, 0), DEREGISTER_TIMEOUT).await;
--- a/crates/gaugesaddle-edge/src/run.rs
+++ b/crates/gaugesaddle-edge/src/run.rs
@@ -31,7 +31,7 @@
 /// The boot file or a setting is invalid (the error names the place and the expected value), or an address cannot be
 /// bound.
 pub fn run(settings: &[String]) -> Result<()> {
-    gaugesaddle_transport::log::start();
+    gaugesaddle_transport::log::set_level_from_environment();
     let boot = BootSettings::read()?;
     let mut chooser_settings = ChooserSettings::default();
     for setting in settings {
