--- a/crates/gaugesaddle-http-connection/src/guarded_stream.rs
+++ b/crates/gaugesaddle-http-connection/src/guarded_stream.rs
@@ -91,10 +91,9 @@
         match SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]) {
             Err(e) if e.kind() == ErrorKind::WouldBlock => Ok(()),
             Err(e) => Err(e),
-            Ok(_) => Err(io::Error::new(
-                ErrorKind::ConnectionReset,
-                "connection closed or has unread response bytes",
-            )),
+            Ok(_) => {
+                Err(io::Error::new(ErrorKind::ConnectionReset, "connection closed, or unread response bytes"))
+            }
         }
     }
 
