--- a/crates/gaugesaddle-protocol/src/catalog.rs
+++ b/crates/gaugesaddle-protocol/src/catalog.rs
@@ -2,16 +2,17 @@
 
 use musli::{Decode, Encode};
 
-/// One incarnation of a control process. A restarted one numbers its changes from 1 under another origin.
+/// Identifies one incarnation of a control process. After a restart, a process numbers its changes from 1 under a new
+/// origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Origin(pub u64);
 
-/// A version vector: for each origin the number of its newest known change.
+/// A version vector: the number of the newest known change of each origin.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct VersionVector(pub Vec<(Origin, u64)>);
 
 impl VersionVector {
-    /// Number of the newest known change of an origin; 0 without any.
+    /// Number of the newest known change of an origin; 0 if none is known.
     pub fn of(&self, origin: Origin) -> u64 {
         self.0.iter().find(|(o, _)| *o == origin).map_or(0, |(_, n)| *n)
     }
@@ -25,29 +26,29 @@
     }
 }
 
-/// Lifecycle of a registration. The greater variant takes precedence at equal sequence numbers.
+/// Lifecycle of a registration. At equal sequence numbers, the greater variant takes precedence.
 ///
 /// ```text
-///  Ready <--renewed, lease timed out--> Expired
-///    |                                    |
-///    +--announced its end--> Draining <---+
-///    |                          |         |
-///    +--deregistered------> Departed <----+
+///  Ready <--renewed, lease expired--> Expired
+///    |                                  |
+///    +--drain announced--> Draining <---+
+///    |                        |         |
+///    +--deregistered-----> Departed <---+
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub enum Lifecycle {
-    /// It is ready for requests.
+    /// Ready for requests.
     Ready,
-    /// Its lease has expired.
+    /// Not renewed before its lease expired.
     Expired,
-    /// It has announced its end and receives no new requests.
+    /// Has announced its shutdown and receives no new requests.
     Draining,
-    /// It has deregistered.
+    /// Deregistered.
     Departed,
 }
 
 impl Lifecycle {
-    /// Whether its end is announced. This is never revoked: a restarted process has another identity.
+    /// Whether the process drains or has departed. This is never revoked: a restarted process has another identity.
     pub fn is_leaving(self) -> bool {
         self >= Lifecycle::Draining
     }
@@ -69,18 +70,18 @@
     Proxy,
 }
 
-/// A registration: soft state that its owner renews.
+/// A registration: soft state under a lease that the registered process renews.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Registration {
     /// Identity of this incarnation of the backend or proxy, unique in the fleet.
     pub id: String,
-    /// Its zone.
+    /// Zone of the process.
     pub zone: String,
     /// The kind of process.
     pub subject: Subject,
-    /// Rises with each call of the registered process.
+    /// Sequence number, which increases with each call of the registered process.
     pub sequence: u64,
-    /// Its lifecycle.
+    /// Lifecycle of the registration.
     pub lifecycle: Lifecycle,
 }
 
@@ -95,16 +96,17 @@
     pub registration: Registration,
 }
 
-/// Entries that a receiver lacks, and what it knows after applying them.
+/// Entries that a receiver lacks, and its version vector after applying them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct CatalogDelta {
     /// The entries.
     pub entries: Vec<CatalogEntry>,
-    /// The changes that the receiver must already have, so that there is no gap.
+    /// The changes that the receiver must already have, so that applying the entries leaves no gap.
     pub since: VersionVector,
-    /// The changes that it has afterwards.
+    /// The changes that the receiver has after applying the entries.
     pub vector: VersionVector,
-    /// Ranges of which `entries` contains every live registration, as far as the sender knows: no process knows the
-    /// receiver's other registrations of these ranges any more. Empty unless the sender has received the full catalog.
+    /// Ranges of which `entries` contains every live registration. The receiver expires its other ready registrations
+    /// of these ranges, since the processes that granted their leases no longer exist. Empty unless the sender has
+    /// received the full catalog.
     pub complete_ranges: Vec<u8>,
 }
--- a/crates/gaugesaddle-protocol/src/consensus.rs
+++ b/crates/gaugesaddle-protocol/src/consensus.rs
@@ -1,16 +1,19 @@
-//! Messages between the replicas of the configuration (Raft), and what the replicas store.
+//! Raft messages between the replicas of the configuration, and the records that a replica persists.
+//!
+//! Numbers of sections and figures refer to the Raft thesis (Ongaro, "Consensus: Bridging Theory and Practice").
 
 use gaugesaddle_delta::{DeltaError, Digest, DocumentDelta};
 use musli::{Decode, Encode};
 use std::fmt;
 use std::net::Ipv4Addr;
 
-/// Identity of a replica: a machine and the incarnation of its disk. A machine whose disk was lost is another replica.
+/// Identity of a replica: a machine and the incarnation of its disk. A machine that loses its disk becomes a new
+/// replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct ReplicaId {
     /// The machine's IPv4 address, network order.
     pub ip: u32,
-    /// 0 for a bootstrap replica, random for every other disk.
+    /// 0 for a disk first used when the cluster is bootstrapped, random for every other one.
     pub incarnation: u64,
 }
 
@@ -27,46 +30,47 @@
     }
 }
 
-/// Position of a state in the history: the leader's term, then an index. Positions are ordered in this way.
+/// Position of a state in the replicated history. Positions are ordered by the leader's term, then by index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct LogPosition {
-    /// Term of the leader that wrote it.
+    /// Term of the leader that created the state.
     pub term: u64,
-    /// Rises by one with each state.
+    /// Index of the state, incremented by one for each new state.
     pub index: u64,
 }
 
-/// Record of an accepted change, by which a repetition of the same request is recognized.
+/// Record of an accepted change, used to recognize a repetition of the same request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct AcceptedChange {
-    /// The revision that it created.
+    /// The revision that the change created.
     pub revision: u64,
-    /// Digest of the request: of its base revision and its body, byte for byte.
+    /// Digest of the request: its base revision and the exact bytes of its body.
     pub digest: Digest,
 }
 
-/// The replicated state: one value that each change replaces.
+/// The replicated state: a single value that each change replaces as a whole.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct State {
-    /// Its position in the history.
+    /// Position of the state in the history.
     pub position: LogPosition,
-    /// Revision of the configuration; 0 before the first.
+    /// Revision of the configuration; 0 before the first configuration.
     pub revision: u64,
-    /// The configuration, byte for byte as the operator sent it.
+    /// The configuration: the exact bytes that the operator sent, or the result of applying the operator's patch.
     #[musli(bytes)]
     pub document: Vec<u8>,
     /// The newest accepted changes, oldest first.
     pub accepted: Vec<AcceptedChange>,
-    /// The highest revision that was dropped from `accepted`. Whether a change up to it was accepted is not known.
+    /// The highest revision that was dropped from `accepted`. Whether a change with this or a lower revision was
+    /// accepted can no longer be determined.
     pub pruned_revision: u64,
-    /// The replicas that vote.
+    /// The voting replicas.
     pub voters: Vec<ReplicaId>,
-    /// The voters before a membership change that is under way; empty between changes. Until it is complete, every
-    /// decision needs a majority of these as well (joint consensus, thesis 4.3).
+    /// The old voters while a membership change is in progress, otherwise empty. Until the change completes, every
+    /// decision also needs a majority of the old voters (joint consensus, thesis 4.3).
     pub outgoing: Vec<ReplicaId>,
 }
 
-/// A document, for a receiver that may have an earlier version of it.
+/// A document, encoded for a receiver that may have an earlier version of it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum DocumentUpdate {
     /// The receiver already has this version.
@@ -78,7 +82,7 @@
 }
 
 impl DocumentUpdate {
-    /// The smallest update for a receiver that has `base`; `None` where it has no version.
+    /// Returns the smallest update for a receiver whose version is `base`; `None` if the receiver has no version.
     pub fn between(base: Option<&[u8]>, document: &[u8]) -> DocumentUpdate {
         let Some(base) = base else { return DocumentUpdate::Full(document.to_vec()) };
         if base == document {
@@ -92,11 +96,11 @@
         }
     }
 
-    /// The document, given the version at hand.
+    /// Reconstructs the document from `base`, the version that the receiver has.
     ///
     /// # Errors
     ///
-    /// A [`DeltaError`], where the update needs another version than `base`.
+    /// A [`DeltaError`] if the update was made against another version than `base`.
     pub fn apply(self, base: Option<&[u8]>) -> Result<Vec<u8>, DeltaError> {
         match (self, base) {
             (DocumentUpdate::Full(document), _) => Ok(document),
@@ -107,58 +111,58 @@
     }
 }
 
-/// A state on its way to a replica.
+/// A state, encoded for transfer to a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct StateUpdate {
     /// The state against which this one is encoded; `None` for a full state.
     pub base: Option<LogPosition>,
-    /// Its position in the history.
+    /// Position of the state in the history.
     pub position: LogPosition,
     /// Revision of the configuration.
     pub revision: u64,
     /// The configuration.
     pub document: DocumentUpdate,
-    /// The accepted changes that the base does not have, oldest first.
+    /// The accepted changes that the base lacks, oldest first.
     pub accepted: Vec<AcceptedChange>,
-    /// As in [`State`].
+    /// See [`State::pruned_revision`].
     pub pruned_revision: u64,
-    /// As in [`State`].
+    /// See [`State::voters`].
     pub voters: Vec<ReplicaId>,
-    /// As in [`State`].
+    /// See [`State::outgoing`].
     pub outgoing: Vec<ReplicaId>,
 }
 
-/// What a replica must persist beside the state (thesis 3.8).
+/// The part of a replica's Raft state that is persisted beside [`State`] (thesis 3.8).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct HardState {
     /// The replica's identity.
     pub id: ReplicaId,
-    /// The newest term it has seen.
+    /// The latest term that the replica has seen.
     pub term: u64,
-    /// The candidate that received its vote in that term.
+    /// The candidate that received the replica's vote in that term.
     pub voted_for: Option<ReplicaId>,
 }
 
-/// A time on the steady clock of one process. Only that process can interpret it.
+/// A reading of the monotonic clock of one process, meaningful to that process only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ClockReading {
-    /// Random number of the process, so that a restarted one does not mistake its predecessor's reading for its own.
+    /// Random number of the process, so that readings from before a restart are not taken for its own.
     pub process: u64,
-    /// Milliseconds on its clock.
+    /// Time on the clock, in milliseconds.
     pub time_ms: u64,
 }
 
-/// A message from one replica to another. The names are those of the thesis; terms are as in its figure 3.1.
+/// A message from one replica to another. Names and the use of terms follow the thesis (figure 3.1).
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ReplicaMessage {
     /// Requests a pre-vote: whether the receiver would vote for the sender in this term (thesis 9.6).
     RequestPreVote {
         /// The term that the candidate would enter.
         term: u64,
-        /// The candidate's newest state.
+        /// Position of the candidate's newest state.
         last_position: LogPosition,
     },
-    /// The answer to `RequestPreVote`.
+    /// The response to `RequestPreVote`.
     RequestPreVoteResponse {
         /// The term of the request if granted, else the responder's term.
         term: u64,
@@ -169,55 +173,55 @@
     RequestVote {
         /// The candidate's term.
         term: u64,
-        /// Its newest state.
+        /// Position of the candidate's newest state.
         last_position: LogPosition,
-        /// The leader itself caused this campaign: voters need not wait until that leader has timed out.
+        /// Whether the leader requested this election: voters then need not wait until that leader has timed out.
         leadership_transfer: bool,
     },
-    /// The answer to `RequestVote`.
+    /// The response to `RequestVote`.
     RequestVoteResponse {
         /// The voter's term.
         term: u64,
-        /// Whether the vote is granted; it is durable then.
+        /// Whether the vote is granted. A granted vote is durable before it is sent.
         granted: bool,
     },
-    /// The leader's heartbeat, with its state if the receiver lacks it (thesis 3.5).
+    /// The leader's heartbeat, with its newest state if the receiver may lack it (thesis 3.5).
     Append {
         /// The leader's term.
         term: u64,
         /// Sequence number of the heartbeat.
         sequence: u64,
-        /// The leader's newest state.
+        /// Position of the leader's newest state.
         last_position: LogPosition,
-        /// The newest committed state that the leader knows of.
+        /// Position of the newest state that the leader knows to be committed.
         committed: LogPosition,
         /// The newest state, if the receiver may lack it.
         state: Option<Box<StateUpdate>>,
-        /// The newest clock reading that the receiver has sent to this leader: a majority followed this leader at that
+        /// The newest clock reading that the receiver has sent to this leader. A majority followed this leader at that
         /// time on the receiver's clock, or later.
         echoed_reading: Option<ClockReading>,
     },
-    /// The answer to `Append`.
+    /// The response to `Append`.
     AppendResponse {
         /// The follower's term.
         term: u64,
-        /// The heartbeat to which it responds.
+        /// Sequence number of the heartbeat that it responds to.
         sequence: u64,
-        /// The newest state of this term that is durable there; position 0 of term 0 without any.
+        /// Position of the newest state of this term that is durable at the follower; term 0, index 0 if there is none.
         matched: LogPosition,
-        /// The newest state that it has received, durable or not.
+        /// Position of the newest state that the follower has received, durable or not.
         received: LogPosition,
-        /// When the follower received that heartbeat.
+        /// Time at which the follower received that heartbeat, on its own clock.
         clock_reading: ClockReading,
     },
-    /// The leader ends its leadership; the receiver campaigns at once (thesis 3.10).
+    /// Leadership transfer: the receiver starts an election at once (thesis 3.10).
     TimeoutNow {
         /// The leader's term.
         term: u64,
     },
-    /// A replica that does not vote requests states from the leader and becomes a learner (thesis 4.2.1).
+    /// A non-voting replica requests states from the leader and becomes a learner (thesis 4.2.1).
     Join {
-        /// Whether it has a disk and may become a voter.
+        /// Whether the sender has a disk and may become a voter.
         durable: bool,
     },
 }
--- a/crates/gaugesaddle-protocol/src/core.rs
+++ b/crates/gaugesaddle-protocol/src/core.rs
@@ -7,34 +7,35 @@
 use gaugesaddle_delta::Digest;
 use musli::{Decode, Encode};
 
-/// A proxy renews its lease and requests the changes that it lacks.
+/// A proxy's request, which renews its lease and asks for the changes that it lacks.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Pull {
     /// The proxy's own registration.
     pub proxy: Registration,
-    /// The catalog changes that it has.
+    /// The catalog changes that the proxy has.
     pub vector: VersionVector,
-    /// Position of the configuration that it uses; `None` without any.
+    /// Position of the configuration that the proxy uses; `None` if it has none.
     pub position: Option<LogPosition>,
     /// Digest of the document of that configuration.
     pub document: Option<Digest>,
-    /// Digests of the ranges of its catalog; empty unless it has applied all changes.
+    /// Digests of the ranges of the proxy's catalog; empty unless it has applied all changes.
     pub digests: Vec<u64>,
-    /// The departed registrations that it knows, in the first call to a control process. One that has just started may
-    /// not know them, and no other one may either if all control processes ended together after acknowledging them.
+    /// The departed registrations in the proxy's catalog, sent with its first call to a control process only. A control
+    /// process that has just started may lack them, and so may all others if all of them ended together after they had
+    /// acknowledged the departures.
     pub departed: Vec<Registration>,
-    /// How long the reply may be delayed while there are no changes, in milliseconds (long polling).
+    /// Maximum time that the reply is delayed while there are no changes, in milliseconds (long polling).
     pub wait_ms: u32,
 }
 
 /// A committed configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Configuration {
-    /// Its position in the history.
+    /// Position in the history.
     pub position: LogPosition,
-    /// The operator's revision.
+    /// Revision given by the operator.
     pub revision: u64,
-    /// The operator's document.
+    /// The configuration document.
     #[musli(bytes)]
     pub document: Vec<u8>,
 }
@@ -42,20 +43,20 @@
 /// A configuration for a proxy that may have an earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigurationUpdate {
-    /// Its position in the history.
+    /// Position in the history.
     pub position: LogPosition,
-    /// The operator's revision.
+    /// Revision given by the operator.
     pub revision: u64,
-    /// The operator's document.
+    /// The configuration document.
     pub document: DocumentUpdate,
 }
 
 /// The reply to a [`Pull`].
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct PullReply {
-    /// Whether this process was in contact with a majority of replicas within its lease.
+    /// Whether the control process was in contact with a majority of the replicas within its lease.
     pub fresh: bool,
-    /// IPv4 address of the leader's machine; `None` where it is not known.
+    /// IPv4 address of the leader's machine; `None` if no leader is known.
     pub leader: Option<u32>,
     /// IPv4 addresses of the machines that run a control process.
     pub members: Vec<u32>,
@@ -65,7 +66,7 @@
     pub delta: CatalogDelta,
 }
 
-/// The body of a change, byte for byte as the operator sent it.
+/// The body of a change: the exact bytes that the operator sent.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ChangeBody {
     /// A full configuration.
@@ -75,7 +76,7 @@
 }
 
 impl ChangeBody {
-    /// Its length in bytes.
+    /// Length of the body in bytes.
     pub fn size(&self) -> usize {
         match self {
             ChangeBody::Full(body) | ChangeBody::Patch(body) => body.len(),
@@ -86,7 +87,7 @@
 /// An operator's change, forwarded to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigurationChange {
-    /// The revision on which it builds.
+    /// The revision that the change is based on.
     pub base: u64,
     /// The new configuration or a patch.
     pub body: ChangeBody,
@@ -95,26 +96,26 @@
 /// The result of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ChangeReply {
-    /// It is committed, now or by an earlier identical request.
+    /// The change is committed, by this request or by an earlier identical one.
     Applied,
-    /// Rejected: another revision than its base is current.
+    /// The change is rejected: its base is not the current revision.
     Conflict {
         /// The current revision.
         current: u64,
     },
-    /// Rejected: it is invalid.
+    /// The change is rejected as invalid.
     Invalid {
         /// One line for each finding.
         findings: Vec<String>,
     },
-    /// Unknown: it may or may not be, or become, committed.
+    /// The outcome is unknown: the change may be committed already, may still be committed, or may be lost.
     Indeterminate,
 }
 
 /// A request to a control process; each has one reply.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Request {
-    /// From a proxy.
+    /// From a proxy: lease renewal and request for changes.
     Pull(Box<Pull>),
     /// From a proxy to the leader: requests for tokens.
     Quota {
@@ -123,9 +124,9 @@
         /// One request for each tenant.
         requests: Vec<QuotaRequest>,
     },
-    /// From a proxy: the backends' load as it observes it.
+    /// From a proxy: load of the backends as the proxy observes it.
     Load {
-        /// Random number of this proxy process.
+        /// Random number that identifies the proxy process.
         proxy: u64,
         /// One entry for each backend.
         loads: Vec<BackendLoad>,
@@ -141,72 +142,73 @@
 /// The reply to a [`Request`].
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Reply {
-    /// To a `Pull`.
+    /// Reply to [`Request::Pull`].
     Pull(Box<PullReply>),
-    /// To `Quota`.
+    /// Reply to [`Request::Quota`].
     Quota {
         /// Tokens leased to the proxy, by tenant.
         grants: Vec<QuotaGrant>,
     },
-    /// To `Load`: what all proxies together observe, including this one.
+    /// Reply to [`Request::Load`]: load as observed by all proxies, including the caller.
     Load {
-        /// The sums.
+        /// Sums over the proxies, one entry for each backend.
         loads: Vec<BackendLoad>,
     },
-    /// To `Change`.
+    /// Reply to [`Request::Change`].
     Change(ChangeReply),
-    /// To `Read`: the configuration, `None` before the first.
+    /// Reply to [`Request::Read`]: the configuration, `None` before the first one.
     Read(Option<Configuration>),
-    /// To `Status`.
+    /// Reply to [`Request::Status`].
     Status(Box<StatusReport>),
-    /// This process does not lead, or cannot answer the request.
+    /// The process is not the leader, or cannot answer the request.
     Unavailable,
 }
 
-/// A message from one control process to another. None has a reply of its own.
+/// A message from one control process to another. Messages are one-way: none has a matching reply.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum PeerMessage {
-    /// The first message on a connection: the sender introduces itself.
+    /// Identifies the sender: the first message on a connection, repeated when the bootstrap node becomes known.
     Hello {
-        /// IPv4 address of its machine.
+        /// IPv4 address of the sender's machine.
         ip: u32,
-        /// Whether it stores the configuration on a disk.
+        /// Whether the sender stores the configuration on a disk.
         has_disk: bool,
-        /// The machine that an operator named as bootstrap node, where the seeds could not bootstrap the group.
+        /// The machine that the lowest seed nominated to bootstrap the cluster, if no seed has a disk.
         bootstrap_node: Option<u32>,
-        /// The origin under which it numbers its changes.
+        /// The origin under which the sender numbers its changes.
         origin: crate::Origin,
-        /// IPv4 addresses of the machines that it knows to run a control process.
+        /// IPv4 addresses of the machines that the sender knows to run a control process.
         members: Vec<u32>,
     },
     /// A message for the receiver's replica.
     Replica {
-        /// The sending replica; it may exist only some time after the connection was opened.
+        /// The sending replica, which may be created after the connection was opened.
         from: ReplicaId,
-        /// The receiving replica; `None` for whichever runs there. A message to the replica of a lost disk is dropped.
+        /// The receiving replica; `None` addresses any replica at the receiver. A message to the replica of a lost disk
+        /// is dropped.
         to: Option<ReplicaId>,
         /// The message.
         message: ReplicaMessage,
     },
-    /// The backends' load: the sums of what the proxies that call the sender observe.
+    /// Load of the backends, summed over the proxies that report to the sender.
     Load(Vec<BackendLoad>),
-    /// Changes of the catalog, as they happen.
+    /// New changes of the catalog.
     Push(CatalogDelta),
     /// The sender has applied the changes of an origin up to a number.
     Acknowledge {
         /// The origin.
         origin: crate::Origin,
-        /// The number.
+        /// Number of the newest change applied.
         change: u64,
     },
-    /// What the sender has: the receiver pushes the changes that it lacks (anti-entropy).
+    /// Summary of the sender's catalog; the receiver pushes the changes that the sender lacks (anti-entropy).
     Compare {
-        /// The sender's vector.
+        /// Version vector of the sender.
         vector: VersionVector,
-        /// Digests of the ranges of its catalog.
+        /// Digests of the ranges of the sender's catalog.
         digests: Vec<u64>,
-        /// IPv4 addresses of the machines that it knows to run a control process, for a receiver that was unreachable
-        /// while one was added.
+        /// IPv4 addresses of the machines that the sender knows to run a control process, for a receiver that was
+        /// unreachable while one was added.
         members: Vec<u32>,
     },
 }
@@ -214,13 +216,13 @@
 /// The status of a control process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct StatusReport {
-    /// Identity of its replica: machine and disk incarnation.
+    /// Identity of the replica: machine and disk incarnation.
     pub replica: String,
-    /// Its role.
+    /// Raft role of the replica.
     pub role: String,
-    /// Its term.
+    /// Term of the replica.
     pub term: u64,
-    /// The leader, as far as it knows.
+    /// The leader, if the process knows it.
     pub leader: Option<String>,
     /// The voters.
     pub voters: Vec<String>,
@@ -228,9 +230,9 @@
     pub index: u64,
     /// Revision of the committed configuration.
     pub revision: u64,
-    /// Whether it was in contact with a majority within its lease.
+    /// Whether the process was in contact with a majority of the replicas within its lease.
     pub fresh: bool,
-    /// Whether it stores the configuration on a disk.
+    /// Whether the process stores the configuration on a disk.
     pub disk: bool,
     /// Number of other control processes that are alive.
     pub peers_alive: u64,
@@ -242,7 +244,7 @@
     pub proxies: u64,
 }
 
-/// The first message on a connection to a control process: what follows.
+/// The first message on a connection to a control process, which selects the messages that follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ConnectionPreface {
     /// [`Request`]s follow, each with its [`Reply`] in turn.
--- a/crates/gaugesaddle-protocol/src/frame.rs
+++ b/crates/gaugesaddle-protocol/src/frame.rs
@@ -18,23 +18,23 @@
 /// Limit on the length of a message, in bytes: a configuration of 4 MiB with headroom for the rest.
 pub const MAX_BYTES: usize = 12 << 20;
 
-/// Why a frame cannot be encoded or decoded.
+/// An error of encoding or decoding a frame.
 #[derive(Debug, Error)]
 pub enum FrameError {
     /// The length, in bytes, exceeds [`MAX_BYTES`].
-    #[error("a message of {0} bytes, the limit is {MAX_BYTES}")]
+    #[error("message of {0} bytes exceeds the limit of {MAX_BYTES} bytes")]
     TooLong(usize),
     /// The peer uses another version of the format, or another protocol.
     #[error("format version {0}, expected {VERSION}")]
     Version(u8),
     /// The bytes are not an encoding of the expected type.
-    #[error("a message that cannot be decoded")]
+    #[error("message cannot be decoded")]
     Malformed(#[source] musli::storage::Error),
     /// The message is valid, but not expected at this point of the protocol.
-    #[error("a message that is not expected here")]
+    #[error("unexpected message at this point of the protocol")]
     Unexpected,
     /// The message cannot be encoded.
-    #[error("a message that cannot be encoded")]
+    #[error("message cannot be encoded")]
     Encode(#[source] musli::storage::Error),
 }
 
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 ///
-/// [`FrameError::Encode`], or [`FrameError::TooLong`] where it exceeds [`MAX_BYTES`].
+/// [`FrameError::Encode`], or [`FrameError::TooLong`] if the message exceeds [`MAX_BYTES`].
 pub fn encode<T: Encode<Binary>>(message: &T) -> Result<Vec<u8>, FrameError> {
     let body = musli::storage::to_vec(message).map_err(FrameError::Encode)?;
     if body.len() > MAX_BYTES {
@@ -55,7 +55,7 @@
     Ok(frame)
 }
 
-/// Length of the message after a header, in bytes.
+/// Returns the length of the message that follows a header, in bytes.
 ///
 /// # Errors
 ///
--- a/crates/gaugesaddle-protocol/src/lib.rs
+++ b/crates/gaugesaddle-protocol/src/lib.rs
@@ -1,17 +1,17 @@
 //! Typed messages between the processes of the fleet.
 //!
-//! The types are data only; the crates above decide what they mean. A connection carries [`frame`]s: a length, a format
-//! version and one message in `musli`'s storage encoding. That encoding writes the positions of fields and variants, not
-//! their names: a field or variant may be renamed but not moved, and new ones are added at the end only.
-//! `tests/golden_frames.rs` checks this for every message.
+//! The types carry data only; the crates that use them implement the protocols. A connection carries [`frame`]s: a
+//! length, a format version and one message in `musli`'s storage encoding. That encoding writes the positions of fields
+//! and variants, not their names: a field or variant may be renamed but not moved, and new ones are added at the end
+//! only. `tests/golden_frames.rs` checks this for every message.
 //!
 //! # Main types
 //!
-//! - [`ConnectionPreface`] is the first message on a connection to a control process; [`Request`]s with their [`Reply`],
-//!   or [`PeerMessage`]s follow.
+//! - [`ConnectionPreface`] is the first message on a connection to a control process; [`Request`]s with their
+//!   [`Reply`], or [`PeerMessage`]s follow.
 //! - [`ReplicaMessage`] and [`State`]: consensus on the configuration ([`consensus`]).
 //! - [`Registration`], [`VersionVector`] and [`CatalogDelta`]: backends and proxies ([`catalog`]).
-//! - [`QuotaRequest`], [`QuotaGrant`] and [`BackendLoad`]: tokens of tenants and load of backends.
+//! - [`QuotaRequest`], [`QuotaGrant`] and [`BackendLoad`]: token quotas of tenants, and load of backends.
 //!
 //! # Example
 //!
@@ -30,8 +30,8 @@
 //!
 //! # Guarantees and bounds
 //!
-//! Decoders are total: any bytes yield a message or a [`frame::FrameError`], never a panic. A message is at most
-//! [`frame::MAX_BYTES`] long, which [`frame::body_length`] checks before anything is allocated.
+//! Decoding never panics: any input yields a message or a [`frame::FrameError`]. A message is at most
+//! [`frame::MAX_BYTES`] long; [`frame::body_length`] checks this before memory is allocated for the message.
 
 pub mod catalog;
 pub mod consensus;
--- a/crates/gaugesaddle-protocol/src/quota.rs
+++ b/crates/gaugesaddle-protocol/src/quota.rs
@@ -1,15 +1,15 @@
-//! Tokens of tenants: the proxies' requests and the leader's leases.
+//! Token quotas of tenants: requests of the proxies and leases granted by the leader.
 
 use musli::{Decode, Encode};
 
-/// A proxy's request for one tenant.
+/// A proxy's request for tokens of one tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct QuotaRequest {
     /// The tenant.
     pub tenant: String,
     /// Number of tokens requested.
     pub tokens: u64,
-    /// Leased tokens that it has not used yet.
+    /// Leased tokens that the proxy has not used yet.
     pub unused: u64,
     /// Recent usage in tokens per second; the proxy may continue at this rate while no leader responds.
     pub usage_rate: u64,
@@ -20,6 +20,6 @@
 pub struct QuotaGrant {
     /// The tenant.
     pub tenant: String,
-    /// Tokens leased, to be used within the lease.
+    /// Number of tokens leased; unused tokens expire with the lease.
     pub tokens: u64,
 }
--- a/crates/gaugesaddle-protocol/tests/frames.rs
+++ b/crates/gaugesaddle-protocol/tests/frames.rs
@@ -1,4 +1,4 @@
-//! The failure: corrupt or foreign bytes of another process end this one, or are taken for a message.
+//! Guards against corrupt or foreign bytes that panic the decoder or are accepted as a message.
 
 use gaugesaddle_protocol::frame::{
     body_length, decode, encode, FrameError, HEADER_BYTES, MAX_BYTES, VERSION,
@@ -77,7 +77,7 @@
     assert!(matches!(too_long, Err(FrameError::TooLong(bytes)) if bytes == MAX_BYTES + 1), "{too_long:?}");
 }
 
-/// Cases are the same in each run.
+/// Fixed seed: every run generates the same cases.
 const SEED: RngSeed = RngSeed::Fixed(20_261_202);
 
 proptest! {
--- a/crates/gaugesaddle-protocol/tests/golden_frames.rs
+++ b/crates/gaugesaddle-protocol/tests/golden_frames.rs
@@ -1,6 +1,7 @@
-//! The failure: a renamed or moved field makes the messages of two builds incompatible.
+//! Guards against a renamed or moved field that makes the messages of two builds incompatible.
 //!
-//! `data/frames.txt` holds one frame of every message variant, as the build before any rename wrote it. The names in it are of that build.
+//! `data/frames.txt` contains one frame of every message variant, recorded by the build before any rename, with the
+//! names of that build.
 
 use gaugesaddle_protocol::frame::{decode, encode, HEADER_BYTES};
 use gaugesaddle_protocol::*;
@@ -26,7 +27,7 @@
     GOLDEN.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": ").map(bytes))
 }
 
-/// Collects the messages whose frame is not the recorded one, as lines of the data file.
+/// Collects the messages whose frame differs from the recorded one, as lines of the data file.
 #[derive(Default)]
 struct Frames {
     checked: usize,
