--- a/crates/gaugesaddle-control/src/bootstrap.rs
+++ b/crates/gaugesaddle-control/src/bootstrap.rs
@@ -1,9 +1,9 @@
-//! Cluster bootstrap: which machines are the initial voters, decided alike at every process from facts that do not
-//! change.
+//! Cluster bootstrap: each process determines the initial voters from facts that do not change, so that all processes
+//! arrive at the same voters.
 //!
 //! All processes are configured with the same seeds and report to one another whether they have a disk. The seeds with
-//! a disk are the initial voters. Where no seed has one, the lowest seed nominates one machine, the *bootstrap node*,
-//! once; nobody else ever does.
+//! a disk are the initial voters. If no seed has a disk, the seed with the lowest address nominates one machine, the
+//! *bootstrap node*, once; no other process nominates any.
 //!
 //! ```text
 //!  all seeds reported, some with a disk ----------------------------> initial voters: these seeds
@@ -13,23 +13,22 @@
 
 use std::collections::BTreeMap;
 
-/// What a process knows of the seeds.
-///
-/// The table of disks has an entry for each control machine that has reported; only such machines report.
+/// State of the bootstrap at one process: the seeds and the reports received.
 #[derive(Clone, Debug)]
 pub struct Bootstrap {
     own_ip: u32,
     /// Sorted addresses of the seeds.
     seeds: Vec<u32>,
-    /// Whether a machine has a disk, by its address.
+    /// Whether a machine has a disk, by its address: an entry for each machine that has reported. Only machines that
+    /// run a control process report.
     has_disk: BTreeMap<u32, bool>,
     bootstrap_node: Option<u32>,
-    /// This is the first start of the fleet.
+    /// Whether this is the first start of the fleet.
     is_first_start: bool,
 }
 
 impl Bootstrap {
-    /// The state of the machine `own_ip` with the seeds of its boot file.
+    /// Creates the state for the machine `own_ip` with the seeds of its boot file.
     pub fn new(own_ip: u32, has_disk: bool, mut seeds: Vec<u32>, is_first_start: bool) -> Bootstrap {
         seeds.sort_unstable();
         seeds.dedup();
@@ -37,8 +36,7 @@
         Bootstrap { own_ip, seeds, has_disk, bootstrap_node: None, is_first_start }
     }
 
-    /// Records a report of another process; true where the bootstrap node becomes known by it, so that it is to be
-    /// broadcast.
+    /// Records a report of another process. Returns whether the bootstrap node became known and must be broadcast.
     pub fn record_report(&mut self, ip: u32, has_disk: bool, bootstrap_node: Option<u32>) -> bool {
         self.has_disk.insert(ip, has_disk);
         if self.bootstrap_node.is_none() && bootstrap_node.is_some() {
@@ -48,12 +46,12 @@
         self.nominate_bootstrap_node()
     }
 
-    /// The machine that was nominated to bootstrap the cluster alone, once known.
+    /// The machine nominated to bootstrap the cluster alone, once known.
     pub fn bootstrap_node(&self) -> Option<u32> {
         self.bootstrap_node
     }
 
-    /// Addresses of the initial voters, once they are certain; `None` after the first start.
+    /// Addresses of the initial voters; `None` until they are determined, and at every start but the first.
     pub fn initial_voters(&self) -> Option<Vec<u32>> {
         if !self.is_first_start {
             return None;
@@ -70,8 +68,8 @@
         self.bootstrap_node.map(|ip| vec![ip])
     }
 
-    /// At the lowest seed, nominates the lowest known machine with a disk. A seed that has restarted does not: it could
-    /// nominate another one than before.
+    /// Nominates the known machine with the lowest address that has a disk, if this process runs on the lowest seed. A
+    /// restarted seed does not nominate, since it could choose another machine than before.
     fn nominate_bootstrap_node(&mut self) -> bool {
         let is_lowest_seed = self.seeds.first() == Some(&self.own_ip);
         if !self.is_first_start || !is_lowest_seed || self.bootstrap_node.is_some() {
--- a/crates/gaugesaddle-control/src/catalog_updates.rs
+++ b/crates/gaugesaddle-control/src/catalog_updates.rs
@@ -1,11 +1,11 @@
-//! Updates of the catalog: recorded here, replicated to the peers, announced to the proxies that wait for changes.
+//! Updates of the catalog: recorded at this process, replicated to the peers and announced to waiting proxies.
 
 use crate::core::{Core, CoreHandle};
 use gaugesaddle_protocol::{CatalogDelta, PeerMessage, Pull, Registration};
 use spdlog::info;
 
 impl CoreHandle {
-    /// Handles a peer's message about the catalog and answers it.
+    /// Handles a peer's message about the catalog and sends the responses.
     pub fn handle_catalog_message(&self, ip: u32, message: PeerMessage) {
         let changed = self.with(|core| {
             let now = core.clock.now();
@@ -25,7 +25,7 @@
         self.replicate(|core, now| core.catalog_replica.record(now, registration).into_iter().collect());
     }
 
-    /// Records a proxy's pull: its lease is renewed, and what it confirms to know is acknowledged to the peers.
+    /// Records a proxy's pull: renews its lease, and acknowledges to the peers the changes that the proxy confirms.
     pub fn record_pull(&self, pull: &Pull) {
         self.with(|core| {
             let now = core.clock.now();
@@ -52,7 +52,7 @@
         });
     }
 
-    /// Applies an update of the catalog and pushes the deltas that it makes to all peers.
+    /// Applies an update of the catalog and pushes the resulting deltas to all peers.
     fn replicate(&self, update: impl FnOnce(&mut Core, u64) -> Vec<CatalogDelta>) {
         let changed = self.with(|core| {
             let now = core.clock.now();
@@ -69,17 +69,17 @@
 }
 
 impl Core {
-    /// Addresses of the machines that serve control, this one included.
+    /// Addresses of the machines that run a control process, including this one.
     pub fn members(&self, now: u64) -> Vec<u32> {
         let mut members = self.catalog_replica.peers().alive(now);
         members.push(u32::from(self.boot.ip));
         members
     }
 
-    /// Adds machines that serve control as peers.
+    /// Adds machines that run a control process as peers.
     pub fn add_peers(&mut self, members: impl Iterator<Item = u32>) {
-        let own = u32::from(self.boot.ip);
-        for member in members.filter(|ip| *ip != own) {
+        let own_ip = u32::from(self.boot.ip);
+        for member in members.filter(|ip| *ip != own_ip) {
             self.peers.add(member);
         }
     }
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The digest of the catalog with which a peer finds out what either side lacks.
+    /// The summary of the catalog that a peer compares with its own; `with_ranges` adds the digests of the ranges.
     pub fn compare(&self, with_ranges: bool) -> PeerMessage {
         let now = self.clock.now();
         self.catalog_replica.compare(with_ranges, self.members(now))
--- a/crates/gaugesaddle-control/src/change_handler.rs
+++ b/crates/gaugesaddle-control/src/change_handler.rs
@@ -1,4 +1,4 @@
-//! Handles operators' configuration changes: validated by the process that receives them, decided by the leader.
+//! Handles operators' configuration changes: the receiving process validates them, the leader decides them.
 
 use crate::core::CoreHandle;
 use gaugesaddle_config::{Findings, OperatorConfig};
@@ -11,17 +11,18 @@
 
 /// Time-out for connecting to the leader.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time-out for the leader's answer: the caller tries another process after a second, later for a large body.
+/// Time-out for the leader's response. Callers try another process after one second, later for a large body.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
-/// The time-out is longer by a millisecond for each so many bytes of a body.
+/// Number of bytes of a body that extend the time-out by one millisecond.
 const BODY_BYTES_PER_MS: u64 = 1000;
 
-/// No leader has answered a read in time.
+/// No leader responded to a read within the time-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("reading the configuration: no leader answered")]
+#[error("cannot read the configuration: no leader responded in time")]
 pub struct LeaderUnavailable;
 
-/// Decides a change that any process received. It is validated here, so that an invalid one is never forwarded.
+/// Handles a change received from an operator: decides it as the leader, or forwards it to the leader. The change is
+/// validated first, so that an invalid one is never forwarded.
 pub async fn submit(core: &CoreHandle, change: ConfigurationChange) -> ChangeReply {
     if let Err(findings) = validate(&change.body) {
         return reject(&findings);
@@ -39,7 +40,7 @@
     tokio::time::timeout(timeout, deciding).await.unwrap_or(ChangeReply::Indeterminate)
 }
 
-/// Checks a change by itself, without the configuration that it builds on.
+/// Validates a change by itself, without the configuration that it is based on.
 fn validate(body: &ChangeBody) -> Result<(), Findings> {
     match body {
         ChangeBody::Full(document) => validate_document(document),
@@ -50,17 +51,17 @@
 fn validate_document(document: &[u8]) -> Result<(), Findings> {
     let config = OperatorConfig::parse(document)?;
     for warning in config.warnings() {
-        warn!("configuration, revision {}: {warning}", config.revision);
+        warn!("configuration revision {}: {warning}", config.revision);
     }
     Ok(())
 }
 
 fn reject(findings: &Findings) -> ChangeReply {
-    info!("configuration rejected: {findings}");
+    info!("configuration change rejected: {findings}");
     ChangeReply::Invalid { findings: findings.0.iter().map(ToString::to_string).collect() }
 }
 
-/// Decides a change as the leader; the process that forwarded it has validated it.
+/// Decides a change as the leader; the process that received it has validated it.
 pub async fn decide(core: &CoreHandle, change: ConfigurationChange) -> ChangeReply {
     if core.with(|c| c.is_bootstrapping()) {
         return ChangeReply::Indeterminate;
@@ -83,11 +84,11 @@
     }
 }
 
-/// The committed configuration, `None` before the first one.
+/// Reads the committed configuration; `None` before the first one.
 ///
 /// # Errors
 ///
-/// No leader is known, or it did not answer within [`ANSWER_TIMEOUT`].
+/// No leader is known, or it did not respond within [`ANSWER_TIMEOUT`].
 pub async fn read(core: &CoreHandle) -> Result<Option<Configuration>, LeaderUnavailable> {
     let reading = async {
         if core.with(|c| c.is_leading()) {
@@ -101,7 +102,7 @@
     tokio::time::timeout(ANSWER_TIMEOUT, reading).await.unwrap_or(Err(LeaderUnavailable))
 }
 
-/// Calls the leader; `None` where there is none or the call fails.
+/// Calls the leader; `None` if no leader is known or the call fails.
 async fn call_leader(core: &CoreHandle, request: Request, timeout: Duration) -> Option<Reply> {
     let address = core.with(|c| Some(c.boot.control_process(c.leader()?)))?;
     let mut caller = Caller::open(address, CONNECT_TIMEOUT).await.ok()?;
--- a/crates/gaugesaddle-control/src/cli.rs
+++ b/crates/gaugesaddle-control/src/cli.rs
@@ -112,7 +112,7 @@
             Command::new("status")
                 .about("Status of control processes: role, term, voters, revision, backends, proxies")
                 .arg(address_option().help(
-                    "An address for processes: the machine, and the first port of the range for processes",
+                    "The internal address of a control process: its machine and the first port of ephemeralPorts",
                 ))
                 .arg(json_option()),
         )
@@ -146,7 +146,7 @@
     arguments.get_many("at").into_iter().flatten().copied().collect()
 }
 
-/// A duration given in seconds; 0 where the value is no duration.
+/// A duration given in seconds; zero if the value is not a valid duration.
 fn duration(arguments: &ArgMatches, name: &str) -> Duration {
     let seconds = arguments.get_one::<f64>(name).copied().unwrap_or_default();
     Duration::try_from_secs_f64(seconds).unwrap_or_default()
--- a/crates/gaugesaddle-control/src/core.rs
+++ b/crates/gaugesaddle-control/src/core.rs
@@ -1,6 +1,6 @@
-//! The state of the process: one value that owns all state machines, borrowed by every task for a moment.
+//! The state of the process: a single value that owns all state machines and that tasks borrow briefly.
 //!
-//! The files beside this one extend [`Core`] and [`CoreHandle`] by concern: [`crate::replica_driver`] (consensus and
+//! Other modules extend [`Core`] and [`CoreHandle`] by concern: [`crate::replica_driver`] (consensus and
 //! disk), [`crate::bootstrap_driver`], [`crate::catalog_updates`], [`crate::quota`], [`crate::status`].
 
 use crate::bootstrap::Bootstrap;
@@ -25,14 +25,14 @@
 /// Duration of a backend's lease, in heartbeat intervals.
 const LEASE_HEARTBEATS: f64 = 3.5;
 
-/// Timing and bounds of the replica. A deployment that tolerates `f` lost machines needs `2f + 1` voters.
+/// Settings of the replica. A deployment that tolerates `f` lost machines needs `2f + 1` voters.
 fn replica_settings(boot: &BootSettings) -> Settings {
     let defaults = Settings::default();
     let voters = 2 * boot.tolerance.machines as usize + 1;
     Settings { min_voters: defaults.min_voters.max(voters), ..defaults }
 }
 
-/// A task's request to the replica that has not been answered yet.
+/// A request of a task to the replica, awaiting its response.
 pub enum PendingRequest {
     /// A proposed configuration.
     Proposal(oneshot::Sender<ProposalResult>),
@@ -44,7 +44,7 @@
 pub struct Core {
     pub boot: BootSettings,
     pub clock: Clock,
-    /// Identity as a replica: drawn at the start, replaced by the one on the disk once that is open.
+    /// Identity of the replica: generated at the start, replaced by the one stored on the disk once the disk is open.
     pub id: ReplicaId,
     /// The consensus replica; `None` until the disk is open, and after it failed.
     pub replica: Option<Replica>,
@@ -58,21 +58,21 @@
     pub allocator_term: u64,
     pub peers: PeerQueues,
     pub distributor: Distributor,
-    /// Load of the backends, as proxies report it.
+    /// Load of the backends as reported by the proxies.
     pub loads: LoadAggregator,
-    /// Messages of other processes that could not be read.
+    /// Counts the messages of other processes that could not be decoded.
     pub malformed_messages: MalformedMessages,
     /// Notified when a proxy has reported loads.
     pub load_reported: Rc<Notify>,
     /// Queue to the disk thread; `None` without a disk.
     pub disk: Option<mpsc::Sender<DiskWrite>>,
-    /// Requests to the replica by their number. Every entry is removed by the replica's answer, or when the disk fails.
+    /// Requests to the replica by their number. An entry is removed when the replica responds or the disk fails.
     pub pending: HashMap<u64, PendingRequest>,
     pub next_request: u64,
 }
 
 impl Core {
-    /// Creates the replica out of what its disk has; without a disk it is a learner, which never votes.
+    /// Creates the replica from the records on its disk. Without a disk it is a learner, which never votes.
     pub fn create_replica(&mut self, hard_state: HardState, state: State) {
         let settings = replica_settings(&self.boot);
         let now = self.clock.now();
@@ -81,11 +81,11 @@
     }
 }
 
-/// The core, shared by the tasks of the one thread.
+/// Shared handle to the core for the tasks, which all run on one thread.
 #[derive(Clone)]
 pub struct CoreHandle {
     core: Rc<RefCell<Core>>,
-    /// Change notifier: counts the changes that proxies may wait for.
+    /// Number of changes so far; requests of proxies wait for its next value.
     changes: Rc<watch::Sender<u64>>,
     /// Notified when the replica's deadline may have changed.
     pub deadline_changed: Rc<Notify>,
@@ -125,12 +125,13 @@
         }
     }
 
-    /// Borrows the core; a borrow must not be kept across an await.
+    /// Calls `f` with the core borrowed mutably. `f` must not borrow it again, and no borrow outlives the call, so that
+    /// none is held across an await.
     pub fn with<T>(&self, f: impl FnOnce(&mut Core) -> T) -> T {
         f(&mut self.core.borrow_mut())
     }
 
-    /// A receiver that observes every change.
+    /// Returns a receiver that is notified of each change.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
--- a/crates/gaugesaddle-control/src/disk.rs
+++ b/crates/gaugesaddle-control/src/disk.rs
@@ -1,4 +1,4 @@
-//! The disk thread: writes and syncs the records of the replica, and reopens the ring after an error.
+//! The disk thread: writes and syncs the records of the replica, and reopens the ring of segments after an error.
 //!
 //! ```text
 //!  (start) --> opening --Opened--> writing --Persisted--> writing
@@ -16,19 +16,20 @@
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Interval between attempts to open a disk that failed.
+/// Interval between attempts to reopen the disk after an error.
 const REOPEN_INTERVAL: Duration = Duration::from_millis(300);
-/// Fraction of the disk that the ring's segments take together.
+/// Fraction of the disk that all segments of the ring occupy together.
 const RING_FRACTION: f64 = 0.6;
 /// Bounds on the size of a segment.
 const MIN_SEGMENT_BYTES: u64 = 1 << 20;
 const MAX_SEGMENT_BYTES: u64 = 8 << 20;
-/// Bytes of a megabyte, as in the boot file.
+/// Bytes in a megabyte, the unit of the disk's size in the boot file.
 const BYTES_PER_MB: f64 = 1e6;
 /// Maximum number of writes made durable by one sync.
 const MAX_BATCH: usize = 32;
 
-/// A write of the replica. Writes become durable in order, so that of several only the newest state is written.
+/// A write requested by the replica. Writes become durable in order, so that only the newest state of several writes is
+/// written.
 #[derive(Debug)]
 pub struct DiskWrite {
     pub write_id: WriteId,
@@ -36,22 +37,22 @@
     pub state: Option<Box<State>>,
 }
 
-/// Event of the disk thread.
+/// An event reported by the disk thread.
 #[derive(Debug)]
 pub enum DiskEvent {
-    /// The ring is open; its newest records.
+    /// The ring is open; contains its newest records.
     Opened {
-        /// `None` where the disk is empty.
+        /// `None` if the disk is empty.
         hard_state: Option<HardState>,
         state: Option<Box<State>>,
     },
-    /// A write and all before it are durable.
+    /// This write and all earlier ones are durable.
     Persisted(WriteId),
-    /// Opening or writing failed; writes before the next `Opened` are lost.
+    /// Opening or writing failed; writes queued before the next `Opened` are lost.
     Failed(LogError),
 }
 
-/// Starts the thread. It ends when the sender of writes or the receiver of events is dropped.
+/// Starts the disk thread, which ends when the sender of writes or the receiver of events is dropped.
 ///
 /// # Errors
 ///
@@ -103,7 +104,7 @@
     match disk_format::read(ring.slots()) {
         Ok((hard_state, state)) => DiskEvent::Opened { hard_state, state: state.map(Box::new) },
         Err(error) => {
-            warn!("{error}: the disk counts as empty");
+            warn!("ignoring the records on the disk, starting without them: {error}");
             DiskEvent::Opened { hard_state: None, state: None }
         }
     }
--- a/crates/gaugesaddle-control/src/http_api.rs
+++ b/crates/gaugesaddle-control/src/http_api.rs
@@ -23,7 +23,7 @@
 const MAX_CONFIGURATION_BYTES: usize = 8 << 20;
 /// Time-out for receiving a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time-out for receiving a request head, which is also the idle time-out of a connection.
+/// Time-out for receiving a request head, and idle time-out of a connection.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
 /// Header with the revision that a change is based on.
 const BASE_REVISION_HEADER: &str = "config-revision";
@@ -48,7 +48,8 @@
         tokio::task::spawn_local(async move {
             let mut builder = http1::Builder::new();
             builder.timer(TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT);
-            // An error of one connection, such as a caller that disconnects, is no fault of this process.
+            // An error of one connection, such as a disconnected caller, is not a fault of this process and is not
+            // logged.
             let _ = builder.serve_connection(TokioIo::new(stream), service).await;
         });
     }
@@ -80,7 +81,7 @@
     }
 }
 
-/// Reads a body of at most `max_bytes`; an error is the status to answer with.
+/// Reads a body of at most `max_bytes`. An error is the status code of the response.
 async fn read_body(request: Request<Incoming>, max_bytes: usize) -> Result<Bytes, StatusCode> {
     let reading = Limited::new(request.into_body(), max_bytes).collect();
     match tokio::time::timeout(BODY_TIMEOUT, reading).await {
@@ -109,7 +110,7 @@
     }
 }
 
-/// Handles a change by an operator; `to_change` makes the body a full document or a patch.
+/// Handles an operator's change; `to_change` converts the body to a full document or a patch.
 async fn change_configuration(
     core: &CoreHandle, request: Request<Incoming>, to_change: fn(Vec<u8>) -> ChangeBody,
 ) -> HttpResponse {
--- a/crates/gaugesaddle-control/src/lib.rs
+++ b/crates/gaugesaddle-control/src/lib.rs
@@ -1,15 +1,15 @@
 //! The control plane: commits operators' configurations on a majority of disks, records the registrations of backends
-//! and proxies as soft state under leases, allocates tenants' tokens, and distributes all of it to every proxy.
+//! and proxies as soft state under leases, allocates tenants' tokens, and distributes the results to every proxy.
 //!
 //! ```text
 //!  operators, backends --HTTP--> http_api ----------+                        +--> disk (a thread: ring of files)
-//!  proxies ------------frames--> request_server ----+--> core: the state ----+
+//!  proxies ------------frames--> request_server ----+--> core: all state ----+
 //!  control processes --frames--> peer_connections --+    machines            +--> peer_queues (frames)
 //!                                maintenance (1 s) -+
 //! ```
 //!
-//! Decisions are made in the crates without I/O; this crate is their host. One thread runs everything but the writes to
-//! the disk, and one value, `Core`, owns all state:
+//! The protocols are implemented in crates without I/O; this crate provides their I/O, timers and tasks. A single
+//! thread runs everything except the writes to the disk, and one value, `Core`, owns all state:
 //!
 //! | state | owner | extended by |
 //! | --- | --- | --- |
@@ -19,12 +19,13 @@
 //! | tokens: [`TokenAllocator`](gaugesaddle_quota::TokenAllocator) | `core` | `quota` |
 //! | loads: [`LoadAggregator`](gaugesaddle_load_report::LoadAggregator) | `core` | `load_reports` |
 //!
-//! `change_handler` is the server's side of a configuration change, [`operator_client`] the command line's.
+//! `change_handler` implements the server side of a configuration change, [`operator_client`] the client side for the
+//! command line.
 //!
 //! ```rust
 //! use gaugesaddle_control::bootstrap::Bootstrap;
 //!
-//! // At machine 1, which has a disk; the seeds are the machines 1 and 2, and the fleet starts for the first time.
+//! // Machine 1 has a disk, the seeds are machines 1 and 2, and the fleet starts for the first time.
 //! let mut bootstrap = Bootstrap::new(1, true, vec![1, 2], true);
 //! assert_eq!(bootstrap.initial_voters(), None);
 //! bootstrap.record_report(2, true, None);
@@ -34,9 +35,9 @@
 //! # Guarantees
 //!
 //! - A change that is acknowledged (status 200) is durable on a majority of the voters' disks.
-//! - An acknowledged drain or deregistration is known to a majority of the control processes at least.
-//! - Malformed input ends its connection or is answered with an error; it does not stop the process.
-//! - A disk that fails stops the replica, not the process; it is opened again every 300 ms.
+//! - An acknowledged drain or deregistration is replicated to at least a majority of the control processes.
+//! - Malformed input closes its connection or is answered with an error; it does not stop the process.
+//! - A disk error stops the replica but not the process, which tries to reopen the disk every 300 ms.
 //!
 //! # Limits
 //!
--- a/crates/gaugesaddle-control/src/load_reports.rs
+++ b/crates/gaugesaddle-control/src/load_reports.rs
@@ -1,4 +1,4 @@
-//! Load reports of the proxies: aggregated here and exchanged with the other control processes.
+//! Load reports of the proxies, aggregated at this process and exchanged with the other control processes.
 
 use crate::core::CoreHandle;
 use gaugesaddle_protocol::{BackendLoad, PeerMessage};
@@ -7,7 +7,7 @@
 /// Reports that arrive within this time are broadcast together.
 const BATCH_WINDOW: Duration = Duration::from_millis(80);
 
-/// Broadcasts sums to the peers until the process ends.
+/// Broadcasts the sums of the proxies' reports to the peers until the process ends.
 pub async fn run(core: CoreHandle) {
     let load_reported = core.with(|c| c.load_reported.clone());
     loop {
@@ -20,7 +20,7 @@
     }
 }
 
-/// Records a proxy's report; returns the load of the backends over all proxies.
+/// Records a proxy's report and returns the load of the backends over all proxies.
 pub fn record(core: &CoreHandle, proxy: u64, loads: Vec<BackendLoad>) -> Vec<BackendLoad> {
     core.with(|c| {
         let now = c.clock.now();
--- a/crates/gaugesaddle-control/src/maintenance.rs
+++ b/crates/gaugesaddle-control/src/maintenance.rs
@@ -1,5 +1,5 @@
-//! The maintenance loop, once a second: leases expire, catalogs are compared with the peers' (anti-entropy), seeds are
-//! read again while there is no leader.
+//! The maintenance loop: once a second it expires leases, compares the catalog with the peers' (anti-entropy) and,
+//! while no leader is known, rereads the seeds.
 
 use crate::core::{Core, CoreHandle};
 use crate::peer_connections;
@@ -34,8 +34,8 @@
 }
 
 impl Core {
-    /// Sends every peer a summary of the catalog, which also shows that this process is alive, and one random peer a
-    /// digest of its ranges.
+    /// Sends every peer a summary of the catalog, which also shows that this process is alive, and one random peer the
+    /// digests of its ranges.
     fn compare_with_peers(&mut self, now: u64) {
         let alive = self.catalog_replica.peers().alive(now);
         let random_peer = alive.get(random_u64() as usize % alive.len().max(1)).copied();
--- a/crates/gaugesaddle-control/src/operator_client.rs
+++ b/crates/gaugesaddle-control/src/operator_client.rs
@@ -1,5 +1,5 @@
-//! The client behind the operator's commands: change, read and watch the configuration, and read the status of a control
-//! process.
+//! The client behind the operator's commands: changes, reads and watches the configuration, and reads the status of a
+//! control process.
 //!
 //! It calls the control addresses in turn, as the protocol requires of every caller: after an error, or a status 5xx,
 //! 408 or 429, it calls the next one, until a time-out. Its functions block.
@@ -35,7 +35,7 @@
 }
 
 impl HttpResponse {
-    /// Whether another process would not answer differently.
+    /// Whether the response is final, that is, no other process would respond differently.
     fn is_conclusive(&self) -> bool {
         self.status < 500 && ![408, 429].contains(&self.status)
     }
@@ -89,13 +89,14 @@
         let response = conclusive_response(endpoints, &Call::Change { change, base }).await?;
         match response.status {
             200 => revision(change.text()),
-            412 => bail!("another version is in place: {}", response.body),
+            412 => bail!("the change is not based on the current revision: {}", response.body),
             status => bail!("rejected with status {status}:\n{}", response.body),
         }
     })
 }
 
-/// The configuration that a patch would make of the current one, validated as the fleet does; nothing is submitted.
+/// Returns the configuration that would result from applying a patch to the current one. It is validated as the fleet
+/// validates it, but not submitted.
 ///
 /// # Errors
 ///
@@ -104,7 +105,7 @@
     let current = get(endpoints)?.unwrap_or_default();
     let current_revision = if current.is_empty() { 0 } else { revision(&current)? };
     if base.is_some_and(|base| base != current_revision) {
-        bail!("another version is in place: revision {current_revision} is in place");
+        bail!("the change is not based on the current revision: revision {current_revision} is in place");
     }
     let patched = ConfigPatch::parse(patch.as_bytes()).and_then(|patch| {
         let document = patch.apply(current.as_bytes())?;
@@ -117,7 +118,7 @@
     Ok(String::from_utf8(document)?)
 }
 
-/// The current configuration; `None` before the first one.
+/// Reads the current configuration; `None` before the first one.
 ///
 /// # Errors
 ///
@@ -162,23 +163,23 @@
 
 /// The revision of a document.
 fn revision(document: &str) -> Result<u64> {
-    let value: serde_json::Value = serde_json::from_str(document).wrap_err("the configuration")?;
+    let value: serde_json::Value = serde_json::from_str(document).wrap_err("parsing the configuration")?;
     value["revision"].as_u64().ok_or_else(|| eyre!("revision: expected a whole number"))
 }
 
-/// Calls each address in turn until one gives a response that is not to be retried elsewhere.
+/// Calls each address in turn until one gives a conclusive response, or the time-out has passed.
 async fn conclusive_response(endpoints: &Endpoints, call: &Call<'_>) -> Result<HttpResponse> {
     let client = Client::new();
     let deadline = Instant::now() + endpoints.timeout;
-    let mut last_error = eyre!("no control address");
+    let mut last_error = eyre!("no control address was given");
     for address in endpoints.addresses.iter().cycle() {
         match compio::time::timeout(CALL_TIMEOUT, send_call(&client, *address, call)).await {
             Ok(Ok(response)) if response.is_conclusive() => return Ok(response),
             Ok(Ok(response)) => {
-                last_error = eyre!("{address} answers {}: {}", response.status, response.body);
+                last_error = eyre!("{address} responded with status {}: {}", response.status, response.body);
             }
             Ok(Err(e)) => last_error = e.wrap_err(format!("calling {address}")),
-            Err(_) => last_error = eyre!("{address} does not answer within {CALL_TIMEOUT:?}"),
+            Err(_) => last_error = eyre!("{address} did not respond within {CALL_TIMEOUT:?}"),
         }
         if Instant::now() >= deadline {
             break;
@@ -203,11 +204,11 @@
     Ok(HttpResponse { status, body })
 }
 
-/// Status of the control process at an address for processes (the first port of the boot file's range).
+/// Reads the status of a control process at its internal address (the first port of the boot file's port range).
 ///
 /// # Errors
 ///
-/// The process cannot be reached or does not answer within a time-out.
+/// The process cannot be reached, or does not reply within a time-out.
 pub fn status(address: SocketAddrV4) -> Result<StatusReport> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
@@ -215,12 +216,12 @@
             Caller::open(address, CALL_TIMEOUT).await.wrap_err_with(|| format!("calling {address}"))?;
         match caller.call(&Request::Status, CALL_TIMEOUT).await? {
             Reply::Status(report) => Ok(*report),
-            _ => bail!("{address} reports no status"),
+            _ => bail!("{address} gave an unexpected reply to a status request"),
         }
     })
 }
 
-/// A report as one JSON document, for scripts.
+/// Formats a report as one JSON document, for scripts.
 pub fn report_json(report: &StatusReport) -> String {
     json!({
         "replica": report.replica, "role": report.role, "term": report.term, "leader": report.leader,
@@ -231,7 +232,7 @@
     .to_string()
 }
 
-/// A report as text, for a terminal.
+/// Formats a report as text, for a terminal.
 pub fn report_text(report: &StatusReport) -> String {
     let leader = report.leader.as_deref().unwrap_or("none known");
     [
--- a/crates/gaugesaddle-control/src/peer_connections.rs
+++ b/crates/gaugesaddle-control/src/peer_connections.rs
@@ -1,7 +1,7 @@
 //! Connections to and from the other control processes.
 //!
-//! Each process opens one connection to every other and only sends on it; messages in the other direction arrive on
-//! the connection that the peer opened.
+//! Each process opens one connection to every other process and only sends on it; messages in the other direction
+//! arrive on the connection that the peer opened.
 
 use crate::core::CoreHandle;
 use crate::peer_queues::UnconnectedPeer;
@@ -21,22 +21,22 @@
 /// Interval between attempts to connect to a peer.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Starts a connection task for each peer that has none.
+/// Starts a connection task for each peer that has none yet.
 pub fn connect_new_peers(core: &CoreHandle) {
     for UnconnectedPeer { ip, messages } in core.with(|c| c.peers.take_unconnected()) {
         tokio::task::spawn_local(send_queued(core.clone(), ip, messages));
     }
 }
 
-/// Sends the messages queued for a peer, and connects again after each error, until the process ends.
+/// Sends the messages queued for a peer, and reconnects after each error, until the process ends.
 async fn send_queued(core: CoreHandle, ip: u32, mut messages: mpsc::Receiver<PeerMessage>) {
     let address = core.with(|c| c.boot.control_process(ip));
     loop {
         if let Err(e) = connect_and_send(&core, address, &mut messages).await {
-            debug!("peer {address}: {:#}", eyre::Report::new(e));
+            debug!("connection to peer {address} failed, reconnecting: {:#}", eyre::Report::new(e));
         }
         tokio::time::sleep(RETRY_INTERVAL).await;
-        // Queued messages are older than what the state machines would send now.
+        // Queued messages are outdated: the state machines send newer ones.
         while messages.try_recv().is_ok() {}
     }
 }
@@ -59,7 +59,7 @@
 ///
 /// # Errors
 ///
-/// The link failed, or the peer sent something malformed.
+/// The link failed, or the peer sent a malformed or unexpected message.
 pub async fn receive(core: CoreHandle, mut link: Link) -> Result<(), LinkError> {
     let PeerMessage::Hello { ip, has_disk, bootstrap_node, origin, members } = link.receive().await? else {
         return Err(LinkError::Frame(FrameError::Unexpected));
@@ -67,7 +67,7 @@
     core.with(|c| {
         c.add_peers(members.into_iter().chain([ip]));
         c.catalog_replica.register_peer(ip, origin);
-        // Deltas that the peer pushed while it could not connect are lost; after this digest it pushes what is missing.
+        // Deltas that the peer pushed while it was disconnected are lost; this summary has it push the missing changes.
         let compare = c.compare(false);
         c.peers.send(ip, compare);
     });
@@ -80,7 +80,7 @@
             c.catalog_replica.record_contact(now, ip, origin)
         });
         if !is_current {
-            // Another process runs there by now: late messages of the former one would be attributed to it.
+            // The peer has been restarted: late messages of its previous process must not be attributed to the new one.
             return Ok(());
         }
         handle_message(&core, ip, message);
--- a/crates/gaugesaddle-control/src/peer_queues.rs
+++ b/crates/gaugesaddle-control/src/peer_queues.rs
@@ -6,7 +6,7 @@
 
 /// Capacity of a queue, in messages.
 const QUEUE_CAPACITY: usize = 256;
-/// Maximum number of peers: the machines set aside for control, and those that they replaced.
+/// Maximum number of peers: the machines reserved for the control plane, and those that they replaced.
 const MAX_PEERS: usize = 64;
 
 /// A peer for which no connection task has been started yet.
@@ -20,7 +20,7 @@
 
 /// Queues of messages to the other control processes, by the address of their machine.
 ///
-/// A full queue drops the message: every message is repeated or superseded by its sender.
+/// A message to a full queue is dropped, since its sender repeats or supersedes every message.
 #[derive(Default)]
 pub struct PeerQueues {
     queues: BTreeMap<u32, mpsc::Sender<PeerMessage>>,
@@ -46,7 +46,7 @@
     /// Queues a message to one peer.
     pub fn send(&mut self, ip: u32, message: PeerMessage) {
         if let Some(queue) = self.queues.get(&ip) {
-            // A full queue means that the peer hangs; its sender repeats whatever it still needs.
+            // The queue is full if the peer hangs; the sender of a dropped message repeats it if it is still needed.
             let _ = queue.try_send(message);
         }
     }
--- a/crates/gaugesaddle-control/src/quota.rs
+++ b/crates/gaugesaddle-control/src/quota.rs
@@ -4,13 +4,15 @@
 use gaugesaddle_config::OperatorConfig;
 use gaugesaddle_quota::{Limit, TokenAllocator};
 
-/// Fraction of the quotas' slack that is added to the rate, and again to the burst.
+/// Fraction of the permitted slack that is added to the rate, and also to the burst.
 const SLACK_FRACTION: f64 = 0.3;
-/// Fraction of the permitted excess over a quota that is leased: tokens that are leased and not used in time are lost.
+/// Fraction of the permitted excess over a quota that is leased in addition, since leased tokens that are not used in
+/// time are lost.
 const EXCESS_FRACTION: f64 = 0.5;
 
 impl Core {
-    /// Whether this process leads under a lease and so may allocate tokens; a new leader starts with empty buckets.
+    /// Whether this process is the leader under a lease and may allocate tokens. A new leader starts with empty
+    /// buckets.
     pub fn allocates_quota(&mut self) -> bool {
         let now = self.clock.now();
         let Some(replica) = self.replica.as_ref().filter(|replica| replica.has_lease(now)) else {
@@ -25,11 +27,11 @@
         true
     }
 
-    /// Gives the allocator the limits of the committed configuration.
+    /// Configures the allocator with the limits of the committed configuration.
     pub fn configure_allocator(&mut self) {
         let Some(configuration) = self.distributor.current() else { return };
         let now = self.clock.now();
-        // Committed documents are valid: they were checked before they were proposed.
+        // Committed documents are valid: they are validated before they are proposed.
         let Ok(config) = OperatorConfig::parse(&configuration.document) else { return };
         let bounds = &self.boot.bounds;
         let slack = bounds.quota_slack * SLACK_FRACTION;
--- a/crates/gaugesaddle-control/src/registrations.rs
+++ b/crates/gaugesaddle-control/src/registrations.rs
@@ -1,4 +1,5 @@
-//! Registrations of backends: heartbeats and deregistrations, acknowledged once they are replicated.
+//! Registrations of backends by heartbeats and deregistrations. Drains and deregistrations are acknowledged once they
+//! are replicated.
 
 use crate::core::CoreHandle;
 use gaugesaddle_catalog::{Acknowledgement, AcknowledgementDecision};
@@ -12,7 +13,7 @@
 /// Interval between checks of the replication status.
 const POLL_INTERVAL: Duration = Duration::from_millis(3);
 
-/// Body of a heartbeat; unknown members are ignored.
+/// Body of a heartbeat; unknown fields are ignored.
 #[derive(Debug, Deserialize)]
 struct Heartbeat {
     service: String,
@@ -30,9 +31,9 @@
 /// Outcome of a heartbeat or deregistration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistrationOutcome {
-    /// Replicated far enough that it will not be lost.
+    /// The call is recorded; a drain or deregistration is replicated far enough that it will not be lost.
     Acknowledged,
-    /// It may be lost: the backend should call another process.
+    /// The call is not replicated far enough and may be lost; the backend should call another process.
     NotReplicated,
     /// The call is malformed, or deregisters an unknown backend.
     Malformed,
--- a/crates/gaugesaddle-control/src/replica_driver.rs
+++ b/crates/gaugesaddle-control/src/replica_driver.rs
@@ -1,4 +1,4 @@
-//! Drives the consensus replica: inputs from peers, tasks, timer and disk; outputs to peers, tasks and disk.
+//! Drives the consensus replica: passes it inputs from peers, tasks, the timer and the disk, and executes its outputs.
 
 use crate::core::{Core, CoreHandle, PendingRequest};
 use crate::disk::{DiskEvent, DiskWrite};
@@ -8,7 +8,7 @@
 use tokio::sync::oneshot;
 
 impl CoreHandle {
-    /// Starts a process without a disk: a learner, which receives every state and never votes.
+    /// Starts the replica of a process without a disk as a learner, which receives every state and never votes.
     pub fn start_as_learner(&self) {
         self.with(|core| {
             let hard_state = HardState { id: core.id, term: 0, voted_for: None };
@@ -22,7 +22,7 @@
             DiskEvent::Opened { hard_state, state } => self.handle_disk_opened(hard_state, state),
             DiskEvent::Persisted(write_id) => self.step(Input::Persisted(write_id)),
             DiskEvent::Failed(error) => {
-                warn!("disk failed, replica stops: {error}");
+                warn!("disk failed; replica stopped until the disk is reopened: {error}");
                 let pending = self.with(|core| {
                     core.replica = None;
                     std::mem::take(&mut core.pending)
@@ -38,7 +38,7 @@
             let is_first_start = core.boot.bootstrap && hard_state.is_none();
             core.id = match &hard_state {
                 Some(hard_state) => hard_state.id,
-                // The initial voters know one another by incarnation 0.
+                // The initial voters address one another with incarnation 0.
                 None if is_first_start => ReplicaId { incarnation: 0, ..core.id },
                 None => core.id,
             };
@@ -46,19 +46,22 @@
             let hard_state = hard_state.unwrap_or(HardState { id, term: 0, voted_for: None });
             let state = state.map(|state| *state).unwrap_or_default();
             let voters = state.voters.len();
-            info!("replica {id} term {} at {:?} voters {voters}", hard_state.term, state.position);
+            info!(
+                "disk opened: replica {id}, term {}, {:?}, {voters} voters",
+                hard_state.term, state.position
+            );
             core.create_replica(hard_state, state);
             core.bootstrap_if_due();
         });
         self.deadline_changed.notify_one();
     }
 
-    /// Gives the replica an input and executes its outputs.
+    /// Passes an input to the replica and executes the resulting outputs.
     pub fn step(&self, input: Input) {
         self.drive(|replica, now, outputs| replica.handle(now, input, outputs));
     }
 
-    /// Transfers leadership, if this process leads, before it ends (thesis 3.10).
+    /// Transfers leadership before the process ends, if it is the leader (Raft thesis 3.10).
     pub fn transfer_leadership(&self) {
         self.drive(Replica::transfer_leadership);
     }
@@ -117,13 +120,13 @@
         let write_id = write.write_id;
         let is_learner = self.with(|core| match &core.disk {
             Some(disk) => {
-                // The thread lives as long as the process; without it no write is ever reported durable.
+                // The thread runs as long as the process; if it had ended, no write would be reported as durable.
                 let _ = disk.send(write);
                 false
             }
             None => true,
         });
-        // A learner's state need not be durable: nobody counts on its vote.
+        // The state of a learner need not be durable, since a learner never votes.
         if is_learner {
             self.step(Input::Persisted(write_id));
         }
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Proposes a configuration; `Indeterminate` where this process does not lead.
+    /// Proposes a configuration; `Indeterminate` if this process is not the leader.
     pub async fn propose(&self, proposal: Proposal) -> ProposalResult {
         let (reply, result) = oneshot::channel();
         let number = self.add_pending(PendingRequest::Proposal(reply));
@@ -170,11 +173,11 @@
         result.await.unwrap_or(ProposalResult::Indeterminate)
     }
 
-    /// A linearizable read of the configuration (thesis 6.4); `None` before the first one.
+    /// Reads the configuration linearizably (Raft thesis 6.4); `None` before the first one.
     ///
     /// # Errors
     ///
-    /// This process does not lead, or ceased to before the read was confirmed.
+    /// This process is not the leader, or lost leadership before the read was confirmed.
     pub async fn read(&self) -> Result<Option<Configuration>, NotLeader> {
         let (reply, result) = oneshot::channel();
         let number = self.add_pending(PendingRequest::Read(reply));
@@ -182,7 +185,8 @@
         result.await.unwrap_or(Err(NotLeader))
     }
 
-    /// Registers a request; without a replica it is dropped, which ends the caller's wait.
+    /// Registers a request and returns its number. Without a replica the request is dropped, which ends the caller's
+    /// wait.
     fn add_pending(&self, request: PendingRequest) -> u64 {
         self.with(|core| {
             let number = core.next_request;
@@ -203,19 +207,19 @@
 }
 
 impl Core {
-    /// Whether the replica has confirmed a majority within its lease.
+    /// Whether the replica had contact with a majority within its lease.
     pub fn is_fresh(&self) -> bool {
         let now = self.clock.now();
         self.replica.as_ref().is_some_and(|replica| replica.is_fresh(now))
     }
 
-    /// Address of the leader's machine, as far as the replica knows it.
+    /// Address of the leader's machine, if the replica knows the leader.
     pub fn leader(&self) -> Option<u32> {
         let leader = self.replica.as_ref()?.leader()?;
         Some(leader.ip)
     }
 
-    /// Whether this process believes that it leads.
+    /// Whether this process is the leader according to its own replica; another process may have been elected since.
     pub fn is_leading(&self) -> bool {
         self.leader() == Some(u32::from(self.boot.ip))
     }
--- a/crates/gaugesaddle-control/src/request_server.rs
+++ b/crates/gaugesaddle-control/src/request_server.rs
@@ -13,7 +13,7 @@
 
 /// Maximum time for which a pull waits for changes (long polling), in ms.
 const MAX_PULL_WAIT_MS: u64 = 2000;
-/// Time-out for sending an answer; sized for a large configuration over a slow link.
+/// Time-out for sending a reply; sized for a large configuration over a slow link.
 const SEND_TIMEOUT: Duration = Duration::from_millis(4000);
 /// Idle time-out of a connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
@@ -26,13 +26,14 @@
         tokio::task::spawn_local(async move {
             if let Err(e) = serve_connection(core.clone(), Link::new(stream)).await {
                 log_malformed(&core, from, &e);
-                debug!("connection of {from} ends: {:#}", eyre::Report::new(e));
+                debug!("connection from {from} closed: {:#}", eyre::Report::new(e));
             }
         });
     }
 }
 
-/// Logs a message that could not be read, once a peer and minute: a process of another build, or another protocol.
+/// Logs a message that cannot be decoded, at most once a minute for each peer. The sender runs another build, or speaks
+/// another protocol.
 fn log_malformed(core: &CoreHandle, from: SocketAddr, error: &LinkError) {
     let SocketAddr::V4(address) = from else { return };
     let ip = u32::from(*address.ip());
@@ -76,7 +77,7 @@
     }
 }
 
-/// Renews the proxy's lease and answers once there are changes for it, or at the deadline of its pull.
+/// Renews the proxy's lease and replies once there are changes for the proxy, or at the deadline of its pull.
 async fn answer_pull(core: &CoreHandle, mut pull: Pull) -> PullReply {
     core.record_pull(&pull);
     core.record_departed(std::mem::take(&mut pull.departed));
@@ -89,7 +90,7 @@
         if has_changes || Instant::now() >= deadline {
             break;
         }
-        // A change and the deadline both lead to the condition above.
+        // The next iteration checks for both changes and the deadline.
         let _ = tokio::time::timeout_at(deadline, changes.changed()).await;
     }
     core.with(|c| {
--- a/crates/gaugesaddle-control/src/serve.rs
+++ b/crates/gaugesaddle-control/src/serve.rs
@@ -12,14 +12,14 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
-/// Time after SIGTERM for the leadership transfer and for calls in flight.
+/// Time after SIGTERM for the leadership transfer and for requests in flight.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(400);
 
 /// Serves until SIGTERM.
 ///
 /// # Errors
 ///
-/// The boot file is invalid, or an address cannot be listened on.
+/// The boot file is invalid, or listening on an address fails.
 pub fn run() -> Result<()> {
     let boot = BootSettings::read()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -40,14 +40,14 @@
     let peer_address = boot.control_process(u32::from(boot.ip));
     let has_disk = disk.is_some();
     info!(
-        "listens at {control} for backends and operators, at {peer_address} for processes; disk: {has_disk}"
+        "starting: {control} for backends and operators, {peer_address} for proxies and peers; disk: {has_disk}"
     );
     let core = CoreHandle::new(boot, disk, peers);
     if !has_disk {
         core.start_as_learner();
     }
-    let request_listener = listen(peer_address).wrap_err_with(|| format!("listening at {peer_address}"))?;
-    let http_listener = listen(control).wrap_err_with(|| format!("listening at {control}"))?;
+    let request_listener = listen(peer_address).wrap_err_with(|| format!("listening on {peer_address}"))?;
+    let http_listener = listen(control).wrap_err_with(|| format!("listening on {control}"))?;
     peer_connections::connect_new_peers(&core);
     tokio::task::spawn_local(request_server::serve(core.clone(), request_listener));
     tokio::task::spawn_local(http_api::serve(core.clone(), http_listener));
@@ -59,11 +59,11 @@
     loop {
         tokio::select! {
             Some(event) = disk_events.recv() => core.handle_disk_event(event),
-            _ = hangup.recv() => info!("SIGHUP ignored: the boot file is read at the next start"),
+            _ = hangup.recv() => info!("ignoring SIGHUP: changes of the boot file apply at the next start"),
             _ = terminate.recv() => break,
         }
     }
-    info!("SIGTERM: shutting down");
+    info!("received SIGTERM; shutting down");
     core.transfer_leadership();
     tokio::time::sleep(SHUTDOWN_GRACE).await;
     Ok(())
--- a/crates/gaugesaddle-control/tests/bootstrap.rs
+++ b/crates/gaugesaddle-control/tests/bootstrap.rs
@@ -1,8 +1,9 @@
-//! The failure: two clusters are bootstrapped at the first start, or none where some seeds have no disk.
+//! Guards against a first start that bootstraps two clusters, or none if some seeds have no disk.
 
 use gaugesaddle_control::bootstrap::Bootstrap;
 
-/// Each process receives a report of every other, in the given order; the initial voters that each determines.
+/// Delivers the reports of all processes to one another in the given order, and returns the initial voters that each
+/// process determines.
 fn initial_voters(disks: &[(u32, bool)], seeds: &[u32], order: &[usize]) -> Vec<Option<Vec<u32>>> {
     let mut all: Vec<Bootstrap> =
         disks.iter().map(|(ip, disk)| Bootstrap::new(*ip, *disk, seeds.to_vec(), true)).collect();
@@ -56,5 +57,5 @@
     for ip in 2..6 {
         restarted.record_report(ip, ip > 3, None);
     }
-    assert_eq!(restarted.bootstrap_node(), None, "a seed that has restarted nominates nobody");
+    assert_eq!(restarted.bootstrap_node(), None, "a restarted seed nominates no bootstrap node");
 }
--- a/crates/gaugesaddle-control/tests/golden_commands.rs
+++ b/crates/gaugesaddle-control/tests/golden_commands.rs
@@ -1,4 +1,4 @@
-//! The failure: a renamed field or option changes what operators' scripts call and read.
+//! Guards against a renamed field or option that breaks the scripts of operators.
 
 use gaugesaddle_control::operator_client::{report_json, report_text};
 use gaugesaddle_protocol::StatusReport;
@@ -28,23 +28,23 @@
 #[test]
 fn exit_codes_equal_golden_values() {
     let folder = std::env::temp_dir().join(format!("gaugesaddle-codes-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("directory is created");
     let (good, bad) = (folder.join("good.json"), folder.join("bad.json"));
-    std::fs::write(&good, r#"{"revision":1}"#).expect("it is written");
-    std::fs::write(&bad, r#"{"revision":"#).expect("it is written");
-    let nobody = "127.0.0.1:9";
+    std::fs::write(&good, r#"{"revision":1}"#).expect("file is written");
+    std::fs::write(&bad, r#"{"revision":"#).expect("file is written");
+    let unused_address = "127.0.0.1:9";
     let cases: [(&[&str], i32); 8] = [
         (&["check", good.to_str().unwrap()], 0),
         (&["check", bad.to_str().unwrap()], 1),
-        (&["check", "/nowhere/at/all"], 1),
-        (&["get", "--at", nobody, "--for", "0"], 1),
-        (&["status", "--at", nobody], 1),
+        (&["check", "/nonexistent/file"], 1),
+        (&["get", "--at", unused_address, "--for", "0"], 1),
+        (&["status", "--at", unused_address], 1),
         (&["serve"], 1),
         (&["unknown"], 2),
         (&["put", good.to_str().unwrap()], 2),
     ];
     let codes = cases.map(|(arguments, _)| run(arguments).status.code());
-    std::fs::remove_dir_all(&folder).expect("it is removed");
+    std::fs::remove_dir_all(&folder).expect("directory is removed");
     assert_eq!(codes, cases.map(|(_, code)| Some(code)));
 }
 
