--- a/crates/gaugesaddle-control/tests/traffic.rs
+++ b/crates/gaugesaddle-control/tests/traffic.rs
@@ -337,9 +337,7 @@
     assert_eq!(backend.requests().len(), before);
     // The control process is restarted.
     fleet.run(CONTROL).expect("process restarts");
-    until("the backend is registered again", || {
-        fleet.heartbeat(CONTROL, "i-1", "s", backend.address, "ready") == 200
-    });
+    until("backend is registered", || fleet.heartbeat(CONTROL, "i-1", "s", backend.address, "ready") == 200);
     until("keys are accepted again", || send_request(&fleet).status() == 200);
 }
 
