--- a/crates/gaugesaddle-consensus/src/commit.rs
+++ b/crates/gaugesaddle-consensus/src/commit.rs
@@ -42,7 +42,7 @@
         if let Some(request) = self.replicating_proposal.take() {
             out.push(Output::Proposed(request, ProposalResult::Committed));
         }
-        for request in std::mem::take(&mut self.reads_before_commit) {
+        for request in std::mem::take(&mut self.reads_awaiting_commit) {
             self.answer_once_confirmed(now, UnconfirmedAnswer::Read(request, self.published.clone()));
         }
         // Followers learn of the commitment at once, since the time until a change takes effect is limited.
@@ -98,7 +98,7 @@
             return;
         }
         let revision = proposal.revision;
-        let Some(document) = proposal.document_on(&self.state.document) else {
+        let Some(document) = proposal.resulting_document(&self.state.document) else {
             // Computed from a document that is not, or no longer, in effect: the client sends the request again.
             out.push(Output::Proposed(request, ProposalResult::Indeterminate));
             return;
--- a/crates/gaugesaddle-consensus/src/disk_format.rs
+++ b/crates/gaugesaddle-consensus/src/disk_format.rs
@@ -54,9 +54,9 @@
 /// The records of a write, each with its slot.
 pub fn encode_records(hard_state: &HardState, state: Option<&State>) -> Vec<(usize, Vec<u8>)> {
     let mut records = Vec::with_capacity(2);
-    push(&mut records, HARD_STATE_SLOT, hard_state);
+    push_record(&mut records, HARD_STATE_SLOT, hard_state);
     if let Some(state) = state {
-        push(&mut records, STATE_SLOT, state);
+        push_record(&mut records, STATE_SLOT, state);
     }
     records
 }
@@ -72,12 +72,12 @@
     slots: &[Option<Vec<u8>>; 2],
 ) -> Result<(Option<HardState>, Option<State>), DiskFormatError> {
     let [hard_state, state] = slots;
-    let hard_state = decode(Record::HardState, hard_state.as_deref())?;
-    let state = decode(Record::State, state.as_deref())?;
+    let hard_state = decode_record(Record::HardState, hard_state.as_deref())?;
+    let state = decode_record(Record::State, state.as_deref())?;
     Ok((hard_state, state))
 }
 
-fn push<T: Encode<Binary>>(records: &mut Vec<(usize, Vec<u8>)>, slot: usize, value: &T) {
+fn push_record<T: Encode<Binary>>(records: &mut Vec<(usize, Vec<u8>)>, slot: usize, value: &T) {
     // Encoding into a vector can only fail for lack of memory.
     if let Ok(encoded) = musli::storage::to_vec(value) {
         let mut bytes = Vec::with_capacity(1 + encoded.len());
@@ -87,7 +87,7 @@
     }
 }
 
-fn decode<T>(record: Record, bytes: Option<&[u8]>) -> Result<Option<T>, DiskFormatError>
+fn decode_record<T>(record: Record, bytes: Option<&[u8]>) -> Result<Option<T>, DiskFormatError>
 where
     T: for<'de> Decode<'de, Binary, Global>,
 {
--- a/crates/gaugesaddle-consensus/src/election.rs
+++ b/crates/gaugesaddle-consensus/src/election.rs
@@ -2,7 +2,7 @@
 
 use crate::history::History;
 use crate::progress::Progress;
-use crate::writes::{CampaignKind, PendingOnSync};
+use crate::writes::{CampaignKind, PostSyncAction};
 use crate::{Output, Replica, Role, Storage};
 use gaugesaddle_protocol::{LogPosition, ReplicaId, ReplicaMessage};
 
@@ -23,20 +23,20 @@
 
 impl Replica {
     /// A number from 0 to below `bound_ms`; 0 where that is 0.
-    fn draw_jitter_ms(&mut self, bound_ms: u64) -> u64 {
+    fn random_jitter_ms(&mut self, bound_ms: u64) -> u64 {
         self.random = next_random(self.random);
         self.random % bound_ms.max(1)
     }
 
     /// Starts the full election time-out anew.
     pub(crate) fn reset_election_deadline(&mut self, now: u64) {
-        let jitter_ms = self.draw_jitter_ms(self.settings.election_jitter_ms);
+        let jitter_ms = self.random_jitter_ms(self.settings.election_jitter_ms);
         self.election_deadline = now + self.settings.election_timeout_ms + jitter_ms;
     }
 
     /// Starts the shorter time-out between attempts while there is no leader: a majority may become available at any moment.
     fn reset_pre_vote_deadline(&mut self, now: u64) {
-        let jitter_ms = self.draw_jitter_ms(self.settings.pre_vote_jitter_ms);
+        let jitter_ms = self.random_jitter_ms(self.settings.pre_vote_jitter_ms);
         self.election_deadline = now + self.settings.pre_vote_retry_ms + jitter_ms;
     }
 
@@ -64,7 +64,7 @@
         for voter in self.other_voters() {
             out.push(Output::Send(voter, message.clone()));
         }
-        self.campaign_if_pre_elected(now, out);
+        self.campaign_on_pre_vote_quorum(now, out);
     }
 
     /// Whether it may campaign. During a membership change a replica of either group may lead (thesis 4.3): one that is being
@@ -83,9 +83,9 @@
     pub(crate) fn handle_pre_vote_request(
         &mut self, now: u64, from: ReplicaId, term: u64, last_position: LogPosition, out: &mut Vec<Output>,
     ) {
-        let is_led = self.role == Role::Leader || self.follows_live_leader(now);
+        let has_leader = self.role == Role::Leader || self.follows_live_leader(now);
         let is_up_to_date = last_position >= self.state.position;
-        let granted = !is_led && self.may_vote() && term > self.hard_state.term && is_up_to_date;
+        let granted = !has_leader && self.may_vote() && term > self.hard_state.term && is_up_to_date;
         let term = if granted { term } else { self.hard_state.term };
         out.push(Output::Send(from, ReplicaMessage::RequestPreVoteResponse { term, granted }));
     }
@@ -96,13 +96,13 @@
         let is_for_next_term = term == self.hard_state.term + 1;
         if granted && self.role == Role::Follower && is_for_next_term && self.leader.is_none() {
             self.pre_votes_granted.insert(from);
-            self.campaign_if_pre_elected(now, out);
+            self.campaign_on_pre_vote_quorum(now, out);
         } else if !granted && term > self.hard_state.term {
-            self.observe_term(now, term, out);
+            self.enter_newer_term(now, term, out);
         }
     }
 
-    fn campaign_if_pre_elected(&mut self, now: u64, out: &mut Vec<Output>) {
+    fn campaign_on_pre_vote_quorum(&mut self, now: u64, out: &mut Vec<Output>) {
         if self.quorum().is_reached(|voter| self.pre_votes_granted.contains(voter)) {
             self.become_candidate(now, CampaignKind::Election, out);
         }
@@ -129,7 +129,7 @@
         self.votes_granted.clear();
         self.votes_rejected.clear();
         let write_id = self.persist_hard_state(now, out);
-        self.after_sync(write_id, PendingOnSync::Campaign { term: self.hard_state.term, kind });
+        self.after_sync(write_id, PostSyncAction::Campaign { term: self.hard_state.term, kind });
     }
 
     /// The candidate's own vote is durable: requests the others'.
@@ -146,7 +146,7 @@
         for voter in self.other_voters() {
             out.push(Output::Send(voter, message.clone()));
         }
-        self.lead_if_elected(now, out);
+        self.become_leader_if_elected(now, out);
     }
 
     pub(crate) fn handle_vote_request(
@@ -154,12 +154,12 @@
     ) {
         let VoteRequest { term, last_position, kind } = request;
         // A replica that was removed, or partitioned, must not depose a live leader (thesis 4.2.3).
-        let protects_leader = kind == CampaignKind::Election && self.follows_live_leader(now);
-        if !self.may_vote() || (term > self.hard_state.term && protects_leader) {
+        let would_disrupt_leader = kind == CampaignKind::Election && self.follows_live_leader(now);
+        if !self.may_vote() || (term > self.hard_state.term && would_disrupt_leader) {
             return;
         }
         if term > self.hard_state.term {
-            self.observe_term(now, term, out);
+            self.enter_newer_term(now, term, out);
         }
         let has_vote = self.hard_state.voted_for.is_none_or(|voted_for| voted_for == from);
         let is_up_to_date = last_position >= self.state.position;
@@ -172,14 +172,14 @@
         self.reset_election_deadline(now);
         let write_id = self.persist_hard_state(now, out);
         let response = ReplicaMessage::RequestVoteResponse { term, granted: true };
-        self.after_sync(write_id, PendingOnSync::Send(from, response));
+        self.after_sync(write_id, PostSyncAction::Send(from, response));
     }
 
     pub(crate) fn handle_vote_response(
         &mut self, now: u64, from: ReplicaId, term: u64, granted: bool, out: &mut Vec<Output>,
     ) {
         if term > self.hard_state.term {
-            return self.observe_term(now, term, out);
+            return self.enter_newer_term(now, term, out);
         }
         if term < self.hard_state.term || self.role != Role::Candidate {
             return;
@@ -187,7 +187,7 @@
         if granted {
             // It may arrive before the own vote is durable, which is counted only then.
             self.votes_granted.insert(from);
-            self.lead_if_elected(now, out);
+            self.become_leader_if_elected(now, out);
         } else {
             self.votes_rejected.insert(from);
             self.abandon_lost_campaign(now);
@@ -204,7 +204,7 @@
         }
     }
 
-    fn lead_if_elected(&mut self, now: u64, out: &mut Vec<Output>) {
+    fn become_leader_if_elected(&mut self, now: u64, out: &mut Vec<Output>) {
         let has_quorum = self.quorum().is_reached(|voter| self.votes_granted.contains(voter));
         if !has_quorum || !self.votes_granted.contains(&self.hard_state.id) {
             return;
@@ -223,7 +223,7 @@
     }
 
     /// Enters a newer term as a follower that has not voted.
-    pub(crate) fn observe_term(&mut self, now: u64, term: u64, out: &mut Vec<Output>) {
+    pub(crate) fn enter_newer_term(&mut self, now: u64, term: u64, out: &mut Vec<Output>) {
         if term <= self.hard_state.term {
             return;
         }
@@ -257,10 +257,10 @@
     /// When the newest heartbeat was sent that a quorum has acknowledged, in milliseconds.
     pub(crate) fn quorum_contact_ms(&self) -> u64 {
         // The leader is always in contact with itself. Half the range leaves room for a lease to be added.
-        const ALWAYS_MS: u64 = u64::MAX / 2;
+        const SELF_CONTACT_MS: u64 = u64::MAX / 2;
         let contact_ms = |voter: &ReplicaId| {
             if *voter == self.hard_state.id {
-                ALWAYS_MS
+                SELF_CONTACT_MS
             } else {
                 self.progress.get(voter).and_then(|p| p.contact_ms).unwrap_or(0)
             }
--- a/crates/gaugesaddle-consensus/src/follower.rs
+++ b/crates/gaugesaddle-consensus/src/follower.rs
@@ -1,6 +1,6 @@
 //! Replication on a follower: heartbeats of the leader, and its states.
 
-use crate::writes::PendingOnSync;
+use crate::writes::PostSyncAction;
 use crate::{history, Output, Replica, Role};
 use gaugesaddle_protocol::{ClockReading, LogPosition, ReplicaId, ReplicaMessage, StateUpdate};
 
@@ -25,16 +25,16 @@
             self.send_append_response(from, self.hard_state.term, sequence, clock_reading, out);
             return;
         }
-        self.follow(now, from, term, out);
+        self.accept_leader(now, from, term, out);
         self.record_freshness(now, committed, echoed_reading);
         let newer = state.filter(|s| s.position > self.state.position && s.position == last_position);
-        let response = PendingOnSync::AppendResponse { to: from, term, sequence, clock_reading };
+        let response = PostSyncAction::AppendResponse { to: from, term, sequence, clock_reading };
         if let Some(state) = newer.and_then(|update| history::apply(&self.state, *update)) {
             self.state = state;
             let write_id = self.persist_state(now, out);
             self.after_sync(write_id, response.clone());
         }
-        self.learn_commit(committed, out);
+        self.advance_committed(committed, out);
         // Until its term is durable, an acknowledgement could be forgotten. While the state alone is being written, this
         // response reports what is durable so far; the one queued above follows it.
         if self.durable_term == term {
@@ -46,9 +46,9 @@
     }
 
     /// Accepts the sender of a heartbeat as the leader of a term that is not older than the own one.
-    fn follow(&mut self, now: u64, leader: ReplicaId, term: u64, out: &mut Vec<Output>) {
+    fn accept_leader(&mut self, now: u64, leader: ReplicaId, term: u64, out: &mut Vec<Output>) {
         if term > self.hard_state.term {
-            self.observe_term(now, term, out);
+            self.enter_newer_term(now, term, out);
         }
         if self.role != Role::Follower {
             self.step_down(now, Some(leader), out);
@@ -84,7 +84,7 @@
     }
 
     /// Learns from the leader that the newest state is committed.
-    fn learn_commit(&mut self, committed: LogPosition, out: &mut Vec<Output>) {
+    fn advance_committed(&mut self, committed: LogPosition, out: &mut Vec<Output>) {
         if committed == self.state.position && committed > self.committed {
             self.committed = committed;
             self.publish(out);
--- a/crates/gaugesaddle-consensus/src/history.rs
+++ b/crates/gaugesaddle-consensus/src/history.rs
@@ -5,45 +5,45 @@
 use std::collections::VecDeque;
 
 /// Earlier states that are retained as bases of deltas.
-const MAX_VERSIONS: usize = 16;
+const MAX_RETAINED_STATES: usize = 16;
 /// Limit on the total size of their documents.
-const MAX_BYTES: usize = 4 << 20;
+const MAX_RETAINED_BYTES: usize = 4 << 20;
 
 /// The parts of an earlier state that a delta needs.
 #[derive(Clone, Debug)]
-struct Version {
+struct RetainedState {
     position: LogPosition,
     revision: u64,
     document: Vec<u8>,
 }
 
-/// The newest earlier states of a leader. The oldest leaves first, beyond [`MAX_VERSIONS`] or [`MAX_BYTES`].
+/// The newest earlier states of a leader. The oldest leaves first, beyond [`MAX_RETAINED_STATES`] or [`MAX_RETAINED_BYTES`].
 #[derive(Clone, Debug, Default)]
 pub(crate) struct History {
-    versions: VecDeque<Version>,
+    retained_states: VecDeque<RetainedState>,
 }
 
 impl History {
     /// Adds a state that is about to be replaced.
     pub fn push(&mut self, state: &State) {
-        self.versions.push_back(Version {
+        self.retained_states.push_back(RetainedState {
             position: state.position,
             revision: state.revision,
             document: state.document.clone(),
         });
         while self.exceeds_limits() {
-            self.versions.pop_front();
+            self.retained_states.pop_front();
         }
     }
 
     fn exceeds_limits(&self) -> bool {
-        let bytes: usize = self.versions.iter().map(|version| version.document.len()).sum();
-        self.versions.len() > MAX_VERSIONS || bytes > MAX_BYTES
+        let bytes: usize = self.retained_states.iter().map(|retained| retained.document.len()).sum();
+        self.retained_states.len() > MAX_RETAINED_STATES || bytes > MAX_RETAINED_BYTES
     }
 
     /// An update to `state` for a receiver that has the state at `received`; full where that one is not retained.
     pub fn update(&self, received: Option<LogPosition>, state: &State) -> StateUpdate {
-        let base = self.versions.iter().find(|version| Some(version.position) == received);
+        let base = self.retained_states.iter().find(|retained| Some(retained.position) == received);
         // Revisions rise with each accepted change.
         let is_new = |accepted: &&Accepted| base.is_none_or(|base| accepted.revision > base.revision);
         StateUpdate {
--- a/crates/gaugesaddle-consensus/src/membership.rs
+++ b/crates/gaugesaddle-consensus/src/membership.rs
@@ -28,7 +28,7 @@
 const LEARNER_TIMEOUT_MS: u64 = 2000;
 
 /// What a learner does to the group when it becomes a voter.
-enum Admission {
+enum LearnerPromotion {
     /// It takes the slot of the voter at this index.
     Replace(usize),
     /// It is added to the voters.
@@ -53,7 +53,7 @@
     /// Takes the next step of a membership change, once the previous one is committed.
     pub(crate) fn advance_membership(&mut self, now: u64, out: &mut Vec<Output>) {
         self.learners.retain(|_, learner| now < learner.joined_ms + LEARNER_TIMEOUT_MS);
-        self.drop_unused_progress();
+        self.prune_progress();
         let is_idle = self.committed == self.state.position && self.replicating_proposal.is_none();
         if !is_idle || self.committed.term != self.hard_state.term {
             return;
@@ -71,7 +71,7 @@
     }
 
     /// Drops the progress of replicas that are sent nothing any more: former voters, and learners that have departed.
-    fn drop_unused_progress(&mut self) {
+    fn prune_progress(&mut self) {
         let (voters, learners) = (self.other_voters(), &self.learners);
         self.progress.retain(|id, _| voters.contains(id) || learners.contains_key(id));
     }
@@ -80,9 +80,9 @@
     fn next_voters(&self, now: u64) -> Option<Vec<ReplicaId>> {
         let mut voters = self.state.voters.clone();
         if let Some(learner) = self.caught_up_learner() {
-            match self.admission_of(now, learner)? {
-                Admission::Replace(slot) => voters[slot] = learner,
-                Admission::Add => voters.push(learner),
+            match self.promotion_of(now, learner)? {
+                LearnerPromotion::Replace(slot) => voters[slot] = learner,
+                LearnerPromotion::Add => voters.push(learner),
             }
             return Some(voters);
         }
@@ -104,20 +104,20 @@
     }
 
     /// How a learner becomes a voter; `None` while it must wait.
-    fn admission_of(&self, now: u64, learner: ReplicaId) -> Option<Admission> {
+    fn promotion_of(&self, now: u64, learner: ReplicaId) -> Option<LearnerPromotion> {
         let voters = &self.state.voters;
-        let is_predecessor = |voter: &ReplicaId| voter.ip == learner.ip && *voter != self.hard_state.id;
-        if let Some(slot) = voters.iter().position(is_predecessor) {
-            return Some(Admission::Replace(slot));
+        let has_same_address = |voter: &ReplicaId| voter.ip == learner.ip && *voter != self.hard_state.id;
+        if let Some(slot) = voters.iter().position(has_same_address) {
+            return Some(LearnerPromotion::Replace(slot));
         }
         let timeout_ms = self.settings.replacement_timeout_ms;
         if let Some(slot) = voters.iter().position(|voter| self.is_unresponsive(now, voter, timeout_ms)) {
-            return Some(Admission::Replace(slot));
+            return Some(LearnerPromotion::Replace(slot));
         }
         // Beside a dead voter one more only raises the majority. Whether a voter is dead shows soon: a new leader waits
         // until all have responded, or one has timed out.
         let may_add = voters.len() < MAX_VOTERS && self.have_all_voters_responded();
-        may_add.then_some(Admission::Add)
+        may_add.then_some(LearnerPromotion::Add)
     }
 
     /// Whether every other voter has acknowledged a heartbeat of this leader.
--- a/crates/gaugesaddle-consensus/src/membership/tests.rs
+++ b/crates/gaugesaddle-consensus/src/membership/tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_leader_forgets_learners_that_have_departed() {
+fn a_leader_drops_the_progress_of_departed_learners() {
     let mut replica = leader();
     let start = 10_000;
     for n in 0..50 {
@@ -71,7 +71,7 @@
 /// The same group, in which one machine has lost its disk: the others elect a leader, complete the change, and the replica
 /// that it removed leads no more.
 #[test]
-fn a_leader_that_is_no_voter_hands_over_once_the_change_is_committed() {
+fn a_removed_leader_transfers_leadership_once_the_change_is_committed() {
     let voters = vec![id(1), id(2), id(4)];
     let outgoing = vec![id(1), id(2), id(4), id(3)];
     let state = |index| State {
--- a/crates/gaugesaddle-consensus/src/proposal.rs
+++ b/crates/gaugesaddle-consensus/src/proposal.rs
@@ -50,7 +50,7 @@
     }
 
     /// The document that takes effect where `current` is in effect; `None` if the proposal does not apply to it.
-    pub(crate) fn document_on(self, current: &[u8]) -> Option<Vec<u8>> {
+    pub(crate) fn resulting_document(self, current: &[u8]) -> Option<Vec<u8>> {
         match self.content {
             ProposedDocument::Full(document) => Some(document),
             ProposedDocument::Patched { base, document } => (base == Digest::of(current)).then_some(document),
--- a/crates/gaugesaddle-consensus/src/read_index.rs
+++ b/crates/gaugesaddle-consensus/src/read_index.rs
@@ -23,12 +23,12 @@
 
 impl Replica {
     pub(crate) fn handle_read(&mut self, now: u64, request: u64, out: &mut Vec<Output>) {
-        let pending = self.pending_confirmations.len() + self.reads_before_commit.len();
+        let pending = self.pending_confirmations.len() + self.reads_awaiting_commit.len();
         if self.role != Role::Leader || pending >= MAX_PENDING {
             out.push(Output::Read(request, Err(NotLeader)));
         } else if self.committed.term != self.hard_state.term {
             // A new leader knows what is committed only once a state of its own term is (thesis 6.4, step 1).
-            self.reads_before_commit.push(request);
+            self.reads_awaiting_commit.push(request);
         } else {
             self.answer_once_confirmed(now, UnconfirmedAnswer::Read(request, self.published.clone()));
         }
@@ -65,7 +65,7 @@
                 }
             });
         }
-        for request in self.reads_before_commit.drain(..) {
+        for request in self.reads_awaiting_commit.drain(..) {
             out.push(Output::Read(request, Err(NotLeader)));
         }
     }
--- a/crates/gaugesaddle-consensus/src/replica.rs
+++ b/crates/gaugesaddle-consensus/src/replica.rs
@@ -68,7 +68,7 @@
     pub(crate) replicating_proposal: Option<u64>,
     pub(crate) pending_confirmations: Vec<PendingConfirmation>,
     /// Reads that wait until this leader has committed a state of its own term.
-    pub(crate) reads_before_commit: Vec<u64>,
+    pub(crate) reads_awaiting_commit: Vec<u64>,
 }
 
 impl Replica {
@@ -112,7 +112,7 @@
             queued_proposals: VecDeque::new(),
             replicating_proposal: None,
             pending_confirmations: Vec::new(),
-            reads_before_commit: Vec::new(),
+            reads_awaiting_commit: Vec::new(),
         };
         replica.reset_election_deadline(now);
         // The first time-out is shorter. After a loss of all processes there is no leader; if there is one, the pre-votes
--- a/crates/gaugesaddle-consensus/src/replication.rs
+++ b/crates/gaugesaddle-consensus/src/replication.rs
@@ -5,7 +5,7 @@
 use gaugesaddle_protocol::{ClockReading, LogPosition, ReplicaId, ReplicaMessage, State, StateUpdate};
 
 /// Number of heartbeats whose time of sending is remembered: 7.7 s at the default interval, 17 times the lease.
-const MAX_HEARTBEATS: usize = 64;
+const MAX_SENT_HEARTBEATS: usize = 64;
 /// Least time before the same state is sent again to a receiver that has not reported it.
 const RESEND_INTERVAL_MS: u64 = 400;
 /// A large state gets one more millisecond for this many bytes. A copy that is still on its way over a slow link would
@@ -38,7 +38,7 @@
         self.heartbeat_deadline = now + self.settings.heartbeat_interval_ms;
         self.heartbeat_sequence += 1;
         self.sent_heartbeats.push_back(SentHeartbeat { sequence: self.heartbeat_sequence, sent_ms: now });
-        if self.sent_heartbeats.len() > MAX_HEARTBEATS {
+        if self.sent_heartbeats.len() > MAX_SENT_HEARTBEATS {
             self.sent_heartbeats.pop_front();
         }
         let mut receivers = self.other_voters();
@@ -85,7 +85,7 @@
     ) {
         let AppendResponse { term, sequence, matched, received, clock_reading } = response;
         if term > self.hard_state.term {
-            return self.observe_term(now, term, out);
+            return self.enter_newer_term(now, term, out);
         }
         if self.role != Role::Leader || term < self.hard_state.term {
             return;
--- a/crates/gaugesaddle-consensus/src/writes.rs
+++ b/crates/gaugesaddle-consensus/src/writes.rs
@@ -33,7 +33,7 @@
 
 /// An action that depends on a write.
 #[derive(Clone, Debug)]
-pub(crate) enum PendingOnSync {
+pub(crate) enum PostSyncAction {
     Send(ReplicaId, ReplicaMessage),
     AppendResponse {
         to: ReplicaId,
@@ -48,13 +48,13 @@
     },
 }
 
-impl PendingOnSync {
+impl PostSyncAction {
     /// Whether this response makes an earlier one to the same leader unnecessary.
-    fn supersedes(&self, earlier: &PendingOnSync) -> bool {
+    fn supersedes(&self, earlier: &PostSyncAction) -> bool {
         match (self, earlier) {
             (
-                PendingOnSync::AppendResponse { to, term, sequence, .. },
-                PendingOnSync::AppendResponse {
+                PostSyncAction::AppendResponse { to, term, sequence, .. },
+                PostSyncAction::AppendResponse {
                     to: earlier_to,
                     term: earlier_term,
                     sequence: earlier_sequence,
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct BlockedAction {
     pub write_id: WriteId,
-    pub action: PendingOnSync,
+    pub action: PostSyncAction,
 }
 
 impl Replica {
@@ -100,7 +100,7 @@
 
     /// Queues an action until a write is durable. While a disk stalls each heartbeat of a leader queues a response; only the
     /// newest one that waits for a write is kept, since its sequence number acknowledges the earlier heartbeats as well.
-    pub(crate) fn after_sync(&mut self, write_id: WriteId, action: PendingOnSync) {
+    pub(crate) fn after_sync(&mut self, write_id: WriteId, action: PostSyncAction) {
         self.blocked_actions
             .retain(|blocked| blocked.write_id != write_id || !action.supersedes(&blocked.action));
         if self.blocked_actions.len() >= MAX_BLOCKED_ACTIONS {
@@ -122,15 +122,15 @@
         self.advance(now, out);
     }
 
-    fn run_blocked_action(&mut self, now: u64, action: PendingOnSync, out: &mut Vec<Output>) {
+    fn run_blocked_action(&mut self, now: u64, action: PostSyncAction, out: &mut Vec<Output>) {
         match action {
-            PendingOnSync::Send(to, message) => out.push(Output::Send(to, message)),
-            PendingOnSync::AppendResponse { to, term, sequence, clock_reading } => {
+            PostSyncAction::Send(to, message) => out.push(Output::Send(to, message)),
+            PostSyncAction::AppendResponse { to, term, sequence, clock_reading } => {
                 if term == self.hard_state.term {
                     self.send_append_response(to, term, sequence, clock_reading, out);
                 }
             }
-            PendingOnSync::Campaign { term, kind } => self.request_votes(now, term, kind, out),
+            PostSyncAction::Campaign { term, kind } => self.request_votes(now, term, kind, out),
         }
     }
 
--- a/crates/gaugesaddle-consensus/src/writes/tests.rs
+++ b/crates/gaugesaddle-consensus/src/writes/tests.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_responses_that_wait_for_a_stalled_disk_are_bounded() {
+fn responses_blocked_by_a_stalled_disk_are_bounded() {
     let mut replica = follower();
     // The new term is being written; the disk does not answer.
     for sequence in 1..=1000 {
--- a/crates/gaugesaddle-consensus/tests/elections.rs
+++ b/crates/gaugesaddle-consensus/tests/elections.rs
@@ -9,7 +9,7 @@
 #[test]
 fn three_bootstrap_voters_elect_one_leader_and_add_a_fourth() {
     let mut group = Group::new(1, 4, 3);
-    let leader = group.run_to_leader(5000).expect("a replica leads");
+    let leader = group.run_until_leader(5000).expect("a replica leads");
     group.run(2000);
     let replica = group.machines[&leader].replica.as_ref().expect("its process runs");
     assert_eq!(replica.voters().len(), 4);
@@ -19,7 +19,7 @@
 #[test]
 fn a_repeated_proposal_is_committed_once_and_gets_the_same_result() {
     let mut group = Group::new(2, 3, 3);
-    let leader = group.run_to_leader(5000).expect("a replica leads");
+    let leader = group.run_until_leader(5000).expect("a replica leads");
     group.run(300);
     let first = group.propose(leader, 0, 5, vec![5]);
     let rival = group.propose(leader, 0, 6, vec![6]);
@@ -39,7 +39,7 @@
 fn a_leader_is_elected_within_450_ms_after_a_majority_has_restarted() {
     for seed in 1..=40 {
         let mut group = Group::new(seed, 4, 3);
-        group.run_to_leader(5000).expect("a replica leads");
+        group.run_until_leader(5000).expect("a replica leads");
         group.run(3000);
         (1..=4).for_each(|ip| group.crash(ip));
         group.run(800);
@@ -49,7 +49,7 @@
             group.run(wait);
         }
         let up = group.now;
-        group.run_to_leader(3000).expect("a replica leads again");
+        group.run_until_leader(3000).expect("a replica leads again");
         let elapsed = group.now - up;
         assert!(elapsed <= 450, "seed {seed}: {elapsed} ms without a leader although a majority runs");
     }
--- a/crates/gaugesaddle-consensus/tests/faults.rs
+++ b/crates/gaugesaddle-consensus/tests/faults.rs
@@ -12,21 +12,21 @@
 const STEPS: u64 = 60;
 
 /// The operator's next requests.
-fn operate(group: &mut Group, step: u64) {
+fn issue_requests(group: &mut Group, step: u64) {
     let ips: Vec<u32> = group.machines.keys().copied().collect();
-    let ip = ips[group.below(ips.len() as u64) as usize];
+    let ip = ips[group.random_below(ips.len() as u64) as usize];
     let target = group.leader().unwrap_or(ip);
     let base = group.revision(target);
-    let revision = base + 1 + group.below(3);
-    let body = vec![step as u8, group.below(200) as u8];
+    let revision = base + 1 + group.random_below(3);
+    let body = vec![step as u8, group.random_below(200) as u8];
     group.propose(target, base, revision, body.clone());
-    match group.below(4) {
+    match group.random_below(4) {
         // The same change again, or a rival on the same base.
         0 => drop(group.propose(target, base, revision, body)),
         1 => drop(group.propose(ip, base, revision, vec![200, step as u8])),
         _ => {}
     }
-    let reader = if group.below(2) == 0 { target } else { ip };
+    let reader = if group.random_below(2) == 0 { target } else { ip };
     group.read(reader);
 }
 
@@ -45,16 +45,16 @@
 /// Injects one fault, or ends one.
 fn inject_fault(group: &mut Group, down: &mut Vec<u32>, tolerance: usize) {
     let ips: Vec<u32> = group.machines.keys().copied().collect();
-    let ip = ips[group.below(ips.len() as u64) as usize];
-    let other = ips[group.below(ips.len() as u64) as usize];
-    match group.below(9) {
+    let ip = ips[group.random_below(ips.len() as u64) as usize];
+    let other = ips[group.random_below(ips.len() as u64) as usize];
+    match group.random_below(9) {
         0 | 1 if down.len() < tolerance && !down.contains(&ip) => {
             group.crash(ip);
             down.push(ip);
         }
         2 if down.len() < tolerance
             && !down.contains(&ip)
-            && group.below(2) == 0
+            && group.random_below(2) == 0
             && has_full_redundancy(group) =>
         {
             // The disk is lost; the machine counts as down until it votes again.
@@ -70,15 +70,15 @@
         }
         4 => drop(group.partitioned.insert((ip, other))),
         5 => group.partitioned.clear(),
-        6 => group.loss_percent = group.below(25),
+        6 => group.loss_percent = group.random_below(25),
         7 => {
-            let delay = 1 + group.below(300);
+            let delay = 1 + group.random_below(300);
             if let Some(machine) = group.machines.get_mut(&ip) {
                 machine.disk_delay_ms = delay;
             }
         }
         // All processes at once; their disks are retained.
-        8 if group.below(6) == 0 => {
+        8 if group.random_below(6) == 0 => {
             for ip in &ips {
                 group.crash(*ip);
                 group.start(*ip, false);
@@ -109,14 +109,14 @@
 
 fn history(seed: u64, size: u32, tolerance: usize) -> Group {
     let mut group = Group::tolerating(tolerance, seed, size, size.min(3));
-    group.run_to_leader(5000);
+    group.run_until_leader(5000);
     // The others become voters before anything is lost.
     group.run(3000);
     let mut down = Vec::new();
     for step in 0..STEPS {
         inject_fault(&mut group, &mut down, tolerance);
-        operate(&mut group, step);
-        let span = 20 + group.below(400);
+        issue_requests(&mut group, step);
+        let span = 20 + group.random_below(400);
         group.run(span);
     }
     group
@@ -140,7 +140,7 @@
     for seed in 1..=SEEDS {
         let mut group = history(seed, size, tolerance);
         end_faults(&mut group);
-        let leader = group.run_to_leader(10_000);
+        let leader = group.run_until_leader(10_000);
         assert!(leader.is_some(), "{size} replicas, seed {seed}: no replica leads after the faults");
         group.run(1500);
         let leader = group.leader().expect("a replica still leads");
@@ -177,7 +177,7 @@
 fn a_committed_change_survives_a_wiped_disk_and_a_power_loss() {
     for seed in 1..=SEEDS {
         let mut group = Group::new(seed, 4, 3);
-        group.run_to_leader(5000).expect("a replica leads");
+        group.run_until_leader(5000).expect("a replica leads");
         group.run(3000);
         let leader = group.leader().expect("a replica still leads");
         let id = group.propose(leader, 0, 7, vec![7]);
--- a/crates/gaugesaddle-consensus/tests/freshness.rs
+++ b/crates/gaugesaddle-consensus/tests/freshness.rs
@@ -124,7 +124,7 @@
 fn a_partitioned_replica_is_not_fresh_after_its_lease() {
     for seed in 1..=40 {
         let mut group = Group::new(seed, 4, 3);
-        let leader = group.run_to_leader(5000).expect("a replica leads");
+        let leader = group.run_until_leader(5000).expect("a replica leads");
         group.run(3000);
         let isolated = if seed % 2 == 0 { leader } else { leader % 4 + 1 };
         for other in (1..=4).filter(|ip| *ip != isolated) {
--- a/crates/gaugesaddle-consensus/tests/golden_disk.rs
+++ b/crates/gaugesaddle-consensus/tests/golden_disk.rs
@@ -31,7 +31,7 @@
     }
 }
 
-fn recorded() -> PathBuf {
+fn recorded_directory() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/ring")
 }
 
@@ -56,7 +56,7 @@
     for number in 0..SEGMENTS {
         let name = format!("segment-{number}");
         let written = fs::read(folder.join(&name)).expect("a segment");
-        let expected = fs::read(recorded().join(&name)).expect("a recorded segment");
+        let expected = fs::read(recorded_directory().join(&name)).expect("a recorded segment");
         assert!(written == expected, "{name} in {}", folder.display());
     }
 }
@@ -66,7 +66,7 @@
     let folder = folder("golden-read");
     for number in 0..SEGMENTS {
         let name = format!("segment-{number}");
-        fs::copy(recorded().join(&name), folder.join(&name)).expect("the segment is copied");
+        fs::copy(recorded_directory().join(&name), folder.join(&name)).expect("the segment is copied");
     }
     let store = FileStore::open(&folder, SEGMENT_BYTES).expect("the store opens");
     let ring = Ring::open(store).expect("the ring opens");
--- a/crates/gaugesaddle-consensus/tests/group/mod.rs
+++ b/crates/gaugesaddle-consensus/tests/group/mod.rs
@@ -127,7 +127,7 @@
         group
     }
 
-    pub fn below(&mut self, n: u64) -> u64 {
+    pub fn random_below(&mut self, n: u64) -> u64 {
         self.random.next_u64() % n.max(1)
     }
 
@@ -163,7 +163,7 @@
         let (id, mut outputs) = (replica.id(), Vec::new());
         replica.transfer_leadership(now, &mut outputs);
         for output in outputs {
-            self.carry_out(ip, id, output);
+            self.apply_output(ip, id, output);
         }
     }
 
@@ -183,7 +183,7 @@
 
     /// Ends a process without warning; an unsynced write may or may not have reached the disk.
     pub fn crash(&mut self, ip: u32) {
-        let first_write_survives = self.below(2) == 0;
+        let first_write_survives = self.random_below(2) == 0;
         let Some(machine) = self.machines.get_mut(&ip) else { return };
         machine.replica = None;
         // Writes reach the disk in order: at most the first one does.
@@ -251,11 +251,11 @@
             }
         }
         for output in outputs {
-            self.carry_out(ip, id, output);
+            self.apply_output(ip, id, output);
         }
     }
 
-    fn carry_out(&mut self, ip: u32, id: ReplicaId, output: Output) {
+    fn apply_output(&mut self, ip: u32, id: ReplicaId, output: Output) {
         match output {
             Output::Send(to, message) => self.send(id, to, message),
             Output::Broadcast(message) => {
@@ -300,11 +300,11 @@
     }
 
     fn send(&mut self, from: ReplicaId, to: ReplicaId, message: ReplicaMessage) {
-        let is_lost = self.loss_percent > 0 && self.below(100) < self.loss_percent;
+        let is_lost = self.loss_percent > 0 && self.random_below(100) < self.loss_percent;
         if is_lost || self.partitioned.contains(&(from.ip, to.ip)) {
             return;
         }
-        let arrives_at = self.now + 1 + self.below(4);
+        let arrives_at = self.now + 1 + self.random_below(4);
         self.order += 1;
         self.in_flight.push(InFlight { arrives_at, order: self.order, from, to, message });
     }
@@ -362,7 +362,7 @@
     }
 
     /// Runs until a replica leads, for `limit` milliseconds at most; returns its machine.
-    pub fn run_to_leader(&mut self, limit: u64) -> Option<u32> {
+    pub fn run_until_leader(&mut self, limit: u64) -> Option<u32> {
         let end = self.now + limit;
         while self.now < end {
             self.run(10);
--- a/crates/gaugesaddle-consensus/tests/membership.rs
+++ b/crates/gaugesaddle-consensus/tests/membership.rs
@@ -13,7 +13,7 @@
 /// A group of `size` machines, all voting, that tolerates `losses` of them.
 fn group(losses: usize, seed: u64, size: u32) -> Group {
     let mut group = Group::tolerating(losses, seed, size, size.min(3));
-    group.run_to_leader(5000).expect("a replica leads");
+    group.run_until_leader(5000).expect("a replica leads");
     group.run(3000);
     assert_eq!(group.voting_machines().len(), size as usize, "seed {seed}");
     group
@@ -21,7 +21,7 @@
 
 /// Whether a change is committed by a leader that is elected within `within` milliseconds.
 fn commits_change(group: &mut Group, within: u64) -> bool {
-    let Some(leader) = group.run_to_leader(within) else { return false };
+    let Some(leader) = group.run_until_leader(within) else { return false };
     let base = group.revision(leader);
     let id = group.propose(leader, base, base + 1, vec![base as u8]);
     group.run(1000);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_voters_never_decrease_while_a_wiped_disk_is_replaced() {
+fn the_number_of_voters_never_decreases_while_a_wiped_disk_is_replaced() {
     for (losses, size) in [(1, 3), (1, 4), (2, 5), (2, 8)] {
         for seed in 1..=SEEDS {
             let mut group = group(losses, seed, size);
@@ -158,7 +158,7 @@
 /// Of three voters one was just replaced. The new one still has the state from before the change, and the leader dies. The
 /// remaining two are a majority only if the new one votes.
 #[test]
-fn a_voter_votes_before_it_has_the_state_that_made_it_one() {
+fn a_new_voter_grants_votes_before_it_has_the_state_that_added_it() {
     let id = |ip: u32, incarnation: u64| ReplicaId { ip, incarnation };
     let before = State {
         position: LogPosition { term: 3, index: 8 },
--- a/crates/gaugesaddle-consensus/tests/ordering.rs
+++ b/crates/gaugesaddle-consensus/tests/ordering.rs
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn a_resumed_leader_past_its_lease_steps_down_without_answering() {
+fn a_resumed_leader_past_its_lease_steps_down_and_rejects_reads() {
     let mut replica = new_replica(1, state(1, 1));
     let (now, first) = elect(&mut replica);
     handle(&mut replica, now + 1, Input::Persisted(first));
--- a/crates/gaugesaddle-consensus/tests/proposals.rs
+++ b/crates/gaugesaddle-consensus/tests/proposals.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_digest_identifies_a_change_whatever_is_committed() {
+fn the_digest_of_a_change_does_not_depend_on_the_committed_configuration() {
     let current = committed(4, DOCUMENT);
     let later = committed(5, DOCUMENT);
     let digest = |change: ConfigurationChange, on: &Configuration| {
--- a/crates/gaugesaddle-log/src/record.rs
+++ b/crates/gaugesaddle-log/src/record.rs
@@ -48,7 +48,7 @@
     }
 
     /// Whether the checksum matches this header and payload.
-    pub fn matches(&self, payload: &[u8]) -> bool {
+    pub fn checksum_matches(&self, payload: &[u8]) -> bool {
         self.checksum == checksum(&self.fields(), payload)
     }
 
--- a/crates/gaugesaddle-log/src/recovery.rs
+++ b/crates/gaugesaddle-log/src/recovery.rs
@@ -7,20 +7,20 @@
 const READ_BYTES: usize = 64 << 10;
 
 /// The newest record of a slot in one segment.
-pub struct FoundRecord {
+pub struct RecoveredRecord {
     pub sequence: u64,
     pub payload: Vec<u8>,
 }
 
 /// The valid records of a segment.
 #[derive(Default)]
-pub struct FoundSegment {
+pub struct SegmentScan {
     /// 0 where there is no valid record.
     pub generation: u64,
-    pub newest: [Option<FoundRecord>; SLOTS],
+    pub newest: [Option<RecoveredRecord>; SLOTS],
 }
 
-impl FoundSegment {
+impl SegmentScan {
     /// Sequence of the newest record; 0 without any.
     pub fn sequence(&self) -> u64 {
         self.newest.iter().flatten().map(|record| record.sequence).max().unwrap_or(0)
@@ -28,8 +28,8 @@
 }
 
 /// Reads the records from a segment's start to the first invalid one.
-pub fn search<S: Store>(store: &S, segment: usize) -> Result<FoundSegment, LogError> {
-    let mut found = FoundSegment::default();
+pub fn scan_segment<S: Store>(store: &S, segment: usize) -> Result<SegmentScan, LogError> {
+    let mut found = SegmentScan::default();
     let mut reader = Reader { store, segment, offset: 0, buffer: Vec::new() };
     while let Some(bytes) = reader.peek(HEADER_BYTES)? {
         let Some(header) = Header::read(bytes) else { break };
@@ -43,12 +43,12 @@
         }
         let Some(bytes) = reader.peek(HEADER_BYTES + length)? else { break };
         let payload = &bytes[HEADER_BYTES..HEADER_BYTES + length];
-        if !header.matches(payload) {
+        if !header.checksum_matches(payload) {
             break;
         }
         found.generation = header.generation;
         if let Some(newest) = found.newest.get_mut(header.slot as usize) {
-            *newest = Some(FoundRecord { sequence: header.sequence, payload: payload.to_vec() });
+            *newest = Some(RecoveredRecord { sequence: header.sequence, payload: payload.to_vec() });
         }
         reader.skip(HEADER_BYTES + length);
     }
@@ -65,11 +65,11 @@
 }
 
 impl<S: Store> Reader<'_, S> {
-    /// At least `wanted` bytes without consuming them; `None` if fewer remain in the segment.
-    fn peek(&mut self, wanted: usize) -> Result<Option<&[u8]>, LogError> {
+    /// At least `min_bytes` bytes without consuming them; `None` if fewer remain in the segment.
+    fn peek(&mut self, min_bytes: usize) -> Result<Option<&[u8]>, LogError> {
         let buffered = self.buffer.len();
-        if buffered < wanted {
-            let mut block = vec![0; (wanted - buffered).max(READ_BYTES)];
+        if buffered < min_bytes {
+            let mut block = vec![0; (min_bytes - buffered).max(READ_BYTES)];
             let segment = self.segment;
             let read = self
                 .store
@@ -77,7 +77,7 @@
                 .map_err(|source| LogError::Disk { operation: DiskOperation::Read, segment, source })?;
             self.buffer.extend_from_slice(&block[..read]);
         }
-        Ok((self.buffer.len() >= wanted).then_some(self.buffer.as_slice()))
+        Ok((self.buffer.len() >= min_bytes).then_some(self.buffer.as_slice()))
     }
 
     fn skip(&mut self, bytes: usize) {
--- a/crates/gaugesaddle-log/src/ring.rs
+++ b/crates/gaugesaddle-log/src/ring.rs
@@ -1,7 +1,7 @@
 //! The ring: opening and appending.
 
 use crate::record::{encode, HEADER_BYTES, SLOTS};
-use crate::recovery::{search, FoundSegment};
+use crate::recovery::{scan_segment, SegmentScan};
 use crate::{DiskOperation, LogError, Store, SEGMENTS};
 
 /// The newest record of each slot.
@@ -29,10 +29,10 @@
     pub fn open(store: S) -> Result<Ring<S>, LogError> {
         let mut found = Vec::with_capacity(SEGMENTS);
         for segment in 0..SEGMENTS {
-            found.push(search(&store, segment)?);
+            found.push(scan_segment(&store, segment)?);
         }
         let generation = found.iter().map(|f| f.generation).max().unwrap_or(0);
-        let sequence = found.iter().map(FoundSegment::sequence).max().unwrap_or(0);
+        let sequence = found.iter().map(SegmentScan::sequence).max().unwrap_or(0);
         // The segment with the newest record counts as the one in use: it must not be overwritten next.
         let segment = (0..SEGMENTS).max_by_key(|segment| found[*segment].sequence()).unwrap_or(0);
         let mut slots = Slots::default();
--- a/crates/gaugesaddle-log/tests/crashes.rs
+++ b/crates/gaugesaddle-log/tests/crashes.rs
@@ -11,7 +11,7 @@
 
 /// A write that has not been synced.
 #[derive(Clone, Debug)]
-struct Unsynced {
+struct UnsyncedWrite {
     segment: usize,
     offset: usize,
     bytes: Vec<u8>,
@@ -21,25 +21,29 @@
 #[derive(Clone, Debug)]
 struct Disk {
     synced: Vec<Vec<u8>>,
-    unsynced: Vec<Unsynced>,
+    unsynced: Vec<UnsyncedWrite>,
     /// Number of writes and syncs that still succeed.
-    budget: usize,
+    remaining_operations: usize,
 }
 
 impl Disk {
     fn new() -> Disk {
-        Disk { synced: vec![vec![0; SEGMENT_BYTES]; SEGMENTS], unsynced: Vec::new(), budget: usize::MAX }
+        Disk {
+            synced: vec![vec![0; SEGMENT_BYTES]; SEGMENTS],
+            unsynced: Vec::new(),
+            remaining_operations: usize::MAX,
+        }
     }
 
-    fn use_budget(&mut self) -> io::Result<()> {
-        if self.budget == 0 {
+    fn consume_operation(&mut self) -> io::Result<()> {
+        if self.remaining_operations == 0 {
             return Err(io::Error::other("an injected disk error"));
         }
-        self.budget -= 1;
+        self.remaining_operations -= 1;
         Ok(())
     }
 
-    fn apply(&mut self, write: &Unsynced, bytes: usize) {
+    fn apply(&mut self, write: &UnsyncedWrite, bytes: usize) {
         let target = &mut self.synced[write.segment][write.offset..write.offset + bytes];
         target.copy_from_slice(&write.bytes[..bytes]);
     }
@@ -64,14 +68,14 @@
     }
     fn write(&mut self, segment: usize, offset: u64, bytes: &[u8]) -> io::Result<()> {
         let mut disk = self.0.borrow_mut();
-        disk.use_budget()?;
-        disk.unsynced.push(Unsynced { segment, offset: offset as usize, bytes: bytes.to_vec() });
+        disk.consume_operation()?;
+        disk.unsynced.push(UnsyncedWrite { segment, offset: offset as usize, bytes: bytes.to_vec() });
         Ok(())
     }
     fn sync(&mut self, segment: usize) -> io::Result<()> {
         let mut disk = self.0.borrow_mut();
-        disk.use_budget()?;
-        let (synced, others): (Vec<Unsynced>, Vec<Unsynced>) =
+        disk.consume_operation()?;
+        let (synced, others): (Vec<UnsyncedWrite>, Vec<UnsyncedWrite>) =
             std::mem::take(&mut disk.unsynced).into_iter().partition(|w| w.segment == segment);
         disk.unsynced = others;
         for write in synced {
@@ -91,7 +95,7 @@
 
 fn lose_power(disk: &Rc<RefCell<Disk>>, outcomes: &[Outcome]) {
     let mut disk = disk.borrow_mut();
-    disk.budget = usize::MAX;
+    disk.remaining_operations = usize::MAX;
     for (index, write) in std::mem::take(&mut disk.unsynced).into_iter().enumerate() {
         match outcomes.get(index % outcomes.len().max(1)).copied().unwrap_or(Outcome::Missing) {
             Outcome::Missing => {}
@@ -121,14 +125,14 @@
     ];
     for failing in 0..40u8 {
         // Within one append: the write fails, the sync fails.
-        for budget in 0..2 {
+        for remaining_operations in 0..2 {
             for outcome in outcomes {
                 let disk = Rc::new(RefCell::new(Disk::new()));
                 let mut ring = open(&disk);
                 let mut reported = (None, None);
                 for number in 0..=failing {
                     if number == failing {
-                        disk.borrow_mut().budget = budget;
+                        disk.borrow_mut().remaining_operations = remaining_operations;
                     }
                     let records = vec![
                         (0, payload(number, 3 + usize::from(number) % 5)),
@@ -162,9 +166,9 @@
     let disk = Rc::new(RefCell::new(Disk::new()));
     let mut ring = open(&disk);
     ring.append(vec![(0, payload(1, 4))]).expect("the append succeeds");
-    disk.borrow_mut().budget = 0;
+    disk.borrow_mut().remaining_operations = 0;
     assert!(ring.append(vec![(0, payload(2, 4))]).is_err());
-    disk.borrow_mut().budget = usize::MAX;
+    disk.borrow_mut().remaining_operations = usize::MAX;
     let mut ring = open(&disk);
     assert_eq!(ring.slots()[0], Some(payload(1, 4)));
     ring.append(vec![(1, payload(3, 9))]).expect("the append succeeds after reopening");
@@ -203,7 +207,7 @@
         let mut reported: [u32; 2] = [0, 0];
         let mut written: [u32; 2] = [0, 0];
         let mut number: u32 = 0;
-        for (appends, budget, outcomes) in processes {
+        for (appends, remaining_operations, outcomes) in processes {
             let mut ring = open(&disk);
             for (slot, found) in ring.slots().iter().enumerate() {
                 let found = found.as_ref().map_or(0, |p| u32::from_le_bytes([p[0], p[1], p[2], p[3]]));
@@ -211,7 +215,7 @@
                 prop_assert!(found <= written[slot], "slot {} has a record that was never written", slot);
                 reported[slot] = found;
             }
-            disk.borrow_mut().budget = budget;
+            disk.borrow_mut().remaining_operations = remaining_operations;
             for (slot, length) in appends {
                 number += 1;
                 let mut record = number.to_le_bytes().to_vec();
