--- a/crates/gaugesaddle-consensus/src/change.rs
+++ b/crates/gaugesaddle-consensus/src/change.rs
@@ -1,13 +1,13 @@
-//! Turns an operator's configuration change into a proposal, without I/O.
+//! Conversion of an operator's configuration change into a proposal, without I/O.
 //!
-//! - [`parse_revision`]: whether a change can be parsed at all; called by whichever process receives it.
-//! - [`proposal`]: a leader's proposal on top of the configuration that it knows to be committed.
+//! - [`parse_revision`] checks that a change can be parsed; called by the process that receives the request.
+//! - [`proposal`] builds the leader's proposal on top of the committed configuration.
 //!
-//! A patch is identified like a full configuration, by base and body byte for byte, and is decided on top of a committed
-//! state. It is applied here, to the committed document, and the proposal names that document by digest: where another
-//! one is in effect when the replica decides, nothing is accepted ([`ProposedDocument::Patched`]). Two patches on one base
-//! are therefore never merged: the second one builds on another revision than the current one and is rejected like any
-//! change that does.
+//! A patch is identified like a full configuration, by its base revision and its body byte for byte, and is evaluated
+//! on top of a committed state. This module applies it to the committed document, and the proposal contains the digest
+//! of that document: if another document is current when the replica evaluates the proposal, it is not accepted
+//! ([`ProposedDocument::Patched`]). Two patches on one base are therefore never merged: the base of the second patch is
+//! no longer the current revision, and the patch is rejected like any other change with an old base.
 
 use crate::{Proposal, ProposedDocument};
 use gaugesaddle_config::{ConfigPatch, Finding, Findings};
@@ -18,7 +18,7 @@
 ///
 /// # Errors
 ///
-/// The findings of a body that cannot be parsed, or that has no revision.
+/// The findings if the body cannot be parsed or has no revision.
 pub fn parse_revision(body: &ChangeBody) -> Result<u64, Findings> {
     match body {
         ChangeBody::Full(document) => revision_of(document),
@@ -26,12 +26,12 @@
     }
 }
 
-/// The proposal for a change, by a leader that knows `committed` to be committed. `validate` checks the configuration that
-/// results from a patch; a full one was validated by the process that received it.
+/// Builds the proposal for a change; `committed` is the newest committed configuration of the leader. `validate` checks
+/// the configuration that results from a patch; a full configuration was validated by the process that received it.
 ///
 /// # Errors
 ///
-/// The findings of a body that cannot be parsed, of a patch that cannot be applied, or of `validate`.
+/// The findings if the body cannot be parsed or the patch cannot be applied, or those of `validate`.
 pub fn proposal(
     change: ConfigurationChange, committed: Option<&Configuration>,
     validate: impl FnOnce(&[u8]) -> Result<(), Findings>,
--- a/crates/gaugesaddle-consensus/src/commit.rs
+++ b/crates/gaugesaddle-consensus/src/commit.rs
@@ -1,4 +1,4 @@
-//! Proposals and commitment on the leader.
+//! Evaluation of proposals and commitment on the leader.
 
 use crate::proposal::QueuedProposal;
 use crate::read_index::UnconfirmedAnswer;
@@ -18,7 +18,8 @@
         self.advance(now, out);
     }
 
-    /// Commits the state if a quorum has it, answers the requests that waited for it, and starts the next change.
+    /// Commits the newest state if it is durable on a quorum, answers the requests that depend on it, and starts the
+    /// next change.
     pub(crate) fn advance(&mut self, now: u64, out: &mut Vec<Output>) {
         if self.role != Role::Leader {
             return;
@@ -28,7 +29,7 @@
             self.commit(now, out);
         }
         self.release_confirmed(out);
-        // Before the next proposal: a steady flow of proposals must not exclude a replica from the group.
+        // Membership changes precede the next proposal, so that a steady flow of proposals cannot starve them.
         self.advance_membership(now, out);
         while self.committed == self.state.position && self.replicating_proposal.is_none() {
             let Some(QueuedProposal { request, proposal }) = self.queued_proposals.pop_front() else { break };
@@ -45,12 +46,13 @@
         for request in std::mem::take(&mut self.reads_awaiting_commit) {
             self.answer_once_confirmed(now, UnconfirmedAnswer::Read(request, self.published.clone()));
         }
-        // Followers learn of the commitment at once, since the time until a change takes effect is limited.
+        // The commitment is sent to the followers at once, not with the next periodic heartbeat, since the time until a
+        // change takes effect is bounded.
         self.broadcast_heartbeat(now, out);
     }
 
-    /// Whether a state is durable on a quorum. The position contains the leader's term, so that states of earlier terms are
-    /// committed only together with one of this term (thesis 3.6.2).
+    /// Whether a state is durable on a quorum. The position contains the leader's term, so that a state of an earlier
+    /// term is committed only together with one of this term (thesis 3.6.2).
     fn is_on_quorum(&self, position: LogPosition) -> bool {
         self.quorum().is_reached(|voter| {
             if *voter == self.hard_state.id {
@@ -74,7 +76,7 @@
         out.push(Output::Committed);
     }
 
-    /// Decides a proposal on top of a committed state.
+    /// Accepts or rejects a proposal on top of the committed state.
     fn evaluate(&mut self, now: u64, request: u64, proposal: Proposal, out: &mut Vec<Output>) {
         let accepted = Accepted { revision: proposal.revision, digest: proposal.digest };
         let current = self.state.revision;
@@ -83,7 +85,8 @@
             return;
         }
         if (1..=self.state.pruned_revision).contains(&proposal.revision) {
-            // Its record may have been dropped, and an accepted proposal is never rejected. Revision 0 never was accepted.
+            // The proposal may have been accepted and its record dropped, and an accepted proposal must never be
+            // rejected. Revision 0 is never accepted.
             out.push(Output::Proposed(request, ProposalResult::Indeterminate));
             return;
         }
@@ -99,7 +102,8 @@
         }
         let revision = proposal.revision;
         let Some(document) = proposal.resulting_document(&self.state.document) else {
-            // Computed from a document that is not, or no longer, in effect: the client sends the request again.
+            // The patch was applied to a document other than the current one: the client is expected to repeat the
+            // request.
             out.push(Output::Proposed(request, ProposalResult::Indeterminate));
             return;
         };
@@ -114,7 +118,7 @@
         self.replace_state(now, change, out);
     }
 
-    /// Answers every proposal that is queued or under replication after the leadership has ended.
+    /// Answers all queued and replicating proposals as indeterminate after the leadership has ended.
     pub(crate) fn abandon_proposals(&mut self, out: &mut Vec<Output>) {
         let replicating = self.replicating_proposal.take();
         let queued = self.queued_proposals.drain(..).map(|queued| queued.request);
--- a/crates/gaugesaddle-consensus/src/disk_format.rs
+++ b/crates/gaugesaddle-consensus/src/disk_format.rs
@@ -1,4 +1,4 @@
-//! The records on a replica's disk: the hard state in one slot, the state in the other.
+//! Encoding of the records on a replica's disk: the hard state in one slot, the state in the other.
 
 use gaugesaddle_protocol::{HardState, State};
 use musli::alloc::Global;
@@ -35,23 +35,23 @@
 /// A record cannot be decoded.
 #[derive(Debug, Error)]
 pub enum DiskFormatError {
-    /// It was written by a version of the program with another format, or is empty.
-    #[error("the {record} on the disk cannot be decoded: its format version is not {FORMAT_VERSION}")]
+    /// The record is empty or has another format version.
+    #[error("cannot decode the {record} on the disk: expected format version {FORMAT_VERSION}")]
     Version {
         /// The record.
         record: Record,
     },
-    /// Its bytes are not an encoding of such a record.
-    #[error("the {record} on the disk cannot be decoded")]
+    /// The bytes are not an encoding of this record.
+    #[error("cannot decode the {record} on the disk")]
     Malformed {
         /// The record.
         record: Record,
-        /// What the decoder found.
+        /// The error of the decoder.
         source: musli::storage::Error,
     },
 }
 
-/// The records of a write, each with its slot.
+/// Encodes the records of a write, each with its slot.
 pub fn encode_records(hard_state: &HardState, state: Option<&State>) -> Vec<(usize, Vec<u8>)> {
     let mut records = Vec::with_capacity(2);
     push_record(&mut records, HARD_STATE_SLOT, hard_state);
@@ -61,10 +61,10 @@
     records
 }
 
-/// Hard state and state of a disk's slots; `None` for an empty slot.
+/// Decodes the hard state and the state from the slots of a disk; `None` for an empty slot.
 ///
-/// If one record cannot be decoded, neither is returned: a replica that retained its identity without its state could
-/// elect a leader, or confirm a state, against its own acknowledgements.
+/// If one record cannot be decoded, neither is returned: a replica that continued with its identity but without its
+/// state could vote for, or acknowledge, a state that contradicts its earlier acknowledgements.
 ///
 /// # Errors
 /// A record cannot be decoded.
@@ -78,7 +78,7 @@
 }
 
 fn push_record<T: Encode<Binary>>(records: &mut Vec<(usize, Vec<u8>)>, slot: usize, value: &T) {
-    // Encoding into a vector can only fail for lack of memory.
+    // Encoding into a vector fails only when memory is exhausted.
     if let Ok(encoded) = musli::storage::to_vec(value) {
         let mut bytes = Vec::with_capacity(1 + encoded.len());
         bytes.push(FORMAT_VERSION);
--- a/crates/gaugesaddle-consensus/src/election.rs
+++ b/crates/gaugesaddle-consensus/src/election.rs
@@ -1,4 +1,5 @@
-//! Elections: pre-votes (thesis 9.6), votes (3.4), and the end of a leadership (3.10, 6.2).
+//! Elections: pre-votes (thesis 9.6), votes (3.4), leadership transfer (3.10), and stepping down without a quorum
+//! (6.2).
 
 use crate::history::History;
 use crate::progress::Progress;
@@ -6,7 +7,7 @@
 use crate::{Output, Replica, Role, Storage};
 use gaugesaddle_protocol::{LogPosition, ReplicaId, ReplicaMessage};
 
-/// The fields of `RequestVote`.
+/// The fields of `ReplicaMessage::RequestVote`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct VoteRequest {
     pub term: u64,
@@ -14,7 +15,7 @@
     pub kind: CampaignKind,
 }
 
-/// The next pseudo-random number (xorshift); election time-outs need no better generator.
+/// The next number of the xorshift generator, whose quality is sufficient for the jitter of election time-outs.
 fn next_random(mut x: u64) -> u64 {
     x ^= x << 13;
     x ^= x >> 7;
@@ -22,32 +23,33 @@
 }
 
 impl Replica {
-    /// A number from 0 to below `bound_ms`; 0 where that is 0.
+    /// Draws a pseudo-random number below `bound_ms`; 0 if `bound_ms` is 0.
     fn random_jitter_ms(&mut self, bound_ms: u64) -> u64 {
         self.random = next_random(self.random);
         self.random % bound_ms.max(1)
     }
 
-    /// Starts the full election time-out anew.
+    /// Restarts the full election time-out.
     pub(crate) fn reset_election_deadline(&mut self, now: u64) {
         let jitter_ms = self.random_jitter_ms(self.settings.election_jitter_ms);
         self.election_deadline = now + self.settings.election_timeout_ms + jitter_ms;
     }
 
-    /// Starts the shorter time-out between attempts while there is no leader: a majority may become available at any moment.
+    /// Starts the shorter time-out between rounds of pre-votes while there is no leader, since a majority may become
+    /// available at any time.
     fn reset_pre_vote_deadline(&mut self, now: u64) {
         let jitter_ms = self.random_jitter_ms(self.settings.pre_vote_jitter_ms);
         self.election_deadline = now + self.settings.pre_vote_retry_ms + jitter_ms;
     }
 
-    /// Whether a leader has been in contact within the least election time-out: no other replica should be elected then
-    /// (thesis 4.2.3).
+    /// Whether a heartbeat of the leader has arrived within the minimum election time-out. No other replica should be
+    /// elected during this time (thesis 4.2.3).
     fn follows_live_leader(&self, now: u64) -> bool {
         let is_recent = |contact_ms: u64| now < contact_ms + self.settings.election_timeout_ms;
         self.leader.is_some() && self.leader_contact_ms.is_some_and(is_recent)
     }
 
-    /// The election time-out has passed: requests pre-votes for the next term, without entering it.
+    /// Requests pre-votes for the next term after the election time-out, without entering that term.
     pub(crate) fn start_pre_vote(&mut self, now: u64, out: &mut Vec<Output>) {
         self.reset_pre_vote_deadline(now);
         self.leader = None;
@@ -67,15 +69,17 @@
         self.campaign_on_pre_vote_quorum(now, out);
     }
 
-    /// Whether it may campaign. During a membership change a replica of either group may lead (thesis 4.3): one that is being
-    /// removed may be the only one with the newest state, without whose vote there is no majority of its group.
+    /// Whether this replica may campaign. During a membership change a replica of either group may lead (thesis 4.3): a
+    /// replica that is being removed may be the only one with the newest state, and the outgoing group may have no
+    /// majority without its vote.
     fn may_campaign(&self) -> bool {
         self.is_voter() || self.state.outgoing.contains(&self.hard_state.id)
     }
 
-    /// Whether it may grant votes. It need not be among the voters that it knows: a replica that has just become one may
-    /// not have that state yet, and a group that has lost another voter needs its vote. The candidate counts only votes of
-    /// its voters. A replica with an empty disk has a new identity and belongs to no group.
+    /// Whether this replica may grant votes. It need not be a voter in its own state: a replica that has just been
+    /// added may not have received that state yet, and after the loss of another voter its vote may be required. The
+    /// candidate counts only votes of the voters in its own state. A replica with an empty disk has a new identity and
+    /// belongs to no group.
     fn may_vote(&self) -> bool {
         self.storage == Storage::Durable && !self.state.voters.is_empty()
     }
@@ -108,7 +112,7 @@
         }
     }
 
-    /// The leader asks this voter to campaign at once (thesis 3.10).
+    /// Campaigns at once, as requested by the leader (thesis 3.10).
     pub(crate) fn handle_timeout_now(&mut self, now: u64, from: ReplicaId, term: u64, out: &mut Vec<Output>) {
         let is_from_leader =
             term == self.hard_state.term && self.leader == Some(from) && self.role == Role::Follower;
@@ -117,10 +121,11 @@
         }
     }
 
-    /// Enters the next term as a candidate. It requests votes once its own one is durable.
+    /// Enters the next term as a candidate. Votes are requested once this replica's own vote is durable.
     fn become_candidate(&mut self, now: u64, kind: CampaignKind, out: &mut Vec<Output>) {
         self.pre_votes_granted.clear();
-        // The full time-out: a campaign includes two disk writes, the candidate's and the voters'.
+        // The full time-out applies, since a campaign includes two consecutive disk writes: the candidate's and the
+        // voters'.
         self.reset_election_deadline(now);
         self.role = Role::Candidate;
         self.leader = None;
@@ -132,7 +137,7 @@
         self.after_sync(write_id, PostSyncAction::Campaign { term: self.hard_state.term, kind });
     }
 
-    /// The candidate's own vote is durable: requests the others'.
+    /// Requests the votes of the other voters, once the candidate's own vote is durable.
     pub(crate) fn request_votes(&mut self, now: u64, term: u64, kind: CampaignKind, out: &mut Vec<Output>) {
         if self.role != Role::Candidate || term != self.hard_state.term {
             return;
@@ -185,7 +190,7 @@
             return;
         }
         if granted {
-            // It may arrive before the own vote is durable, which is counted only then.
+            // Leadership also requires the candidate's own vote, which is counted once it is durable.
             self.votes_granted.insert(from);
             self.become_leader_if_elected(now, out);
         } else {
@@ -194,8 +199,8 @@
         }
     }
 
-    /// Ends a campaign that can no longer be won, since a rival has the votes. Waiting for the time-out would leave the
-    /// group without a leader for as long again.
+    /// Ends a campaign that can no longer be won because too many voters have rejected it. Waiting for the full
+    /// election time-out would prolong the time without a leader.
     fn abandon_lost_campaign(&mut self, now: u64) {
         let can_be_won = self.quorum().is_reached(|voter| !self.votes_rejected.contains(voter));
         if !can_be_won {
@@ -211,13 +216,15 @@
         }
         self.role = Role::Leader;
         self.leader = Some(self.hard_state.id);
-        // The election counts as contact with every voter; otherwise the lease would have ended before it began.
+        // The election counts as contact with every voter; otherwise the lease of a new leader would have expired
+        // already.
         let progress = Progress { contact_ms: Some(now), ..Progress::default() };
         self.progress = self.other_voters().into_iter().map(|voter| (voter, progress.clone())).collect();
         self.learners.clear();
         self.sent_heartbeats.clear();
         self.history = History::default();
-        // The state found is written under the new term: only a state of the own term can be committed (thesis 3.6.2).
+        // The present state is rewritten in the new term, since a leader commits only states of its own term (thesis
+        // 3.6.2).
         self.replace_state(now, |_| {}, out);
         self.broadcast_heartbeat(now, out);
     }
@@ -233,7 +240,7 @@
         self.persist_hard_state(now, out);
     }
 
-    /// Becomes a follower. What waits for this leadership is answered as indeterminate.
+    /// Becomes a follower. Pending proposals are answered as indeterminate, pending reads with `NotLeader`.
     pub(crate) fn step_down(&mut self, now: u64, leader: Option<ReplicaId>, out: &mut Vec<Output>) {
         if self.role == Role::Leader {
             self.reset_election_deadline(now);
@@ -247,16 +254,17 @@
         self.abandon_confirmations(out);
     }
 
-    /// Ends a leadership without contact with a quorum, or whose own disk stalls.
+    /// Steps down if the leader lease has expired, or if the leader's own disk stalls.
     pub(crate) fn check_lease(&mut self, now: u64, out: &mut Vec<Output>) {
         if self.role == Role::Leader && (!self.has_lease(now) || self.is_disk_stalled(now)) {
             self.step_down(now, None, out);
         }
     }
 
-    /// When the newest heartbeat was sent that a quorum has acknowledged, in milliseconds.
+    /// Send time of the newest heartbeat that a quorum has acknowledged, in milliseconds.
     pub(crate) fn quorum_contact_ms(&self) -> u64 {
-        // The leader is always in contact with itself. Half the range leaves room for a lease to be added.
+        // The leader is always in contact with itself. Half of the range is used, so that adding a lease does not
+        // overflow.
         const SELF_CONTACT_MS: u64 = u64::MAX / 2;
         let contact_ms = |voter: &ReplicaId| {
             if *voter == self.hard_state.id {
@@ -268,10 +276,12 @@
         self.quorum().highest_reached(contact_ms)
     }
 
-    /// Ends a leadership before the process ends: a voter that has the newest state campaigns at once.
+    /// Transfers leadership before a planned shutdown: steps down and requests a voter with the newest state to
+    /// campaign at once.
     ///
-    /// Without such a voter, and on a replica that does not lead, nothing is sent. Pending requests are answered as
-    /// indeterminate.
+    /// Without such a voter the leader steps down and sends no request. Pending proposals are answered as
+    /// indeterminate, pending reads with [`NotLeader`](crate::NotLeader). On a replica that does not lead this has no
+    /// effect.
     pub fn transfer_leadership(&mut self, now: u64, out: &mut Vec<Output>) {
         if self.role != Role::Leader {
             return;
@@ -283,7 +293,7 @@
         self.step_down(now, None, out);
     }
 
-    /// Of the voters on which the newest state is durable, the one with the newest contact.
+    /// Of the voters on which the newest state is durable, the one with the most recent contact.
     fn transfer_target(&self) -> Option<ReplicaId> {
         let newest = self.state.position;
         let other_voters = self.state.voters.iter().filter(|voter| **voter != self.hard_state.id);
--- a/crates/gaugesaddle-consensus/src/follower.rs
+++ b/crates/gaugesaddle-consensus/src/follower.rs
@@ -1,10 +1,10 @@
-//! Replication on a follower: heartbeats of the leader, and its states.
+//! Replication on a follower: handling of the leader's heartbeats and state updates.
 
 use crate::writes::PostSyncAction;
 use crate::{history, Output, Replica, Role};
 use gaugesaddle_protocol::{ClockReading, LogPosition, ReplicaId, ReplicaMessage, StateUpdate};
 
-/// The fields of `Append` beside the state.
+/// The fields of `ReplicaMessage::Append` except the state.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Heartbeat {
     pub term: u64,
@@ -35,8 +35,9 @@
             self.after_sync(write_id, response.clone());
         }
         self.advance_committed(committed, out);
-        // Until its term is durable, an acknowledgement could be forgotten. While the state alone is being written, this
-        // response reports what is durable so far; the one queued above follows it.
+        // An acknowledgement is sent only once the term is durable, since a crash would otherwise lose it. While only
+        // the state is being written, this response reports the position that is durable so far, and the response
+        // queued above follows.
         if self.durable_term == term {
             self.send_append_response(from, term, sequence, clock_reading, out);
         } else if let Some(write) = self.pending_writes.back() {
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Accepts the sender of a heartbeat as the leader of a term that is not older than the own one.
+    /// Accepts the sender of a heartbeat as the leader of a term that is not older than this replica's term.
     fn accept_leader(&mut self, now: u64, leader: ReplicaId, term: u64, out: &mut Vec<Output>) {
         if term > self.hard_state.term {
             self.enter_newer_term(now, term, out);
@@ -73,8 +74,8 @@
         out.push(Output::Send(to, message));
     }
 
-    /// Records how fresh the leader's report is: the leader sent it after this process took the echoed clock reading. A
-    /// reading of another process, or one later than now, proves nothing.
+    /// Records the freshness of the leader's report: the leader sent it after this process took the echoed clock
+    /// reading. A reading of another process, or one later than `now`, is ignored.
     fn record_freshness(&mut self, now: u64, committed: LogPosition, echoed_reading: Option<ClockReading>) {
         self.leader_committed = self.leader_committed.max(committed);
         let own_reading = echoed_reading.filter(|r| r.process == self.process && r.time_ms <= now);
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Learns from the leader that the newest state is committed.
+    /// Advances the committed position if the leader reports the newest state of this replica as committed.
     fn advance_committed(&mut self, committed: LogPosition, out: &mut Vec<Output>) {
         if committed == self.state.position && committed > self.committed {
             self.committed = committed;
--- a/crates/gaugesaddle-consensus/src/history.rs
+++ b/crates/gaugesaddle-consensus/src/history.rs
@@ -1,12 +1,12 @@
-//! State updates for other replicas: a delta against a state that the receiver has, else the full state.
+//! State updates for other replicas: a delta against a state that the receiver has, or the full state.
 
 use crate::settings::MAX_ACCEPTED;
 use gaugesaddle_protocol::{Accepted, DocumentUpdate, LogPosition, State, StateUpdate};
 use std::collections::VecDeque;
 
-/// Earlier states that are retained as bases of deltas.
+/// Maximum number of earlier states that are retained as bases of deltas.
 const MAX_RETAINED_STATES: usize = 16;
-/// Limit on the total size of their documents.
+/// Limit on the total size of their documents, in bytes.
 const MAX_RETAINED_BYTES: usize = 4 << 20;
 
 /// The parts of an earlier state that a delta needs.
@@ -17,7 +17,8 @@
     document: Vec<u8>,
 }
 
-/// The newest earlier states of a leader. The oldest leaves first, beyond [`MAX_RETAINED_STATES`] or [`MAX_RETAINED_BYTES`].
+/// The most recent earlier states of a leader. Beyond [`MAX_RETAINED_STATES`] or [`MAX_RETAINED_BYTES`] the oldest is
+/// dropped.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct History {
     retained_states: VecDeque<RetainedState>,
@@ -41,10 +42,10 @@
         self.retained_states.len() > MAX_RETAINED_STATES || bytes > MAX_RETAINED_BYTES
     }
 
-    /// An update to `state` for a receiver that has the state at `received`; full where that one is not retained.
+    /// An update to `state` for a receiver that has the state at `received`; a full one if that state is not retained.
     pub fn update(&self, received: Option<LogPosition>, state: &State) -> StateUpdate {
         let base = self.retained_states.iter().find(|retained| Some(retained.position) == received);
-        // Revisions rise with each accepted change.
+        // Revisions increase with each accepted change.
         let is_new = |accepted: &&Accepted| base.is_none_or(|base| accepted.revision > base.revision);
         StateUpdate {
             base: base.map(|base| base.position),
@@ -66,7 +67,8 @@
     accepted.drain(..surplus).map(|accepted| accepted.revision).max()
 }
 
-/// The state that results from an update; `None` where its base is another state than the present one.
+/// The state that results from an update; `None` if the base of the update is not the present state or its document
+/// cannot be applied.
 pub(crate) fn apply(state: &State, update: StateUpdate) -> Option<State> {
     let (base, mut accepted) = match update.base {
         None => (None, Vec::new()),
--- a/crates/gaugesaddle-consensus/src/interface.rs
+++ b/crates/gaugesaddle-consensus/src/interface.rs
@@ -4,14 +4,14 @@
 use gaugesaddle_protocol::{Configuration, HardState, ReplicaId, ReplicaMessage, State};
 use thiserror::Error;
 
-/// Number of a disk write. Numbers rise by one, and writes complete in this order.
+/// Sequence number of a disk write. Numbers increase by one, and writes complete in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WriteId(pub u64);
 
 /// An event that the host reports to a replica.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time has passed; wanted at [`Replica::deadline`](crate::Replica::deadline) at the latest.
+    /// Time has passed. Required no later than at [`Replica::deadline`](crate::Replica::deadline).
     Tick,
     /// A message of another replica has arrived.
     Message {
@@ -33,7 +33,7 @@
 pub enum Output {
     /// Send a message to one replica. It may be lost, delayed or reordered.
     Send(ReplicaId, ReplicaMessage),
-    /// Send a message to every replica that the host knows of.
+    /// Send a message to every other replica in the host's list of peers.
     Broadcast(ReplicaMessage),
     /// Write and sync, then report [`Input::Persisted`].
     Persist {
@@ -41,7 +41,7 @@
         write_id: WriteId,
         /// Replaces the hard state on the disk.
         hard_state: HardState,
-        /// Replaces the state on the disk; `None` where it has not changed.
+        /// Replaces the state on the disk; `None` if it has not changed.
         state: Option<Box<State>>,
     },
     /// The configuration in [`Replica::committed`](crate::Replica::committed) has changed.
@@ -52,9 +52,9 @@
     Read(u64, Result<Option<Configuration>, NotLeader>),
 }
 
-/// The replica does not lead, so that it cannot answer a linearizable read. The client tries another replica.
+/// The replica is not the leader and cannot answer a linearizable read. The client should try another replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("this replica does not lead")]
+#[error("this replica is not the leader")]
 pub struct NotLeader;
 
 /// A server's state in Raft (thesis 3.3).
@@ -75,14 +75,14 @@
     Follower,
     /// Requests votes.
     Candidate,
-    /// Leads.
+    /// Replicates the state and answers proposals and reads.
     Leader,
 }
 
 /// Whether a replica has a disk. It decides whether it may vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Storage {
-    /// Writes survive a restart: the replica votes, or requests to become a voter.
+    /// Writes survive a restart: the replica is a voter, or requests to become one.
     Durable,
     /// No disk: the replica never votes and remains a learner.
     Diskless,
--- a/crates/gaugesaddle-consensus/src/lib.rs
+++ b/crates/gaugesaddle-consensus/src/lib.rs
@@ -1,18 +1,19 @@
 //! Raft for the operator's configuration: election, replication, membership changes and linearizable reads, without I/O.
 //!
-//! The replicated [`State`](gaugesaddle_protocol::State) is one value that each change replaces, so the log is one entry
-//! long, and a state travels as a delta against the one that the receiver has. What Raft requires of a log's last entry is
-//! required of the state's [`LogPosition`](gaugesaddle_protocol::LogPosition): a vote is granted only to a candidate whose
-//! position is not older, and a new leader writes the state that it found under its own term before anything is committed
-//! (Ongaro, *Consensus: Bridging Theory and Practice*, 2014, section 3.6).
+//! The replicated [`State`](gaugesaddle_protocol::State) is one value that each change replaces, so the log is one
+//! entry long, and a state is sent as a delta against the state that the receiver has. Raft's rules for the last log
+//! entry apply to the state's [`LogPosition`](gaugesaddle_protocol::LogPosition): a vote is granted only to a candidate
+//! whose position is not older, and a new leader rewrites its present state in its own term before anything is
+//! committed (Ongaro, *Consensus: Bridging Theory and Practice*, 2014, section 3.6).
 //!
 //! # Main types
 //!
-//! - [`Replica`] is the state machine. It handles an [`Input`] with the steady time at which it happened and appends the
-//!   [`Output`]s that its host must carry out. [`Role`] draws its transitions.
-//! - [`Proposal`] is a change on its way into the state, [`ProposalResult`] its outcome; [`change`] makes proposals out of
-//!   operators' requests.
-//! - [`disk_format`] encodes what [`Output::Persist`] writes. The host owns disk, sockets, clock and random numbers.
+//! - [`Replica`] is the state machine. It handles an [`Input`] with the monotonic time of its occurrence and appends
+//!   the [`Output`]s that its host must execute. [`Role`] documents the transitions.
+//! - [`Proposal`] is a proposed change of the configuration, [`ProposalResult`] its outcome; [`change`] builds
+//!   proposals from operators' requests.
+//! - [`disk_format`] encodes the records that [`Output::Persist`] writes. The host owns the disk, the sockets, the
+//!   clock and the source of random numbers.
 //!
 //! # Example
 //!
@@ -41,9 +42,9 @@
 //!
 //! - A change reported as [`ProposalResult::Committed`] is durable on a quorum.
 //! - A term has at most one leader.
-//! - A replica with an empty disk is another replica: it never votes in the place of the old one.
-//! - A replica that [is fresh](Replica::is_fresh) has everything that was committed one lease ago, however late messages
-//!   arrive and however long the process was suspended.
+//! - A replica whose disk was lost gets a new identity: it never votes in place of the old one.
+//! - A replica that [is fresh](Replica::is_fresh) has every state that was committed one lease ago, regardless of
+//!   message delays and of how long the process was suspended.
 //!
 //! Votes and acknowledgements are sent only after [`Input::Persisted`] of the write that contains them. The host may lose
 //! and reorder messages.
--- a/crates/gaugesaddle-consensus/src/membership.rs
+++ b/crates/gaugesaddle-consensus/src/membership.rs
@@ -1,7 +1,7 @@
-//! Changes of the group of voters by joint consensus (thesis 4.3).
+//! Membership changes by joint consensus (thesis 4.3).
 //!
-//! A replica that does not vote broadcasts `Join` and becomes a learner: the leader sends it every state. Only once the
-//! newest state is durable there does the leader change the group:
+//! A replica that is not a voter broadcasts `Join` and becomes a learner, to which the leader sends every state. The
+//! leader changes the group only once the newest state is durable on the learner:
 //!
 //! ```text
 //!             a learner has caught up, or a voter
@@ -11,25 +11,26 @@
 //!      +--- joint state committed: outgoing emptied -+
 //! ```
 //!
-//! A replica that is being removed may be elected in between; it leads until the change is committed without it.
+//! A replica that is being removed may be elected during the change; it leads until the group without it is committed.
 //!
-//! A learner replaces the voter that ran on its machine (whose disk was lost), else a voter that does not respond (whose
-//! machine may have been replaced), else it is added. No vote is removed before its successor has the state, so that a
-//! second loss meets as many replicas of the state as the first did.
+//! A learner replaces the voter with the same address (whose disk was lost), else an unresponsive voter (whose machine
+//! may have been replaced); otherwise it is added. A voter is replaced only once its successor has the newest state, so
+//! that a replacement does not reduce the number of voters that have the state, and a second loss is tolerated like the
+//! first.
 
 use crate::progress::Learner;
 use crate::settings::{MAX_LEARNERS, MAX_VOTERS};
 use crate::{Output, Replica, Role, Storage};
 use gaugesaddle_protocol::{ReplicaId, ReplicaMessage, State};
 
-/// Interval between the `Join` broadcasts of a replica that does not vote.
+/// Interval between the `Join` broadcasts of a replica that is not a voter.
 const JOIN_INTERVAL_MS: u64 = 300;
-/// A learner whose latest `Join` is older is dropped. Five broadcasts in a row may be lost.
+/// Age of the latest `Join` at which a learner is dropped. Five consecutive broadcasts may be lost.
 const LEARNER_TIMEOUT_MS: u64 = 2000;
 
-/// What a learner does to the group when it becomes a voter.
+/// How a learner is promoted to a voter.
 enum LearnerPromotion {
-    /// It takes the slot of the voter at this index.
+    /// It replaces the voter at this index.
     Replace(usize),
     /// It is added to the voters.
     Add,
@@ -50,7 +51,7 @@
         self.learners.insert(from, Learner { joined_ms: now, durable });
     }
 
-    /// Takes the next step of a membership change, once the previous one is committed.
+    /// Takes the next step of a membership change once the previous step is committed.
     pub(crate) fn advance_membership(&mut self, now: u64, out: &mut Vec<Output>) {
         self.learners.retain(|_, learner| now < learner.joined_ms + LEARNER_TIMEOUT_MS);
         self.prune_progress();
@@ -61,7 +62,7 @@
         if !self.state.outgoing.is_empty() {
             self.replace_state(now, |state| state.outgoing.clear(), out);
         } else if !self.is_voter() {
-            // It led only to complete the change that removed it (thesis 4.2.2).
+            // A leader outside the group has led only to complete the change that removed it (thesis 4.2.2).
             self.transfer_leadership(now, out);
         } else if let Some(voters) = self.next_voters(now) {
             self.learners.retain(|learner, _| !voters.contains(learner));
@@ -70,13 +71,14 @@
         }
     }
 
-    /// Drops the progress of replicas that are sent nothing any more: former voters, and learners that have departed.
+    /// Drops the progress of replicas that no longer receive heartbeats: former voters, and learners that have been
+    /// dropped.
     fn prune_progress(&mut self) {
         let (voters, learners) = (self.other_voters(), &self.learners);
         self.progress.retain(|id, _| voters.contains(id) || learners.contains_key(id));
     }
 
-    /// The voters after the next change, if one is due.
+    /// The voters after the next membership change, if a change is due.
     fn next_voters(&self, now: u64) -> Option<Vec<ReplicaId>> {
         let mut voters = self.state.voters.clone();
         if let Some(learner) = self.caught_up_learner() {
@@ -103,7 +105,7 @@
         durable.find(has_caught_up)
     }
 
-    /// How a learner becomes a voter; `None` while it must wait.
+    /// How to promote a caught-up learner; `None` while the promotion is delayed.
     fn promotion_of(&self, now: u64, learner: ReplicaId) -> Option<LearnerPromotion> {
         let voters = &self.state.voters;
         let has_same_address = |voter: &ReplicaId| voter.ip == learner.ip && *voter != self.hard_state.id;
@@ -114,8 +116,8 @@
         if let Some(slot) = voters.iter().position(|voter| self.is_unresponsive(now, voter, timeout_ms)) {
             return Some(LearnerPromotion::Replace(slot));
         }
-        // Beside a dead voter one more only raises the majority. Whether a voter is dead shows soon: a new leader waits
-        // until all have responded, or one has timed out.
+        // If a voter is dead, an additional voter only increases the size of the majority. A new leader therefore adds
+        // no voter until all voters have responded; a voter that does not respond is replaced after its time-out.
         let may_add = voters.len() < MAX_VOTERS && self.have_all_voters_responded();
         may_add.then_some(LearnerPromotion::Add)
     }
@@ -127,7 +129,7 @@
         self.state.voters.iter().all(|voter| *voter == self.hard_state.id || has_responded(voter))
     }
 
-    /// Whether another voter has acknowledged no heartbeat that was sent within the time-out.
+    /// Whether another voter has acknowledged no heartbeat that was sent within the last `timeout_ms`.
     fn is_unresponsive(&self, now: u64, voter: &ReplicaId, timeout_ms: u64) -> bool {
         let contact_ms = self.progress.get(voter).and_then(|p| p.contact_ms).unwrap_or(0);
         *voter != self.hard_state.id && now >= contact_ms + timeout_ms
--- a/crates/gaugesaddle-consensus/src/membership/tests.rs
+++ b/crates/gaugesaddle-consensus/src/membership/tests.rs
@@ -1,4 +1,5 @@
-//! The failure: a leader keeps the progress of every learner that ever joined it.
+//! Checks that a leader drops the progress of departed learners, and that a replica that is being removed can lead
+//! until the change is committed.
 
 use super::*;
 use crate::{Input, Settings};
@@ -8,7 +9,7 @@
     ReplicaId { ip, incarnation: 0 }
 }
 
-/// The only voter of its group, which leads it.
+/// The leader of a group of one voter.
 fn leader() -> Replica {
     let position = LogPosition { term: 1, index: 1 };
     let state = State { position, revision: 1, voters: vec![id(1)], ..State::default() };
@@ -17,13 +18,13 @@
     let mut now = 0;
     while replica.role != Role::Leader {
         now += 1;
-        assert!(now < 10_000, "it elects itself");
+        assert!(now < 10_000, "the only voter was not elected within 10 s");
         tick(&mut replica, now);
     }
     replica
 }
 
-/// Passes the time; every write is durable at once.
+/// Advances the time; every write is durable at once.
 fn tick(replica: &mut Replica, now: u64) {
     let mut out = Vec::new();
     replica.handle(now, Input::Tick, &mut out);
@@ -39,18 +40,23 @@
     let mut replica = leader();
     let start = 10_000;
     for n in 0..50 {
-        // Each is another process without a disk, which joins once and departs.
+        // Each learner is a different diskless process, which broadcasts `Join` once and departs.
         let now = start + u64::from(n) * 3 * LEARNER_TIMEOUT_MS;
         let message = ReplicaMessage::Join { durable: false };
         replica.handle(now, Input::Message { from: id(100 + n), message }, &mut Vec::new());
         (now..now + 3 * LEARNER_TIMEOUT_MS).step_by(50).for_each(|at| tick(&mut replica, at));
-        assert!(replica.progress.len() <= 1, "{} after {n} learners", replica.progress.len());
+        assert!(
+            replica.progress.len() <= 1,
+            "progress of {} replicas after {n} learners",
+            replica.progress.len()
+        );
     }
-    assert_eq!(replica.role, Role::Leader, "it leads throughout");
+    assert_eq!(replica.role, Role::Leader, "the only voter lost its leadership");
 }
 
-/// The failure: the only replica with the newest state is being removed and never campaigns. Its vote is needed for the
-/// majority of the outgoing group, and it grants none to a replica with an older state: no leader, ever.
+/// Guards against a group that never elects a leader: the only replica with the newest state is being removed and does
+/// not campaign, its vote is required for the majority of the outgoing group, and it grants no vote to a replica with
+/// an older state.
 #[test]
 fn a_replica_that_is_being_removed_may_lead_until_the_change_is_committed() {
     let voters = vec![id(1), id(2), id(4)];
@@ -68,8 +74,8 @@
     assert_eq!(out.iter().filter_map(requested).collect::<Vec<_>>(), [id(1), id(2), id(4)]);
 }
 
-/// The same group, in which one machine has lost its disk: the others elect a leader, complete the change, and the replica
-/// that it removed leads no more.
+/// The same group after one machine has lost its disk: the other replicas elect a leader and complete the change, and
+/// the removed replica does not lead after it.
 #[test]
 fn a_removed_leader_transfers_leadership_once_the_change_is_committed() {
     let voters = vec![id(1), id(2), id(4)];
@@ -108,10 +114,10 @@
         }
         let leader = replicas.iter().find(|replica| replica.role == Role::Leader);
         if leader.is_some_and(|leader| leader.is_voter() && leader.is_membership_committed()) {
-            assert!(has_led, "only the third had the newest state");
+            assert!(has_led, "the only replica with the newest state, the third, has never led");
             assert_ne!(replicas[2].role, Role::Leader);
             return;
         }
     }
-    panic!("no voter leads after the change");
+    panic!("no voter leads within 10 s");
 }
--- a/crates/gaugesaddle-consensus/src/proposal.rs
+++ b/crates/gaugesaddle-consensus/src/proposal.rs
@@ -7,28 +7,29 @@
 pub enum ProposedDocument {
     /// A complete document, independent of the current one.
     Full(Vec<u8>),
-    /// A document computed by applying a patch to another one. It is accepted only on top of that very document.
+    /// A document computed by applying a patch to another one. It is accepted only if that other document is still the
+    /// current one.
     Patched {
         /// Digest of the document to which the patch was applied.
         base: Digest,
-        /// The result.
+        /// The resulting document.
         document: Vec<u8>,
     },
-    /// The proposer did not have the revision to which the patch applies. The proposal is still recognized as a repetition
-    /// of an accepted one and rejected like any other, but never accepted.
+    /// The proposer did not have the base revision of the patch. The proposal can still be recognized as a repeated
+    /// request, or be rejected like any other, but it is never accepted.
     Unavailable,
 }
 
-/// An operator's change, valid in itself.
+/// A configuration change requested by an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Proposal {
-    /// The revision on which it builds; 0 before the first configuration.
+    /// The revision to which the change applies; 0 before the first configuration.
     pub base: u64,
-    /// The revision that it creates.
+    /// The revision that the change creates.
     pub revision: u64,
-    /// Its document.
+    /// The proposed document.
     pub content: ProposedDocument,
-    /// Digest of base and request body. It identifies a repeated request.
+    /// Digest of the base revision and the request body. It identifies repeated requests.
     pub digest: Digest,
 }
 
@@ -36,20 +37,21 @@
 const PATCH_DIGEST_PREFIX: &[u8] = b"edit";
 
 impl Proposal {
-    /// A proposal of a full document. Its identity is the request byte for byte: a document that differs only in
-    /// formatting is another proposal.
+    /// A proposal of a full document. Its digest covers the request byte for byte, so that a document that differs only
+    /// in formatting is a different proposal.
     pub fn new(base: u64, revision: u64, document: Vec<u8>) -> Proposal {
         let digest = Digest::of_concatenation(&[&base.to_le_bytes(), &document]);
         Proposal { base, revision, content: ProposedDocument::Full(document), digest }
     }
 
-    /// A proposal made out of a patch; `body` is the patch as the operator sent it.
+    /// A proposal that results from a patch; `body` is the request body of the operator.
     pub fn from_patch(base: u64, revision: u64, body: &[u8], content: ProposedDocument) -> Proposal {
         let digest = Digest::of_concatenation(&[PATCH_DIGEST_PREFIX, &base.to_le_bytes(), body]);
         Proposal { base, revision, content, digest }
     }
 
-    /// The document that takes effect where `current` is in effect; `None` if the proposal does not apply to it.
+    /// The document that results from the proposal on top of `current`; `None` if the proposal does not apply to
+    /// `current`.
     pub(crate) fn resulting_document(self, current: &[u8]) -> Option<Vec<u8>> {
         match self.content {
             ProposedDocument::Full(document) => Some(document),
@@ -62,24 +64,25 @@
 /// The result of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalResult {
-    /// Durable on a quorum, now or by an earlier identical request.
+    /// The change is durable on a quorum, through this request or an earlier identical one.
     Committed,
-    /// Rejected: it builds on another revision than the current one.
+    /// Rejected: the base is not the current revision.
     Conflict {
         /// The current revision.
         current: u64,
     },
-    /// Rejected: its revision is not above the current one.
+    /// Rejected: the proposed revision is not greater than the current one.
     StaleRevision {
         /// The current revision.
         current: u64,
     },
-    /// Unknown: this replica does not lead, lost its leadership, or no longer remembers requests of this age. The change may
-    /// or may not take effect; the client repeats the same request.
+    /// The outcome is unknown: this replica is not the leader, has lost its leadership, or no longer has the records of
+    /// requests of this age, or the patch was applied to a document other than the current one. The change may or may
+    /// not take effect; the client should repeat the same request.
     Indeterminate,
 }
 
-/// A proposal in the leader's queue, under the host's request number.
+/// A proposal in the leader's queue, with the host's request number.
 #[derive(Clone, Debug)]
 pub(crate) struct QueuedProposal {
     pub request: u64,
--- a/crates/gaugesaddle-consensus/src/quorum.rs
+++ b/crates/gaugesaddle-consensus/src/quorum.rs
@@ -2,21 +2,21 @@
 
 use gaugesaddle_protocol::{ReplicaId, State};
 
-/// The voters whose agreement a decision needs.
+/// The groups of voters; a decision requires a majority of each.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Quorum<'a> {
     voters: &'a [ReplicaId],
-    /// The group before the change under way; empty between changes.
+    /// The voters before the membership change in progress; empty between changes.
     outgoing: &'a [ReplicaId],
 }
 
 impl<'a> Quorum<'a> {
-    /// The quorum by which a state is decided.
+    /// The quorum that the membership in a state requires.
     pub fn of(state: &'a State) -> Quorum<'a> {
         Quorum { voters: &state.voters, outgoing: &state.outgoing }
     }
 
-    /// Whether those who agree are a majority of the voters and, during a change, of the outgoing ones.
+    /// Whether a majority of the voters and, during a membership change, a majority of the outgoing voters agree.
     pub fn is_reached(self, agrees: impl Fn(&ReplicaId) -> bool) -> bool {
         let has_majority = |group: &[ReplicaId]| {
             let agreeing = group.iter().filter(|voter| agrees(voter)).count();
--- a/crates/gaugesaddle-consensus/src/read_index.rs
+++ b/crates/gaugesaddle-consensus/src/read_index.rs
@@ -1,20 +1,20 @@
-//! Linearizable reads and rejections: an answer is released once a quorum has confirmed the leader (thesis 6.4).
+//! Linearizable reads and rejections: an answer is released once a quorum has confirmed the leadership (thesis 6.4).
 //!
-//! A deposed leader that does not know of its successor would answer from an old state. Each such answer therefore waits
-//! for a heartbeat that was sent after the request and that a quorum has acknowledged.
+//! A deposed leader that has not received a message of the newer term would answer from a stale state. Each such answer
+//! is therefore delayed until a quorum has acknowledged a heartbeat that was sent after the request.
 
 use crate::settings::MAX_PENDING;
 use crate::{NotLeader, Output, ProposalResult, Replica, Role};
 use gaugesaddle_protocol::{Configuration, ReplicaId};
 
-/// An answer that is valid only if this replica still led when the request came.
+/// An answer that is valid only if this replica was still the leader when the request arrived.
 #[derive(Clone, Debug)]
 pub(crate) enum UnconfirmedAnswer {
     Read(u64, Option<Configuration>),
     Proposal(u64, ProposalResult),
 }
 
-/// An answer and the heartbeat that must be acknowledged by a quorum before it.
+/// An answer and the heartbeat that a quorum must acknowledge before the answer is released.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingConfirmation {
     pub sequence: u64,
@@ -27,7 +27,8 @@
         if self.role != Role::Leader || pending >= MAX_PENDING {
             out.push(Output::Read(request, Err(NotLeader)));
         } else if self.committed.term != self.hard_state.term {
-            // A new leader knows what is committed only once a state of its own term is (thesis 6.4, step 1).
+            // The committed position of a new leader is current only once a state of its own term is committed (thesis
+            // 6.4, step 1).
             self.reads_awaiting_commit.push(request);
         } else {
             self.answer_once_confirmed(now, UnconfirmedAnswer::Read(request, self.published.clone()));
@@ -55,7 +56,8 @@
         }
     }
 
-    /// Answers everything that waits for a confirmation after the leadership has ended.
+    /// Answers all delayed requests after the leadership has ended: reads with [`NotLeader`], proposals as
+    /// indeterminate.
     pub(crate) fn abandon_confirmations(&mut self, out: &mut Vec<Output>) {
         for pending in self.pending_confirmations.drain(..) {
             out.push(match pending.answer {
@@ -70,7 +72,7 @@
         }
     }
 
-    /// The newest heartbeat that a voter has acknowledged; the leader acknowledges its own.
+    /// The newest heartbeat that a voter has acknowledged; for the leader itself, the newest that it has sent.
     fn acknowledged_sequence(&self, voter: &ReplicaId) -> u64 {
         if *voter == self.hard_state.id {
             self.heartbeat_sequence
--- a/crates/gaugesaddle-consensus/src/replica.rs
+++ b/crates/gaugesaddle-consensus/src/replica.rs
@@ -1,4 +1,4 @@
-//! One replica: its fields, how it dispatches inputs, and what a host can query.
+//! The replica: its fields, the dispatch of inputs, and the host's queries.
 
 use crate::election::VoteRequest;
 use crate::follower::Heartbeat;
@@ -13,9 +13,9 @@
 use gaugesaddle_protocol::{Configuration, HardState, LogPosition, ReplicaId, ReplicaMessage, State};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// One replica of the configuration. Its roles and their transitions are drawn at [`Role`].
+/// One replica of the configuration. Its roles and their transitions are documented at [`Role`].
 ///
-/// Times are milliseconds on the host's steady clock.
+/// Times are milliseconds on the host's monotonic clock.
 #[derive(Clone, Debug)]
 pub struct Replica {
     pub(crate) settings: Settings,
@@ -25,7 +25,7 @@
     /// State of the pseudo-random generator; never 0.
     pub(crate) random: u64,
 
-    /// What is durable, or being written.
+    /// The hard state, durable or being written.
     pub(crate) hard_state: HardState,
     /// The newest state, durable or being written.
     pub(crate) state: State,
@@ -36,9 +36,9 @@
 
     pub(crate) role: Role,
     pub(crate) leader: Option<ReplicaId>,
-    /// When the latest heartbeat of a leader arrived.
+    /// Arrival time of the latest heartbeat of a leader.
     pub(crate) leader_contact_ms: Option<u64>,
-    /// A majority followed the present leader at this time or later.
+    /// The newest clock reading of this process that the present leader has echoed: the leader sent its report later.
     pub(crate) fresh_as_of_ms: Option<u64>,
     /// The newest state that a leader has reported as committed.
     pub(crate) leader_committed: LogPosition,
@@ -48,7 +48,7 @@
     pub(crate) votes_granted: BTreeSet<ReplicaId>,
     pub(crate) votes_rejected: BTreeSet<ReplicaId>,
 
-    /// Leader only: the other voters, and learners that have been sent anything.
+    /// Leader only: replication progress of the other voters, and of the learners to which a message was sent.
     pub(crate) progress: BTreeMap<ReplicaId, Progress>,
     pub(crate) learners: BTreeMap<ReplicaId, Learner>,
     pub(crate) history: History,
@@ -64,16 +64,16 @@
     pub(crate) durable_position: LogPosition,
 
     pub(crate) queued_proposals: VecDeque<QueuedProposal>,
-    /// Request number of the proposal whose state is not committed yet.
+    /// Request number of the proposal that is being replicated.
     pub(crate) replicating_proposal: Option<u64>,
     pub(crate) pending_confirmations: Vec<PendingConfirmation>,
-    /// Reads that wait until this leader has committed a state of its own term.
+    /// Reads that are delayed until this leader has committed a state of its own term.
     pub(crate) reads_awaiting_commit: Vec<u64>,
 }
 
 impl Replica {
-    /// A replica with what was read from its disk, started at `now` milliseconds. `random` seeds its election time-outs
-    /// and identifies its process; two processes of one machine must not share it.
+    /// Creates a replica from the contents of its disk, started at `now` milliseconds. `random` seeds its election
+    /// time-outs and identifies its process; two processes of one machine must have different values.
     pub fn new(
         settings: Settings, hard_state: HardState, state: State, now: u64, random: u64, storage: Storage,
     ) -> Replica {
@@ -115,8 +115,8 @@
             reads_awaiting_commit: Vec::new(),
         };
         replica.reset_election_deadline(now);
-        // The first time-out is shorter. After a loss of all processes there is no leader; if there is one, the pre-votes
-        // are rejected.
+        // The first time-out is shorter: after a crash of all processes there is no leader to wait for, and if there is
+        // a leader, the pre-votes are rejected.
         replica.election_deadline -= settings.election_timeout_ms - settings.first_election_timeout_ms;
         replica
     }
@@ -180,7 +180,7 @@
         }
     }
 
-    /// When [`Input::Tick`] is due at the latest, in milliseconds. Each input may change it.
+    /// Latest time of the next [`Input::Tick`], in milliseconds. Any input may change it.
     pub fn deadline(&self) -> u64 {
         let role_deadline = match self.role {
             Role::Leader => self.heartbeat_deadline,
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Whether it has neither voted nor received a state.
+    /// Whether this replica has never voted and never received a state.
     pub fn is_pristine(&self) -> bool {
         self.hard_state.term == 0 && self.state == State::default()
     }
@@ -203,17 +203,17 @@
         self.hard_state.id
     }
 
-    /// Its present role.
+    /// The present role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Its present term.
+    /// The present term.
     pub fn term(&self) -> u64 {
         self.hard_state.term
     }
 
-    /// The leader, as far as this replica knows.
+    /// The leader of the present term; `None` while this replica has no contact with one.
     pub fn leader(&self) -> Option<ReplicaId> {
         self.leader
     }
@@ -223,12 +223,12 @@
         &self.state.voters
     }
 
-    /// Whether those voters are committed and no membership change is under way, as far as this replica knows.
+    /// Whether the newest state of this replica is committed and no membership change is in progress in it.
     pub fn is_membership_committed(&self) -> bool {
         self.committed == self.state.position && self.state.outgoing.is_empty()
     }
 
-    /// The newest committed configuration that this replica knows of; `None` before the first.
+    /// The newest configuration reported to this replica as committed; `None` before the first.
     pub fn committed(&self) -> Option<&Configuration> {
         self.published.as_ref()
     }
@@ -236,8 +236,9 @@
     /// Whether this replica has everything that was committed until `follower_lease_ms` ago (on a leader:
     /// `leader_lease_ms`).
     ///
-    /// A follower relies on its own clock alone: on the newest clock reading that the leader has echoed, not on when a
-    /// heartbeat arrived. That one may have been delayed on a slow link, or in the socket of a suspended process.
+    /// A follower uses only its own clock: it computes the age of the newest clock reading that the leader has echoed.
+    /// The arrival time of a heartbeat is no evidence, since the heartbeat may have been delayed on a slow link, or in
+    /// the socket buffer of a suspended process.
     pub fn is_fresh(&self, now: u64) -> bool {
         if self.committed.term != self.hard_state.term {
             return false;
@@ -251,7 +252,7 @@
             && self.fresh_as_of_ms.is_some_and(is_recent)
     }
 
-    /// Whether it leads and a quorum has acknowledged a heartbeat sent within the last `leader_lease_ms`.
+    /// Whether this replica leads and a quorum has acknowledged a heartbeat sent within the last `leader_lease_ms`.
     pub fn has_lease(&self, now: u64) -> bool {
         self.role == Role::Leader && now < self.quorum_contact_ms() + self.settings.leader_lease_ms
     }
@@ -260,7 +261,8 @@
         self.state.voters.contains(&self.hard_state.id)
     }
 
-    /// Whether it broadcasts `Join`: it does not vote, or knows no leader and may have been removed meanwhile.
+    /// Whether this replica broadcasts `Join`: it is not a voter, or it has no leader and may have been removed from
+    /// the group in the meantime.
     fn needs_to_join(&self) -> bool {
         self.role != Role::Leader && (!self.is_voter() || self.leader.is_none())
     }
--- a/crates/gaugesaddle-consensus/src/replication.rs
+++ b/crates/gaugesaddle-consensus/src/replication.rs
@@ -1,18 +1,18 @@
-//! Replication on the leader: heartbeats, states, and the followers' acknowledgements.
+//! Replication on the leader: heartbeats, state updates, and the followers' acknowledgements.
 
 use crate::progress::{SentHeartbeat, SentState};
 use crate::{Output, Replica, Role};
 use gaugesaddle_protocol::{ClockReading, LogPosition, ReplicaId, ReplicaMessage, State, StateUpdate};
 
-/// Number of heartbeats whose time of sending is remembered: 7.7 s at the default interval, 17 times the lease.
+/// Number of sent heartbeats whose send time is retained: 7.7 s at the default interval, 17 times the lease.
 const MAX_SENT_HEARTBEATS: usize = 64;
-/// Least time before the same state is sent again to a receiver that has not reported it.
+/// Minimum time after which the same state is resent to a receiver that has not reported it.
 const RESEND_INTERVAL_MS: u64 = 400;
-/// A large state gets one more millisecond for this many bytes. A copy that is still on its way over a slow link would
-/// otherwise be followed by a second one, which delays everything behind it.
+/// Document bytes that extend the resend interval by one millisecond. Otherwise a large state that is still in transit
+/// over a slow link would be sent a second time, which delays all later messages on the link.
 const RESEND_BYTES_PER_MS: u64 = 1000;
 
-/// The fields of `AppendResponse`, without the message around them.
+/// The fields of `ReplicaMessage::AppendResponse`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AppendResponse {
     pub term: u64,
@@ -23,8 +23,9 @@
 }
 
 impl Replica {
-    /// Replaces the state by a changed one in this leader's term: it is persisted here, and a heartbeat that sends it
-    /// to the others is due at once. The history retains the old one as a base for deltas.
+    /// Applies a change to the state and gives the new state a position in this leader's term. The new state is
+    /// persisted, and the heartbeat that sends it to the other replicas is due at once. The history retains the old
+    /// state as a base for deltas.
     pub(crate) fn replace_state(&mut self, now: u64, change: impl FnOnce(&mut State), out: &mut Vec<Output>) {
         self.history.push(&self.state);
         change(&mut self.state);
@@ -63,8 +64,9 @@
         out.push(Output::Send(to, message));
     }
 
-    /// The state for a replica that has reported another one, unless it is still on its way there. A replica that has
-    /// reported nothing gets none: it may have departed, and there is no base for a delta.
+    /// The update for a replica that has reported another state than the newest, unless the update is still in transit.
+    /// No update is sent to a replica that has reported no state: it may have departed, and there is no base for a
+    /// delta.
     fn state_update_for(&mut self, now: u64, to: ReplicaId) -> Option<Box<StateUpdate>> {
         let newest = self.state.position;
         let resend_after_ms = RESEND_INTERVAL_MS + self.state.document.len() as u64 / RESEND_BYTES_PER_MS;
@@ -75,7 +77,7 @@
             return None;
         }
         progress.sent = Some(SentState { position: newest, sent_ms: now });
-        // A delta that did not arrive, or could not be applied, is followed by the full state.
+        // If a delta was lost or could not be applied, the full state is sent next.
         let base = if sent_before.is_some() { None } else { Some(received) };
         Some(Box::new(self.history.update(base, &self.state)))
     }
@@ -97,12 +99,13 @@
         progress.contact_ms = progress.contact_ms.max(sent_ms);
         let same_process = |reading: ClockReading| reading.process == clock_reading.process;
         if !progress.clock_reading.is_some_and(same_process) {
-            // A restarted process has lost what its predecessor had only in memory.
+            // A restarted process has lost the state that the previous process had only in memory.
             progress.received = None;
             progress.sent = None;
         }
         progress.received = progress.received.max(Some(received));
-        // Responses of one process come in order, except for those that waited for its disk.
+        // A response that was delayed until a disk write completed may carry an older clock reading than its
+        // predecessor.
         let has_newer =
             |reading: ClockReading| same_process(reading) && reading.time_ms >= clock_reading.time_ms;
         if !progress.clock_reading.is_some_and(has_newer) {
--- a/crates/gaugesaddle-consensus/src/writes.rs
+++ b/crates/gaugesaddle-consensus/src/writes.rs
@@ -1,37 +1,38 @@
-//! Disk writes under way, and what must wait until one of them is durable.
+//! Disk writes in flight, and the actions that are delayed until one of them is durable.
 //!
-//! Raft requires that a vote and an acknowledgement leave a replica only once they are durable (thesis 3.8). Such messages
-//! are queued here with the write that they depend on.
+//! Raft requires that a vote or an acknowledgement is sent only once it is durable (thesis 3.8). Such messages are
+//! queued here together with the write on which they depend.
 
 use crate::{Output, Replica, WriteId};
 use gaugesaddle_protocol::{ClockReading, LogPosition, ReplicaId, ReplicaMessage, State};
 
 /// Maximum number of blocked actions. Beyond it the oldest is dropped, which is as safe as a lost message: a vote or an
-/// acknowledgement that is not sent has no effect, and a campaign that does not begin is repeated after a time-out.
+/// acknowledgement that is not sent has no effect, and a campaign that does not start is repeated after a time-out.
 const MAX_BLOCKED_ACTIONS: usize = 256;
 
-/// Why a candidate requests votes (raft-rs calls it the campaign type).
+/// The reason for a campaign (the campaign type of raft-rs).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CampaignKind {
     /// The election time-out passed and a quorum granted its pre-votes.
     Election,
-    /// The leader sent `TimeoutNow`: voters need not wait until they miss that leader (thesis 3.10).
+    /// The leader sent `TimeoutNow`: voters grant their votes even while they have contact with that leader (thesis
+    /// 3.10).
     LeadershipTransfer,
 }
 
-/// A write that the disk has not confirmed.
+/// A write that is not known to be durable.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingWrite {
     pub id: WriteId,
-    /// When it was requested, in milliseconds.
+    /// Time of the request, in milliseconds.
     pub requested_ms: u64,
-    /// The term that is durable after it.
+    /// The term that is durable once the write is.
     pub term: u64,
-    /// The newest state that is durable after it.
+    /// The newest state that is durable once the write is.
     pub position: LogPosition,
 }
 
-/// An action that depends on a write.
+/// An action that is executed once a write is durable.
 #[derive(Clone, Debug)]
 pub(crate) enum PostSyncAction {
     Send(ReplicaId, ReplicaMessage),
@@ -49,7 +50,7 @@
 }
 
 impl PostSyncAction {
-    /// Whether this response makes an earlier one to the same leader unnecessary.
+    /// Whether this response makes an earlier response to the same leader redundant.
     fn supersedes(&self, earlier: &PostSyncAction) -> bool {
         match (self, earlier) {
             (
@@ -66,7 +67,7 @@
     }
 }
 
-/// An action and the write that must be durable before it.
+/// An action and the write on which it depends.
 #[derive(Clone, Debug)]
 pub(crate) struct BlockedAction {
     pub write_id: WriteId,
@@ -74,12 +75,12 @@
 }
 
 impl Replica {
-    /// Writes the hard state alone.
+    /// Writes only the hard state.
     pub(crate) fn persist_hard_state(&mut self, now: u64, out: &mut Vec<Output>) -> WriteId {
         self.persist(now, None, out)
     }
 
-    /// Writes hard state and state together.
+    /// Writes the hard state and the state together.
     pub(crate) fn persist_state(&mut self, now: u64, out: &mut Vec<Output>) -> WriteId {
         let state = Box::new(self.state.clone());
         self.persist(now, Some(state), out)
@@ -98,8 +99,9 @@
         write_id
     }
 
-    /// Queues an action until a write is durable. While a disk stalls each heartbeat of a leader queues a response; only the
-    /// newest one that waits for a write is kept, since its sequence number acknowledges the earlier heartbeats as well.
+    /// Queues an action until a write is durable. While a disk stalls, each heartbeat of a leader queues a response;
+    /// only the newest response for each write is retained, since its sequence number also acknowledges the earlier
+    /// heartbeats.
     pub(crate) fn after_sync(&mut self, write_id: WriteId, action: PostSyncAction) {
         self.blocked_actions
             .retain(|blocked| blocked.write_id != write_id || !action.supersedes(&blocked.action));
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Whether the oldest write has been under way for longer than `disk_stall_ms`.
+    /// Whether the oldest write has been in flight for longer than `disk_stall_ms`.
     pub(crate) fn is_disk_stalled(&self, now: u64) -> bool {
         let oldest = self.pending_writes.front();
         oldest.is_some_and(|write| now > write.requested_ms + self.settings.disk_stall_ms)
--- a/crates/gaugesaddle-consensus/src/writes/tests.rs
+++ b/crates/gaugesaddle-consensus/src/writes/tests.rs
@@ -1,4 +1,4 @@
-//! The failure: a follower whose disk stalls queues a response for each heartbeat, without bound.
+//! Checks that a follower whose disk stalls does not queue a response for each heartbeat without bound.
 
 use super::*;
 use crate::{Input, Settings, Storage};
@@ -33,7 +33,7 @@
 #[test]
 fn responses_blocked_by_a_stalled_disk_are_bounded() {
     let mut replica = follower();
-    // The new term is being written; the disk does not answer.
+    // The write of the new term does not complete.
     for sequence in 1..=1000 {
         heartbeat(&mut replica, sequence, 2, sequence);
         assert_eq!(replica.blocked_actions.len(), 1, "heartbeat {sequence}");
@@ -42,13 +42,17 @@
         heartbeat(&mut replica, 1000 + term, term, 1);
         assert!(replica.blocked_actions.len() <= MAX_BLOCKED_ACTIONS, "term {term}");
     }
-    // Once it answers, the newest response goes out.
-    let newest = replica.pending_writes.back().expect("a write").id;
+    // Once all writes are durable, the newest response is sent.
+    let newest = replica.pending_writes.back().expect("a write should be pending").id;
     let mut out = Vec::new();
     replica.handle(3000, Input::Persisted(newest), &mut out);
     let is_response =
         |output: &&Output| matches!(output, Output::Send(_, ReplicaMessage::AppendResponse { .. }));
-    assert_eq!(out.iter().filter(is_response).count(), 1, "only that of the present term: {out:?}");
+    assert_eq!(
+        out.iter().filter(is_response).count(),
+        1,
+        "expected only the response of the present term: {out:?}"
+    );
     assert!(replica.blocked_actions.is_empty());
 }
 
@@ -58,7 +62,7 @@
     for sequence in 1..=5 {
         heartbeat(&mut replica, sequence, 2, sequence);
     }
-    let newest = replica.pending_writes.back().expect("a write").id;
+    let newest = replica.pending_writes.back().expect("a write should be pending").id;
     let mut out = Vec::new();
     replica.handle(10, Input::Persisted(newest), &mut out);
     let acknowledged = out.iter().find_map(|output| match output {
--- a/crates/gaugesaddle-consensus/tests/disk_format.rs
+++ b/crates/gaugesaddle-consensus/tests/disk_format.rs
@@ -1,4 +1,5 @@
-//! The failure: a replica continues with its identity and without its state, or with records of another format version.
+//! Checks that a replica does not continue with its identity but without its state, or with records of another format
+//! version.
 
 use gaugesaddle_consensus::disk_format::{decode_slots, encode_records, DiskFormatError, Record};
 use gaugesaddle_protocol::{HardState, LogPosition, ReplicaId, State};
@@ -20,7 +21,7 @@
 fn encoded_records_are_decoded() {
     let state =
         State { position: LogPosition { term: 4, index: 2 }, document: vec![1, 2], ..State::default() };
-    let decoded = |slots: &[Option<Vec<u8>>; 2]| decode_slots(slots).expect("the records are decoded");
+    let decoded = |slots: &[Option<Vec<u8>>; 2]| decode_slots(slots).expect("records should be decoded");
     assert_eq!(decoded(&slots(&hard_state(), Some(&state))), (Some(hard_state()), Some(state)));
     assert_eq!(decoded(&slots(&hard_state(), None)), (Some(hard_state()), None));
     assert_eq!(decoded(&[None, None]), (None, None));
--- a/crates/gaugesaddle-consensus/tests/elections.rs
+++ b/crates/gaugesaddle-consensus/tests/elections.rs
@@ -1,5 +1,5 @@
-//! The failure: a bootstrapped group that elects no leader, a change that is accepted twice, or a long time without a
-//! leader although a majority runs.
+//! Checks that a bootstrapped group elects a leader, that a change is accepted only once, and that a group with a
+//! running majority is not without a leader for long.
 
 mod group;
 
@@ -9,9 +9,10 @@
 #[test]
 fn three_bootstrap_voters_elect_one_leader_and_add_a_fourth() {
     let mut group = Group::new(1, 4, 3);
-    let leader = group.run_until_leader(5000).expect("a replica leads");
+    let leader = group.run_until_leader(5000).expect("a leader should be elected");
     group.run(2000);
-    let replica = group.machines[&leader].replica.as_ref().expect("its process runs");
+    let replica =
+        group.machines[&leader].replica.as_ref().expect("the process of the leader should be running");
     assert_eq!(replica.voters().len(), 4);
     assert_eq!(group.check(), Vec::<String>::new());
 }
@@ -19,7 +20,7 @@
 #[test]
 fn a_repeated_proposal_is_committed_once_and_gets_the_same_result() {
     let mut group = Group::new(2, 3, 3);
-    let leader = group.run_until_leader(5000).expect("a replica leads");
+    let leader = group.run_until_leader(5000).expect("a leader should be elected");
     group.run(300);
     let first = group.propose(leader, 0, 5, vec![5]);
     let rival = group.propose(leader, 0, 6, vec![6]);
@@ -33,24 +34,24 @@
     assert!((1..=3).all(|ip| group.revision(ip) == 5));
 }
 
-/// The incident inc-fbca: after a power loss the first replica to start requested pre-votes before a majority ran, and
-/// then not again for most of a second.
+/// Guards against a slow election after a power loss: the first replica to start requests pre-votes before a majority
+/// is running, and does not repeat them for most of a second.
 #[test]
 fn a_leader_is_elected_within_450_ms_after_a_majority_has_restarted() {
     for seed in 1..=40 {
         let mut group = Group::new(seed, 4, 3);
-        group.run_until_leader(5000).expect("a replica leads");
+        group.run_until_leader(5000).expect("a leader should be elected");
         group.run(3000);
         (1..=4).for_each(|ip| group.crash(ip));
         group.run(800);
-        // One after the other, as machines start; the third completes a majority.
+        // The machines start one after the other; the third completes a majority.
         for (ip, wait) in [(1, 200), (2, 100), (3, 0)] {
             group.start(ip, false);
             group.run(wait);
         }
         let up = group.now;
-        group.run_until_leader(3000).expect("a replica leads again");
+        group.run_until_leader(3000).expect("a leader should be elected after the restart");
         let elapsed = group.now - up;
-        assert!(elapsed <= 450, "seed {seed}: {elapsed} ms without a leader although a majority runs");
+        assert!(elapsed <= 450, "seed {seed}: a running majority had no leader for {elapsed} ms");
     }
 }
--- a/crates/gaugesaddle-consensus/tests/faults.rs
+++ b/crates/gaugesaddle-consensus/tests/faults.rs
@@ -1,17 +1,17 @@
-//! The failure: under lost messages, partitions, crashes, wiped and slow disks a confirmed change is lost, a rejected one
-//! takes effect, a read returns an older state, or two replicas lead one term.
+//! Checks that under lost messages, partitions, crashes, and wiped and slow disks no confirmed change is lost, no
+//! rejected change takes effect, no read returns a stale state, and no term has two leaders.
 
 mod group;
 
 use gaugesaddle_protocol::ReplicaId;
 use group::Group;
 
-/// Seeds for each size of the group.
+/// Number of seeds per group size.
 const SEEDS: u64 = 200;
-/// Steps of a history.
+/// Number of steps in a history.
 const STEPS: u64 = 60;
 
-/// The operator's next requests.
+/// Sends the operator's next requests.
 fn issue_requests(group: &mut Group, step: u64) {
     let ips: Vec<u32> = group.machines.keys().copied().collect();
     let ip = ips[group.random_below(ips.len() as u64) as usize];
@@ -21,7 +21,7 @@
     let body = vec![step as u8, group.random_below(200) as u8];
     group.propose(target, base, revision, body.clone());
     match group.random_below(4) {
-        // The same change again, or a rival on the same base.
+        // The same change again, or a competing change on the same base.
         0 => drop(group.propose(target, base, revision, body)),
         1 => drop(group.propose(ip, base, revision, vec![200, step as u8])),
         _ => {}
@@ -30,8 +30,8 @@
     group.read(reader);
 }
 
-/// Whether the group tolerates the loss of a disk: the newest durable state names no replica whose disk was lost. Until then
-/// such a loss is a second one. Processes may crash, and links fail, at any moment.
+/// Whether the group tolerates the loss of another disk: the newest durable state contains no replica whose disk was
+/// lost. Otherwise the loss would be a second concurrent one. Crashes and link failures may occur at any time.
 fn has_full_redundancy(group: &Group) -> bool {
     let states = group.machines.values().filter_map(|machine| machine.disk.state.as_ref());
     let Some(newest) = states.max_by_key(|state| state.position) else { return false };
@@ -42,7 +42,7 @@
     newest.voters.iter().chain(&newest.outgoing).all(is_present)
 }
 
-/// Injects one fault, or ends one.
+/// Injects one fault, or ends earlier ones.
 fn inject_fault(group: &mut Group, down: &mut Vec<u32>, tolerance: usize) {
     let ips: Vec<u32> = group.machines.keys().copied().collect();
     let ip = ips[group.random_below(ips.len() as u64) as usize];
@@ -57,7 +57,7 @@
             && group.random_below(2) == 0
             && has_full_redundancy(group) =>
         {
-            // The disk is lost; the machine counts as down until it votes again.
+            // The disk is lost. The machine counts as failed until its new replica is a voter.
             group.crash(ip);
             group.wipe(ip);
             group.start(ip, false);
@@ -77,7 +77,7 @@
                 machine.disk_delay_ms = delay;
             }
         }
-        // All processes at once; their disks are retained.
+        // All processes crash at once and restart from their disks.
         8 if group.random_below(6) == 0 => {
             for ip in &ips {
                 group.crash(*ip);
@@ -89,7 +89,7 @@
     }
 }
 
-/// Ends all faults and waits until the replica of a replaced disk votes.
+/// Ends all faults and runs until the replica with the replaced disk is a voter.
 fn run_until_voting(group: &mut Group, ip: u32) {
     group.partitioned.clear();
     group.loss_percent = 0;
@@ -104,13 +104,13 @@
             return;
         }
     }
-    panic!("the replaced disk of {ip} does not vote within 8 s without faults");
+    panic!("the replica of {ip}, whose disk was replaced, is not a voter after 8 s without faults");
 }
 
 fn history(seed: u64, size: u32, tolerance: usize) -> Group {
     let mut group = Group::tolerating(tolerance, seed, size, size.min(3));
     group.run_until_leader(5000);
-    // The others become voters before anything is lost.
+    // All replicas become voters before the first fault.
     group.run(3000);
     let mut down = Vec::new();
     for step in 0..STEPS {
@@ -141,14 +141,14 @@
         let mut group = history(seed, size, tolerance);
         end_faults(&mut group);
         let leader = group.run_until_leader(10_000);
-        assert!(leader.is_some(), "{size} replicas, seed {seed}: no replica leads after the faults");
+        assert!(leader.is_some(), "{size} replicas, seed {seed}: no leader within 10 s after the faults");
         group.run(1500);
-        let leader = group.leader().expect("a replica still leads");
+        let leader = group.leader().expect("the group should still have a leader");
         let revision = group.revision(leader);
         let id = group.propose(leader, revision, revision + 1, vec![255]);
         group.run(1000);
         let ended = group.calls[&id].ended.clone();
-        assert!(ended.is_some(), "{size} replicas, seed {seed}: a change after the faults has no result");
+        assert!(ended.is_some(), "{size} replicas, seed {seed}: a change after the faults got no result");
         assert_eq!(group.check(), Vec::<String>::new(), "{size} replicas, seed {seed}");
     }
 }
@@ -177,14 +177,14 @@
 fn a_committed_change_survives_a_wiped_disk_and_a_power_loss() {
     for seed in 1..=SEEDS {
         let mut group = Group::new(seed, 4, 3);
-        group.run_until_leader(5000).expect("a replica leads");
+        group.run_until_leader(5000).expect("a leader should be elected");
         group.run(3000);
-        let leader = group.leader().expect("a replica still leads");
+        let leader = group.leader().expect("the group should still have a leader");
         let id = group.propose(leader, 0, 7, vec![7]);
         while group.calls[&id].ended.is_none() {
             group.run(1);
         }
-        // The leader's machine loses its disk, and all others their power, at the same time.
+        // The leader's machine loses its disk, and all other machines lose power, at the same time.
         for ip in 1..=4 {
             group.crash(ip);
         }
@@ -193,11 +193,11 @@
             group.start(ip, false);
         }
         group.run(6000);
-        let reader = group.leader().expect("one of the three others leads");
-        assert_ne!(reader, leader, "seed {seed}: a replica with an empty disk leads");
+        let reader = group.leader().expect("one of the other three replicas should be elected");
+        assert_ne!(reader, leader, "seed {seed}: the replica with the wiped disk was elected");
         assert_eq!(group.revision(reader), 7, "seed {seed}");
         let voters = group.machines[&reader].replica.as_ref().map(|r| r.voters().to_vec());
-        assert_eq!(voters.map(|v| v.len()), Some(4), "seed {seed}: the wiped machine votes again");
+        assert_eq!(voters.map(|v| v.len()), Some(4), "seed {seed}: the wiped machine is not a voter again");
         assert_eq!(group.check(), Vec::<String>::new(), "seed {seed}");
     }
 }
--- a/crates/gaugesaddle-consensus/tests/golden_disk.rs
+++ b/crates/gaugesaddle-consensus/tests/golden_disk.rs
@@ -1,7 +1,7 @@
-//! The failure: a renamed or moved field makes a replica's disk unreadable for the next build, or a new disk for the
-//! build before.
+//! Checks that a renamed or moved field does not change the disk format, which would make existing disks unreadable for
+//! a new build, or new disks unreadable for the previous build.
 //!
-//! `data/ring/` holds the segments that the build before any rename wrote for the same appends.
+//! `data/ring/` contains the segments that an earlier build wrote for the same appends.
 
 use gaugesaddle_consensus::disk_format;
 use gaugesaddle_log::{FileStore, Ring, SEGMENTS};
@@ -39,25 +39,26 @@
 fn folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = fs::remove_dir_all(&folder);
-    fs::create_dir_all(&folder).expect("the directory is created");
+    fs::create_dir_all(&folder).expect("directory should be created");
     folder
 }
 
 #[test]
 fn appends_write_the_recorded_segments() {
     let folder = folder("golden-written");
-    let store = FileStore::open(&folder, SEGMENT_BYTES).expect("the store opens");
-    let mut ring = Ring::open(store).expect("the ring opens");
+    let store = FileStore::open(&folder, SEGMENT_BYTES).expect("store should open");
+    let mut ring = Ring::open(store).expect("ring should open");
     for index in 1..=5 {
         ring.append(disk_format::encode_records(&hard_state(index), Some(&state(index))))
-            .expect("the record is appended");
+            .expect("records should be appended");
     }
-    ring.append(disk_format::encode_records(&hard_state(6), None)).expect("the record is appended");
+    ring.append(disk_format::encode_records(&hard_state(6), None)).expect("records should be appended");
     for number in 0..SEGMENTS {
         let name = format!("segment-{number}");
-        let written = fs::read(folder.join(&name)).expect("a segment");
-        let expected = fs::read(recorded_directory().join(&name)).expect("a recorded segment");
-        assert!(written == expected, "{name} in {}", folder.display());
+        let written = fs::read(folder.join(&name)).expect("written segment should be readable");
+        let expected =
+            fs::read(recorded_directory().join(&name)).expect("recorded segment should be readable");
+        assert!(written == expected, "{name} in {} differs from the recorded segment", folder.display());
     }
 }
 
@@ -66,10 +67,11 @@
     let folder = folder("golden-read");
     for number in 0..SEGMENTS {
         let name = format!("segment-{number}");
-        fs::copy(recorded_directory().join(&name), folder.join(&name)).expect("the segment is copied");
+        fs::copy(recorded_directory().join(&name), folder.join(&name))
+            .expect("recorded segment should be copied");
     }
-    let store = FileStore::open(&folder, SEGMENT_BYTES).expect("the store opens");
-    let ring = Ring::open(store).expect("the ring opens");
-    let decoded = disk_format::decode_slots(ring.slots()).expect("both records are decoded");
+    let store = FileStore::open(&folder, SEGMENT_BYTES).expect("store should open");
+    let ring = Ring::open(store).expect("ring should open");
+    let decoded = disk_format::decode_slots(ring.slots()).expect("both records should be decoded");
     assert_eq!(decoded, (Some(hard_state(6)), Some(state(5))));
 }
--- a/crates/gaugesaddle-consensus/tests/group/mod.rs
+++ b/crates/gaugesaddle-consensus/tests/group/mod.rs
@@ -1,5 +1,6 @@
-//! A group of replicas in virtual time: links that delay, lose messages and are partitioned, disks that retain only what
-//! was synced, crashes, wiped disks. All random choices come from one seed; the history is checked afterwards.
+//! A simulated group of replicas in virtual time. Links delay and lose messages and can be partitioned, disks retain
+//! only synced writes, processes crash, and disks are wiped. All random choices derive from one seed; [`Group::check`]
+//! validates the history.
 #![allow(dead_code)]
 
 use gaugesaddle_consensus::{
@@ -34,7 +35,7 @@
 }
 
 impl Default for Machine {
-    /// An empty machine whose process does not run.
+    /// A machine with an empty disk and no running process.
     fn default() -> Machine {
         Machine {
             replica: None,
@@ -54,7 +55,7 @@
     message: ReplicaMessage,
 }
 
-/// An operator's call as a client observes it.
+/// A configuration change as observed by its client.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub base: u64,
@@ -64,7 +65,7 @@
     pub ended: Option<(u64, ProposalResult)>,
 }
 
-/// A linearizable read as a client observes it.
+/// A linearizable read as observed by its client.
 #[derive(Clone, Debug)]
 pub struct ReadCall {
     pub started_at: u64,
@@ -77,13 +78,13 @@
     pub machines: BTreeMap<u32, Machine>,
     in_flight: Vec<InFlight>,
     order: u64,
-    /// Directed links, sender and receiver, that lose everything.
+    /// Directed links (sender, receiver) that drop all messages.
     pub partitioned: BTreeSet<(u32, u32)>,
     pub loss_percent: u64,
     pub calls: BTreeMap<u64, Call>,
     pub reads: BTreeMap<u64, ReadCall>,
     next_call: u64,
-    /// Who led in each term.
+    /// The leader of each term.
     pub leaders: BTreeMap<u64, ReplicaId>,
     /// Revision and document that were reported as committed at each position.
     pub committed: BTreeMap<LogPosition, (u64, Vec<u8>)>,
@@ -131,7 +132,7 @@
         self.random.next_u64() % n.max(1)
     }
 
-    /// Starts a machine's process from its disk.
+    /// Starts a machine's process from the contents of its disk.
     pub fn start(&mut self, ip: u32, bootstrap: bool) {
         let seed = self.random.next_u64();
         let (now, bootstrap_voters, settings) = (self.now, self.bootstrap_voters.clone(), self.settings);
@@ -150,13 +151,13 @@
         machine.replica = Some(Replica::new(settings, hard_state, state, now, seed, Storage::Durable));
     }
 
-    /// Adds an empty machine; its process starts.
+    /// Adds a machine with an empty disk and starts its process.
     pub fn add(&mut self, ip: u32) {
         self.machines.insert(ip, Machine::default());
         self.start(ip, false);
     }
 
-    /// Transfers a machine's leadership, as before a planned end of its process.
+    /// Transfers leadership from a machine, as before a planned shutdown.
     pub fn transfer_leadership(&mut self, ip: u32) {
         let now = self.now;
         let Some(replica) = self.machines.get_mut(&ip).and_then(|m| m.replica.as_mut()) else { return };
@@ -167,12 +168,12 @@
         }
     }
 
-    /// The replica that leads.
+    /// The replica of the machine returned by [`Group::leader`].
     pub fn leading_replica(&self) -> Option<&Replica> {
         self.machines.get(&self.leader()?)?.replica.as_ref()
     }
 
-    /// Machines whose replicas vote according to the leader.
+    /// Machines of the voters in the leader's state.
     pub fn voting_machines(&self) -> BTreeSet<u32> {
         self.leading_replica()
             .into_iter()
@@ -181,12 +182,12 @@
             .collect()
     }
 
-    /// Ends a process without warning; an unsynced write may or may not have reached the disk.
+    /// Crashes a process; an unsynced write may or may not reach the disk.
     pub fn crash(&mut self, ip: u32) {
         let first_write_survives = self.random_below(2) == 0;
         let Some(machine) = self.machines.get_mut(&ip) else { return };
         machine.replica = None;
-        // Writes reach the disk in order: at most the first one does.
+        // Writes complete in order; at most the first one reaches the disk.
         if first_write_survives {
             if let Some(write) = machine.writes.first() {
                 machine.disk.hard_state = Some(write.hard_state);
@@ -198,20 +199,20 @@
         machine.writes.clear();
     }
 
-    /// Loses the contents of a machine's disk.
+    /// Erases a machine's disk.
     pub fn wipe(&mut self, ip: u32) {
         if let Some(machine) = self.machines.get_mut(&ip) {
             machine.disk = Disk::default();
         }
     }
 
-    /// The machine whose replica leads and has its lease.
+    /// The machine whose replica leads with a valid lease.
     pub fn leader(&self) -> Option<u32> {
         let leads = |m: &Machine| m.replica.as_ref().is_some_and(|r| r.has_lease(self.now));
         self.machines.iter().find(|(_, m)| leads(m)).map(|(ip, _)| *ip)
     }
 
-    /// The revision that a machine's replica knows as committed.
+    /// The newest revision reported as committed by a machine's replica; 0 without one.
     pub fn revision(&self, ip: u32) -> u64 {
         let replica = self.machines.get(&ip).and_then(|m| m.replica.as_ref());
         replica.and_then(|r| r.committed()).map_or(0, |c| c.revision)
@@ -247,7 +248,7 @@
         if leads {
             let first = *self.leaders.entry(term).or_insert(id);
             if first != id {
-                self.violations.push(format!("term {term}: {first} and {id} lead"));
+                self.violations.push(format!("term {term} has two leaders: {first} and {id}"));
             }
         }
         for output in outputs {
@@ -295,7 +296,10 @@
         let reported = (c.revision, c.document.clone());
         let first = self.committed.entry(c.position).or_insert_with(|| reported.clone());
         if *first != reported {
-            self.violations.push(format!("{:?}: revisions {} and {}", c.position, first.0, reported.0));
+            self.violations.push(format!(
+                "two states are committed at {:?}: revisions {} and {}",
+                c.position, first.0, reported.0
+            ));
         }
     }
 
@@ -309,7 +313,7 @@
         self.in_flight.push(InFlight { arrives_at, order: self.order, from, to, message });
     }
 
-    /// Advances the time by `span` milliseconds.
+    /// Advances the virtual time by `span` milliseconds.
     pub fn run(&mut self, span: u64) {
         let end = self.now + span;
         while self.now < end {
@@ -361,7 +365,7 @@
         }
     }
 
-    /// Runs until a replica leads, for `limit` milliseconds at most; returns its machine.
+    /// Runs until a leader is elected, for at most `limit` milliseconds; returns the leader's machine.
     pub fn run_until_leader(&mut self, limit: u64) -> Option<u32> {
         let end = self.now + limit;
         while self.now < end {
@@ -380,7 +384,10 @@
         for pair in positions.windows(2) {
             let ((older, a), (newer, b)) = (pair[0], pair[1]);
             if b.0 < a.0 {
-                violations.push(format!("{newer:?} has revision {}, {older:?} had {}", b.0, a.0));
+                violations.push(format!(
+                    "revision decreased: {newer:?} has revision {}, {older:?} had {}",
+                    b.0, a.0
+                ));
             }
         }
         let committed: BTreeMap<u64, &Vec<u8>> = self.committed.values().map(|(r, d)| (*r, d)).collect();
@@ -389,17 +396,24 @@
             let Some((_, result)) = &call.ended else { continue };
             let is_committed = committed.get(&call.revision).is_some_and(|d| **d == call.document);
             if *result == ProposalResult::Committed && !is_committed {
-                violations.push(format!("call {id}: revision {} confirmed and lost", call.revision));
+                violations.push(format!(
+                    "call {id}: revision {} was confirmed but is not committed",
+                    call.revision
+                ));
             }
             let rejected =
                 matches!(result, ProposalResult::Conflict { .. } | ProposalResult::StaleRevision { .. });
             if rejected && is_committed {
-                violations.push(format!("call {id}: revision {} rejected and committed", call.revision));
+                violations
+                    .push(format!("call {id}: revision {} was rejected but is committed", call.revision));
             }
             if *result == ProposalResult::Committed {
                 if let Some(other) = bases.insert(call.base, call.revision).filter(|o| *o != call.revision) {
-                    let both = call.revision;
-                    violations.push(format!("revisions {other} and {both} both confirmed on {}", call.base));
+                    let latest = call.revision;
+                    violations.push(format!(
+                        "revisions {other} and {latest} were both confirmed on base {}",
+                        call.base
+                    ));
                 }
             }
         }
@@ -410,7 +424,9 @@
             );
             let newest = confirmed_before.map(|c| c.revision).max().unwrap_or(0);
             if revision < newest {
-                violations.push(format!("read {id}: returned {revision}, {newest} was confirmed before"));
+                violations.push(format!(
+                    "read {id}: stale revision {revision}, although {newest} was confirmed before"
+                ));
             }
         }
         violations
--- a/crates/gaugesaddle-consensus/tests/membership.rs
+++ b/crates/gaugesaddle-consensus/tests/membership.rs
@@ -1,5 +1,5 @@
-//! The failure: a second loss right after a repair or a replacement leaves no majority, a removed voter never returns, a
-//! new voter does not help a group that loses another, or a planned end leaves the group without a leader.
+//! Checks that a second loss after a repair or a replacement leaves a majority, that a removed voter rejoins, that a
+//! new voter counts when another voter is lost, and that a planned shutdown does not leave the group without a leader.
 
 mod group;
 
@@ -10,16 +10,16 @@
 
 const SEEDS: u64 = 30;
 
-/// A group of `size` machines, all voting, that tolerates `losses` of them.
+/// A group of `size` machines, all of them voters, that tolerates the loss of `losses` machines.
 fn group(losses: usize, seed: u64, size: u32) -> Group {
     let mut group = Group::tolerating(losses, seed, size, size.min(3));
-    group.run_until_leader(5000).expect("a replica leads");
+    group.run_until_leader(5000).expect("a leader should be elected");
     group.run(3000);
     assert_eq!(group.voting_machines().len(), size as usize, "seed {seed}");
     group
 }
 
-/// Whether a change is committed by a leader that is elected within `within` milliseconds.
+/// Whether a leader is elected within `within` milliseconds and commits a change within another second.
 fn commits_change(group: &mut Group, within: u64) -> bool {
     let Some(leader) = group.run_until_leader(within) else { return false };
     let base = group.revision(leader);
@@ -52,9 +52,8 @@
             let id = group.machines[&victim].replica.as_ref().map(gaugesaddle_consensus::Replica::id);
             assert!(group
                 .leading_replica()
-                .is_some_and(
-                    |r| r.voters().contains(&id.expect("its process runs")) && r.is_membership_committed()
-                ));
+                .is_some_and(|r| r.voters().contains(&id.expect("wiped machine should be running"))
+                    && r.is_membership_committed()));
             assert_eq!(group.check(), Vec::<String>::new(), "{size} replicas, seed {seed}");
         }
     }
@@ -65,7 +64,7 @@
     for (losses, size) in [(1, 3), (1, 4), (2, 5), (2, 8)] {
         for seed in 1..=SEEDS {
             let mut group = group(losses, seed, size);
-            // One machine is replaced by another; then every disk in turn is lost, each 4 s after the previous one.
+            // One machine is replaced by another; then each disk is lost in turn, 4 s after the previous one.
             let removed = 1 + (seed as u32 % size);
             group.crash(removed);
             group.machines.remove(&removed);
@@ -76,12 +75,15 @@
             for victim in victims {
                 assert!(
                     commits_change(&mut group, 4000),
-                    "{size} replicas, seed {seed}: stuck before {victim}"
+                    "{size} replicas, seed {seed}: no change committed before the loss of {victim}"
                 );
                 restart_with_empty_disk(&mut group, victim, 300);
                 group.run(4000);
             }
-            assert!(commits_change(&mut group, 4000), "{size} replicas, seed {seed}: stuck at the end");
+            assert!(
+                commits_change(&mut group, 4000),
+                "{size} replicas, seed {seed}: no change committed after the last loss"
+            );
             let machines: BTreeSet<u32> = group.machines.keys().copied().collect();
             assert_eq!(group.voting_machines(), machines, "{size} replicas, seed {seed}");
             assert_eq!(group.check(), Vec::<String>::new(), "{size} replicas, seed {seed}");
@@ -95,7 +97,8 @@
         for seed in 1..=SEEDS {
             let mut group = group(losses, seed, size);
             for step in 0..size {
-                // Planned: the new machine starts first, the old one ends a second later.
+                // A planned replacement: the new machine starts 1 s before the old one transfers its leadership and
+                // stops.
                 group.add(size + 1 + step);
                 group.run(1000);
                 group.transfer_leadership(step + 1);
@@ -112,13 +115,13 @@
     }
 }
 
-/// The leader's machine is lost, and its replacement starts before another leader is elected. That leader does not know
-/// yet who is dead, and one more vote beside a dead one only raises the majority.
+/// The leader's machine is lost, and its replacement starts before another leader is elected. The new leader cannot
+/// tell yet which voters are dead, and an additional voter beside a dead one only increases the size of the majority.
 #[test]
 fn a_learner_is_not_added_beside_a_voter_that_has_not_responded() {
     for seed in 1..=SEEDS {
         let mut group = group(1, seed, 3);
-        let removed = group.leader().expect("a replica leads");
+        let removed = group.leader().expect("a leader should be elected");
         group.crash(removed);
         group.machines.remove(&removed);
         group.add(4);
@@ -136,7 +139,7 @@
 fn a_voter_removed_during_a_partition_returns_after_it() {
     for seed in 1..=SEEDS {
         let mut group = group(1, seed, 4);
-        let isolated = group.leader().expect("a replica leads");
+        let isolated = group.leader().expect("a leader should be elected");
         let others: Vec<u32> = (1..=4).filter(|ip| *ip != isolated).collect();
         for other in &others {
             group.partitioned.insert((isolated, *other));
@@ -147,16 +150,16 @@
         assert!(commits_change(&mut group, 3000));
         group.partitioned.clear();
         group.run(3000);
-        assert_eq!(group.voting_machines().len(), 4, "seed {seed}: it is reachable and does not vote");
-        // Its vote counts like the others': any of them may be lost.
+        assert_eq!(group.voting_machines().len(), 4, "seed {seed}: the reconnected replica is not a voter");
+        // The returned voter counts toward the majority, so that another voter may be lost.
         group.crash(others[0]);
         assert!(commits_change(&mut group, 4000), "seed {seed}");
         assert_eq!(group.check(), Vec::<String>::new(), "seed {seed}");
     }
 }
 
-/// Of three voters one was just replaced. The new one still has the state from before the change, and the leader dies. The
-/// remaining two are a majority only if the new one votes.
+/// One of three voters has just been replaced, the new voter still has the state from before the change, and the leader
+/// crashes. The remaining two voters are a majority only if the new one grants its vote.
 #[test]
 fn a_new_voter_grants_votes_before_it_has_the_state_that_added_it() {
     let id = |ip: u32, incarnation: u64| ReplicaId { ip, incarnation };
@@ -175,19 +178,24 @@
         Output::Persist { write_id, .. } => Some(*write_id),
         _ => None,
     });
-    new.handle(1002, Input::Persisted(write_id.expect("its vote is written first")), &mut out);
+    new.handle(
+        1002,
+        Input::Persisted(write_id.expect("the vote should be written before it is sent")),
+        &mut out,
+    );
     let granted =
         |o: &Output| matches!(o, Output::Send(_, ReplicaMessage::RequestVoteResponse { granted: true, .. }));
     assert!(out.iter().any(granted), "{out:?}");
 }
 
-/// The longest time without a leader after a planned end, over all seeds: no election time-out passes.
+/// Bounds the longest time without a leader after a leadership transfer over all seeds; it is shorter than any election
+/// time-out.
 #[test]
 fn a_leadership_transfer_takes_at_most_60_ms() {
     let mut longest = 0;
     for seed in 1..=100 {
         let mut group = group(1, seed, 4);
-        let old = group.leader().expect("a replica leads");
+        let old = group.leader().expect("a leader should be elected");
         group.transfer_leadership(old);
         let started_at = group.now;
         while group.leader().is_none() && group.now < started_at + 2000 {
@@ -198,13 +206,13 @@
         assert!(commits_change(&mut group, 500), "seed {seed}");
         assert_eq!(group.check(), Vec::<String>::new(), "seed {seed}");
     }
-    assert!(longest <= 60, "{longest} ms without a leader");
+    assert!(longest <= 60, "no leader for {longest} ms after a leadership transfer");
 }
 
 #[test]
 fn a_proposal_older_than_the_accepted_list_is_not_rejected() {
     let mut group = group(1, 1, 3);
-    let leader = group.leader().expect("a replica leads");
+    let leader = group.leader().expect("a leader should be elected");
     let changes = 520u64;
     for n in 0..changes {
         let id = group.propose(leader, n, n + 1, vec![n as u8, (n >> 8) as u8]);
@@ -220,19 +228,23 @@
     assert_eq!(
         again(0, 1, vec![0, 0]),
         Some(ProposalResult::Indeterminate),
-        "the first, dropped from the list"
+        "the oldest change, dropped from the list"
+    );
+    assert_eq!(
+        again(100, 101, vec![100, 0]),
+        Some(ProposalResult::Committed),
+        "a change that is still in the list"
     );
-    assert_eq!(again(100, 101, vec![100, 0]), Some(ProposalResult::Committed), "still in the list");
-    assert_eq!(again(519, 520, vec![7, 2]), Some(ProposalResult::Committed), "the newest");
+    assert_eq!(again(519, 520, vec![7, 2]), Some(ProposalResult::Committed), "the newest change");
     let current = changes;
     assert_eq!(
         again(100, 101, vec![9, 9]),
         Some(ProposalResult::Conflict { current }),
-        "another change on that base"
+        "a different change on the same base"
     );
     assert_eq!(
         again(520, 520, vec![9, 9]),
         Some(ProposalResult::StaleRevision { current }),
-        "its revision does not rise"
+        "a change whose revision is not above the current one"
     );
 }
--- a/crates/gaugesaddle-consensus/tests/ordering.rs
+++ b/crates/gaugesaddle-consensus/tests/ordering.rs
@@ -1,5 +1,5 @@
-//! The failure: a vote, a result or a read leaves a replica before its guarantee is met. A single replica, driven input
-//! by input.
+//! Checks that a replica sends a vote, a result or the answer to a read only once its precondition is met (durability
+//! or confirmation by a majority). The tests drive a single replica input by input.
 
 use gaugesaddle_consensus::{
     Input, Output, Proposal, ProposalResult, Replica, Role, Settings, Storage, WriteId,
@@ -7,7 +7,7 @@
 use gaugesaddle_protocol::{ClockReading, HardState, LogPosition, ReplicaId, ReplicaMessage, State};
 
 const NOW: u64 = 100_000;
-/// The followers' clock reading; only they interpret it.
+/// The clock reading in the followers' responses, which the leader echoes.
 const CLOCK_READING: ClockReading = ClockReading { process: 9, time_ms: 1 };
 
 fn id(ip: u32) -> ReplicaId {
@@ -38,7 +38,7 @@
         Output::Persist { write_id, .. } => Some(*write_id),
         _ => None,
     });
-    writes.reduce(|_, later| later).expect("a write was requested")
+    writes.reduce(|_, later| later).expect("a write should be requested")
 }
 
 fn granted(out: &[Output]) -> bool {
@@ -46,9 +46,10 @@
         .any(|o| matches!(o, Output::Send(_, ReplicaMessage::RequestVoteResponse { granted: true, .. })))
 }
 
-/// Lets replica 2 elect replica 1. Returns the time of the election and the write of the leader's first state.
+/// Makes replica 1 the leader with the votes of replica 2. Returns the time of the election and the write of the
+/// leader's first state.
 fn elect(replica: &mut Replica) -> (u64, WriteId) {
-    // Without a leader it also broadcasts `Join`, in case it was removed meanwhile.
+    // Without a leader the replica also broadcasts `Join`, so that a tick need not request pre-votes.
     let requests_pre_votes = |out: &[Output]| {
         out.iter().any(|o| matches!(o, Output::Send(_, ReplicaMessage::RequestPreVote { .. })))
     };
@@ -65,7 +66,7 @@
     (now + 3, write_id(&out))
 }
 
-/// Term, sequence and newest state in a leader's latest heartbeat to replica 2.
+/// Term, sequence number and newest position in the leader's latest heartbeat to replica 2.
 fn heartbeat(out: &[Output]) -> Option<(u64, u64, LogPosition)> {
     out.iter().rev().find_map(|o| match o {
         Output::Send(to, ReplicaMessage::Append { term, sequence, last_position, .. }) if *to == id(2) => {
@@ -85,7 +86,7 @@
         2,
         ReplicaMessage::RequestVote { term: 5, last_position: last, leadership_transfer: false },
     );
-    assert!(!granted(&out), "before the write");
+    assert!(!granted(&out), "vote granted before its write is durable");
     let rival = message(
         &mut replica,
         NOW + 2,
@@ -94,14 +95,14 @@
     );
     assert!(!granted(&rival));
     let out = handle(&mut replica, NOW + 3, Input::Persisted(write_id(&out)));
-    assert!(granted(&out), "after it");
+    assert!(granted(&out), "vote not granted after its write is durable");
     let rival = message(
         &mut replica,
         NOW + 4,
         3,
         ReplicaMessage::RequestVote { term: 5, last_position: last, leadership_transfer: false },
     );
-    assert!(!granted(&rival), "the same term twice");
+    assert!(!granted(&rival), "second vote granted in the same term");
 }
 
 #[test]
@@ -120,7 +121,7 @@
         } else {
             Vec::new()
         };
-        assert_eq!(granted(&out) || granted(&after), wanted, "{last:?}");
+        assert_eq!(granted(&out) || granted(&after), wanted, "vote for {last:?}");
         let mut replica = new_replica(5, state(4, 9));
         let out = message(
             &mut replica,
@@ -131,7 +132,7 @@
         let pre = out.iter().any(|o| {
             matches!(o, Output::Send(_, ReplicaMessage::RequestPreVoteResponse { granted: true, .. }))
         });
-        assert_eq!(pre, wanted, "{last:?} in a pre-vote");
+        assert_eq!(pre, wanted, "pre-vote for {last:?}");
     }
 }
 
@@ -162,7 +163,7 @@
         received: matched,
         clock_reading: CLOCK_READING,
     };
-    // The state under its own term first.
+    // Commits the state that the leader has rewritten in its own term.
     let out = handle(&mut replica, now + 1, Input::Persisted(first));
     let (term, sequence, at) = heartbeat(&out).unwrap_or((2, 1, LogPosition { term: 2, index: 2 }));
     message(&mut replica, now + 2, 2, reply(term, sequence, at));
@@ -173,11 +174,11 @@
     assert!(!is_committed(&out));
     let newest = LogPosition { term, index: at.index + 1 };
     let out = message(&mut replica, now + 4, 2, reply(term, sequence + 1, at));
-    assert!(!is_committed(&out), "the follower has an older state");
+    assert!(!is_committed(&out), "committed although the follower has an older state");
     let out = message(&mut replica, now + 5, 2, reply(term, sequence + 2, newest));
-    assert!(!is_committed(&out), "one of three disks");
+    assert!(!is_committed(&out), "committed on one of three disks");
     let out = handle(&mut replica, now + 6, Input::Persisted(written));
-    assert!(is_committed(&out), "two of three");
+    assert!(is_committed(&out), "not committed on two of three disks");
 }
 
 #[test]
@@ -200,8 +201,8 @@
     );
     let answered = |out: &[Output]| out.iter().any(|o| matches!(o, Output::Read(5, Ok(_))));
     let out = handle(&mut replica, now + 3, Input::Read(5));
-    assert!(!answered(&out), "its leadership is not confirmed");
-    let (_, requested, _) = heartbeat(&out).expect("a heartbeat is sent at once");
+    assert!(!answered(&out), "answered before the leadership is confirmed");
+    let (_, requested, _) = heartbeat(&out).expect("a heartbeat should be sent at once");
     let old = ReplicaMessage::AppendResponse {
         term,
         sequence: requested - 1,
@@ -209,7 +210,10 @@
         received: at,
         clock_reading: CLOCK_READING,
     };
-    assert!(!answered(&message(&mut replica, now + 4, 2, old)), "a response to an earlier heartbeat");
+    assert!(
+        !answered(&message(&mut replica, now + 4, 2, old)),
+        "answered after a response to an earlier heartbeat"
+    );
     let new = ReplicaMessage::AppendResponse {
         term,
         sequence: requested,
@@ -220,7 +224,8 @@
     assert!(answered(&message(&mut replica, now + 5, 2, new)));
 }
 
-/// A deposed leader that does not know of its successor would reject a change that builds on what that one committed.
+/// Without the confirmation, a deposed leader that has not seen the newer term would reject a change on top of a state
+/// that its successor has committed.
 #[test]
 fn a_rejection_waits_until_a_majority_acknowledges_a_later_heartbeat() {
     for (base, revision) in [(7, 9), (0, 0)] {
@@ -244,11 +249,11 @@
         };
         let proposal = Proposal::new(base, revision, vec![1]);
         let out = handle(&mut replica, now + 3, Input::Propose(5, Box::new(proposal)));
-        assert!(!rejected(&out), "its leadership is not confirmed");
-        let (_, requested, _) = heartbeat(&out).expect("a heartbeat is sent at once");
+        assert!(!rejected(&out), "answered before the leadership is confirmed");
+        let (_, requested, _) = heartbeat(&out).expect("a heartbeat should be sent at once");
         assert!(
             !rejected(&message(&mut replica, now + 4, 2, reply(requested - 1))),
-            "a response to an earlier heartbeat"
+            "answered after a response to an earlier heartbeat"
         );
         assert!(rejected(&message(&mut replica, now + 5, 2, reply(requested))));
     }
@@ -289,5 +294,9 @@
             );
         }
     }
-    assert_eq!(replica.role(), Role::Follower, "its own write has been pending for more than a second");
+    assert_eq!(
+        replica.role(),
+        Role::Follower,
+        "the leader has not stepped down although its write has been pending for more than 1 s"
+    );
 }
--- a/crates/gaugesaddle-consensus/tests/proposals.rs
+++ b/crates/gaugesaddle-consensus/tests/proposals.rs
@@ -1,4 +1,4 @@
-//! The failure: a patch is applied to another configuration than its base, or a repeated change is not recognized.
+//! Checks that a patch is applied only to its base configuration, and that a repeated change is recognized.
 
 use gaugesaddle_consensus::change::{parse_revision, proposal};
 use gaugesaddle_consensus::ProposedDocument;
@@ -18,7 +18,7 @@
 #[test]
 fn a_patch_is_applied_only_to_its_base_revision() {
     let on = |configuration: Option<&Configuration>, base| {
-        proposal(patch(base), configuration, |_| Ok(())).expect("readable").content
+        proposal(patch(base), configuration, |_| Ok(())).expect("patch should be parsed and applied").content
     };
     let current = committed(4, DOCUMENT);
     let document = br#"{"revision":5,"routes":[{"name":"a"},{"name":"b"}]}"#.to_vec();
@@ -26,15 +26,15 @@
     assert_eq!(
         on(Some(&committed(3, DOCUMENT)), 4),
         ProposedDocument::Unavailable,
-        "an older state than its base"
+        "the committed revision is older than the base"
     );
     assert_eq!(
         on(Some(&committed(5, DOCUMENT)), 4),
         ProposedDocument::Unavailable,
-        "a newer state than its base"
+        "the committed revision is newer than the base"
     );
     assert_eq!(on(None, 4), ProposedDocument::Unavailable);
-    assert!(matches!(on(None, 0), ProposedDocument::Patched { .. }), "base 0 is the empty document");
+    assert!(matches!(on(None, 0), ProposedDocument::Patched { .. }), "base 0 denotes the empty document");
 }
 
 #[test]
@@ -45,7 +45,7 @@
         proposal(change, Some(on), |_| Ok(())).map(|p| p.digest).ok()
     };
     assert_eq!(digest(patch(4), &current), digest(patch(4), &later));
-    assert_ne!(digest(patch(4), &current), digest(patch(3), &current), "on another base");
+    assert_ne!(digest(patch(4), &current), digest(patch(3), &current), "the same patch on another base");
     let full = ConfigurationChange { base: 4, body: ChangeBody::Full(PATCH.to_vec()) };
     assert_ne!(
         digest(patch(4), &current),
@@ -62,8 +62,11 @@
         validated = document.to_vec();
         gaugesaddle_config::OperatorConfig::parse(document).map(|_| ())
     });
-    assert!(validated.starts_with(br#"{"revision":5,"#), "the result is validated, not the patch");
-    assert!(result.is_err(), "its routes have no service");
+    assert!(
+        validated.starts_with(br#"{"revision":5,"#),
+        "the validated document is not the result of the patch"
+    );
+    assert!(result.is_err(), "routes without a service should be rejected");
     assert!(parse_revision(&ChangeBody::Patch(b"{}".to_vec())).is_err());
     assert_eq!(parse_revision(&ChangeBody::Patch(PATCH.to_vec())).ok(), Some(5));
 }
--- a/crates/gaugesaddle-consensus/tests/random_walks.rs
+++ b/crates/gaugesaddle-consensus/tests/random_walks.rs
@@ -1,9 +1,10 @@
-//! The failure: in some order of messages, writes, crashes and lost disks two replicas lead one term, a confirmed change is
-//! lost, or a membership change lets two groups decide independently.
+//! Checks that in no order of messages, writes, crashes and lost disks a term has two leaders, a confirmed change is
+//! lost, or two groups decide independently during a membership change.
 //!
-//! Many random walks, with a limit on how often each event happens; this is no exhaustive search. No property depends on
-//! time here: any replica may campaign at any time, no lease expires, and every voter counts as unresponsive, so that any
-//! may be replaced or removed. Messages may be lost, delayed and reordered, and each arrives at most once.
+//! The tests run many random walks with a limit on the number of events of each kind; this is not an exhaustive search.
+//! Nothing depends on time: any replica may campaign at any time, no lease expires, and each voter is treated as
+//! unresponsive, so that any voter may be replaced or removed. Messages may be lost, delayed and reordered, but not
+//! duplicated.
 
 use gaugesaddle_consensus::{
     Input, Output, Proposal, ProposalResult, Replica, Role, Settings, Storage, WriteId,
@@ -13,17 +14,17 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// Far longer than any walk lasts.
+/// A time-out that never expires during a walk.
 const NEVER_MS: u64 = 1 << 40;
 const NOW: u64 = 1 << 41;
 const HEARTBEAT_INTERVAL_MS: u64 = 120;
 
-/// Walks for each size of the group.
+/// Number of walks per group size.
 const WALKS: u64 = 3000;
-/// Limit on the steps of a walk.
+/// Maximum number of steps in a walk.
 const MAX_STEPS: usize = 400;
 
-/// How often each event may still happen on a walk.
+/// Remaining number of events of each kind on a walk.
 #[derive(Clone, Copy, Debug)]
 struct Budget {
     campaigns: u8,
@@ -55,19 +56,19 @@
     machines: BTreeMap<u32, Machine>,
     messages: Vec<(ReplicaId, ReplicaId, ReplicaMessage)>,
     budget: Budget,
-    /// Who led in each term.
+    /// The leader of each term.
     leaders: BTreeMap<u64, ReplicaId>,
     /// Revision and document that were reported as committed at each position.
     committed: BTreeMap<LogPosition, (u64, Vec<u8>)>,
-    /// Digests of the proposals under way, by request number.
+    /// Digests of all proposals, by request number.
     proposed: BTreeMap<u64, Digest>,
-    /// Digests of those reported as committed.
+    /// Digests of the proposals that were reported as committed.
     confirmed: Vec<Digest>,
     incarnations: u64,
     min_voters: usize,
 }
 
-/// An event that may happen next.
+/// A possible next event.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Deliver(usize),
@@ -98,7 +99,7 @@
 }
 
 impl Group {
-    /// A group of `size` voters with a committed membership, led by the first one.
+    /// A group of `size` voters with a committed membership, led by the first voter.
     fn new(size: u32, losses: usize, budget: Budget) -> Group {
         let voters: Vec<ReplicaId> = (1..=size).map(|ip| ReplicaId { ip, incarnation: 0 }).collect();
         let mut group = Group {
@@ -118,7 +119,8 @@
             let hard_state = HardState { id: *id, term: 1, voted_for: Some(voters[0]) };
             group.start(id.ip, hard_state, state);
         }
-        // All follow the first one, itself included, so that it accepts `TimeoutNow`; then all messages are delivered.
+        // All replicas, including the first itself, follow the first replica, so that it accepts `TimeoutNow`.
+        // Afterwards all messages are delivered.
         let first = voters[0];
         let message = ReplicaMessage::Append {
             term: 1,
@@ -144,7 +146,7 @@
         group
     }
 
-    /// A step that is no fault and needs no budget.
+    /// A step that is not a fault and uses no budget.
     fn faultless_step(&self) -> Option<Step> {
         let writing =
             self.machines.iter().find(|(_, m)| !m.writes.is_empty()).map(|(ip, _)| Step::CompleteWrite(*ip));
@@ -255,7 +257,7 @@
         }
     }
 
-    /// Restarts a machine's process from its disk.
+    /// Restarts a machine's process from the contents of its disk.
     fn restart(&mut self, ip: u32) {
         self.incarnations += 1;
         let new_id = ReplicaId { ip, incarnation: self.incarnations };
@@ -300,7 +302,7 @@
         let replica = &self.machines[&ip].replica;
         if replica.role() == Role::Leader {
             let first = *self.leaders.entry(replica.term()).or_insert(id);
-            assert_eq!(first, id, "two lead term {}", replica.term());
+            assert_eq!(first, id, "term {} has two leaders", replica.term());
         }
     }
 
@@ -308,27 +310,30 @@
         let Some(c) = self.machines[&ip].replica.committed() else { return };
         let reported = (c.revision, c.document.clone());
         let first = self.committed.entry(c.position).or_insert_with(|| reported.clone());
-        assert_eq!(*first, reported, "{:?} has two contents", c.position);
+        assert_eq!(*first, reported, "two states are committed at {:?}", c.position);
         let newest = self.committed.values().map(|(revision, _)| *revision).collect::<Vec<_>>();
-        assert!(newest.windows(2).all(|pair| pair[0] <= pair[1]), "revisions do not rise: {newest:?}");
+        assert!(newest.windows(2).all(|pair| pair[0] <= pair[1]), "committed revisions decrease: {newest:?}");
     }
 
-    /// Every confirmed proposal must be among the committed states.
+    /// Checks that each confirmed proposal is among the committed states.
     fn check(&self) {
         let Some((position, (revision, document))) = self.committed.iter().next_back() else {
-            assert!(self.confirmed.is_empty(), "confirmed and committed nowhere");
+            assert!(self.confirmed.is_empty(), "a proposal was confirmed although no state is committed");
             return;
         };
         for digest in &self.confirmed {
             let found = self.committed.values().any(|(revision, document)| {
                 Proposal::new(revision - 1, *revision, document.clone()).digest == *digest
             });
-            assert!(found, "confirmed, and the newest is {position:?} {revision} {document:?}");
+            assert!(
+                found,
+                "a confirmed proposal is lost; the newest state is {position:?} {revision} {document:?}"
+            );
         }
     }
 }
 
-/// Takes random steps until none is possible, at most `max_steps`.
+/// Takes random steps until no step is possible, but at most `max_steps`.
 fn walk(seed: u64, mut group: Group, max_steps: usize) -> Group {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     for _ in 0..max_steps {
@@ -336,7 +341,7 @@
         if steps.is_empty() {
             break;
         }
-        // Messages and writes make up most steps; otherwise no election would ever complete.
+        // Most steps are message deliveries and write completions; otherwise elections would rarely complete.
         let is_progress = |step: &Step| matches!(step, Step::Deliver(_) | Step::CompleteWrite(_));
         let (progressing, others): (Vec<Step>, Vec<Step>) = steps.into_iter().partition(is_progress);
         let progresses = others.is_empty() || !progressing.is_empty() && random.next_u64() % 10 != 0;
@@ -364,11 +369,11 @@
             end.machines.values().any(|m| m.replica.is_membership_committed() && m.replica.voters() != first),
         );
     }
-    // Walks without elections, commitments and membership changes would prove nothing.
+    // Walks without elections, commitments and membership changes would not exercise the invariants.
     let walks = WALKS as usize;
-    assert!(terms > walks, "{terms} terms led on {walks} walks");
-    assert!(confirmed > walks / 4, "{confirmed} changes confirmed on {walks} walks");
-    assert!(changed > walks / 10, "the voters changed on {changed} of {walks} walks");
+    assert!(terms > walks, "only {terms} terms had a leader on {walks} walks");
+    assert!(confirmed > walks / 4, "only {confirmed} changes were confirmed on {walks} walks");
+    assert!(changed > walks / 10, "the voters changed on only {changed} of {walks} walks");
 }
 
 #[test]
--- a/crates/gaugesaddle-log/src/error.rs
+++ b/crates/gaugesaddle-log/src/error.rs
@@ -8,11 +8,11 @@
 /// An operation on a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskOperation {
-    /// Searching for records at the start.
+    /// Reading a segment during recovery.
     Read,
     /// Appending records.
     Write,
-    /// Waiting until appended records are durable.
+    /// Syncing appended records to stable storage.
     Sync,
 }
 
@@ -26,19 +26,19 @@
     }
 }
 
-/// Why the ring cannot continue. It must be opened again.
+/// An error after which the ring must be opened again.
 #[derive(Debug, Error)]
 pub enum LogError {
-    /// A segment's file cannot be opened or preallocated.
-    #[error("opening {}: {source}", path.display())]
+    /// The directory cannot be created, or a segment file cannot be opened or preallocated.
+    #[error("error opening {}: {source}", path.display())]
     Open {
-        /// The file, or the directory that cannot be created.
+        /// Path of the segment file or of the directory.
         path: PathBuf,
         /// The operating system's error.
         source: io::Error,
     },
     /// An operation on a segment failed.
-    #[error("{operation} segment {segment}: {source}")]
+    #[error("error {operation} segment {segment}: {source}")]
     Disk {
         /// The operation.
         operation: DiskOperation,
@@ -47,10 +47,10 @@
         /// The operating system's error.
         source: io::Error,
     },
-    /// The newest records do not fit into a segment.
+    /// The newest records of both slots together exceed the size of a segment.
     #[error("records of {bytes} bytes do not fit into a segment of {segment_bytes} bytes")]
     TooLong {
-        /// Their total size with headers.
+        /// Total size of the records with their headers.
         bytes: u64,
         /// The size of a segment.
         segment_bytes: u64,
--- a/crates/gaugesaddle-log/src/file.rs
+++ b/crates/gaugesaddle-log/src/file.rs
@@ -1,4 +1,4 @@
-//! Segments as files of a directory.
+//! Segments stored as files in a directory.
 
 use crate::{LogError, Store, SEGMENTS};
 use std::fs::{File, OpenOptions};
@@ -33,7 +33,9 @@
     }
 
     fn file(&self, segment: usize) -> io::Result<&File> {
-        self.files.get(segment).ok_or_else(|| io::Error::new(ErrorKind::InvalidInput, "no such segment"))
+        self.files
+            .get(segment)
+            .ok_or_else(|| io::Error::new(ErrorKind::InvalidInput, "segment number out of range"))
     }
 }
 
--- a/crates/gaugesaddle-log/src/lib.rs
+++ b/crates/gaugesaddle-log/src/lib.rs
@@ -2,7 +2,8 @@
 //!
 //! [`Ring`] appends records to two slots; each record replaces the slot's previous one. A segment begins with a copy of
 //! both slots, so that no older segment is needed and the oldest can be overwritten. A record's checksum covers the
-//! generation of its segment: neither a torn write nor what remains of a segment's earlier use is mistaken for a record.
+//! generation of its segment, so that neither a torn write nor a stale record from an earlier use of the segment is
+//! accepted as valid.
 //!
 //! ```text
 //!  segment 0            segment 1            segment 2
@@ -12,8 +13,9 @@
 //!
 //! # Main types
 //!
-//! - [`Ring`] decides what is written where and recovers it. It owns its [`Store`].
-//! - [`Store`] is the disk that it needs; [`FileStore`] is the one in production, and tests have their own.
+//! - [`Ring`] lays out records in segments and recovers them when it is opened. It owns its [`Store`].
+//! - [`Store`] is the storage interface; [`FileStore`] implements it with files, and tests substitute their own
+//!   implementation.
 //! - [`LogError`] names the operation that failed.
 //!
 //! # Example
@@ -42,8 +44,8 @@
 //!
 //! # Bounds
 //!
-//! The disk use is [`SEGMENTS`] times the segment size. In memory there is one record of each slot. The two newest records
-//! together must fit into one segment ([`LogError::TooLong`]).
+//! The disk use is [`SEGMENTS`] times the segment size. One record of each slot is cached in memory. The two newest
+//! records together must fit into one segment ([`LogError::TooLong`]).
 
 mod error;
 mod file;
--- a/crates/gaugesaddle-log/src/record.rs
+++ b/crates/gaugesaddle-log/src/record.rs
@@ -4,7 +4,8 @@
 //! magic 4 | generation 8 | sequence 8 | slot 1 | length 4 | checksum 4 | payload
 //! ```
 //!
-//! Lengths are in bytes, numbers little endian. The checksum (CRC-32) covers everything but itself.
+//! Field lengths are in bytes, integers are little endian. The checksum (CRC-32) covers all other fields and the
+//! payload.
 
 /// Length of the header, in bytes.
 pub const HEADER_BYTES: usize = 29;
@@ -16,9 +17,9 @@
 /// A record's header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// Rises by one with each segment that is begun; all records of a segment share it.
+    /// Incremented with each new segment; all records of a segment share it.
     pub generation: u64,
-    /// Rises by one with each record.
+    /// Incremented with each record.
     pub sequence: u64,
     pub slot: u8,
     /// Length of the payload in bytes.
@@ -27,7 +28,7 @@
 }
 
 impl Header {
-    /// Decodes a header; `None` where the bytes are none.
+    /// Decodes a header; `None` if the bytes are too few or do not begin with the magic.
     pub fn read(bytes: &[u8]) -> Option<Header> {
         let (magic, rest) = bytes.split_first_chunk::<4>()?;
         let (generation, rest) = rest.split_first_chunk::<8>()?;
@@ -47,7 +48,7 @@
         })
     }
 
-    /// Whether the checksum matches this header and payload.
+    /// Whether the stored checksum matches this header and `payload`.
     pub fn checksum_matches(&self, payload: &[u8]) -> bool {
         self.checksum == checksum(&self.fields(), payload)
     }
--- a/crates/gaugesaddle-log/src/recovery.rs
+++ b/crates/gaugesaddle-log/src/recovery.rs
@@ -1,9 +1,9 @@
-//! Recovery: the valid records of a segment.
+//! Recovery of the valid records of a segment.
 
 use crate::record::{Header, HEADER_BYTES, SLOTS};
 use crate::{DiskOperation, LogError, Store};
 
-/// Bytes that are read at once while a segment is searched.
+/// Minimum size of a read while a segment is scanned, in bytes.
 const READ_BYTES: usize = 64 << 10;
 
 /// The newest record of a slot in one segment.
@@ -15,13 +15,13 @@
 /// The valid records of a segment.
 #[derive(Default)]
 pub struct SegmentScan {
-    /// 0 where there is no valid record.
+    /// 0 if the segment has no valid record.
     pub generation: u64,
     pub newest: [Option<RecoveredRecord>; SLOTS],
 }
 
 impl SegmentScan {
-    /// Sequence of the newest record; 0 without any.
+    /// Sequence number of the newest record; 0 if there is none.
     pub fn sequence(&self) -> u64 {
         self.newest.iter().flatten().map(|record| record.sequence).max().unwrap_or(0)
     }
@@ -33,7 +33,7 @@
     let mut reader = Reader { store, segment, offset: 0, buffer: Vec::new() };
     while let Some(bytes) = reader.peek(HEADER_BYTES)? {
         let Some(header) = Header::read(bytes) else { break };
-        // A record of another generation remains from the segment's earlier use.
+        // A record of another generation is stale: it was written during an earlier use of the segment.
         if found.generation != 0 && header.generation != found.generation {
             break;
         }
@@ -65,7 +65,7 @@
 }
 
 impl<S: Store> Reader<'_, S> {
-    /// At least `min_bytes` bytes without consuming them; `None` if fewer remain in the segment.
+    /// Returns the buffered bytes, at least `min_bytes`, without consuming them; `None` if fewer remain in the segment.
     fn peek(&mut self, min_bytes: usize) -> Result<Option<&[u8]>, LogError> {
         let buffered = self.buffer.len();
         if buffered < min_bytes {
--- a/crates/gaugesaddle-log/src/ring.rs
+++ b/crates/gaugesaddle-log/src/ring.rs
@@ -14,9 +14,9 @@
     slots: Slots,
     generation: u64,
     sequence: u64,
-    /// The segment in use.
+    /// Index of the active segment.
     segment: usize,
-    /// Offset of the next record in it; `None` if the next append begins another segment.
+    /// Offset of the next record in the active segment; `None` if the next append begins a new segment.
     end: Option<u64>,
 }
 
@@ -25,7 +25,8 @@
     ///
     /// # Errors
     ///
-    /// [`LogError::Disk`] where a segment cannot be read. Invalid contents are no error: they end a segment's records.
+    /// [`LogError::Disk`] if a segment cannot be read. Invalid contents are not an error: the valid records of a
+    /// segment end before them.
     pub fn open(store: S) -> Result<Ring<S>, LogError> {
         let mut found = Vec::with_capacity(SEGMENTS);
         for segment in 0..SEGMENTS {
@@ -33,7 +34,7 @@
         }
         let generation = found.iter().map(|f| f.generation).max().unwrap_or(0);
         let sequence = found.iter().map(SegmentScan::sequence).max().unwrap_or(0);
-        // The segment with the newest record counts as the one in use: it must not be overwritten next.
+        // The segment with the newest record is the active one, so that the next append does not overwrite it.
         let segment = (0..SEGMENTS).max_by_key(|segment| found[*segment].sequence()).unwrap_or(0);
         let mut slots = Slots::default();
         for (slot, recovered) in slots.iter_mut().enumerate() {
@@ -44,7 +45,7 @@
         Ok(Ring { store, slots, generation, sequence, segment, end: None })
     }
 
-    /// The newest record of each slot; `None` before its first.
+    /// The newest record of each slot; `None` for a slot without one.
     pub fn slots(&self) -> &Slots {
         &self.slots
     }
@@ -53,8 +54,8 @@
     ///
     /// # Errors
     ///
-    /// [`LogError::Disk`] where writing or syncing failed, [`LogError::TooLong`] where the newest records of both slots do
-    /// not fit into a segment. The ring must be opened again after either.
+    /// [`LogError::Disk`] if writing or syncing fails, [`LogError::TooLong`] if the newest records of both slots do not
+    /// fit into a segment. The ring must be opened again after either.
     pub fn append(&mut self, records: Vec<(usize, Vec<u8>)>) -> Result<(), LogError> {
         for (slot, payload) in &records {
             if let Some(newest) = self.slots.get_mut(*slot) {
@@ -99,7 +100,7 @@
     }
 }
 
-/// Size of records on the disk, headers included.
+/// Size of the encoded records in bytes, headers included.
 fn encoded_bytes(records: &[(usize, Vec<u8>)]) -> u64 {
     records.iter().map(|(_, payload)| (HEADER_BYTES + payload.len()) as u64).sum()
 }
--- a/crates/gaugesaddle-log/src/store.rs
+++ b/crates/gaugesaddle-log/src/store.rs
@@ -1,8 +1,8 @@
-//! What the ring needs of a disk.
+//! The storage interface of the ring.
 
 use std::io;
 
-/// Number of segments: the one in use, the one before it, and the one that is overwritten next.
+/// Number of segments: the active one, its predecessor, and the next one to be overwritten.
 pub const SEGMENTS: usize = 3;
 
 /// [`SEGMENTS`] segments of equal, fixed size, numbered from 0.
--- a/crates/gaugesaddle-log/tests/crashes.rs
+++ b/crates/gaugesaddle-log/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! The failure: power is lost at any point of any write, and a record that was reported as durable is lost or changed.
+//! Checks that no record that was reported as durable is lost or altered when power is lost at any point of any write.
 
 use gaugesaddle_log::{Ring, Store, SEGMENTS};
 use proptest::prelude::*;
@@ -22,7 +22,7 @@
 struct Disk {
     synced: Vec<Vec<u8>>,
     unsynced: Vec<UnsyncedWrite>,
-    /// Number of writes and syncs that still succeed.
+    /// Number of further writes and syncs that succeed; later ones fail.
     remaining_operations: usize,
 }
 
@@ -37,7 +37,7 @@
 
     fn consume_operation(&mut self) -> io::Result<()> {
         if self.remaining_operations == 0 {
-            return Err(io::Error::other("an injected disk error"));
+            return Err(io::Error::other("injected disk error"));
         }
         self.remaining_operations -= 1;
         Ok(())
@@ -85,7 +85,7 @@
     }
 }
 
-/// What a power loss makes of an unsynced write: lost, complete, or cut off after some bytes.
+/// Effect of a power loss on an unsynced write: not written, written completely, or torn after some bytes.
 #[derive(Clone, Copy, Debug)]
 enum Outcome {
     Missing,
@@ -106,7 +106,7 @@
 }
 
 fn open(disk: &Rc<RefCell<Disk>>) -> Ring<CachedDisk> {
-    Ring::open(CachedDisk(disk.clone())).expect("a readable disk opens")
+    Ring::open(CachedDisk(disk.clone())).expect("ring should open on a readable disk")
 }
 
 fn payload(number: u8, length: usize) -> Vec<u8> {
@@ -124,7 +124,7 @@
         Outcome::Torn(40),
     ];
     for failing in 0..40u8 {
-        // Within one append: the write fails, the sync fails.
+        // Successful operations within the failing append: with 0 its write fails, with 1 its sync.
         for remaining_operations in 0..2 {
             for outcome in outcomes {
                 let disk = Rc::new(RefCell::new(Disk::new()));
@@ -147,13 +147,23 @@
                 lose_power(&disk, &[outcome]);
                 let ring = open(&disk);
                 let [hard_state, state] = ring.slots();
-                // The failed append may or may not be there; nothing older than the last durable one is, and nothing corrupt.
+                // The record of the failed append may or may not be present; no slot may have a corrupt record or one
+                // older than the last durable one.
                 for (found, durable) in [(hard_state, &reported.0), (state, &reported.1)] {
                     let number = |p: &Option<Vec<u8>>| p.as_ref().map(|p| p[0]);
-                    assert!(number(found) >= number(durable), "append {failing}, {outcome:?}: older");
-                    assert!(number(found) <= Some(failing), "append {failing}, {outcome:?}: never written");
+                    assert!(
+                        number(found) >= number(durable),
+                        "append {failing}, {outcome:?}: recovered record is older than the durable one"
+                    );
+                    assert!(
+                        number(found) <= Some(failing),
+                        "append {failing}, {outcome:?}: recovered record was never written"
+                    );
                     if number(found) == number(durable) {
-                        assert_eq!(found, durable, "append {failing}, {outcome:?}: changed");
+                        assert_eq!(
+                            found, durable,
+                            "append {failing}, {outcome:?}: durable record was altered"
+                        );
                     }
                 }
             }
@@ -165,13 +175,13 @@
 fn a_ring_reopened_after_a_disk_error_has_all_durable_records() {
     let disk = Rc::new(RefCell::new(Disk::new()));
     let mut ring = open(&disk);
-    ring.append(vec![(0, payload(1, 4))]).expect("the append succeeds");
+    ring.append(vec![(0, payload(1, 4))]).expect("append should succeed");
     disk.borrow_mut().remaining_operations = 0;
     assert!(ring.append(vec![(0, payload(2, 4))]).is_err());
     disk.borrow_mut().remaining_operations = usize::MAX;
     let mut ring = open(&disk);
     assert_eq!(ring.slots()[0], Some(payload(1, 4)));
-    ring.append(vec![(1, payload(3, 9))]).expect("the append succeeds after reopening");
+    ring.append(vec![(1, payload(3, 9))]).expect("append should succeed after reopening");
     let ring = open(&disk);
     assert_eq!(ring.slots(), &[Some(payload(1, 4)), Some(payload(3, 9))]);
 }
@@ -190,13 +200,13 @@
     ]
 }
 
-/// Cases are the same in each run.
+/// Fixed, so that each run tests the same cases.
 const SEED: RngSeed = RngSeed::Fixed(20_261_202);
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, rng_seed: SEED, ..ProptestConfig::default() })]
 
-    /// Any number of power losses at any point.
+    /// Any number of power losses, each at any point of any append.
     #[test]
     fn any_sequence_of_power_losses_retains_durable_records(
         processes in proptest::collection::vec(
@@ -211,7 +221,7 @@
             let mut ring = open(&disk);
             for (slot, found) in ring.slots().iter().enumerate() {
                 let found = found.as_ref().map_or(0, |p| u32::from_le_bytes([p[0], p[1], p[2], p[3]]));
-                prop_assert!(found >= reported[slot], "slot {} has an older record", slot);
+                prop_assert!(found >= reported[slot], "slot {} has a record older than the durable one", slot);
                 prop_assert!(found <= written[slot], "slot {} has a record that was never written", slot);
                 reported[slot] = found;
             }
