--- a/crates/gaugesaddle-consensus/src/history.rs
+++ b/crates/gaugesaddle-consensus/src/history.rs
@@ -1,50 +1,51 @@
-//! State updates for other replicas: a delta against a state that the receiver has, else the full state.
+//! State updates for other replicas: a delta against a state that the receiver has, or the full state.
 
 use crate::settings::MAX_ACCEPTED;
 use gaugesaddle_protocol::{AcceptedChange, DocumentUpdate, LogPosition, State, StateUpdate};
 use std::collections::VecDeque;
 
-/// Earlier states that are retained as bases of deltas.
-const MAX_VERSIONS: usize = 16;
-/// Limit on the total size of their documents.
-const MAX_BYTES: usize = 4 << 20;
+/// Maximum number of earlier states that are retained as bases of deltas.
+const MAX_RETAINED_STATES: usize = 16;
+/// Limit on the total size of their documents, in bytes.
+const MAX_RETAINED_BYTES: usize = 4 << 20;
 
 /// The parts of an earlier state that a delta needs.
 #[derive(Clone, Debug)]
-struct Version {
+struct RetainedState {
     position: LogPosition,
     revision: u64,
     document: Vec<u8>,
 }
 
-/// The newest earlier states of a leader. The oldest leaves first, beyond [`MAX_VERSIONS`] or [`MAX_BYTES`].
+/// The most recent earlier states of a leader. Beyond [`MAX_RETAINED_STATES`] or [`MAX_RETAINED_BYTES`] the oldest is
+/// dropped.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct History {
-    versions: VecDeque<Version>,
+    retained_states: VecDeque<RetainedState>,
 }
 
 impl History {
     /// Adds a state that is about to be replaced.
     pub fn push(&mut self, state: &State) {
-        self.versions.push_back(Version {
+        self.retained_states.push_back(RetainedState {
             position: state.position,
             revision: state.revision,
             document: state.document.clone(),
         });
         while self.exceeds_limits() {
-            self.versions.pop_front();
+            self.retained_states.pop_front();
         }
     }
 
     fn exceeds_limits(&self) -> bool {
-        let bytes: usize = self.versions.iter().map(|version| version.document.len()).sum();
-        self.versions.len() > MAX_VERSIONS || bytes > MAX_BYTES
+        let bytes: usize = self.retained_states.iter().map(|retained| retained.document.len()).sum();
+        self.retained_states.len() > MAX_RETAINED_STATES || bytes > MAX_RETAINED_BYTES
     }
 
-    /// An update to `state` for a receiver that has the state at `received`; full where that one is not retained.
+    /// An update to `state` for a receiver that has the state at `received`; a full one if that state is not retained.
     pub fn update(&self, received: Option<LogPosition>, state: &State) -> StateUpdate {
-        let base = self.versions.iter().find(|version| Some(version.position) == received);
-        // Revisions rise with each accepted change.
+        let base = self.retained_states.iter().find(|retained| Some(retained.position) == received);
+        // Revisions increase with each accepted change.
         let is_new = |accepted: &&AcceptedChange| base.is_none_or(|base| accepted.revision > base.revision);
         StateUpdate {
             base: base.map(|base| base.position),
@@ -66,7 +67,8 @@
     accepted.drain(..surplus).map(|accepted| accepted.revision).max()
 }
 
-/// The state that results from an update; `None` where its base is another state than the present one.
+/// The state that results from an update; `None` if the base of the update is not the present state or its document
+/// cannot be applied.
 pub(crate) fn apply(state: &State, update: StateUpdate) -> Option<State> {
     let (base, mut accepted) = match update.base {
         None => (None, Vec::new()),
--- a/crates/gaugesaddle-log/tests/crashes.rs
+++ b/crates/gaugesaddle-log/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! The failure: power is lost at any point of any write, and a record that was reported as durable is lost or changed.
+//! Checks that no record that was reported as durable is lost or altered when power is lost at any point of any write.
 
 use gaugesaddle_log::{Ring, Store, SEGMENTS};
 use proptest::prelude::*;
@@ -11,7 +11,7 @@
 
 /// A write that has not been synced.
 #[derive(Clone, Debug)]
-struct Unsynced {
+struct UnsyncedWrite {
     segment: usize,
     offset: usize,
     bytes: Vec<u8>,
@@ -21,25 +21,29 @@
 #[derive(Clone, Debug)]
 struct Disk {
     synced: Vec<Vec<u8>>,
-    unsynced: Vec<Unsynced>,
-    /// Number of writes and syncs that still succeed.
-    budget: usize,
+    unsynced: Vec<UnsyncedWrite>,
+    /// Number of further writes and syncs that succeed; later ones fail.
+    remaining_operations: usize,
 }
 
 impl Disk {
     fn new() -> Disk {
-        Disk { synced: vec![vec![0; SEGMENT_BYTES]; SEGMENTS], unsynced: Vec::new(), budget: usize::MAX }
+        Disk {
+            synced: vec![vec![0; SEGMENT_BYTES]; SEGMENTS],
+            unsynced: Vec::new(),
+            remaining_operations: usize::MAX,
+        }
     }
 
-    fn use_budget(&mut self) -> io::Result<()> {
-        if self.budget == 0 {
-            return Err(io::Error::other("an injected disk error"));
+    fn consume_operation(&mut self) -> io::Result<()> {
+        if self.remaining_operations == 0 {
+            return Err(io::Error::other("injected disk error"));
         }
-        self.budget -= 1;
+        self.remaining_operations -= 1;
         Ok(())
     }
 
-    fn apply(&mut self, write: &Unsynced, bytes: usize) {
+    fn apply(&mut self, write: &UnsyncedWrite, bytes: usize) {
         let target = &mut self.synced[write.segment][write.offset..write.offset + bytes];
         target.copy_from_slice(&write.bytes[..bytes]);
     }
@@ -64,14 +68,14 @@
     }
     fn write(&mut self, segment: usize, offset: u64, bytes: &[u8]) -> io::Result<()> {
         let mut disk = self.0.borrow_mut();
-        disk.use_budget()?;
-        disk.unsynced.push(Unsynced { segment, offset: offset as usize, bytes: bytes.to_vec() });
+        disk.consume_operation()?;
+        disk.unsynced.push(UnsyncedWrite { segment, offset: offset as usize, bytes: bytes.to_vec() });
         Ok(())
     }
     fn sync(&mut self, segment: usize) -> io::Result<()> {
         let mut disk = self.0.borrow_mut();
-        disk.use_budget()?;
-        let (synced, others): (Vec<Unsynced>, Vec<Unsynced>) =
+        disk.consume_operation()?;
+        let (synced, others): (Vec<UnsyncedWrite>, Vec<UnsyncedWrite>) =
             std::mem::take(&mut disk.unsynced).into_iter().partition(|w| w.segment == segment);
         disk.unsynced = others;
         for write in synced {
@@ -81,7 +85,7 @@
     }
 }
 
-/// What a power loss makes of an unsynced write: lost, complete, or cut off after some bytes.
+/// Effect of a power loss on an unsynced write: not written, written completely, or torn after some bytes.
 #[derive(Clone, Copy, Debug)]
 enum Outcome {
     Missing,
@@ -91,7 +95,7 @@
 
 fn lose_power(disk: &Rc<RefCell<Disk>>, outcomes: &[Outcome]) {
     let mut disk = disk.borrow_mut();
-    disk.budget = usize::MAX;
+    disk.remaining_operations = usize::MAX;
     for (index, write) in std::mem::take(&mut disk.unsynced).into_iter().enumerate() {
         match outcomes.get(index % outcomes.len().max(1)).copied().unwrap_or(Outcome::Missing) {
             Outcome::Missing => {}
@@ -102,7 +106,7 @@
 }
 
 fn open(disk: &Rc<RefCell<Disk>>) -> Ring<CachedDisk> {
-    Ring::open(CachedDisk(disk.clone())).expect("a readable disk opens")
+    Ring::open(CachedDisk(disk.clone())).expect("ring should open on a readable disk")
 }
 
 fn payload(number: u8, length: usize) -> Vec<u8> {
@@ -120,15 +124,15 @@
         Outcome::Torn(40),
     ];
     for failing in 0..40u8 {
-        // Within one append: the write fails, the sync fails.
-        for budget in 0..2 {
+        // Successful operations within the failing append: with 0 its write fails, with 1 its sync.
+        for remaining_operations in 0..2 {
             for outcome in outcomes {
                 let disk = Rc::new(RefCell::new(Disk::new()));
                 let mut ring = open(&disk);
                 let mut reported = (None, None);
                 for number in 0..=failing {
                     if number == failing {
-                        disk.borrow_mut().budget = budget;
+                        disk.borrow_mut().remaining_operations = remaining_operations;
                     }
                     let records = vec![
                         (0, payload(number, 3 + usize::from(number) % 5)),
@@ -143,13 +147,23 @@
                 lose_power(&disk, &[outcome]);
                 let ring = open(&disk);
                 let [hard_state, state] = ring.slots();
-                // The failed append may or may not be there; nothing older than the last durable one is, and nothing corrupt.
+                // The record of the failed append may or may not be present; no slot may have a corrupt record or one
+                // older than the last durable one.
                 for (found, durable) in [(hard_state, &reported.0), (state, &reported.1)] {
                     let number = |p: &Option<Vec<u8>>| p.as_ref().map(|p| p[0]);
-                    assert!(number(found) >= number(durable), "append {failing}, {outcome:?}: older");
-                    assert!(number(found) <= Some(failing), "append {failing}, {outcome:?}: never written");
+                    assert!(
+                        number(found) >= number(durable),
+                        "append {failing}, {outcome:?}: recovered record is older than the durable one"
+                    );
+                    assert!(
+                        number(found) <= Some(failing),
+                        "append {failing}, {outcome:?}: recovered record was never written"
+                    );
                     if number(found) == number(durable) {
-                        assert_eq!(found, durable, "append {failing}, {outcome:?}: changed");
+                        assert_eq!(
+                            found, durable,
+                            "append {failing}, {outcome:?}: durable record was altered"
+                        );
                     }
                 }
             }
@@ -161,13 +175,13 @@
 fn a_ring_reopened_after_a_disk_error_has_all_durable_records() {
     let disk = Rc::new(RefCell::new(Disk::new()));
     let mut ring = open(&disk);
-    ring.append(vec![(0, payload(1, 4))]).expect("the append succeeds");
-    disk.borrow_mut().budget = 0;
+    ring.append(vec![(0, payload(1, 4))]).expect("append should succeed");
+    disk.borrow_mut().remaining_operations = 0;
     assert!(ring.append(vec![(0, payload(2, 4))]).is_err());
-    disk.borrow_mut().budget = usize::MAX;
+    disk.borrow_mut().remaining_operations = usize::MAX;
     let mut ring = open(&disk);
     assert_eq!(ring.slots()[0], Some(payload(1, 4)));
-    ring.append(vec![(1, payload(3, 9))]).expect("the append succeeds after reopening");
+    ring.append(vec![(1, payload(3, 9))]).expect("append should succeed after reopening");
     let ring = open(&disk);
     assert_eq!(ring.slots(), &[Some(payload(1, 4)), Some(payload(3, 9))]);
 }
@@ -186,13 +200,13 @@
     ]
 }
 
-/// Cases are the same in each run.
+/// Fixed, so that each run tests the same cases.
 const SEED: RngSeed = RngSeed::Fixed(20_261_202);
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, rng_seed: SEED, ..ProptestConfig::default() })]
 
-    /// Any number of power losses at any point.
+    /// Any number of power losses, each at any point of any append.
     #[test]
     fn any_sequence_of_power_losses_retains_durable_records(
         processes in proptest::collection::vec(
@@ -203,15 +217,15 @@
         let mut reported: [u32; 2] = [0, 0];
         let mut written: [u32; 2] = [0, 0];
         let mut number: u32 = 0;
-        for (appends, budget, outcomes) in processes {
+        for (appends, remaining_operations, outcomes) in processes {
             let mut ring = open(&disk);
             for (slot, found) in ring.slots().iter().enumerate() {
                 let found = found.as_ref().map_or(0, |p| u32::from_le_bytes([p[0], p[1], p[2], p[3]]));
-                prop_assert!(found >= reported[slot], "slot {} has an older record", slot);
+                prop_assert!(found >= reported[slot], "slot {} has a record older than the durable one", slot);
                 prop_assert!(found <= written[slot], "slot {} has a record that was never written", slot);
                 reported[slot] = found;
             }
-            disk.borrow_mut().budget = budget;
+            disk.borrow_mut().remaining_operations = remaining_operations;
             for (slot, length) in appends {
                 number += 1;
                 let mut record = number.to_le_bytes().to_vec();
