--- a/crates/gaugesaddle-catalog/src/acknowledgement.rs
+++ b/crates/gaugesaddle-catalog/src/acknowledgement.rs
@@ -1,24 +1,24 @@
-//! Decides whether and when the call of a backend may be acknowledged.
+//! Decides whether and when a backend's call may be acknowledged.
 
 use crate::{CatalogReplica, ReplicationStatus};
 use gaugesaddle_protocol::Registration;
 
-/// How long the call of a backend that leaves waits for acknowledgements from the other control processes, in
-/// milliseconds. It is shorter than the second after which the caller turns to another control process.
+/// How long the call of a leaving backend waits for acknowledgements from the other control processes, in milliseconds.
+/// It is shorter than 1 s, after which the caller retries at another control process.
 const REPLICATION_TIMEOUT_MS: u64 = 600;
 
-/// What to answer to a backend's call.
+/// The decision on a backend's call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcknowledgementDecision {
-    /// Undecided: decide again later.
+    /// Undecided: to be decided again later.
     Wait,
     /// The change is replicated well enough to be acknowledged.
     Acknowledge,
-    /// The change may be lost: the caller should turn to another control process.
+    /// The change may be lost: the caller should retry at another control process.
     Reject,
 }
 
-/// A backend's call that waits for its answer.
+/// A backend's call that is not answered yet.
 ///
 /// ```text
 ///                 +-- not fresh -----------------------------------------> Reject
@@ -29,10 +29,10 @@
 ///   +-------------+-- otherwise
 /// ```
 ///
-/// A backend that got its acknowledgement stops after a fixed time, by which every proxy must have stopped sending to
-/// it. The acknowledgement is therefore given only where all responsive processes have the change, a majority at least,
-/// and only by a process that is in touch with a majority at the moment of the answer: a process that was partitioned
-/// in the meantime may have replicated the change only within its own side of the partition.
+/// A backend stops a fixed time after its acknowledgement; by then every proxy must have stopped sending to it. The
+/// call is therefore acknowledged only after the change is replicated: to all responsive processes and a majority at
+/// least, or at the deadline to a majority. The process must also be in contact with a majority when it answers: if it
+/// was partitioned in the meantime, it may have replicated the change only within its own side of the partition.
 #[derive(Clone, Debug)]
 pub struct Acknowledgement {
     id: String,
@@ -42,7 +42,7 @@
 }
 
 impl Acknowledgement {
-    /// The acknowledgement of a call that the catalog replica records at `now` (milliseconds, steady clock).
+    /// The acknowledgement of a call that the catalog replica records at `now` (milliseconds, monotonic clock).
     pub fn new(now: u64, registration: &Registration) -> Acknowledgement {
         Acknowledgement {
             id: registration.id.clone(),
@@ -51,12 +51,12 @@
         }
     }
 
-    /// When the call is decided at the latest, in milliseconds of the steady clock.
+    /// Time by which the call is decided, in milliseconds of the monotonic clock.
     pub fn deadline(&self) -> u64 {
         self.deadline_ms
     }
 
-    /// Decides at `now` (milliseconds). `is_fresh`: whether this process was in touch with a majority of the `voters`
+    /// Decides at `now` (milliseconds). `is_fresh`: whether this process was in contact with a majority of the `voters`
     /// replicas within its lease.
     pub fn decide(
         &self, now: u64, catalog_replica: &CatalogReplica, is_fresh: bool, voters: usize,
--- a/crates/gaugesaddle-catalog/src/catalog.rs
+++ b/crates/gaugesaddle-catalog/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The merged registrations, with the version vector of the changes that brought them.
+//! The merged registrations, and the version vector of the changes that were merged.
 
 use crate::digest::{self, RANGES};
 use gaugesaddle_protocol::{CatalogDelta, Entry, Lifecycle, Origin, Registration, VersionVector};
@@ -6,10 +6,10 @@
 
 /// Maximum number of registrations: twice the largest supported fleet, so that a release may replace all of it at once.
 pub const MAX_ENTRIES: usize = 40_000;
-/// How long a registration that is not ready any more stays known, in milliseconds.
+/// How long a registration that is no longer ready is retained, in milliseconds.
 pub const DEPARTED_RETENTION_MS: u64 = 120_000;
 
-/// An entry, and when this process last changed it.
+/// An entry, and when this process last changed it, in milliseconds.
 #[derive(Clone, Debug)]
 struct StoredEntry {
     entry: Entry,
@@ -21,16 +21,16 @@
 pub struct Merged {
     /// At least one registration has changed.
     pub changed: bool,
-    /// Changes that precede those of the delta are not known here: they were lost and must be requested.
+    /// Changes that precede those of the delta are missing here: they were lost and must be requested.
     pub gap: bool,
 }
 
 /// Whether a sender has received the registrations of the entire fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Coverage {
-    /// It has: a ready registration that it lacks belongs to no live process.
+    /// All of them: a ready registration that the sender lacks belongs to no live process.
     Complete,
-    /// It may not have: nothing follows from what it lacks.
+    /// Possibly not all of them: a registration that the sender lacks may belong to a live process.
     Partial,
 }
 
@@ -57,7 +57,7 @@
         self.entries.get(id).map(|stored| &stored.entry)
     }
 
-    /// Up to which number the changes of each origin are known.
+    /// For each origin, the number up to which its changes are known.
     pub fn vector(&self) -> &VersionVector {
         &self.vector
     }
@@ -93,9 +93,9 @@
         merged
     }
 
-    /// Expires the ready registrations that a range listed completely does not contain. Their leases were granted by
-    /// processes that no longer exist, so nobody else would ever expire them. A process that is still alive registers
-    /// anew with its next heartbeat.
+    /// Expires ready registrations that belong to a range listed completely in the delta but are not in that list.
+    /// Their leases were granted by processes that no longer exist, so no other process would expire them. A registered
+    /// process that is still alive registers again with its next heartbeat.
     fn expire_unlisted(&mut self, now: u64, delta: &CatalogDelta) -> bool {
         if delta.complete_ranges.is_empty() {
             return false;
@@ -156,8 +156,8 @@
         }
     }
 
-    /// Whether the digests of another process differ from this catalog's. A list of any other length than [`RANGES`]
-    /// does not count: a process that sends no digests does not compare.
+    /// Whether the digests of another process differ from this catalog's. False if their number is not [`RANGES`]: a
+    /// process that sends no digests requests no comparison.
     pub fn differs_from(&self, digests: &[u64]) -> bool {
         digests.len() == RANGES && digests != self.digests()
     }
@@ -170,7 +170,7 @@
         });
     }
 
-    /// Stores an entry unless the known one has precedence or the table is full; whether it was stored.
+    /// Stores an entry unless the known one has precedence or the table is full. Returns whether it was stored.
     fn put(&mut self, now: u64, entry: Entry) -> bool {
         if let Some(stored) = self.entries.get_mut(&entry.registration.id) {
             if !supersedes(&entry.registration, &stored.entry.registration) {
@@ -188,8 +188,8 @@
     }
 }
 
-/// Whether a registration replaces another of the same identity: a process that leaves never comes back, else the later
-/// call counts.
+/// Whether a registration replaces another one of the same identity. A registration that is leaving takes precedence
+/// over one that is not; otherwise the later call takes precedence.
 fn supersedes(new: &Registration, old: &Registration) -> bool {
     if new.lifecycle.is_leaving() != old.lifecycle.is_leaving() {
         return new.lifecycle.is_leaving();
--- a/crates/gaugesaddle-catalog/src/catalog_replica.rs
+++ b/crates/gaugesaddle-catalog/src/catalog_replica.rs
@@ -3,15 +3,15 @@
 //!
 //! ```text
 //!  call --> record --(changed)--> push to all peers --> each passes it to its proxies, and acknowledges to the origin
-//!                        |                                 what it and all its proxies have
+//!                        |                                 the changes that it and all its proxies have
 //!                        +--> own proxies ------------------------+
 //!                                                                 v
 //!  2xx <-- Full: every responsive peer and proxy has it, a majority of the control processes at least
 //! ```
 //!
-//! A process that has just started knows no proxies and acknowledges nothing yet. Nothing of this is on a disk. An
-//! acknowledged departure outlives the loss of all control processes at once because the proxies have it by then, and
-//! send it to the control processes that start afterwards.
+//! A process that has just started does not know its proxies yet, so it acknowledges no changes. The catalog is kept in
+//! memory only. A departure that is fully replicated survives the simultaneous loss of all control processes, because
+//! the proxies have it and report it to the control processes that start afterwards.
 
 use crate::peers::{PeerTable, PEER_RESPONSIVE_MS};
 use crate::proxies::ProxyTable;
@@ -21,10 +21,10 @@
 };
 use std::collections::BTreeMap;
 
-/// Shortest lease, in milliseconds: a proxy's, which it renews at least twice a second.
+/// Minimum lease, in milliseconds: that of a proxy, which renews it at least twice a second.
 const PROXY_LEASE_MS: u64 = 4000;
-/// How long a registration may stay orphaned before it expires, in milliseconds: its next heartbeat goes to another
-/// control process well within that.
+/// How long a registration may stay orphaned (the control process that accepted it is dead) before it expires, in
+/// milliseconds. Its next heartbeat reaches another control process well within that time.
 const ORPHAN_TIMEOUT_MS: u64 = 6000;
 
 /// How far a change has been replicated.
@@ -34,7 +34,7 @@
     Full,
     /// A majority has it; some responsive process or proxy has not confirmed it.
     Majority,
-    /// It could be lost.
+    /// No majority is known to have it, or this process has just started: it could be lost.
     Minority,
 }
 
@@ -57,15 +57,16 @@
     leases: Leases,
     peers: PeerTable,
     proxies: ProxyTable,
-    /// Up to which change each origin was sent an acknowledgement.
+    /// For each origin, the number up to which its changes were acknowledged.
     acknowledged: VersionVector,
-    /// Since when each orphaned registration is known to be one, in milliseconds.
+    /// When each orphaned registration was first seen to be orphaned, in milliseconds.
     orphaned_since_ms: BTreeMap<String, u64>,
 }
 
 impl CatalogReplica {
     /// An empty replica that starts at `now` (milliseconds). Its changes are numbered under `origin`, which must differ
-    /// from that of every other process, past ones included. `backend_lease_ms` is raised to a proxy's lease.
+    /// from that of every other process, past ones included. `backend_lease_ms` is raised to a proxy's lease if it is
+    /// shorter.
     pub fn new(now: u64, origin: Origin, backend_lease_ms: u64) -> CatalogReplica {
         CatalogReplica {
             origin,
@@ -118,8 +119,8 @@
         self.accept(now, registration)
     }
 
-    /// Records which changes a proxy has. Returns the acknowledgements that follow, each with the address of the peer
-    /// that it goes to.
+    /// Records which changes a proxy has. Returns the acknowledgements that result, each with the address of the peer
+    /// to send it to.
     pub fn record_pull(&mut self, now: u64, pull: &Pull) -> Vec<(u32, PeerMessage)> {
         if pull.proxy.lifecycle.is_leaving() {
             self.proxies.remove(&pull.proxy.id);
@@ -135,8 +136,8 @@
         unacknowledged.into_iter().filter_map(|origin| self.acknowledge(now, origin)).collect()
     }
 
-    /// The acknowledgement to the origin of changes, where more of them are known here and at all proxies than were
-    /// acknowledged before.
+    /// The acknowledgement to send to `origin`, if this process and all of its proxies have more of the origin's
+    /// changes than were acknowledged before.
     fn acknowledge(&mut self, now: u64, origin: Origin) -> Option<(u32, PeerMessage)> {
         let change = self.known_with_proxies(now, origin);
         if change <= self.acknowledged.of(origin) {
@@ -147,7 +148,7 @@
         Some((ip, PeerMessage::Acknowledge { origin, change }))
     }
 
-    /// Up to which change of an origin this process and all proxies that follow it have them all.
+    /// The number up to which this process and all proxies that pull from it have the changes of an origin.
     fn known_with_proxies(&self, now: u64, origin: Origin) -> u64 {
         if self.is_starting(now) {
             return 0;
@@ -156,12 +157,12 @@
         known_here.min(self.proxies.known_by_all(now, origin))
     }
 
-    /// Whether this process started so recently that proxies that follow it may not have pulled yet.
+    /// Whether this process started so recently that some of its proxies may not have pulled yet.
     fn is_starting(&self, now: u64) -> bool {
         now < self.started_ms + PEER_RESPONSIVE_MS
     }
 
-    /// Records the departures that a proxy knows of. Returns the deltas to push to all peers.
+    /// Records the departures that a proxy reports. Returns the deltas to push to all peers.
     pub fn record_departed(&mut self, now: u64, departed: Vec<Registration>) -> Vec<CatalogDelta> {
         let is_change = |registration: &Registration| {
             let known = self.catalog.get(&registration.id);
@@ -172,8 +173,8 @@
         changes.into_iter().filter_map(|registration| self.accept(now, registration)).collect()
     }
 
-    /// The registration that records the departure of a backend; `None` for a proxy. Where the identity is not known
-    /// here, all but the identity is empty: other processes may know it.
+    /// The registration that records the departure of a backend; `None` for a proxy. If the identity is not known here,
+    /// the other fields are empty: other processes may know it.
     pub fn departure_of(&self, id: &str) -> Option<Registration> {
         let mut registration = match self.catalog.get(id) {
             Some(entry) => entry.registration.clone(),
@@ -222,7 +223,7 @@
         }
     }
 
-    /// Applies a peer's message about the catalog. Messages about anything else have no effect.
+    /// Applies a peer's message about the catalog. Other messages have no effect.
     pub fn apply(&mut self, now: u64, ip: u32, message: PeerMessage) -> PeerOutcome {
         match message {
             PeerMessage::Push(delta) => self.apply_push(now, ip, delta),
@@ -238,7 +239,7 @@
     fn apply_push(&mut self, now: u64, ip: u32, delta: CatalogDelta) -> PeerOutcome {
         let merged = self.catalog.merge(now, delta);
         let mut responses = Vec::new();
-        // Without proxies the changes can be acknowledged at once, else only after these have pulled them.
+        // Without proxies the changes can be acknowledged at once, otherwise only after the proxies have pulled them.
         if let Some(origin) = self.peers.origin_of(ip) {
             responses.extend(self.acknowledge(now, origin).map(|(_, message)| message));
         }
@@ -261,8 +262,9 @@
         PeerOutcome { changed: false, responses }
     }
 
-    /// The message that has a peer push the changes that this process lacks. `with_digests` adds the range digests, which
-    /// find what the vector does not show; `members` are the machines known to serve control.
+    /// The message that requests from a peer the changes that this process lacks. `with_digests` adds the range
+    /// digests, which reveal differences that the vectors do not show; `members` are the machines known to run control
+    /// processes.
     pub fn compare(&self, with_digests: bool, members: Vec<u32>) -> PeerMessage {
         let digests = if with_digests { self.catalog.digests() } else { Vec::new() };
         PeerMessage::Compare { vector: self.catalog.vector().clone(), digests, members }
@@ -273,7 +275,8 @@
         self.catalog.has_changes_for(vector) || self.catalog.differs_from(digests)
     }
 
-    /// What a process with this vector and these digests lacks: the changes by vector, else the ranges that differ.
+    /// The entries that a process with this vector and these digests lacks: the changes missing in the vector,
+    /// otherwise the ranges that differ.
     pub fn changes_for(&self, now: u64, vector: &VersionVector, digests: &[u64]) -> Option<CatalogDelta> {
         if self.catalog.has_changes_for(vector) {
             Some(self.catalog.delta(vector))
@@ -284,8 +287,8 @@
         }
     }
 
-    /// Complete once a backend's lease has passed since the start with a live peer: by then every live backend and proxy
-    /// has called here or at a peer.
+    /// Complete once a backend's lease has passed since the start and a peer is alive: by then every live backend and
+    /// proxy has called this process or a peer.
     fn coverage(&self, now: u64) -> Coverage {
         let has_lease_passed = now >= self.started_ms + self.backend_lease_ms;
         if has_lease_passed && !self.peers.alive(now).is_empty() {
@@ -295,8 +298,8 @@
         }
     }
 
-    /// Drops old departures, and expires registrations whose lease has run out or that stay orphaned. Returns the deltas
-    /// to push to all peers. To be called several times a second.
+    /// Purges old departures, and expires registrations whose lease has run out or that stay orphaned. Returns the
+    /// deltas to push to all peers. Must be called several times a second.
     pub fn expire(&mut self, now: u64) -> Vec<CatalogDelta> {
         self.catalog.purge(now);
         let mut expired = self.expire_leases(now);
--- a/crates/gaugesaddle-catalog/src/digest.rs
+++ b/crates/gaugesaddle-catalog/src/digest.rs
@@ -15,12 +15,12 @@
 }
 
 /// The digest of each range, over the ready registrations. It covers their identities only, since the sequence rises
-/// with every heartbeat although nothing else changes.
+/// with every heartbeat although the registration does not change otherwise.
 pub fn of<'a>(registrations: impl Iterator<Item = &'a Registration>) -> Vec<u64> {
     let mut digests = vec![0; RANGES];
     for registration in registrations {
         if registration.lifecycle != Lifecycle::Ready {
-            // Each process drops these at its own time, so they must not count.
+            // Processes drop these at different times, so the digest does not cover them.
             continue;
         }
         let id_hash = hash(&registration.id);
--- a/crates/gaugesaddle-catalog/src/leases.rs
+++ b/crates/gaugesaddle-catalog/src/leases.rs
@@ -5,7 +5,7 @@
 /// The newest heartbeat of a registered process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LastHeartbeat {
-    /// When it arrived, in milliseconds of the steady clock.
+    /// When it arrived, in milliseconds of the monotonic clock.
     pub at_ms: u64,
     /// Its sequence number.
     pub sequence: u64,
--- a/crates/gaugesaddle-catalog/src/lib.rs
+++ b/crates/gaugesaddle-catalog/src/lib.rs
@@ -1,14 +1,14 @@
-//! The catalog of backends and proxies: soft state under leases, never on a disk, decided without I/O.
+//! The catalog of backends and proxies: soft state under leases, kept in memory only. The crate performs no I/O.
 //!
-//! It decides which registrations are in force, which have expired, what another process lacks of them, and when a
+//! It decides which registrations are valid, which have expired, which of them another process lacks, and when a
 //! backend's call may be acknowledged.
 //!
-//! - [`Catalog`]: registrations with the change that brought each, merged from any source in any order. Proxies and
-//!   control processes use the same type. [`digest`] holds its range digests, which find differences that the version
-//!   vectors do not show.
+//! - [`Catalog`]: registrations, each with the change that it comes from; deltas are merged from any source in any
+//!   order. Proxies and control processes use the same type. [`digest`] computes its range digests, which reveal
+//!   differences that the version vectors do not show.
 //! - [`CatalogReplica`]: a control process's copy. It owns a [`Catalog`], the [`Leases`] that this process has granted,
 //!   the [`peers::PeerTable`] of the other control processes and the table of its proxies.
-//! - [`Acknowledgement`]: one backend's call that waits for its answer; the host owns it and calls
+//! - [`Acknowledgement`]: a backend's call that is not answered yet; the host owns it and calls
 //!   [`Acknowledgement::decide`] until it is decided.
 //!
 //! ```
@@ -39,9 +39,10 @@
 //!
 //! # Bounds
 //!
-//! The catalog has at most [`MAX_ENTRIES`] registrations. One that is not ready stays known for
-//! [`DEPARTED_RETENTION_MS`], so that a delayed message cannot bring it back, and is dropped after that. Leases are
-//! dropped when they expire, proxies when they stop pulling. All times are milliseconds of one machine's steady clock.
+//! The catalog has at most [`MAX_ENTRIES`] registrations. One that is not ready is retained for
+//! [`DEPARTED_RETENTION_MS`], so that a delayed message cannot make it ready again, and is then dropped. Leases are
+//! dropped when they expire, proxies when they stop pulling. All times are milliseconds of one machine's monotonic
+//! clock.
 
 mod acknowledgement;
 mod catalog;
--- a/crates/gaugesaddle-catalog/src/peers.rs
+++ b/crates/gaugesaddle-catalog/src/peers.rs
@@ -3,9 +3,10 @@
 use gaugesaddle_protocol::{Origin, VersionVector};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A peer without a message for this long counts as dead, in milliseconds.
+/// Time without a message after which a peer is considered dead, in milliseconds.
 pub const PEER_TIMEOUT_MS: u64 = 3500;
-/// No acknowledgement waits for a peer or proxy without a message for this long, in milliseconds.
+/// Time without a message after which a peer or proxy is no longer responsive, in milliseconds: acknowledgements do not
+/// wait for it.
 pub const PEER_RESPONSIVE_MS: u64 = 1300;
 
 /// Another control process.
@@ -15,20 +16,20 @@
     last_contact_ms: Option<u64>,
     /// The process that runs there now.
     origin: Option<Origin>,
-    /// The changes that it has acknowledged for itself and the proxies that follow it.
+    /// The changes that it has acknowledged for itself and the proxies that pull from it.
     vector: VersionVector,
 }
 
-/// The other control processes, by the IPv4 address of their machine. It has one entry for each machine that has served
-/// control.
+/// The other control processes, by the IPv4 address of their machine. It has one entry for each machine that has run a
+/// control process.
 #[derive(Clone, Debug, Default)]
 pub struct PeerTable {
     peers: BTreeMap<u32, Peer>,
 }
 
 impl PeerTable {
-    /// Registers the process that runs on a machine. The acknowledgements of an earlier process there are dropped, for
-    /// the catalog is not on a disk.
+    /// Registers the process that runs on a machine. The acknowledgements of an earlier process there are dropped,
+    /// since the catalog was lost with that process.
     pub fn register_peer(&mut self, ip: u32, origin: Origin) {
         let peer = self.peers.entry(ip).or_default();
         if peer.origin != Some(origin) {
--- a/crates/gaugesaddle-catalog/src/proxies.rs
+++ b/crates/gaugesaddle-catalog/src/proxies.rs
@@ -1,10 +1,10 @@
-//! The proxies that follow this control process, and which changes each has.
+//! The proxies that pull from this control process, and which changes each of them has.
 
 use crate::peers::PEER_RESPONSIVE_MS;
 use gaugesaddle_protocol::{Origin, VersionVector};
 use std::collections::BTreeMap;
 
-/// Maximum number of proxies: fewer follow one process in the largest supported fleet.
+/// Maximum number of proxies: in the largest supported fleet, fewer pull from one process.
 const MAX_PROXIES: usize = 4096;
 
 /// The last pull of a proxy.
@@ -14,8 +14,8 @@
     vector: VersionVector,
 }
 
-/// The proxies that pulled within [`PEER_RESPONSIVE_MS`], by their identity. Older ones leave it with the next pull of
-/// any proxy.
+/// The proxies that pulled within [`PEER_RESPONSIVE_MS`], by their identity. Older entries are removed with the next
+/// pull of any proxy.
 #[derive(Clone, Debug, Default)]
 pub struct ProxyTable {
     pulls: BTreeMap<String, LastPull>,
@@ -35,7 +35,8 @@
         self.pulls.remove(id);
     }
 
-    /// Up to which change of an origin every responsive proxy has them all; `u64::MAX` without responsive proxies.
+    /// The number up to which all responsive proxies have the changes of an origin; `u64::MAX` without responsive
+    /// proxies.
     pub fn known_by_all(&self, now: u64, origin: Origin) -> u64 {
         let responsive = self.pulls.values().filter(|pull| now < pull.at_ms + PEER_RESPONSIVE_MS);
         responsive.map(|pull| pull.vector.of(origin)).min().unwrap_or(u64::MAX)
--- a/crates/gaugesaddle-catalog/tests/catalog.rs
+++ b/crates/gaugesaddle-catalog/tests/catalog.rs
@@ -1,5 +1,5 @@
-//! Failures guarded against: a backend that drains or has departed gets requests again, processes that received the same
-//! changes disagree, or a live registration is dropped.
+//! Failures guarded against: a backend that drains or has departed receives requests again, processes that received the
+//! same changes disagree, or a live registration is dropped.
 
 use gaugesaddle_catalog::{Catalog, Coverage, Leases, DEPARTED_RETENTION_MS};
 use gaugesaddle_protocol::{CatalogDelta, Lifecycle, Origin, Registration, Subject, VersionVector};
@@ -125,7 +125,7 @@
     one.accept(NOW, Origin(1), registration(201, 1, Lifecycle::Ready));
     assert!(one.differs_from(&two.digests()));
     let sent = one.repair(&two.digests(), two.vector(), Coverage::Partial).entries.len();
-    assert!((1..60).contains(&sent), "{sent} of 201 entries for one that differs");
+    assert!((1..60).contains(&sent), "sent {sent} of 201 entries although only one differs");
 }
 
 #[test]
@@ -143,7 +143,7 @@
 fn lease_expires_once_and_reordered_heartbeat_does_not_renew_it() {
     let mut leases = Leases::default();
     assert!(leases.renew(100, "a", 5));
-    assert!(!leases.renew(200, "a", 4), "a heartbeat that was overtaken");
+    assert!(!leases.renew(200, "a", 4), "a reordered heartbeat does not renew the lease");
     assert!(leases.expire(199, 100).is_empty());
     let expired = leases.expire(200, 100);
     assert_eq!(expired.len(), 1);
