--- a/crates/gaugesaddle-config/src/boot.rs
+++ b/crates/gaugesaddle-config/src/boot.rs
@@ -1,4 +1,4 @@
-//! The boot file: settings that the platform provides to a process at its start, one `key=value` a line.
+//! The boot file: settings that the platform provides to a process at its start, one `key=value` per line.
 
 use crate::finding::{Finding, Findings};
 use std::collections::BTreeMap;
@@ -15,10 +15,10 @@
 #[derive(Debug, Error)]
 pub enum BootError {
     /// The environment variable is not set.
-    #[error("{PATH_VARIABLE}: expected the path of the boot file")]
+    #[error("environment variable {PATH_VARIABLE} is not set; expected the path of the boot file")]
     NoPath,
     /// Reading the file failed.
-    #[error("{path}: {source}")]
+    #[error("reading boot file {path}: {source}")]
     Read {
         /// Path of the file.
         path: String,
@@ -26,7 +26,7 @@
         source: io::Error,
     },
     /// The file is not a valid boot file.
-    #[error("{path}: {findings}")]
+    #[error("invalid boot file {path}: {findings}")]
     Invalid {
         /// Path of the file.
         path: String,
@@ -42,16 +42,16 @@
     pub memory_mb: u64,
     /// Maximum number of open file descriptors.
     pub max_fds: u64,
-    /// Disk in MB; 0: none.
+    /// Disk space in MB; 0: no disk.
     pub disk_mb: u64,
 }
 
 /// Service-level bounds of the deployment: deadlines, budgets and tolerances that processes must meet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// Deadline after an acknowledged drain by which no request goes to the backend, in ms.
+    /// Deadline after the acknowledgement of a drain from which on no request is sent to the backend, in ms.
     pub drain_ms: u64,
-    /// Deadline after an acknowledged configuration by which it is in force, in ms.
+    /// Deadline after the acknowledgement of a configuration by which it is in force, in ms.
     pub config_apply_ms: u64,
     /// Time from SIGTERM to SIGKILL, in s.
     pub grace_period_s: f64,
@@ -69,22 +69,22 @@
     pub quota_slack: f64,
     /// Deadline of the reply to an operator's configuration change, in ms.
     pub ack_ms: u64,
-    /// Time allowed to a restarted machine for catching up, in s.
+    /// Time within which a restarted machine must catch up, in s.
     pub catch_up_s: f64,
-    /// Fail closed: no request is executed with a revoked API key, even on a partitioned machine.
+    /// Fail closed: no request is executed with a revoked API key, not even on a partitioned machine.
     pub fail_closed: bool,
-    /// Time after an acknowledged configuration for which a key that it revoked may still be used, in ms.
+    /// Time after the acknowledgement of a configuration during which a key that it revoked may still be used, in ms.
     pub revoke_ms: u64,
 }
 
 /// Simultaneous failures that the deployment must survive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FaultTolerance {
-    /// Machines.
+    /// Number of machines.
     pub machines: u64,
-    /// Zones.
+    /// Number of zones.
     pub zones: u64,
-    /// Regions.
+    /// Number of regions.
     pub regions: u64,
 }
 
@@ -97,7 +97,7 @@
     pub ip: Ipv4Addr,
     /// Zone of the machine.
     pub zone: String,
-    /// Region of the machine; empty where there are none.
+    /// Region of the machine; empty in a deployment without regions.
     pub region: String,
     /// Region of each zone of the fleet.
     pub zones: BTreeMap<String, String>,
@@ -109,7 +109,7 @@
     pub control: Option<SocketAddrV4>,
     /// First and last port of the range for traffic between processes of the fleet.
     pub ephemeral_ports: (u16, u16),
-    /// Control addresses of some control processes, for discovery.
+    /// Control addresses of some control processes, from which the others are discovered.
     pub seeds: Vec<SocketAddrV4>,
     /// Cluster bootstrap: the fleet starts for the first time, with empty disks.
     pub bootstrap: bool,
@@ -187,7 +187,7 @@
         self.optional(key, expected)
     }
 
-    /// The values of a key with a list that is separated by commas; empty where the key is missing.
+    /// The values of a key with a comma-separated list; empty where the key is missing.
     fn list<T: FromStr>(&mut self, key: &str, expected: &str) -> Vec<T> {
         let Some(entry) = self.entry(key) else { return Vec::new() };
         let line_number = entry.line_number;
@@ -227,7 +227,7 @@
     }
 }
 
-/// Texts of what was expected, for findings.
+/// Descriptions of expected values in findings.
 const ADDRESS: &str = "an IPv4 address and port";
 const INTEGER: &str = "a whole number";
 const NUMBER: &str = "a number";
@@ -266,7 +266,7 @@
     }
 }
 
-/// Reads all keys, so that all findings are collected, before it fails for a missing one.
+/// Reads all keys before it fails for a missing one, so that all findings are collected.
 fn read_settings(reader: &mut Reader) -> Option<BootSettings> {
     let node_name = reader.required("nodeName", "a name");
     let ip = reader.required("ip", "an IPv4 address");
--- a/crates/gaugesaddle-config/src/finding.rs
+++ b/crates/gaugesaddle-config/src/finding.rs
@@ -1,4 +1,4 @@
-//! Validation findings: what is invalid in a document, and at which path.
+//! Validation findings: the invalid values of a document, with their paths.
 
 use std::fmt;
 use thiserror::Error;
@@ -8,12 +8,12 @@
 pub struct Finding {
     /// Path in the document (`routes[1] (chat).timeoutMs`), or line and key of a boot file.
     pub path: String,
-    /// What was expected there.
+    /// The expected value.
     pub expected: String,
 }
 
 impl Finding {
-    /// A finding at `path`, where `expected` would have been valid.
+    /// A finding at `path`, with a description of the expected value.
     pub fn new(path: impl Into<String>, expected: impl Into<String>) -> Finding {
         Finding { path: path.into(), expected: expected.into() }
     }
@@ -32,12 +32,12 @@
 pub struct Findings(pub Vec<Finding>);
 
 impl Findings {
-    /// A finding that is the only one.
+    /// Findings with a single entry.
     pub(crate) fn single(path: impl Into<String>, expected: impl Into<String>) -> Findings {
         Findings(vec![Finding::new(path, expected)])
     }
 
-    /// One finding a line, for a terminal.
+    /// The findings, one per line, for a terminal.
     pub fn to_multiline(&self) -> String {
         let lines: Vec<String> = self.0.iter().map(ToString::to_string).collect();
         lines.join("\n")
--- a/crates/gaugesaddle-config/src/lib.rs
+++ b/crates/gaugesaddle-config/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! - The **boot file**, which the platform writes for each process: [`BootSettings`], read once at the start.
 //! - The **operator's configuration**, one JSON document for the fleet: [`OperatorConfig`] is its schema, and
-//!   [`ConfigPatch`] makes the next document out of the current one. The control plane commits documents; every proxy
-//!   builds its own [`RoutingTable`] out of the committed one and looks requests up in it.
+//!   [`ConfigPatch`] derives the next document from the current one. The control plane commits documents; every proxy
+//!   builds its own [`RoutingTable`] from the committed document and looks up requests in it.
 //!
 //! ```rust
 //! use gaugesaddle_config::{OperatorConfig, RoutingTable};
@@ -21,15 +21,16 @@
 //!
 //! # Guarantees
 //!
-//! - No input panics: tests spoil documents at random.
-//! - All errors of a document that can be parsed are collected, each [`Finding`] with its path, and reported together.
+//! - No input causes a panic: tests mutate documents at random.
+//! - All errors of a document that can be parsed are collected, each as a [`Finding`] with its path, and reported
+//!   together.
 //! - Unknown keys are ignored, so that documents for newer versions can be read.
-//! - A patch preserves the text of what it does not name byte for byte.
+//! - A patch preserves the text of all items that it does not name byte for byte.
 //!
 //! # Limits
 //!
-//! The crate does not limit the size of documents: its callers do, before they parse. Tables grow with the document
-//! and are never changed after they were built.
+//! The crate does not limit the size of documents: callers must, before parsing. Tables grow with the document and are
+//! immutable.
 
 pub mod boot;
 mod finding;
--- a/crates/gaugesaddle-config/src/operator.rs
+++ b/crates/gaugesaddle-config/src/operator.rs
@@ -1,6 +1,6 @@
 //! The operator's configuration: its schema and its validation.
 //!
-//! Numbers are `f64` since documents may write any JSON number; [`RoutingTable`](crate::RoutingTable) converts them.
+//! Numbers are `f64` since documents may contain any JSON number; [`RoutingTable`](crate::RoutingTable) converts them.
 //! Keys are part of the operators' interface: a field that is renamed here keeps its key by `rename`.
 
 use crate::finding::{Finding, Findings};
@@ -17,7 +17,7 @@
 pub(crate) const NON_IDEMPOTENT: &str = "non_idempotent";
 const ROUTE_TYPES: [&str; 3] = [IDEMPOTENT, NON_IDEMPOTENT, STREAMING];
 
-/// One weighted target of a route whose traffic is split.
+/// A weighted target of a route with a traffic split.
 #[derive(Clone, Debug, Config)]
 #[config(allow_unknown_fields, rename_all = "camelCase")]
 pub struct WeightedService {
@@ -27,11 +27,11 @@
     pub weight: f64,
 }
 
-/// A route: which requests go to which services, with which deadlines and retries.
+/// A route: the requests that it matches, their target services, deadlines and retries.
 #[derive(Clone, Debug, Config)]
 #[config(allow_unknown_fields, rename_all = "camelCase")]
 pub struct RouteConfig {
-    /// Name, unique only for reading: findings and metrics carry it.
+    /// Name, as shown in findings and metrics. Uniqueness is not checked; a patch selects the first route of a name.
     pub name: String,
     /// Host header that it matches, in any case, without port.
     pub hostname: String,
@@ -45,9 +45,9 @@
     pub target_latency_ms: f64,
     /// Priority, 0 is highest.
     pub priority: f64,
-    /// The only service, where traffic is not split.
+    /// The target service, where traffic is not split.
     pub service: Option<String>,
-    /// The services and their weights, where traffic is split.
+    /// The target services and their weights, where traffic is split.
     #[setting(nested)]
     pub traffic_split: Option<Vec<WeightedService>>,
     /// Maximum number of attempts of a request, the first included.
@@ -76,7 +76,7 @@
     pub max_connections: f64,
 }
 
-/// Limits on what clients send.
+/// Limits on client requests and connections.
 #[derive(Clone, Debug, Config)]
 #[config(allow_unknown_fields, rename_all = "camelCase")]
 pub struct ClientLimits {
@@ -104,7 +104,7 @@
     pub api_keys: Vec<String>,
     /// Priority, 0 is highest.
     pub priority: f64,
-    /// What the rate limit counts: `tokens`, or requests where it is anything else.
+    /// Unit of the rate limit: `tokens`; any other value or none means requests.
     pub unit: Option<String>,
     /// Tokens charged for a request whose size is unknown.
     pub plain_tokens: f64,
@@ -139,8 +139,8 @@
     ///
     /// # Errors
     ///
-    /// A document that cannot be parsed gives one finding with its position; one that can gives all findings of its
-    /// routes and API keys.
+    /// One finding with its position for a document that cannot be parsed, otherwise all findings of its routes and API
+    /// keys.
     pub fn parse(document: &[u8]) -> Result<OperatorConfig, Findings> {
         let text = std::str::from_utf8(document)
             .map_err(|e| Findings::single(format!("byte {}", e.valid_up_to()), "UTF-8 text"))?;
@@ -159,8 +159,8 @@
         }
     }
 
-    /// What is accepted in a valid configuration although it is likely a mistake. A type that this build does not know is
-    /// accepted, since a document may be written for a newer one; its requests are executed at most once.
+    /// Likely mistakes in a valid configuration. An unknown route type is accepted, since a document may be written for
+    /// a newer build; requests of such a route are executed at most once.
     pub fn warnings(&self) -> Vec<Finding> {
         let unknown = |(_, route): &(usize, &RouteConfig)| !ROUTE_TYPES.contains(&route.route_type.as_str());
         let finding = |(index, route): (usize, &RouteConfig)| {
@@ -168,7 +168,7 @@
             let known = ROUTE_TYPES.join(", ");
             Finding::new(
                 path,
-                format!("one of {known}, not {:?}; taken for {NON_IDEMPOTENT}", route.route_type),
+                format!("one of {known}, not {:?}; treated as {NON_IDEMPOTENT}", route.route_type),
             )
         };
         self.routes.iter().enumerate().filter(unknown).map(finding).collect()
--- a/crates/gaugesaddle-config/src/patch.rs
+++ b/crates/gaugesaddle-config/src/patch.rs
@@ -1,7 +1,7 @@
-//! Patches: items of a configuration's lists, by name, that are added, replaced or removed.
+//! Patches: items of a configuration's lists that are added, replaced or removed, identified by their names.
 //!
-//! The text of all other items is preserved byte for byte, so that the delta between the two documents, which is what
-//! replicas send one another, stays as small as the patch.
+//! The text of all other items is preserved byte for byte, so that the delta between the two documents, which replicas
+//! send to each other, stays as small as the patch.
 
 use crate::finding::{Finding, Findings};
 use crate::raw_object::RawObject;
@@ -32,7 +32,8 @@
 
 /// A patch of a configuration.
 ///
-/// [`ConfigPatch::parse`] checks the patch by itself; whether its items exist is known only in [`ConfigPatch::apply`].
+/// [`ConfigPatch::parse`] checks the patch by itself; [`ConfigPatch::apply`] checks whether the lists and the items to
+/// remove exist.
 #[derive(Debug)]
 pub struct ConfigPatch {
     /// Revision of the patched configuration.
@@ -74,12 +75,12 @@
         }
     }
 
-    /// Applies the patch to the document `base`, which is empty before the first configuration. The result has yet to be
-    /// validated by [`OperatorConfig::parse`](crate::OperatorConfig::parse).
+    /// Applies the patch to the document `base`, which is empty before the first configuration. The result is not
+    /// validated yet; that is done by [`OperatorConfig::parse`](crate::OperatorConfig::parse).
     ///
     /// # Errors
     ///
-    /// A base that is no JSON object, a list that cannot be created, an item to remove that does not exist.
+    /// The base is not a JSON object, a list cannot be created, or an item to remove does not exist.
     pub fn apply(&self, base: &[u8]) -> Result<Vec<u8>, Findings> {
         let mut members = if base.is_empty() { RawObject::default() } else { parse_object(base)? };
         let mut findings = Vec::new();
@@ -120,10 +121,7 @@
             None if CREATABLE_LISTS.contains(&list) => Vec::new(),
             Some(Err(_)) | None => {
                 let member = if upsert.is_some() { UPSERT } else { REMOVE };
-                findings.push(Finding::new(
-                    format!("{member}.{list}"),
-                    "a list of the configuration that it builds on",
-                ));
+                findings.push(Finding::new(format!("{member}.{list}"), "a list of the base configuration"));
                 return None;
             }
         };
@@ -155,7 +153,7 @@
             }
             None => {
                 let path = format!("{REMOVE}.{list}[{position}] ({name})");
-                findings.push(Finding::new(path, "the name of an item of the configuration it builds on"));
+                findings.push(Finding::new(path, "the name of an item of the base configuration"));
             }
         }
     }
@@ -176,7 +174,7 @@
     }
 }
 
-/// The name of an item; `None` where the text is no object with a name that is not empty.
+/// The name of an item; `None` where the text is not an object with a non-empty name.
 fn name_of(text: &RawValue) -> Option<String> {
     #[derive(Deserialize)]
     struct Named {
@@ -190,7 +188,7 @@
         .map_err(|e| Findings::single(format!("line {}, column {}", e.line(), e.column()), "a JSON object"))
 }
 
-/// A raw value of a text composed of valid JSON texts; never invalid, so that the fallback is not reached.
+/// The raw value of a text. Callers compose it of valid JSON texts, so the fallback for an invalid text is not reached.
 fn raw_value(text: String) -> Box<RawValue> {
     RawValue::from_string(text).unwrap_or_else(|_| RawValue::NULL.to_owned())
 }
@@ -217,7 +215,8 @@
         self.findings.push(Finding::new(path, expected));
     }
 
-    /// Parses the lists of the member `upsert` or `remove`; `parse_item` gets list, path and text of each item.
+    /// Parses the lists of the member `upsert` or `remove`; `parse_item` is called with the list, path and text of each
+    /// item.
     fn parse_lists<T>(
         &mut self, member: &str, value: &RawValue,
         parse_item: fn(&mut Reader, &str, &str, &RawValue) -> Option<T>,
@@ -266,7 +265,7 @@
 
     fn check_unique(&mut self, list: &str, path: &str, name: &str) {
         if !self.seen_items.insert((list.to_owned(), name.to_owned())) {
-            self.report(format!("{path} ({name})"), "a name that the patch gives once in this list");
+            self.report(format!("{path} ({name})"), "a name that occurs once in the patch for this list");
         }
     }
 }
--- a/crates/gaugesaddle-config/src/table.rs
+++ b/crates/gaugesaddle-config/src/table.rs
@@ -35,7 +35,7 @@
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// How its requests may be executed.
+    /// Whether its requests may be executed more than once, and whether its responses are streams.
     pub kind: RouteKind,
     /// Deadline of a request, in ms, at least 1.
     pub timeout_ms: u64,
@@ -68,7 +68,8 @@
     pub limit: Option<(f64, f64)>,
 }
 
-/// A validated configuration, indexed by host, path prefix and API key. Immutable: a new revision makes a new table.
+/// A validated configuration, indexed by host, path prefix and API key. Immutable: a new table is built for each
+/// revision.
 #[derive(Clone, Debug)]
 pub struct RoutingTable {
     /// Revision of the configuration.
@@ -109,8 +110,8 @@
 
     /// The route with the longest path prefix that matches a request.
     ///
-    /// `host` is a Host header; its port is ignored and its case does not matter. Prefixes match up to a slash, so the
-    /// lookup takes one hash lookup for each segment of the path.
+    /// `host` is a Host header; its port and its case are ignored. A prefix matches only if it is empty or ends with a
+    /// slash, so the lookup takes at most one hash lookup for each segment of the path and one for the empty prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let hostname = host.rsplit_once(':').map_or(host, |(hostname, _)| hostname);
         let prefixes = match self.routes_by_host.get(hostname) {
@@ -118,7 +119,7 @@
             None => self.routes_by_host.get(&hostname.to_ascii_lowercase())?,
         };
         let mut end = path.len();
-        // Every prefix ends with a slash.
+        // Only prefixes that end with a slash are looked up here.
         while let Some(slash) = path[..end].rfind('/') {
             if let Some(index) = prefixes.get(&path[..=slash]) {
                 return self.routes.get(*index);
--- a/crates/gaugesaddle-config/tests/documents.rs
+++ b/crates/gaugesaddle-config/tests/documents.rs
@@ -1,4 +1,5 @@
-//! The failure: an invalid boot file or configuration is accepted, a valid one rejected, or a finding lacks its path.
+//! Failures guarded against: an invalid boot file or configuration is accepted, a valid one is rejected, or a finding
+//! lacks its path.
 
 use gaugesaddle_config::{BootSettings, OperatorConfig, RouteKind, RoutingTable};
 use proptest::prelude::*;
@@ -31,7 +32,7 @@
 
 #[test]
 fn boot_file_parses_and_unknown_or_empty_keys_are_ignored() {
-    let boot = BootSettings::parse(BOOT).expect("valid");
+    let boot = BootSettings::parse(BOOT).expect("the boot file is valid");
     assert_eq!((boot.node_name.as_str(), boot.zone.as_str()), ("edge-a-1", "a"));
     assert_eq!(boot.ephemeral_ports, (7500, 7515));
     assert_eq!(boot.seeds.len(), 2);
@@ -50,7 +51,7 @@
         .replace("10.2.0.18:8367", "10.2.0.18")
         .replace("bootstrap=true", "bootstrap=perhaps")
         .replace("region=r\n", "region\n");
-    let error = BootSettings::parse(&text).expect_err("invalid").to_string();
+    let error = BootSettings::parse(&text).expect_err("the boot file is invalid").to_string();
     for part in [
         "nodeName: expected a name, and the key is missing",
         "line 3, ip: expected an IPv4 address",
@@ -91,15 +92,19 @@
 
 #[test]
 fn lookup_returns_longest_prefix_route_and_owning_tenant() {
-    let table = RoutingTable::new(parse(&document()).expect("valid"));
+    let table = RoutingTable::new(parse(&document()).expect("the document is valid"));
     let route = |host: &str, path: &str| table.route(host, path).map(|r| r.name.as_str());
     assert_eq!(route("a.example", "/x/1"), Some("r1"));
-    assert_eq!(route("A.Example:8080", "/x/y/1"), Some("r2"), "the longest prefix, the host in any case");
-    assert_eq!(route("a.example", "/x/y"), Some("r1"), "a prefix ends with a slash");
+    assert_eq!(
+        route("A.Example:8080", "/x/y/1"),
+        Some("r2"),
+        "the longest prefix is used, and the case of the host is ignored"
+    );
+    assert_eq!(route("a.example", "/x/y"), Some("r1"), "a prefix without its slash does not match");
     assert_eq!(route("a.example", "/"), None);
     assert_eq!(route("a.example", "no path"), None);
     assert_eq!(route("b.example", "/x/1"), None);
-    let first = table.route("a.example", "/x/1").expect("r1");
+    let first = table.route("a.example", "/x/1").expect("the request matches r1");
     assert_eq!(first.kind, RouteKind::Streaming { resume: true });
     assert_eq!((first.attempts, first.timeout_ms, first.gap_objective_ms), (2, 12000, 400.0));
     assert_eq!(table.tenant("k2").map(|t| (t.name.as_str(), t.limit)), Some(("n", Some((1000.0, 1500.0)))));
@@ -152,7 +157,7 @@
     let mut document = document();
     document["routes"][0]["timeoutMs"] = json!(0);
     document["routes"][1]["service"] = json!("nowhere");
-    let error = parse(&document).expect_err("two faults");
+    let error = parse(&document).expect_err("the document has two errors");
     assert!(error.contains("routes[0] (r1).timeoutMs") && error.contains("routes[1] (r2)"), "{error}");
 }
 
@@ -160,14 +165,17 @@
 fn truncated_or_trailing_text_is_rejected() {
     let text = document().to_string();
     for end in [0, 1, text.len() / 2, text.len() - 1] {
-        assert!(OperatorConfig::parse(&text.as_bytes()[..end]).is_err(), "cut at {end}");
+        assert!(
+            OperatorConfig::parse(&text.as_bytes()[..end]).is_err(),
+            "accepted a document truncated at byte {end}"
+        );
     }
     assert!(OperatorConfig::parse(format!("{text} {{}}").as_bytes()).is_err());
     assert!(OperatorConfig::parse(format!("// a comment\n{text}").as_bytes()).is_err());
     assert!(OperatorConfig::parse(b"\xff\xfe").is_err());
 }
 
-/// Fixed, so that every run has the same cases.
+/// A fixed seed makes the cases the same in each run.
 const SEED: RngSeed = RngSeed::Fixed(20_261_202);
 
 proptest! {
@@ -195,13 +203,14 @@
 #[test]
 fn an_unknown_route_type_is_accepted_with_a_warning_and_executed_at_most_once() {
     let mut document = document();
-    let known = OperatorConfig::parse(document.to_string().as_bytes()).expect("valid");
+    let known = OperatorConfig::parse(document.to_string().as_bytes()).expect("the document is valid");
     assert_eq!(known.warnings(), []);
     document["routes"][1]["routeType"] = json!("idempotnet");
-    let config = OperatorConfig::parse(document.to_string().as_bytes()).expect("accepted");
+    let config =
+        OperatorConfig::parse(document.to_string().as_bytes()).expect("the configuration is accepted");
     let warnings: Vec<String> = config.warnings().iter().map(ToString::to_string).collect();
     assert_eq!(warnings.len(), 1, "{warnings:?}");
     let expected = "routes[1] (r2).routeType: expected one of idempotent, non_idempotent, streaming, not \"idempotnet\"; \
-                    taken for non_idempotent";
+                    treated as non_idempotent";
     assert_eq!(warnings[0], expected);
 }
--- a/crates/gaugesaddle-config/tests/golden_documents.rs
+++ b/crates/gaugesaddle-config/tests/golden_documents.rs
@@ -1,4 +1,5 @@
-//! The failure: a renamed field changes a key of the boot file or of the operator's document, which is then ignored.
+//! Failure guarded against: renaming a field changes a key of the boot file or of the operator's document, and the key
+//! is then ignored.
 //!
 //! Every key of `data/boot.conf` and `data/operator.json` has a value that is not its default.
 
@@ -12,13 +13,13 @@
 
 #[test]
 fn every_boot_file_key_is_parsed() {
-    let settings = BootSettings::parse(BOOT).expect("it is valid");
+    let settings = BootSettings::parse(BOOT).expect("the document is valid");
     assert_eq!(settings.node_name, "edge-1");
     assert_eq!(settings.ip.to_string(), "10.1.0.1");
     assert_eq!((settings.zone.as_str(), settings.region.as_str()), ("zone-a", "north"));
     let zones = [("zone-a", "north"), ("zone-b", "south")].map(|(zone, region)| (zone.into(), region.into()));
     assert_eq!(settings.zones, BTreeMap::from(zones));
-    let address = |text: &str| Some(text.parse().expect("an address"));
+    let address = |text: &str| Some(text.parse().expect("the text is an address"));
     assert_eq!(settings.front, address("10.1.0.1:8080"));
     assert_eq!(settings.ready, address("10.1.0.1:8081"));
     assert_eq!(settings.control, address("10.1.0.1:8367"));
@@ -44,10 +45,10 @@
 fn findings_contain_boot_file_keys() {
     let unparsable: String =
         BOOT.lines().map(|line| format!("{}=?\n", line.split('=').next().unwrap())).collect();
-    let findings = BootSettings::parse(&unparsable).expect_err("no value can be read").to_string();
+    let findings = BootSettings::parse(&unparsable).expect_err("no value can be parsed").to_string();
     for line in BOOT.lines() {
-        let key = line.split('=').next().expect("a key");
-        // Names and paths are any text.
+        let key = line.split('=').next().expect("the line has a key");
+        // Names and paths accept any text.
         let is_text = ["nodeName", "zone", "region", "dataDir"].contains(&key) || key.starts_with("zones.");
         assert_eq!(findings.contains(&format!(", {key}: expected")), !is_text, "{key} in {findings}");
     }
@@ -55,7 +56,7 @@
 
 #[test]
 fn every_operator_document_key_is_parsed() {
-    let config = OperatorConfig::parse(OPERATOR.as_bytes()).expect("it is valid");
+    let config = OperatorConfig::parse(OPERATOR.as_bytes()).expect("the document is valid");
     assert_eq!(config.revision, 41);
     let chat = &config.routes[0];
     let texts = [&chat.name, &chat.hostname, &chat.path_prefix, &chat.route_type].map(String::as_str);
@@ -65,7 +66,7 @@
     assert!(chat.public && chat.session_affinity && chat.stream_resume);
     assert_eq!(chat.event_gap_objective_ms, 57.0);
     let split = &config.routes[1];
-    let targets = split.traffic_split.as_ref().expect("a split");
+    let targets = split.traffic_split.as_ref().expect("the route has a traffic split");
     let targets: Vec<(&str, f64)> =
         targets.iter().map(|target| (target.service.as_str(), target.weight)).collect();
     assert_eq!(targets, [("chat", 0.75), ("draft", 0.25)]);
@@ -89,7 +90,7 @@
     let patch = br#"{"revision":42,"upsert":{"services":[{"name":"draft","maxConnections":8}]},"remove":{"routes":["split"]}}"#;
     let patched = ConfigPatch::parse(patch).and_then(|patch| patch.apply(OPERATOR.as_bytes()));
     assert_eq!(
-        String::from_utf8(patched.expect("it applies")).as_deref(),
+        String::from_utf8(patched.expect("the patch applies")).as_deref(),
         Ok(include_str!("data/patched.json"))
     );
 }
--- a/crates/gaugesaddle-config/tests/patches.rs
+++ b/crates/gaugesaddle-config/tests/patches.rs
@@ -1,5 +1,5 @@
-//! The failure: a patch changes items that it does not name, an ambiguous patch is accepted, or a rejection lacks list,
-//! item and field.
+//! Failures guarded against: a patch changes items that it does not name, an ambiguous patch is accepted, or a finding
+//! lacks its list, item or field.
 
 use gaugesaddle_config::ConfigPatch;
 use proptest::prelude::*;
@@ -11,12 +11,12 @@
 
 fn findings(patch: &str, base: &str) -> Vec<String> {
     let patched = ConfigPatch::parse(patch.as_bytes()).and_then(|patch| patch.apply(base.as_bytes()));
-    patched.expect_err("it is rejected").0.iter().map(ToString::to_string).collect()
+    patched.expect_err("the patch is rejected").0.iter().map(ToString::to_string).collect()
 }
 
 fn patched(patch: &str, base: &str) -> String {
-    let patch = ConfigPatch::parse(patch.as_bytes()).expect("it is readable");
-    String::from_utf8(patch.apply(base.as_bytes()).expect("it fits")).expect("text")
+    let patch = ConfigPatch::parse(patch.as_bytes()).expect("the patch can be parsed");
+    String::from_utf8(patch.apply(base.as_bytes()).expect("the patch applies")).expect("the result is UTF-8")
 }
 
 #[test]
@@ -28,7 +28,7 @@
         text,
         r#"{"revision":9,"routes":[{"name":"a","x":1.50},{"name":"b","x":3},{"name":"c"}],"limits":{"most":7e2},"tenants":[],"groups":[{"name":"g"}],"services":[{"name":"s"}]}"#
     );
-    // A list that the configuration has may be changed even if this build does not know it.
+    // A list that exists in the configuration may be changed even if this build does not know it.
     assert!(patched(r#"{"revision":5,"upsert":{"groups":[{"name":"h"}]}}"#, BASE).contains(r#"{"name":"h"}"#));
     let first = patched(r#"{"revision":1,"upsert":{"routes":[{"name":"a"}]}}"#, "");
     assert_eq!(first, r#"{"revision":1,"routes":[{"name":"a"}]}"#);
@@ -55,7 +55,7 @@
             "remove.routes[0] (a)",
         ),
         (r#"{"revision":5,"remove":{"routes":[7]}}"#, "remove.routes[0]: expected a name"),
-        (r#"{"revision":5,"remove":{"routes":["nobody"]}}"#, "remove.routes[0] (nobody)"),
+        (r#"{"revision":5,"remove":{"routes":["unknown"]}}"#, "remove.routes[0] (unknown)"),
         (r#"{"revision":5,"upsert":{"limits":[{"name":"l"}]}}"#, "upsert.limits"),
         (r#"{"revision":5,"remove":{"walls":["w"]}}"#, "remove.walls"),
     ];
@@ -64,13 +64,13 @@
         assert!(found.iter().any(|f| f.contains(expected)), "{patch}: {found:?}");
     }
     let all = findings(r#"{"revision":5,"upsert":{"routes":[1,2]},"remove":{"routes":[3]},"x":0}"#, BASE);
-    assert_eq!(all.len(), 4, "everything is found at once: {all:?}");
+    assert_eq!(all.len(), 4, "all findings are reported together: {all:?}");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
-    /// Model: a map from names to items.
+    /// The reference model is a map from names to items.
     #[test]
     fn patch_equals_update_of_map_by_name(
         base in prop::collection::btree_map(0u8..12, 0u32..100, 0..10),
@@ -83,14 +83,14 @@
             remove.iter().filter(|n| !upsert.contains_key(n)).map(|n| format!("r{n}")).collect();
         let patch = json!({"revision": 2, "upsert": {"routes": upsert.iter().map(item).collect::<Vec<_>>()},
             "remove": {"routes": names}}).to_string();
-        let patch = ConfigPatch::parse(patch.as_bytes()).expect("readable");
+        let patch = ConfigPatch::parse(patch.as_bytes()).expect("the patch can be parsed");
         let result = patch.apply(document.as_bytes());
         let removed = |n: &u8| remove.contains(n) && !upsert.contains_key(n);
         if remove.iter().any(|n| removed(n) && !base.contains_key(n)) {
             prop_assert!(result.is_err());
             return Ok(());
         }
-        let patched: Value = serde_json::from_slice(&result.expect("it fits")).expect("JSON");
+        let patched: Value = serde_json::from_slice(&result.expect("the patch applies")).expect("the result is JSON");
         let mut expected = base.clone();
         expected.extend(upsert.clone());
         expected.retain(|n, _| !removed(n));
