--- a/crates/gaugesaddle-distribution/src/distributor.rs
+++ b/crates/gaugesaddle-distribution/src/distributor.rs
@@ -1,4 +1,4 @@
-//! The control process's side: the configuration in force, and what each proxy lacks of it.
+//! Distribution at a control process: the configuration in force, and the updates for proxies with older versions.
 
 use gaugesaddle_catalog::CatalogReplica;
 use gaugesaddle_protocol::{Configuration, ConfigurationUpdate, Digest, DocumentUpdate, Pull, PullReply};
@@ -7,19 +7,19 @@
 
 /// Maximum number of versions, the newest included, from which a proxy can be brought up to date by a delta.
 pub const MAX_VERSIONS: usize = 16;
-/// Maximum size of those versions in total, in bytes; the newest one is retained whatever its size.
+/// Maximum size of those versions in total, in bytes; the newest one is retained regardless of its size.
 pub const MAX_VERSION_BYTES: usize = 4 << 20;
 /// Maximum number of computed updates that are reused for proxies with the same version.
 const MAX_CACHED_UPDATES: usize = 4;
 
-/// The state of a control process, as it is reported to proxies.
+/// The state of a control process, as reported to proxies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaStatus {
-    /// Whether it was in touch with a majority of replicas within its lease.
+    /// Whether it was in contact with a majority of replicas within its lease.
     pub fresh: bool,
     /// Address of the leader's machine.
     pub leader: Option<u32>,
-    /// Addresses of the machines that serve control.
+    /// Addresses of the machines that run control processes.
     pub members: Vec<u32>,
 }
 
@@ -70,7 +70,7 @@
     }
 
     fn drop_oldest_versions(&mut self) {
-        // The newest version stays, whatever its size: proxies without one need it.
+        // The newest version is retained regardless of its size: it is the base of the next delta.
         while self.versions.len() > 1 {
             let bytes: usize = self.versions.iter().map(|v| v.document.len()).sum();
             if self.versions.len() <= MAX_VERSIONS && bytes <= MAX_VERSION_BYTES {
--- a/crates/gaugesaddle-distribution/src/follower.rs
+++ b/crates/gaugesaddle-distribution/src/follower.rs
@@ -1,4 +1,4 @@
-//! The proxy's side: the configuration and catalog that it has, and which control process it calls.
+//! Distribution at a proxy: the configuration and the catalog received, and the control process to call.
 
 use crate::Members;
 use gaugesaddle_catalog::Catalog;
@@ -9,16 +9,16 @@
 
 /// How often a pull carries the digests of the catalog's ranges, in milliseconds.
 const DIGEST_INTERVAL_MS: u64 = 3000;
-/// How long no control process in touch with a majority must have answered before seeds are resolved again, and the
-/// shortest time between two such discoveries, in milliseconds.
+/// Time without an answer from a control process in contact with a majority after which seeds are resolved again, and
+/// minimum time between two such discoveries, in milliseconds.
 const DISCOVERY_INTERVAL_MS: u64 = 2000;
 
-/// How far a fresh answer may lag behind what was committed, in milliseconds: the lease of a follower of the replicas'
-/// leader (`gaugesaddle-consensus`, `Settings::follower_lease_ms`).
+/// Maximum time by which a fresh answer may lag behind the newest committed configuration, in milliseconds: the lease
+/// of a Raft follower (`gaugesaddle-consensus`, `Settings::follower_lease_ms`).
 pub const FOLLOWER_LEASE_MS: u64 = 600;
 
-/// Maximum number of departed backends reported in the first call to a process: as many as depart within the retention
-/// of departed registrations where all backends of a large fleet are replaced within an hour.
+/// Maximum number of departed backends reported in the first call to a process: the number that departs within the
+/// retention time of departed registrations when all backends of a large fleet are replaced within an hour.
 const MAX_DEPARTED: usize = 512;
 
 /// The effect of an answer.
@@ -28,11 +28,11 @@
     pub configuration: bool,
     /// At least one registration has changed.
     pub registrations: bool,
-    /// The process is in touch with a majority: the next call goes to it again.
+    /// The process is in contact with a majority: the next call goes to it again.
     pub fresh: bool,
 }
 
-/// What a proxy knows of the control plane.
+/// A proxy's view of the control plane.
 #[derive(Clone, Debug)]
 pub struct Follower {
     /// This proxy's registration; its sequence rises with each call.
@@ -43,10 +43,10 @@
     /// Digest of its document; `None` requests the full document.
     document_digest: Option<Digest>,
     leader: Option<u32>,
-    /// When a process in touch with a majority last answered, in milliseconds.
+    /// When a process in contact with a majority last answered, in milliseconds.
     last_fresh_ms: Option<u64>,
-    /// The latest time, in milliseconds of this machine's steady clock, at which the configuration is known to have been
-    /// the newest one acknowledged.
+    /// The latest time, in milliseconds of this machine's monotonic clock, at which the configuration is known to have
+    /// been the newest one acknowledged.
     proven_ms: Option<u64>,
     /// When digests were last sent, in milliseconds.
     last_digest_ms: u64,
@@ -55,7 +55,7 @@
 }
 
 impl Follower {
-    /// A proxy on the machine `own_ip` that starts at `now` (milliseconds) and knows nothing but the seeds' addresses.
+    /// A proxy on the machine `own_ip` that starts at `now` (milliseconds) and knows only the addresses of the seeds.
     pub fn new(now: u64, own_ip: u32, proxy: Registration, seeds: impl Iterator<Item = u32>) -> Follower {
         Follower {
             proxy,
@@ -88,8 +88,9 @@
 
     /// Whether the configuration was the newest one acknowledged less than `bound_ms` milliseconds ago.
     ///
-    /// The proof dates from the time of the call, less [`FOLLOWER_LEASE_MS`] by which the process that answered may lag
-    /// behind. A delayed answer, or a process suspended at either end, only makes the proof look older than it is.
+    /// The proof dates from the time of the call less [`FOLLOWER_LEASE_MS`], by which the process that answered may lag
+    /// behind. If an answer is delayed or either process is suspended, the configuration can only be taken for older
+    /// than it is.
     pub fn is_proven_within(&self, now: u64, bound_ms: u64) -> bool {
         self.proven_ms.is_some_and(|at| now < at + bound_ms)
     }
@@ -104,13 +105,13 @@
         self.members.choose(now)
     }
 
-    /// Records that a call failed, or that the process was not in touch with a majority.
+    /// Records that a call failed, or that the process was not in contact with a majority.
     pub fn record_failure(&mut self, now: u64, ip: u32) {
         self.members.record_failure(now, ip);
     }
 
-    /// Whether seeds should be resolved again, since no process in touch with a majority answers. A positive answer
-    /// counts as done: it is given once per interval.
+    /// Whether seeds should be resolved again, since no process in contact with a majority answers. Returning true
+    /// records a discovery, so that it happens at most once per interval.
     pub fn needs_discovery(&mut self, now: u64) -> bool {
         let is_lost = self.last_fresh_ms.is_none_or(|at| now >= at + DISCOVERY_INTERVAL_MS);
         let is_due = now >= self.last_discovery_ms + DISCOVERY_INTERVAL_MS;
@@ -126,8 +127,8 @@
         self.members.add(now, seeds);
     }
 
-    /// The next call: it renews the proxy's lease and requests what it lacks. The process waits up to `wait_ms`
-    /// milliseconds for changes; the first call to a process has 0, and reports the departed backends.
+    /// The next call: it renews the proxy's lease and requests the changes that it lacks. The process waits up to
+    /// `wait_ms` milliseconds for changes; the first call to a process has 0, and reports the departed backends.
     pub fn pull(&mut self, now: u64, lifecycle: Lifecycle, wait_ms: u32) -> Pull {
         self.proxy.sequence = self.proxy.sequence.saturating_add(1);
         self.proxy.lifecycle = lifecycle;
@@ -160,8 +161,8 @@
 
     /// Applies the answer to a call made at `called_ms` that is valid for `valid_ms` milliseconds from then.
     ///
-    /// An answer read later is dropped: it may have waited in the socket of a suspended process, so that what it reports
-    /// as current is that old.
+    /// An answer read later is dropped: it may have waited in the socket buffer of a suspended process, and its content
+    /// may be outdated by then.
     pub fn apply(&mut self, now: u64, called_ms: u64, valid_ms: u64, reply: PullReply) -> Applied {
         if now > called_ms + valid_ms {
             return Applied::default();
@@ -172,7 +173,7 @@
         let merged = self.catalog.merge(now, reply.delta);
         let mut applied = Applied { registrations: merged.changed, ..Applied::default() };
         self.leader = reply.leader;
-        // A process without a majority may have a version older than the one in force elsewhere.
+        // A process that is not in contact with a majority may have an older version than the one in force.
         if !reply.fresh {
             return applied;
         }
@@ -191,7 +192,8 @@
         applied
     }
 
-    /// Applies a newer configuration; false where its delta does not fit, after which the full document is requested.
+    /// Applies a newer configuration; false where its delta does not fit, then the next call requests the full
+    /// document.
     fn apply_configuration(&mut self, update: ConfigurationUpdate) -> bool {
         let base = self.configuration.as_ref().map(|c| c.document.as_slice());
         let Ok(document) = update.document.apply(base) else {
--- a/crates/gaugesaddle-distribution/src/lib.rs
+++ b/crates/gaugesaddle-distribution/src/lib.rs
@@ -1,13 +1,13 @@
-//! Distribution of configuration and catalog from control processes to proxies, decided without I/O.
+//! Distribution of configuration and catalog from control processes to proxies. The crate performs no I/O.
 //!
 //! It decides what a control process answers to a proxy's pull, which control process a proxy calls, and which answers
 //! the proxy applies.
 //!
 //! - [`Distributor`]: at a control process. It owns the configuration in force and the versions before it; the catalog
 //!   belongs to a [`CatalogReplica`](gaugesaddle_catalog::CatalogReplica) that is passed in.
-//! - [`Follower`]: at a proxy. It owns the configuration applied last, a [`Catalog`](gaugesaddle_catalog::Catalog) and
-//!   the [`Members`].
-//! - [`Members`]: the control processes that a proxy knows, and the order in which it calls them.
+//! - [`Follower`]: at a proxy (not a Raft follower). It owns the configuration applied last, a
+//!   [`Catalog`](gaugesaddle_catalog::Catalog) and the [`Members`].
+//! - [`Members`]: the control processes known to a proxy, and the order in which it calls them.
 //!
 //! ```
 //! use gaugesaddle_catalog::CatalogReplica;
@@ -38,15 +38,15 @@
 //! # Guarantees
 //!
 //! A proxy never returns to a configuration older than one that it has applied. It applies one only from a process in
-//! touch with a majority, and only within the validity of the answer, however long the answer was delayed or the proxy
-//! itself was suspended. It knows an upper bound of the time since its configuration was the newest one acknowledged
+//! contact with a majority, and only within the validity of the answer, even if the answer was delayed or the proxy was
+//! suspended. It has an upper bound on the time since its configuration was the newest one acknowledged
 //! ([`Follower::is_proven_within`]).
 //!
 //! # Bounds
 //!
-//! A distributor retains at most [`MAX_VERSIONS`] versions of [`MAX_VERSION_BYTES`] in total, and the newest one always. The
-//! members are the control processes reported within [`MEMBER_RETENTION_MS`]. All times are milliseconds of one
-//! machine's steady clock.
+//! A distributor retains at most [`MAX_VERSIONS`] versions of [`MAX_VERSION_BYTES`] in total, and the newest one
+//! always. The members are the control processes reported within [`MEMBER_RETENTION_MS`]. All times are milliseconds of
+//! one machine's monotonic clock.
 
 mod distributor;
 mod follower;
--- a/crates/gaugesaddle-distribution/src/members.rs
+++ b/crates/gaugesaddle-distribution/src/members.rs
@@ -1,12 +1,12 @@
-//! The control processes that a proxy knows, and which of them it calls next.
+//! The control processes known to a proxy, and the choice of the one to call next.
 
 use gaugesaddle_balancer::mix;
 use std::collections::BTreeMap;
 
-/// How long a process that failed, or was not in touch with a majority, is called only where every other one has failed
-/// too, in milliseconds.
+/// Time after a failure, or after an answer of a process that was not in contact with a majority, during which a
+/// process is called only if every other one has failed too, in milliseconds.
 pub const FAILED_MEMBER_BACKOFF_MS: u64 = 3000;
-/// How long a process stays known after it was last reported as a member, in milliseconds.
+/// How long a process is retained after it was last reported as a member, in milliseconds.
 pub const MEMBER_RETENTION_MS: u64 = 60_000;
 
 /// Control processes, by the IPv4 address of their machine.
@@ -15,7 +15,7 @@
     own_ip: u32,
     /// When each was last reported as a member, in milliseconds.
     reported_ms: BTreeMap<u32, u64>,
-    /// When the last call of each failed, in milliseconds. Only known members are in it.
+    /// When the last call of each failed, in milliseconds. It contains only known members.
     failed_ms: BTreeMap<u32, u64>,
 }
 
@@ -34,13 +34,14 @@
         self.failed_ms.retain(|ip, _| reported_ms.contains_key(ip));
     }
 
-    /// Records that a process failed, or was not in touch with a majority.
+    /// Records that a process failed, or was not in contact with a majority.
     pub fn record_failure(&mut self, now: u64, ip: u32) {
         self.failed_ms.insert(ip, now);
     }
 
-    /// The process to call next: one without a recent failure, else the one whose failure is oldest; among those the one
-    /// on this machine, else the first in an order that differs by machine, to spread proxies over the processes.
+    /// The process to call next: one without a recent failure, else the one whose failure is oldest; among several of
+    /// these the one on this machine, else the first one in an order that differs by machine, which spreads the proxies
+    /// over the processes.
     pub fn choose(&self, now: u64) -> Option<u32> {
         self.reported_ms.keys().copied().min_by_key(|ip| {
             let is_remote = *ip != self.own_ip;
--- a/crates/gaugesaddle-distribution/tests/distribution.rs
+++ b/crates/gaugesaddle-distribution/tests/distribution.rs
@@ -1,5 +1,5 @@
-//! Failures guarded against: a proxy returns to an older configuration, applies one that was current long ago, or never
-//! gets past one; or the full document is sent for a small change.
+//! Failures guarded against: a proxy returns to an older configuration, applies an outdated one, or is never updated
+//! again after a delta that does not apply; or the full document is sent for a small change.
 
 use gaugesaddle_catalog::CatalogReplica;
 use gaugesaddle_distribution::{Distributor, Follower, ReplicaStatus};
@@ -92,10 +92,10 @@
     let partitioned = old.answer(&pull(&mut proxy), false);
     let applied = proxy.apply(NOW, NOW, VALID_MS, partitioned);
     assert!(!applied.configuration && !applied.fresh);
-    assert_eq!(proxy.configuration(), None, "no configuration is better than one that may be old");
+    assert_eq!(proxy.configuration(), None, "a configuration that may be outdated is not applied");
     let answer = new.answer(&pull(&mut proxy), true);
     assert!(proxy.apply(NOW, NOW, VALID_MS, answer).configuration);
-    // Not even where a process with an older one counts as fresh.
+    // An older configuration is not applied from a fresh process either.
     let mut call = pull(&mut proxy);
     call.position = None;
     assert!(!proxy.apply(NOW, NOW, VALID_MS, old.answer(&call, true)).configuration);
@@ -109,9 +109,12 @@
     let answer = control.answer(&pull(&mut proxy), true);
     let resumed = NOW + 20_000;
     let applied = proxy.apply(resumed, NOW, VALID_MS, answer.clone());
-    assert!(!applied.configuration && !applied.fresh, "current twenty seconds ago");
+    assert!(!applied.configuration && !applied.fresh, "an answer from 20 s ago is dropped");
     assert_eq!(proxy.configuration(), None);
-    assert!(proxy.apply(NOW + VALID_MS, NOW, VALID_MS, answer).configuration, "an answer in time is applied");
+    assert!(
+        proxy.apply(NOW + VALID_MS, NOW, VALID_MS, answer).configuration,
+        "an answer within its validity is applied"
+    );
 }
 
 #[test]
@@ -132,7 +135,7 @@
     assert_eq!(
         proxy.position(),
         Some(LogPosition { term: 1, index: 1 }),
-        "the configuration before it stays in force"
+        "the previous configuration stays in force"
     );
     let next = control.answer(&pull(&mut proxy), true);
     assert!(matches!(next.configuration.as_ref().map(|c| &c.document), Some(DocumentUpdate::Full(_))));
@@ -176,13 +179,13 @@
 fn proof_dates_from_the_call_less_the_follower_lease() {
     let (mut control, mut proxy) = (Control::new(), follower());
     control.distributor.apply(&configuration(1, 1, 5));
-    assert!(!proxy.is_proven_within(NOW, 5000), "there is no configuration yet");
+    assert!(!proxy.is_proven_within(NOW, 5000), "there is no configuration to prove yet");
     let first = control.answer(&pull(&mut proxy), true);
-    // Read four seconds after the call was made.
+    // The answer is read four seconds after the call was made.
     proxy.apply(NOW + 4000, NOW, VALID_MS, first);
     assert!(proxy.is_proven_within(NOW + 4399, 5000));
     assert!(!proxy.is_proven_within(NOW + 4400, 5000), "the proof dates from 600 ms before the call");
-    // An answer without changes proves the configuration as well.
+    // An answer without changes also proves that the configuration is current.
     let again = control.answer(&pull(&mut proxy), true);
     proxy.apply(NOW + 1300, NOW + 1000, VALID_MS, again);
     assert!(proxy.is_proven_within(NOW + 5399, 5000) && !proxy.is_proven_within(NOW + 5400, 5000));
@@ -201,14 +204,14 @@
     let later = NOW + 3000;
     let stale = control.answer(&pull(&mut proxy), false);
     proxy.apply(later, later, VALID_MS, stale);
-    assert!(!proxy.is_proven_within(later, 3000), "a process without a majority");
+    assert!(!proxy.is_proven_within(later, 3000), "an answer from a process without a majority");
     let delayed = control.answer(&pull(&mut proxy), true);
     proxy.apply(later + VALID_MS + 1, later, VALID_MS, delayed);
     assert!(!proxy.is_proven_within(later, 3000), "an answer past its validity");
     control.distributor.apply(&configuration(1, 2, 6));
     let mut inapplicable = control.answer(&pull(&mut proxy), true);
     let another = "{another,".repeat(40);
-    let update = inapplicable.configuration.as_mut().expect("a change");
+    let update = inapplicable.configuration.as_mut().expect("the answer contains a configuration");
     update.document = DocumentUpdate::between(Some(another.as_bytes()), format!("{another}x").as_bytes());
     assert!(matches!(update.document, DocumentUpdate::Delta(_)));
     proxy.apply(later, later, VALID_MS, inapplicable);
--- a/crates/gaugesaddle-distribution/tests/members.rs
+++ b/crates/gaugesaddle-distribution/tests/members.rs
@@ -1,5 +1,5 @@
-//! Failure guarded against: a proxy returns to the control process that has just failed, while others are in touch with a
-//! majority.
+//! Failure guarded against: a proxy calls the control process that has just failed again, while others are in contact
+//! with a majority.
 
 use gaugesaddle_distribution::{Members, FAILED_MEMBER_BACKOFF_MS, MEMBER_RETENTION_MS};
 
@@ -15,14 +15,14 @@
     let mut called = Vec::new();
     for step in 0..4 {
         let now = NOW + step * 100;
-        let ip = members.choose(now).expect("some are known");
+        let ip = members.choose(now).expect("the proxy has members");
         called.push(ip);
         members.record_failure(now, ip);
     }
-    assert_eq!(called[0], 2, "the process on its own machine first");
+    assert_eq!(called[0], 2, "the process on the proxy's machine is called first");
     called.sort_unstable();
-    assert_eq!(called, [1, 2, 3, 4], "each process once");
-    assert_eq!(members.choose(NOW + 400), Some(2), "then the one with the oldest failure");
+    assert_eq!(called, [1, 2, 3, 4], "each process is called once");
+    assert_eq!(members.choose(NOW + 400), Some(2), "the process with the oldest failure is called next");
 }
 
 #[test]
