--- a/crates/gaugesaddle-delta/src/delta.rs
+++ b/crates/gaugesaddle-delta/src/delta.rs
@@ -27,14 +27,16 @@
 /// Why a delta cannot be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DeltaError {
-    /// The document at hand is not the delta's base, or there is none.
-    #[error("the delta has another base than this document")]
+    /// The document is not the delta's base, or there is no document.
+    #[error("cannot apply the delta: the document is not its base")]
     BaseMismatch,
     /// An instruction reaches beyond the base, or the result is longer than [`MAX_BYTES`].
-    #[error("the delta reaches beyond its base, or its result beyond {MAX_BYTES} bytes")]
+    #[error(
+        "cannot apply the delta: an instruction exceeds the base, or the result exceeds {MAX_BYTES} bytes"
+    )]
     OutOfBounds,
     /// The result is not the version that the delta names.
-    #[error("the delta does not yield the version that it names")]
+    #[error("cannot apply the delta: the result is not the version that the delta names")]
     ResultMismatch,
 }
 
--- a/crates/gaugesaddle-delta/src/digest.rs
+++ b/crates/gaugesaddle-delta/src/digest.rs
@@ -12,8 +12,8 @@
         Digest::of_concatenation(&[document])
     }
 
-    /// The digest of the concatenation of several byte strings. Where a string begins is not part of it: a caller that
-    /// needs that uses strings of fixed length before the last one.
+    /// The digest of the concatenation of several byte strings. The boundaries between the strings are not part of the
+    /// digest: callers that need them pass strings of fixed length before the last one.
     pub fn of_concatenation(strings: &[&[u8]]) -> Digest {
         let mut hasher = blake3::Hasher::new();
         for string in strings {
--- a/crates/gaugesaddle-delta/src/lib.rs
+++ b/crates/gaugesaddle-delta/src/lib.rs
@@ -1,4 +1,4 @@
-//! Deltas between two versions of a document, so that a change of a large configuration travels as what changed.
+//! Deltas between two versions of a document, so that only the difference is sent when a large configuration changes.
 //!
 //! # Main types
 //!
@@ -7,8 +7,8 @@
 //! - [`Digest`] identifies a version by its bytes.
 //!
 //! Like VCDIFF (RFC 3284), a delta is a list of instructions that copy from the base or insert new bytes. Documents are
-//! JSON, so versions are compared in chunks that end at commas and brackets. Any document is accepted; one without these
-//! only yields larger deltas.
+//! JSON, so versions are compared in chunks that end at commas and brackets. Any document is accepted; a document
+//! without these characters only yields larger deltas.
 //!
 //! # Example
 //!
--- a/crates/gaugesaddle-delta/tests/deltas.rs
+++ b/crates/gaugesaddle-delta/tests/deltas.rs
@@ -1,10 +1,11 @@
-//! The failure: a delta yields another document than the one it names, or a small change travels as a full document.
+//! Failures guarded against: a delta yields another document than the one it names, or a small change is sent as a full
+//! document.
 
 use gaugesaddle_delta::{DeltaError, Digest, DocumentDelta};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Cases are the same in each run.
+/// A fixed seed makes the cases the same in each run.
 const SEED: RngSeed = RngSeed::Fixed(20_261_202);
 
 /// A configuration with a number of routes; the route `changed` has another weight.
@@ -39,10 +40,10 @@
         }
     }
 
-    /// A corrupt delta is an error, or another delta that yields the version it names.
+    /// A corrupt delta fails to apply, or is another delta that yields the version it names.
     #[test]
     fn a_corrupt_delta_never_yields_another_version_than_it_names(old in text(), new in text(), at in any::<usize>(), byte in any::<u8>()) {
-        let mut bytes = musli::storage::to_vec(&DocumentDelta::between(&old, &new)).expect("a delta is encoded");
+        let mut bytes = musli::storage::to_vec(&DocumentDelta::between(&old, &new)).expect("encoding a delta succeeds");
         let at = at % bytes.len();
         bytes[at] = byte;
         if let Ok(delta) = musli::storage::from_slice::<DocumentDelta>(&bytes) {
@@ -60,7 +61,7 @@
         let new = document(8, 400, Some(changed));
         let delta = DocumentDelta::between(&old, &new);
         assert_eq!(delta.apply(&old), Ok(new));
-        assert!(delta.size() < 300, "{} of {} bytes", delta.size(), old.len());
+        assert!(delta.size() < 300, "the delta takes {} of {} bytes", delta.size(), old.len());
     }
 }
 
@@ -70,6 +71,6 @@
     for (old, new) in [(&shorter, &longer), (&longer, &shorter)] {
         let delta = DocumentDelta::between(old, new);
         assert_eq!(delta.apply(old).as_ref(), Ok(new));
-        assert!(delta.size() < 400, "{}", delta.size());
+        assert!(delta.size() < 400, "the delta takes {} bytes", delta.size());
     }
 }
--- a/crates/gaugesaddle-transport/src/caller.rs
+++ b/crates/gaugesaddle-transport/src/caller.rs
@@ -23,7 +23,7 @@
         Ok(Caller { address, link })
     }
 
-    /// An earlier caller if it is connected to that address, else a new one.
+    /// Returns the `earlier` caller if it is connected to `address`, else opens a new one.
     ///
     /// # Errors
     /// As [`Caller::open`].
--- a/crates/gaugesaddle-transport/src/clock.rs
+++ b/crates/gaugesaddle-transport/src/clock.rs
@@ -1,4 +1,4 @@
-//! The steady clock of a process.
+//! The monotonic clock of a process.
 
 use std::time::Duration;
 use tokio::time::Instant;
@@ -6,7 +6,7 @@
 /// Time at the start of the process, in milliseconds: well above zero, so that subtracting a duration does not reach it.
 const START_MS: u64 = 1_000_000;
 
-/// A steady clock in milliseconds. Its times mean nothing to other processes.
+/// A monotonic clock in milliseconds. Its times cannot be compared with those of other processes.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
--- a/crates/gaugesaddle-transport/src/error.rs
+++ b/crates/gaugesaddle-transport/src/error.rs
@@ -5,7 +5,7 @@
 use std::io;
 use thiserror::Error;
 
-/// What was being done when a connection failed.
+/// The operation during which a connection failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
     /// Opening the connection.
@@ -26,19 +26,19 @@
     }
 }
 
-/// Why a connection can no longer be used. Its text leaves out the cause, which is its source.
+/// Why a connection can no longer be used. Its text does not contain the cause, which is available as its source.
 #[derive(Debug, Error)]
 pub enum LinkError {
     /// The socket failed, or the peer closed it inside a message.
-    #[error("{operation}")]
+    #[error("{operation} failed")]
     Socket {
-        /// What was being done.
+        /// The operation that failed.
         operation: Operation,
         /// The error of the socket.
         source: io::Error,
     },
-    /// The bytes received are no message, or a message cannot be encoded.
-    #[error("frame")]
+    /// The received bytes are not a valid message, or a message cannot be encoded.
+    #[error("encoding or decoding a frame failed")]
     Frame(#[from] FrameError),
     /// The operation did not complete within its time-out.
     #[error("{0} timed out")]
--- a/crates/gaugesaddle-transport/src/lib.rs
+++ b/crates/gaugesaddle-transport/src/lib.rs
@@ -1,13 +1,13 @@
 //! Connections between the processes of the fleet: frames over TCP with time-outs.
 //!
-//! It decides when a connection counts as failed; what follows from that is decided by its users.
+//! The crate decides when a connection has failed; its users decide how to handle the failure.
 //!
 //! - [`Link`]: owns a TCP connection and exchanges messages of `gaugesaddle-protocol` on it.
 //! - [`Caller`]: owns a [`Link`] to a control process, for one request and reply at a time.
 //! - [`LinkError`]: why a connection can no longer be used, with the [`Operation`] that failed.
-//! - [`Clock`]: the steady clock whose milliseconds all decisions are based on.
-//! - [`log`]: the log's level.
-//! - [`malformed`]: counts the messages that cannot be read, for the log.
+//! - [`Clock`]: the monotonic clock whose milliseconds all decisions are based on.
+//! - [`log`]: the log level.
+//! - [`malformed`]: counts malformed messages and limits how often they are logged.
 //!
 //! ```
 //! use gaugesaddle_protocol::Opening;
@@ -32,12 +32,12 @@
 //!
 //! # Guarantees
 //!
-//! A peer that hangs or loses its power is detected by a time-out, without relying on the time of day. Bytes from the
-//! network never cause a panic.
+//! A peer that hangs or loses power is detected by a time-out, independently of the wall clock. Bytes from the network
+//! never cause a panic.
 //!
 //! # Bounds
 //!
-//! A message has at most [`MAX_BYTES`](gaugesaddle_protocol::frame::MAX_BYTES); a longer one is refused by its header,
+//! A message has at most [`MAX_BYTES`](gaugesaddle_protocol::frame::MAX_BYTES); a longer one is rejected by its header,
 //! before memory is allocated for it.
 
 mod caller;
--- a/crates/gaugesaddle-transport/src/link.rs
+++ b/crates/gaugesaddle-transport/src/link.rs
@@ -15,9 +15,10 @@
 
 /// How long sent bytes may stay unacknowledged before the kernel closes the connection (`TCP_USER_TIMEOUT`, RFC 5482).
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(900);
-/// Longest gap between the bytes of a message that has begun: after that its sender hangs or is dead.
+/// Maximum gap between the bytes of a message that has begun: after a longer gap its sender is considered hanging or
+/// dead.
 const STALL_TIMEOUT: Duration = Duration::from_millis(450);
-/// Wait after a failure to accept, so that file descriptors may be freed meanwhile.
+/// Delay after a failed accept, during which file descriptors may be freed.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 /// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 512;
@@ -35,7 +36,7 @@
 /// Listens on an address, also where connections of an earlier process still use it.
 ///
 /// # Errors
-/// Of the system, where the address cannot be bound.
+/// The error of the operating system where the address cannot be bound.
 pub fn listen(address: SocketAddrV4) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -55,7 +56,7 @@
     }
 }
 
-/// The result of a socket operation, or an error that names the operation.
+/// Awaits a socket operation for at most `timeout`; errors contain the `operation`.
 async fn with_timeout<T>(
     timeout: Duration, operation: Operation, io: impl Future<Output = io::Result<T>>,
 ) -> Result<T, LinkError> {
@@ -98,7 +99,7 @@
         with_timeout(timeout, Operation::Send, self.stream.write_all(&frame)).await
     }
 
-    /// Receives one message, however long it takes to begin.
+    /// Receives one message, without a time-out for its header.
     ///
     /// # Errors
     /// Where the connection ends or stalls inside the message, or the message is malformed. The link must not be used
@@ -113,8 +114,8 @@
         self.receive_body(header).await
     }
 
-    /// Receives one message whose header arrives within `timeout`. The rest may take as long as bytes keep arriving: a
-    /// large message over a slow connection.
+    /// Receives one message whose header arrives within `timeout`. The body may take longer as long as bytes keep
+    /// arriving, as those of a large message over a slow connection do.
     ///
     /// # Errors
     /// As [`Link::receive`], and where the header does not arrive in time.
--- a/crates/gaugesaddle-transport/src/log.rs
+++ b/crates/gaugesaddle-transport/src/log.rs
@@ -1,4 +1,5 @@
-//! The log: one line for each event on standard error, with the level of the environment variable `GAUGESADDLE_LOG`.
+//! The log: one line for each event on standard error, filtered by the level in the environment variable
+//! `GAUGESADDLE_LOG`.
 
 use spdlog::{Level, LevelFilter};
 
--- a/crates/gaugesaddle-transport/src/malformed.rs
+++ b/crates/gaugesaddle-transport/src/malformed.rs
@@ -1,4 +1,4 @@
-//! Counts the messages that cannot be read, and decides which of them are logged. No I/O.
+//! Counts malformed messages, and decides which of them are logged. Performs no I/O.
 
 use crate::LinkError;
 use gaugesaddle_protocol::frame::FrameError;
@@ -6,11 +6,11 @@
 use std::error::Error;
 use std::net::Ipv4Addr;
 
-/// Maximum number of peers that are counted one by one: a machine for each proxy of the largest fleet, with headroom.
+/// Maximum number of peers that are counted separately: one machine for each proxy of the largest fleet, with headroom.
 pub const MAX_PEERS: usize = 1024;
 /// Minimum time between two log lines for the same peer, in milliseconds.
 pub const LOG_INTERVAL_MS: u64 = 60_000;
-/// Counts the peers beyond [`MAX_PEERS`] together.
+/// Key of the shared counter for peers beyond [`MAX_PEERS`].
 const OTHER_PEERS: u32 = 0;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -19,16 +19,16 @@
     logged_ms: Option<u64>,
 }
 
-/// The messages that could not be read, by the IPv4 address of their sender.
+/// Counts of malformed messages, by the IPv4 address of their sender.
 #[derive(Clone, Debug, Default)]
 pub struct MalformedMessages {
     by_peer: BTreeMap<u32, PeerCount>,
 }
 
 impl MalformedMessages {
-    /// Counts an error of a link to the machine `ip` at `now` (milliseconds) if it is a message that cannot be read: another
-    /// version of the format, or another protocol. Returns the number of such messages where it is to be logged: for the
-    /// first one of a peer, and then once in [`LOG_INTERVAL_MS`].
+    /// Counts an error of a link to the machine `ip` at `now` (milliseconds) if its cause is a malformed message, such
+    /// as one in another version of the format or of another protocol. Returns the number of such messages if it is to
+    /// be logged: for the first message of a peer, and then at most once per [`LOG_INTERVAL_MS`].
     pub fn record(&mut self, now: u64, ip: u32, error: &LinkError) -> Option<u64> {
         if !is_malformed(error) {
             return None;
@@ -43,15 +43,15 @@
         Some(count.messages)
     }
 
-    /// Counts an error as [`MalformedMessages::record`] does; the line to log, where there is one.
+    /// Counts an error as [`MalformedMessages::record`] does, and returns the line to log, if any.
     pub fn log_line(&mut self, now: u64, ip: u32, error: &LinkError) -> Option<String> {
         let count = self.record(now, ip, error)?;
         let cause = error.source().map_or_else(|| error.to_string(), ToString::to_string);
-        Some(format!("message of {} cannot be read, {count} so far: {cause}", Ipv4Addr::from(ip)))
+        Some(format!("malformed message from {}, {count} so far: {cause}", Ipv4Addr::from(ip)))
     }
 }
 
-/// Whether a message could not be read; errors of the socket and messages that cannot be encoded here are others.
+/// Whether the error is a malformed message, rather than a socket error or a message that cannot be encoded here.
 fn is_malformed(error: &LinkError) -> bool {
     match error {
         LinkError::Frame(FrameError::Encode(_)) | LinkError::Socket { .. } | LinkError::TimedOut(_) => false,
--- a/crates/gaugesaddle-transport/tests/malformed.rs
+++ b/crates/gaugesaddle-transport/tests/malformed.rs
@@ -1,4 +1,4 @@
-//! The failure: a peer of another build is refused without a word, or fills the log.
+//! Failures guarded against: messages of a peer with another build are rejected without a log line, or flood the log.
 
 use gaugesaddle_protocol::frame::FrameError;
 use gaugesaddle_transport::malformed::{MalformedMessages, LOG_INTERVAL_MS, MAX_PEERS};
@@ -14,7 +14,7 @@
     assert_eq!(messages.record(5, 1, &malformed()), Some(1));
     let logged: Vec<u64> = (6..100).filter_map(|now| messages.record(now, 1, &malformed())).collect();
     assert!(logged.is_empty());
-    assert_eq!(messages.record(100, 2, &malformed()), Some(1), "another peer");
+    assert_eq!(messages.record(100, 2, &malformed()), Some(1), "the first message of another peer is logged");
     assert_eq!(messages.record(5 + LOG_INTERVAL_MS, 1, &malformed()), Some(96));
 }
 
@@ -32,6 +32,10 @@
         assert_eq!(messages.record(5, ip, &malformed()), Some(1));
     }
     assert_eq!(messages.record(6, u32::MAX, &malformed()), Some(1));
-    assert_eq!(messages.record(7, u32::MAX - 1, &malformed()), None, "logged a moment ago");
+    assert_eq!(
+        messages.record(7, u32::MAX - 1, &malformed()),
+        None,
+        "the shared counter was logged less than a log interval ago"
+    );
     assert_eq!(messages.record(6 + LOG_INTERVAL_MS, u32::MAX - 2, &malformed()), Some(3));
 }
