--- a/crates/gaugesaddle-catalog/src/catalog.rs
+++ b/crates/gaugesaddle-catalog/src/catalog.rs
@@ -9,7 +9,7 @@
 /// How long a registration that is no longer ready is retained, in milliseconds.
 pub const DEPARTED_RETENTION_MS: u64 = 120_000;
 
-/// An entry, and when this process last changed it, in milliseconds.
+/// An entry, and when this process last changed it.
 #[derive(Clone, Debug)]
 struct StoredEntry {
     entry: CatalogEntry,
--- a/crates/gaugesaddle-catalog/src/lib.rs
+++ b/crates/gaugesaddle-catalog/src/lib.rs
@@ -33,9 +33,9 @@
 //! # Guarantees
 //!
 //! Merging is commutative and idempotent, and a registration that drains or has departed never becomes ready again. A
-//! version vector never covers a change that was not received. An acknowledged drain or departure is known to a majority
-//! of control processes and to every proxy that pulled from them within [`peers::PEER_RESPONSIVE_MS`], or is answered
-//! at its deadline by a majority alone.
+//! version vector never covers a change that was not received. An acknowledged drain or departure is known to a
+//! majority of control processes and, unless it was acknowledged at its deadline, to every proxy that pulled from a
+//! responsive one of them within [`peers::PEER_RESPONSIVE_MS`].
 //!
 //! # Bounds
 //!
--- a/crates/gaugesaddle-config/src/boot.rs
+++ b/crates/gaugesaddle-config/src/boot.rs
@@ -11,7 +11,7 @@
 /// Environment variable with the path of the boot file.
 pub const PATH_VARIABLE: &str = "GAUGESADDLE_BOOT";
 
-/// Why the boot settings could not be loaded.
+/// An error in loading the boot settings.
 #[derive(Debug, Error)]
 pub enum BootError {
     /// The environment variable is not set.
--- a/crates/gaugesaddle-delta/src/delta.rs
+++ b/crates/gaugesaddle-delta/src/delta.rs
@@ -6,7 +6,7 @@
 use musli::{Decode, Encode};
 use thiserror::Error;
 
-/// Limit on the length of a result, in bytes: that of a message between processes.
+/// Maximum length of a result, in bytes: equal to that of a message between processes.
 pub const MAX_BYTES: usize = 12 << 20;
 
 /// Approximate size of a copy instruction on the wire, in bytes.
@@ -24,7 +24,7 @@
     instructions: Vec<Instruction>,
 }
 
-/// Why a delta cannot be applied.
+/// An error in applying a delta.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DeltaError {
     /// The document is not the delta's base, or there is no document.
--- a/crates/gaugesaddle-quota/src/allowance.rs
+++ b/crates/gaugesaddle-quota/src/allowance.rs
@@ -18,7 +18,7 @@
     Insufficient,
 }
 
-/// Tokens leased together.
+/// The tokens of one grant.
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     expires_ms: u64,
--- a/crates/gaugesaddle-transport/src/error.rs
+++ b/crates/gaugesaddle-transport/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a connection can no longer be used.
+//! Errors of connections.
 
 use gaugesaddle_protocol::frame::FrameError;
 use std::fmt;
@@ -26,7 +26,8 @@
     }
 }
 
-/// Why a connection can no longer be used. Its text does not contain the cause, which is available as its source.
+/// An error after which a connection can no longer be used. Its text does not contain the cause, which is available as
+/// its source.
 #[derive(Debug, Error)]
 pub enum LinkError {
     /// The socket failed, or the peer closed it inside a message.
--- a/crates/gaugesaddle-transport/src/lib.rs
+++ b/crates/gaugesaddle-transport/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! - [`Link`]: owns a TCP connection and exchanges messages of `gaugesaddle-protocol` on it.
 //! - [`Caller`]: owns a [`Link`] to a control process, for one request and reply at a time.
-//! - [`LinkError`]: why a connection can no longer be used, with the [`Operation`] that failed.
+//! - [`LinkError`]: an error after which a connection can no longer be used, with the [`Operation`] that failed.
 //! - [`Clock`]: the monotonic clock whose milliseconds all decisions are based on.
 //! - [`log`]: the log level.
 //! - [`malformed`]: counts malformed messages and limits how often they are logged.
