--- a/crates/gaugesaddle-membership/src/lib.rs
+++ b/crates/gaugesaddle-membership/src/lib.rs
@@ -46,14 +46,14 @@
 //!     assert!(now < Time(10_000_000), "both are live within ten seconds");
 //!     for sender in 0..2 {
 //!         let mut outputs = Vec::new();
-//!         processes[sender].turn(now, &mut outputs);
+//!         processes[sender].run_timers(now, &mut outputs);
 //!         while let Some(output) = outputs.pop() {
 //!             let Output::Send { bytes, .. } = output else { continue };
 //!             let mut replies = Vec::new();
-//!             processes[1 - sender].datagram(now, addresses[sender], &bytes, &mut replies);
+//!             processes[1 - sender].handle_datagram(now, addresses[sender], &bytes, &mut replies);
 //!             for reply in replies {
 //!                 let Output::Send { bytes, .. } = reply else { continue };
-//!                 processes[sender].datagram(now, addresses[1 - sender], &bytes, &mut outputs);
+//!                 processes[sender].handle_datagram(now, addresses[1 - sender], &bytes, &mut outputs);
 //!             }
 //!         }
 //!     }
--- a/crates/gaugesaddle-membership/src/member_state.rs
+++ b/crates/gaugesaddle-membership/src/member_state.rs
@@ -150,7 +150,7 @@
     }
 
     /// Removes the status of a member that has long been dead or departed.
-    pub fn forget(&mut self) {
+    pub fn clear(&mut self) {
         self.0 = None;
     }
 }
--- a/crates/gaugesaddle-membership/src/member_state/tests.rs
+++ b/crates/gaugesaddle-membership/src/member_state/tests.rs
@@ -72,7 +72,7 @@
     assert_eq!(known.declare(Suspect), Some(status(A, 5, Suspect)));
     assert_eq!(known.declare(Suspect), None);
     assert_eq!(known.declare(Dead), Some(status(A, 5, Dead)));
-    known.forget();
+    known.clear();
     assert_eq!(known.state(), Unknown);
 }
 
--- a/crates/gaugesaddle-membership/src/membership.rs
+++ b/crates/gaugesaddle-membership/src/membership.rs
@@ -43,8 +43,8 @@
 
 /// One process's view of its tier.
 ///
-/// The host calls [`Membership::datagram`] for each datagram it receives and [`Membership::turn`] at
-/// [`Membership::wake`] at the latest, and carries out each [`Output`].
+/// The host calls [`Membership::handle_datagram`] for each datagram it receives and [`Membership::run_timers`] at
+/// [`Membership::next_timer_at`] at the latest, and carries out each [`Output`].
 pub struct Membership {
     settings: Settings,
     auth: Authenticator,
@@ -71,7 +71,7 @@
     budget: ByteBudget,
     replies: ReplyLimit,
     /// The next turn is due at this time.
-    turn_due: Time,
+    timers_due_at: Time,
     /// Datagrams that are read before the next turn may be older than their arrival by this much: the last stall.
     receive_delay: Micros,
     /// End of the last stall, or the start.
@@ -116,7 +116,7 @@
             publishing: PublishSchedule::new(now),
             budget: ByteBudget::new(now),
             replies: ReplyLimit::new(now),
-            turn_due: now,
+            timers_due_at: now,
             receive_delay: Micros(0),
             resumed_at: now,
             live_changed_at: now,
@@ -127,9 +127,9 @@
         })
     }
 
-    /// Does everything that is due. To be called at [`Membership::wake`] at the latest, after all datagrams that have
+    /// Does everything that is due. To be called at [`Membership::next_timer_at`] at the latest, after all datagrams that have
     /// arrived: a process that has stalled must not suspect others before it has read their acknowledgements.
-    pub fn turn(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub fn run_timers(&mut self, now: Time, out: &mut Vec<Output>) {
         self.detect_stall(now, out);
         self.receive_delay = Micros(0);
         if self.departed {
@@ -150,16 +150,16 @@
             self.next_expiry = now + EXPIRY_INTERVAL;
             self.forget_expired(now, out);
         }
-        self.turn_due = self.wake();
+        self.timers_due_at = self.next_timer_at();
     }
 
     /// When the next turn is due at the latest. `Time(u64::MAX)` after [`Membership::leave`].
-    pub fn wake(&self) -> Time {
+    pub fn next_timer_at(&self) -> Time {
         if self.departed {
             return Time(u64::MAX);
         }
         if !self.started {
-            return self.turn_due;
+            return self.timers_due_at;
         }
         let mut earliest = self.next_expiry;
         if let Some(at) = self.next_probe_phase_at() {
@@ -226,11 +226,11 @@
     /// Detects that this process was stopped or starved since the turn that was due. Its time-outs are then postponed
     /// by the stall: what others sent meanwhile has not been read yet.
     fn detect_stall(&mut self, now: Time, out: &mut Vec<Output>) {
-        if !self.started || now - self.turn_due <= STALL_THRESHOLD {
+        if !self.started || now - self.timers_due_at <= STALL_THRESHOLD {
             return;
         }
-        let duration = now - self.turn_due;
-        self.turn_due = now;
+        let duration = now - self.timers_due_at;
+        self.timers_due_at = now;
         self.receive_delay = duration;
         self.resumed_at = now;
         self.counters.stalls += 1;
--- a/crates/gaugesaddle-membership/src/membership/receive.rs
+++ b/crates/gaugesaddle-membership/src/membership/receive.rs
@@ -10,14 +10,14 @@
 
 impl Membership {
     /// A datagram has arrived from `from`. Nothing in it makes this panic; what is not valid is counted and dropped.
-    pub fn datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8], out: &mut Vec<Output>) {
+    pub fn handle_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8], out: &mut Vec<Output>) {
         self.detect_stall(now, out);
         if self.departed {
             return;
         }
         self.receive(now, from, bytes, out);
         // The datagram may have moved the next turn to the past; that is not a stall.
-        self.turn_due = self.wake().max(now);
+        self.timers_due_at = self.next_timer_at().max(now);
     }
 
     fn receive(&mut self, now: Time, from: SocketAddr, bytes: &[u8], out: &mut Vec<Output>) {
--- a/crates/gaugesaddle-membership/src/membership/transition.rs
+++ b/crates/gaugesaddle-membership/src/membership/transition.rs
@@ -150,7 +150,7 @@
             if now - member.state_since < retention {
                 continue;
             }
-            member.known.forget();
+            member.known.clear();
             member.state_since = now;
             self.updates.remove(index);
             let MemberStatus { boot, incarnation, state: from } = status;
--- a/crates/gaugesaddle-membership/src/wire.rs
+++ b/crates/gaugesaddle-membership/src/wire.rs
@@ -13,7 +13,7 @@
 
 use crate::member_state::{Boot, MemberStatus};
 
-pub use decode::{decode_header, decode_sections, Malformed};
+pub use decode::{decode_header, decode_sections, DecodeError};
 pub use encode::DatagramBuilder;
 
 /// Longest datagram that the platform carries.
--- a/crates/gaugesaddle-membership/src/wire/tests.rs
+++ b/crates/gaugesaddle-membership/src/wire/tests.rs
@@ -52,9 +52,9 @@
     let bytes = datagram.finish();
     let complete: Vec<usize> = (0..=bytes.len()).filter(|n| decode_sections(&bytes[..*n]).is_ok()).collect();
     assert_eq!(complete.len(), all_sections().len() + 1, "a cut between two sections is no truncation");
-    assert_eq!(decode_header(&bytes[..21]), Err(Malformed::Length));
-    assert_eq!(decode_header(&[0x47, 2, 0, 0]), Err(Malformed::Magic));
-    assert_eq!(decode_header(&[0x47; 257]), Err(Malformed::Length));
+    assert_eq!(decode_header(&bytes[..21]), Err(DecodeError::Length));
+    assert_eq!(decode_header(&[0x47, 2, 0, 0]), Err(DecodeError::Magic));
+    assert_eq!(decode_header(&[0x47; 257]), Err(DecodeError::Length));
 }
 
 #[test]
@@ -64,15 +64,15 @@
         bytes.extend(section);
         decode_sections(&bytes)
     };
-    assert_eq!(with(&[99]), Err(Malformed::Kind));
+    assert_eq!(with(&[99]), Err(DecodeError::Kind));
     assert_eq!(
         with(&[8, 0, 1, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0]),
-        Err(Malformed::Value),
+        Err(DecodeError::Value),
         "an update without a status"
     );
-    assert_eq!(with(&[8, 0, 1, 0, 1, 5, 0, 0, 0, 1, 0, 0, 0, 0]), Err(Malformed::Value), "no such state");
-    assert_eq!(with(&[8, 0, 1, 0, 1, 1, 0, 0, 0, 0, 0, 0, 0, 0]), Err(Malformed::Value), "boot 0");
-    assert_eq!(with(&[8, 0, 1, 0, 1, 1, 0, 0, 0, 1, 255, 0, 0, 0]), Err(Malformed::Value), "incarnation");
-    assert_eq!(with(&[12, 65]), Err(Malformed::Value), "a message that is too long");
-    assert_eq!(with(&[11, 1, 10, 0]), Err(Malformed::Value), "a name with a line feed");
+    assert_eq!(with(&[8, 0, 1, 0, 1, 5, 0, 0, 0, 1, 0, 0, 0, 0]), Err(DecodeError::Value), "no such state");
+    assert_eq!(with(&[8, 0, 1, 0, 1, 1, 0, 0, 0, 0, 0, 0, 0, 0]), Err(DecodeError::Value), "boot 0");
+    assert_eq!(with(&[8, 0, 1, 0, 1, 1, 0, 0, 0, 1, 255, 0, 0, 0]), Err(DecodeError::Value), "incarnation");
+    assert_eq!(with(&[12, 65]), Err(DecodeError::Value), "a message that is too long");
+    assert_eq!(with(&[11, 1, 10, 0]), Err(DecodeError::Value), "a name with a line feed");
 }
--- a/crates/gaugesaddle-membership/tests/conflicts.rs
+++ b/crates/gaugesaddle-membership/tests/conflicts.rs
@@ -66,7 +66,7 @@
         let mut in_transit = Vec::new();
         for process in processes.iter_mut() {
             let mut outputs = Vec::new();
-            process.membership.turn(now, &mut outputs);
+            process.membership.run_timers(now, &mut outputs);
             sort(process.index, outputs, &mut in_transit, &mut reports);
         }
         for _ in 0..DELIVERIES {
@@ -74,7 +74,7 @@
                 for process in processes.iter_mut().filter(|p| address(p.index) == datagram.to) {
                     let mut outputs = Vec::new();
                     let from = address(datagram.from);
-                    process.membership.datagram(now + TRANSIT, from, &datagram.bytes, &mut outputs);
+                    process.membership.handle_datagram(now + TRANSIT, from, &datagram.bytes, &mut outputs);
                     sort(process.index, outputs, &mut in_transit, &mut reports);
                 }
             }
--- a/crates/gaugesaddle-proxy-simulation/src/fuzz.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/fuzz.rs
@@ -100,21 +100,21 @@
         let (mut first, mut second) = (Vec::new(), Vec::new());
         let signals = gaugesaddle_membership::Signals::default().encode();
         self.peer.publish(self.now, &signals);
-        self.target.turn(self.now, &mut first);
-        self.peer.turn(self.now, &mut second);
+        self.target.run_timers(self.now, &mut first);
+        self.peer.run_timers(self.now, &mut second);
         for _ in 0..4 {
             let (a, b) = (std::mem::take(&mut first), std::mem::take(&mut second));
             for output in a {
                 if let Output::Send { to, bytes } = output {
                     if to == address(1) {
-                        self.peer.datagram(self.now, address(0), &bytes, &mut second);
+                        self.peer.handle_datagram(self.now, address(0), &bytes, &mut second);
                     }
                 }
             }
             for output in b {
                 if let Output::Send { to, bytes } = output {
                     if to == address(0) {
-                        self.target.datagram(self.now, address(1), &bytes, &mut first);
+                        self.target.handle_datagram(self.now, address(1), &bytes, &mut first);
                         if self.captured.len() < 500 {
                             self.captured.push(bytes);
                         }
@@ -212,7 +212,7 @@
         };
         let before = pair.target.members(pair.now);
         let received = pair.target.counters().received;
-        pair.target.datagram(pair.now, address(from), &bytes, &mut out);
+        pair.target.handle_datagram(pair.now, address(from), &bytes, &mut out);
         report.sent += 1;
         let sent = out.iter().filter(|o| matches!(o, Output::Send { .. })).count();
         report.replies += sent as u64;
--- a/crates/gaugesaddle-proxy-simulation/src/tier/membership_kind.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/tier/membership_kind.rs
@@ -77,7 +77,7 @@
 
 impl Process for MembershipProcess {
     fn datagram(&mut self, now: u64, from: usize, bytes: &[u8], out: &mut Sent) {
-        self.peers.datagram(Time(now), address(from), bytes, &mut self.outputs);
+        self.peers.handle_datagram(Time(now), address(from), bytes, &mut self.outputs);
         self.drain_outputs(out);
     }
 
@@ -93,12 +93,12 @@
                 Signals { arrivals_per_s: vec![10.0; 3], zones: vec![zone; 3], ..Signals::default() };
             self.peers.publish(Time(now), &signals.encode());
         }
-        self.peers.turn(Time(now), &mut self.outputs);
+        self.peers.run_timers(Time(now), &mut self.outputs);
         self.drain_outputs(out);
     }
 
     fn wake_at(&self) -> u64 {
-        self.peers.wake().0.min(self.next)
+        self.peers.next_timer_at().0.min(self.next)
     }
 
     fn leave(&mut self, _: u64, out: &mut Sent) {
--- a/crates/gaugesaddle/src/membership/tier.rs
+++ b/crates/gaugesaddle/src/membership/tier.rs
@@ -151,7 +151,7 @@
         // One byte more than permitted, so that longer datagrams are recognized.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let wake = self.membership.borrow().wake().min(next_publish);
+            let wake = self.membership.borrow().next_timer_at().min(next_publish);
             tokio::select! {
                 ready = socket.readable() => if ready.is_err() {
                     return; // the runtime ends
@@ -194,7 +194,7 @@
         for _ in 0..MAX_READS_PER_TURN {
             match socket.try_recv_from(buffer) {
                 Ok((length, from)) => {
-                    membership.datagram(self.clock.now(), from, &buffer[..length], outputs);
+                    membership.handle_datagram(self.clock.now(), from, &buffer[..length], outputs);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(_) => {} // a destination was unreachable; its missing acknowledgements show the same
@@ -208,7 +208,7 @@
                 membership.publish(now, &record);
             }
         }
-        membership.turn(now, outputs);
+        membership.run_timers(now, outputs);
         drop(membership); // message handlers borrow it
         self.carry_out(socket, outputs);
     }
--- a/crates/gaugesaddle/tests/tier/mod.rs
+++ b/crates/gaugesaddle/tests/tier/mod.rs
@@ -262,13 +262,13 @@
             let (mut out, mut buffer, mut published) = (Vec::new(), [0; 2048], now());
             while !stopped.load(Ordering::Relaxed) {
                 if let Ok((n, from)) = socket.recv_from(&mut buffer) {
-                    peers.datagram(now(), from, &buffer[..n], &mut out);
+                    peers.handle_datagram(now(), from, &buffer[..n], &mut out);
                 }
                 if now() >= published {
                     published = now() + Micros(250_000);
                     peers.publish(now(), &says.lock().unwrap());
                 }
-                peers.turn(now(), &mut out);
+                peers.run_timers(now(), &mut out);
                 for output in out.drain(..) {
                     if let Output::Send { to, bytes } = output {
                         let _ = socket.send_to(&bytes, to);
