--- a/crates/gaugesaddle-membership/src/member.rs
+++ b/crates/gaugesaddle-membership/src/member.rs
@@ -43,7 +43,7 @@
     /// Its zone; empty until it has sent it.
     pub zone: String,
     /// It has acknowledged a probe that carried this process's name and zone.
-    pub knows_our_name: bool,
+    pub has_our_hello: bool,
     pub last_ack: Option<LastAck>,
     open_probes: Vec<OpenProbe>,
     /// When its process last changed, or two processes acknowledged one probe. At most [`MAX_PROCESS_CHANGES`].
@@ -61,7 +61,7 @@
             suspicion: None,
             name: String::new(),
             zone: String::new(),
-            knows_our_name: false,
+            has_our_hello: false,
             last_ack: None,
             open_probes: Vec::new(),
             process_changes: Vec::new(),
@@ -81,7 +81,7 @@
     pub fn close_probe(&mut self, nonce: u32) -> bool {
         let Some(at) = self.open_probes.iter().position(|probe| probe.nonce == nonce) else { return false };
         let probe = self.open_probes.remove(at);
-        self.knows_our_name |= probe.with_hello;
+        self.has_our_hello |= probe.with_hello;
         true
     }
 
@@ -94,7 +94,7 @@
         self.open_probes.clear();
         self.replay_window = ReplayWindow::default();
         self.last_received = None;
-        self.knows_our_name = false;
+        self.has_our_hello = false;
     }
 
     /// Records a change of the process at this index.
--- a/crates/gaugesaddle-membership/src/member_state/tests.rs
+++ b/crates/gaugesaddle-membership/src/member_state/tests.rs
@@ -19,7 +19,7 @@
 
 /// Every pair of states at every order of incarnations, for updates about one process.
 #[test]
-fn updates_never_move_a_process_backwards() {
+fn updates_are_applied_only_if_they_are_newer() {
     for from in [Alive, Suspect, Dead, Departed] {
         for to in [Alive, Suspect, Dead, Departed] {
             for (incarnation, is_newer) in [(4, false), (5, to > from), (6, true)] {
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn declarations_move_forward_and_need_a_known_member() {
+fn declarations_only_advance_the_state_of_known_members() {
     assert_eq!(KnownMember::default().declare(Dead), None);
     let mut known = known_member(status(A, 5, Alive));
     assert_eq!(known.declare(Suspect), Some(status(A, 5, Suspect)));
--- a/crates/gaugesaddle-membership/src/membership.rs
+++ b/crates/gaugesaddle-membership/src/membership.rs
@@ -36,7 +36,7 @@
 
 /// When other members first and last probed this index for another process.
 #[derive(Clone, Copy)]
-struct RivalSightings {
+struct ConflictReports {
     first: Time,
     last: Time,
 }
@@ -81,7 +81,7 @@
     next_expiry: Time,
     started: bool,
     departed: bool,
-    rival: Option<RivalSightings>,
+    conflict_reports: Option<ConflictReports>,
 }
 
 impl Membership {
@@ -123,7 +123,7 @@
             next_expiry: now + EXPIRY_INTERVAL,
             started: false,
             departed: false,
-            rival: None,
+            conflict_reports: None,
         })
     }
 
@@ -143,12 +143,12 @@
         self.repeat_probe(now, out);
         self.check_suspicions(now, out);
         self.probe_next(now, out);
-        self.probe_lost(now, out);
+        self.probe_non_live(now, out);
         self.send_records(now, out);
         self.send_updates(now, out);
         if now >= self.next_expiry {
             self.next_expiry = now + EXPIRY_INTERVAL;
-            self.forget_expired(now, out);
+            self.remove_expired(now, out);
         }
         self.timers_due_at = self.next_timer_at();
     }
@@ -168,7 +168,7 @@
         if let Some(at) = self.next_suspicion_check_at() {
             earliest = earliest.min(at);
         }
-        if self.lost_members() > 0 {
+        if self.non_live_members() > 0 {
             earliest = earliest.min(self.reconnects.next_at.max(self.budget.available_at()));
         }
         if self.live_peers > 0 {
@@ -266,7 +266,7 @@
     }
 
     /// Members that are unknown, dead or departed.
-    fn lost_members(&self) -> usize {
+    fn non_live_members(&self) -> usize {
         self.members.len() - 1 - self.live_peers
     }
 
--- a/crates/gaugesaddle-membership/src/membership/probe.rs
+++ b/crates/gaugesaddle-membership/src/membership/probe.rs
@@ -24,7 +24,7 @@
         let member = self.member_mut(index);
         member.last_probed = Some(now);
         let status = member.known.status();
-        let needs_hello = !member.knows_our_name;
+        let needs_hello = !member.has_our_hello;
         datagram.push(&Section::Ping { nonce, status });
         let with_hello = needs_hello && datagram.push(&self.hello());
         self.member_mut(index).open_probe(nonce, with_hello);
@@ -47,7 +47,7 @@
     /// Probes outside of the cycle: a process that is not verified, or a member that may refute its status. At most
     /// once in the acknowledgement time-out. If an earlier probe is still open, another member is requested to probe as
     /// well: one direction of the direct path may be broken.
-    pub(super) fn probe_out_of_turn(&mut self, now: Time, index: u16, out: &mut Vec<Output>) {
+    pub(super) fn probe_outside_cycle(&mut self, now: Time, index: u16, out: &mut Vec<Output>) {
         let member = self.member(index);
         if member.last_probed.is_some_and(|at| now - at < self.settings.ack_timeout) {
             return;
@@ -108,7 +108,7 @@
 
     fn next_target(&mut self, now: Time) -> Option<u16> {
         if self.counters.probes % 2 == 0 {
-            if let Some(index) = self.longest_unheard(now) {
+            if let Some(index) = self.least_recent_contact(now) {
                 return Some(index);
             }
         }
@@ -129,7 +129,7 @@
     /// The live member that was neither received from nor probed for longest, if its record is overdue. Every second
     /// probe goes to it: a process that missed the update about a death would otherwise detect it only in its own
     /// cycle.
-    fn longest_unheard(&self, now: Time) -> Option<u16> {
+    fn least_recent_contact(&self, now: Time) -> Option<u16> {
         let last_contact = |index: &u16| {
             let member = self.member(*index);
             let received = member.last_received.unwrap_or(member.state_since);
@@ -169,7 +169,7 @@
 
     /// Whether a process at this index needs a probe so that it learns its status and can refute it. A departed member
     /// is not probed for that.
-    pub(super) fn should_notify(&self, index: u16) -> bool {
+    pub(super) fn needs_refutation_probe(&self, index: u16) -> bool {
         matches!(self.state(index), MemberState::Suspect | MemberState::Dead)
     }
 }
--- a/crates/gaugesaddle-membership/src/membership/receive.rs
+++ b/crates/gaugesaddle-membership/src/membership/receive.rs
@@ -48,8 +48,8 @@
         for section in sections {
             self.receive_section(now, &header, section, out);
         }
-        if self.should_notify(index) {
-            self.probe_out_of_turn(now, index, out);
+        if self.needs_refutation_probe(index) {
+            self.probe_outside_cycle(now, index, out);
         }
     }
 
@@ -104,7 +104,7 @@
                 self.send(index, datagram, out);
             }
         }
-        self.probe_out_of_turn(now, index, out);
+        self.probe_outside_cycle(now, index, out);
     }
 
     fn receive_section(&mut self, now: Time, header: &Header, section: Section, out: &mut Vec<Output>) {
@@ -222,7 +222,7 @@
         }
         let cause = if subject == from { Cause::SelfReported } else { Cause::ReportedBy(reporter) };
         if self.apply_update(now, subject, status, cause, out) {
-            self.probe_out_of_turn(now, subject, out);
+            self.probe_outside_cycle(now, subject, out);
         }
     }
 
@@ -242,13 +242,13 @@
         }
         member.name = name;
         member.zone = zone;
-        if let Some(other) = self.find_namesake(index) {
+        if let Some(other) = self.find_same_name(index) {
             out.push(Output::NameConflict { indices: (other.min(index), other.max(index)) });
         }
     }
 
     /// Another live member with the name of this one, if it has a name.
-    fn find_namesake(&self, index: u16) -> Option<u16> {
+    fn find_same_name(&self, index: u16) -> Option<u16> {
         let name = &self.member(index).name;
         if name.is_empty() {
             return None;
--- a/crates/gaugesaddle-membership/src/membership/reconnect.rs
+++ b/crates/gaugesaddle-membership/src/membership/reconnect.rs
@@ -23,33 +23,33 @@
 /// Which of the lost members a cycle goes through.
 #[derive(Clone, Copy)]
 enum Cycle {
-    AllLost,
+    AllNonLive,
     RecentlyDead,
 }
 
 impl Membership {
     /// Probes lost members one after the other, at a rate that depends on their number.
-    pub(super) fn probe_lost(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(super) fn probe_non_live(&mut self, now: Time, out: &mut Vec<Output>) {
         // Sending does not change the number of lost members.
-        let lost = self.lost_members();
-        while lost > 0 && now >= self.reconnects.next_at && now >= self.budget.available_at() {
-            let Some(index) = self.next_lost(now) else { return };
+        let non_live = self.non_live_members();
+        while non_live > 0 && now >= self.reconnects.next_at && now >= self.budget.available_at() {
+            let Some(index) = self.next_non_live(now) else { return };
             let sent_bytes_before = self.counters.sent_bytes;
             self.send_probe(now, index, &[], out);
             self.spend(now, self.counters.sent_bytes - sent_bytes_before);
-            let interval = Micros::from_secs(self.reconnect_interval_s(now, lost));
+            let interval = Micros::from_secs(self.reconnect_interval_s(now, non_live));
             self.reconnects.next_at = self.reconnects.next_at.max(now) + interval;
         }
     }
 
     /// Seconds until the next probe of a lost member.
-    fn reconnect_interval_s(&self, now: Time, lost: usize) -> f64 {
+    fn reconnect_interval_s(&self, now: Time, non_live: usize) -> f64 {
         let budget_interval = |fraction: f64| PROBE_BYTES / (fraction * f64::from(self.settings.bytes_per_s));
         if self.reconnects.is_fast(now) {
             return budget_interval(FAST_BUDGET_FRACTION);
         }
-        let for_tier_rate = (1 + self.live_peers) as f64 / (TIER_PROBES_PER_S * lost as f64);
-        let for_own_rate = self.settings.reconnect_interval.secs() / lost as f64;
+        let for_tier_rate = (1 + self.live_peers) as f64 / (TIER_PROBES_PER_S * non_live as f64);
+        let for_own_rate = self.settings.reconnect_interval.secs() / non_live as f64;
         let for_recently_dead = match self.reconnects.recently_dead_count {
             0 => f64::MAX,
             count => RECENTLY_DEAD_INTERVAL.secs() / (2 * count) as f64, // every second probe is for them
@@ -58,14 +58,14 @@
     }
 
     /// Alternates between the recently dead and all lost members.
-    fn next_lost(&mut self, now: Time) -> Option<u16> {
+    fn next_non_live(&mut self, now: Time) -> Option<u16> {
         self.reconnects.recently_dead_next = !self.reconnects.recently_dead_next;
         if self.reconnects.recently_dead_next {
             if let Some(index) = self.next_in_cycle(now, Cycle::RecentlyDead) {
                 return Some(index);
             }
         }
-        self.next_in_cycle(now, Cycle::AllLost)
+        self.next_in_cycle(now, Cycle::AllNonLive)
     }
 
     fn next_in_cycle(&mut self, now: Time, cycle: Cycle) -> Option<u16> {
@@ -89,7 +89,7 @@
 
     fn remaining(&mut self, cycle: Cycle) -> &mut Vec<u16> {
         match cycle {
-            Cycle::AllLost => &mut self.reconnects.lost,
+            Cycle::AllNonLive => &mut self.reconnects.non_live,
             Cycle::RecentlyDead => &mut self.reconnects.recently_dead,
         }
     }
--- a/crates/gaugesaddle-membership/src/membership/transition.rs
+++ b/crates/gaugesaddle-membership/src/membership/transition.rs
@@ -1,7 +1,7 @@
 //! Changes of members' states: updates, acknowledgements, refutations, conflicts about an index, and the end of the
 //! retention time.
 
-use super::{Membership, RivalSightings};
+use super::{ConflictReports, Membership};
 use crate::member::CONFLICT_WINDOW;
 use crate::member_state::{Boot, KnownMember, MemberState, MemberStatus, UpdateResult};
 use crate::output::{Cause, Output, Transition};
@@ -10,7 +10,7 @@
 
 /// When others probe this index for another process for longer than this, that process is live: they would have learned
 /// of this one by now.
-const RIVAL_TOLERANCE: Micros = Micros(3_000_000);
+const CONFLICT_TOLERANCE: Micros = Micros(3_000_000);
 
 impl Membership {
     /// Applies an update about another member. Returns `true` if it concerns a process that should be probed.
@@ -58,7 +58,7 @@
     /// Checks an update about this process and refutes it if it is wrong.
     pub(super) fn refute(&mut self, now: Time, update: MemberStatus, out: &mut Vec<Output>) {
         if update.boot != self.local.boot && update.state.is_live() {
-            self.rival_sighted(now, out);
+            self.conflicting_process_reported(now, out);
         }
         if !self.local.refute(update) {
             return;
@@ -73,14 +73,14 @@
 
     /// Another member believes that another process is live at this index. Soon after a start that is the former
     /// process, later a rival.
-    fn rival_sighted(&mut self, now: Time, out: &mut Vec<Output>) {
-        let recent = self.rival.filter(|rival| now - rival.last < CONFLICT_WINDOW);
-        let first = recent.map_or(now, |rival| rival.first);
-        if now - first < RIVAL_TOLERANCE {
-            self.rival = Some(RivalSightings { first, last: now });
+    fn conflicting_process_reported(&mut self, now: Time, out: &mut Vec<Output>) {
+        let recent = self.conflict_reports.filter(|reports| now - reports.last < CONFLICT_WINDOW);
+        let first = recent.map_or(now, |reports| reports.first);
+        if now - first < CONFLICT_TOLERANCE {
+            self.conflict_reports = Some(ConflictReports { first, last: now });
             return;
         }
-        self.rival = None;
+        self.conflict_reports = None;
         out.push(Output::IndexConflict { index: self.config.own_index });
     }
 
@@ -114,10 +114,10 @@
             self.became_live(now, index, from, is_other_process);
         }
         if from.is_live() && !to.is_live() {
-            self.became_lost(index, to);
+            self.became_non_live(index, to);
         }
         if to == MemberState::Suspect {
-            self.probe_out_of_turn(now, index, out); // no suspect is declared dead without a probe of this process
+            self.probe_outside_cycle(now, index, out); // no suspect is declared dead without a probe of this process
         }
         let MemberStatus { boot, incarnation, .. } = status;
         out.push(Output::StateChanged(Transition { index, from, to, boot, incarnation, cause }));
@@ -133,7 +133,7 @@
         }
     }
 
-    fn became_lost(&mut self, index: u16, to: MemberState) {
+    fn became_non_live(&mut self, index: u16, to: MemberState) {
         self.live_peers -= 1;
         self.records.remove(index);
         if to == MemberState::Dead {
@@ -142,7 +142,7 @@
     }
 
     /// Forgets members that have been dead or departed for the retention time.
-    pub(super) fn forget_expired(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(super) fn remove_expired(&mut self, now: Time, out: &mut Vec<Output>) {
         let retention = self.settings.retention;
         for index in self.peer_indices(|state| matches!(state, MemberState::Dead | MemberState::Departed)) {
             let member = self.member_mut(index);
--- a/crates/gaugesaddle-membership/src/schedule.rs
+++ b/crates/gaugesaddle-membership/src/schedule.rs
@@ -48,7 +48,7 @@
 /// Probes of lost members: those that are unknown, dead or departed.
 pub(crate) struct ReconnectSchedule {
     /// Lost members that remain in this cycle, in random order; the last one is next.
-    pub lost: Vec<u16>,
+    pub non_live: Vec<u16>,
     /// The same for those that died recently.
     pub recently_dead: Vec<u16>,
     /// Members that died recently: as counted at the start of their cycle, plus the deaths since.
@@ -79,7 +79,7 @@
 impl ReconnectSchedule {
     pub fn new(now: Time) -> ReconnectSchedule {
         ReconnectSchedule {
-            lost: Vec::new(),
+            non_live: Vec::new(),
             recently_dead: Vec::new(),
             recently_dead_count: 0,
             recently_dead_next: false,
--- a/crates/gaugesaddle-membership/tests/conflicts.rs
+++ b/crates/gaugesaddle-membership/tests/conflicts.rs
@@ -10,7 +10,7 @@
 /// Virtual transit time of a datagram.
 const TRANSIT: Micros = Micros(1000);
 /// Deliveries within one step: enough for every reply to a reply.
-const DELIVERIES: usize = 6;
+const DELIVERY_ROUNDS: usize = 6;
 
 /// A process and the index that it uses. Several may use the same.
 struct Process {
@@ -49,7 +49,9 @@
     Process { index, membership: membership.expect("a valid configuration") }
 }
 
-fn sort(by: usize, outputs: Vec<Output>, in_transit: &mut Vec<InTransit>, reports: &mut Vec<Report>) {
+fn collect_outputs(
+    by: usize, outputs: Vec<Output>, in_transit: &mut Vec<InTransit>, reports: &mut Vec<Report>,
+) {
     for output in outputs {
         match output {
             Output::Send { to, bytes } => in_transit.push(InTransit { from: by, to, bytes }),
@@ -59,7 +61,7 @@
 }
 
 /// Runs for some virtual seconds; a datagram reaches every process that uses the destination's index.
-fn run(processes: &mut [Process], seconds: u64) -> Vec<Report> {
+fn run_for(processes: &mut [Process], seconds: u64) -> Vec<Report> {
     let mut reports = Vec::new();
     for step in 0..seconds * 1_000_000 / STEP.0 {
         let now = Time(step * STEP.0);
@@ -67,15 +69,15 @@
         for process in processes.iter_mut() {
             let mut outputs = Vec::new();
             process.membership.run_timers(now, &mut outputs);
-            sort(process.index, outputs, &mut in_transit, &mut reports);
+            collect_outputs(process.index, outputs, &mut in_transit, &mut reports);
         }
-        for _ in 0..DELIVERIES {
+        for _ in 0..DELIVERY_ROUNDS {
             for datagram in std::mem::take(&mut in_transit) {
                 for process in processes.iter_mut().filter(|p| address(p.index) == datagram.to) {
                     let mut outputs = Vec::new();
                     let from = address(datagram.from);
                     process.membership.handle_datagram(now + TRANSIT, from, &datagram.bytes, &mut outputs);
-                    sort(process.index, outputs, &mut in_transit, &mut reports);
+                    collect_outputs(process.index, outputs, &mut in_transit, &mut reports);
                 }
             }
         }
@@ -86,7 +88,7 @@
 #[test]
 fn two_processes_at_one_index_are_reported_by_all() {
     let mut processes = [process(0, "a", 10), process(1, "b", 11), process(1, "b", 12), process(2, "c", 13)];
-    let reports = run(&mut processes, 30);
+    let reports = run_for(&mut processes, 30);
     let reported_by = |index: usize| {
         reports.iter().any(|report| report.by == index && report.output == Output::IndexConflict { index: 1 })
     };
@@ -97,16 +99,16 @@
 #[test]
 fn a_restart_is_not_reported_as_a_conflict() {
     let mut processes = [process(0, "a", 10), process(1, "b", 11), process(2, "c", 13)];
-    run(&mut processes, 5);
+    run_for(&mut processes, 5);
     processes[1] = process(1, "b", 12);
-    let reports = run(&mut processes, 5);
+    let reports = run_for(&mut processes, 5);
     assert!(!reports.iter().any(|r| matches!(r.output, Output::IndexConflict { .. })), "{reports:?}");
 }
 
 #[test]
 fn two_members_with_one_name_are_reported() {
     let mut processes = [process(0, "a", 10), process(1, "b", 11), process(2, "b", 13)];
-    let reports = run(&mut processes, 5);
+    let reports = run_for(&mut processes, 5);
     assert!(reports.iter().any(|r| r.output == Output::NameConflict { indices: (1, 2) }), "{reports:?}");
     let is_other_conflict =
         |r: &Report| matches!(r.output, Output::NameConflict { indices } if indices != (1, 2));
--- a/crates/gaugesaddle-membership/tests/golden_datagrams.rs
+++ b/crates/gaugesaddle-membership/tests/golden_datagrams.rs
@@ -70,6 +70,6 @@
 }
 
 #[test]
-fn datagrams_of_every_section_keep_their_bytes() {
+fn every_section_encodes_to_its_golden_bytes() {
     assert_eq!(encoded_datagrams().join("\n") + "\n", GOLDEN);
 }
--- a/crates/gaugesaddle-membership/tests/model.rs
+++ b/crates/gaugesaddle-membership/tests/model.rs
@@ -47,7 +47,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct TierState {
     running: [Option<Process>; PROCESSES],
     starts: u32,
     in_transit: Vec<Message>,
@@ -62,7 +62,7 @@
     partitioned: Option<u8>,
     has_healed: bool,
     /// A process has accepted an older process of another one.
-    went_back: bool,
+    accepted_former_process: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -97,7 +97,7 @@
 
 impl Process {
     /// As `membership/receive.rs` does it. Returns the reply.
-    fn receive(&mut self, message: &Message, went_back: &mut bool) -> Option<Body> {
+    fn receive(&mut self, message: &Message, accepted_former_process: &mut bool) -> Option<Body> {
         let from = usize::from(message.from);
         let boot = Boot(message.boot);
         let mut reply = None;
@@ -105,7 +105,7 @@
             Body::Ack { nonce } if self.open_probes[from] == Some(*nonce) => {
                 self.open_probes[from] = None;
                 if self.known[from].apply_ack(boot, message.incarnation) == UpdateResult::Applied {
-                    *went_back |= message.boot < self.newest_verified[from];
+                    *accepted_former_process |= message.boot < self.newest_verified[from];
                     self.newest_verified[from] = self.newest_verified[from].max(message.boot);
                 }
             }
@@ -133,7 +133,7 @@
     }
 }
 
-impl World {
+impl TierState {
     fn start(&mut self, index: u8) {
         self.starts += 1;
         // Boots rise with the starts, for the check alone: the core rules do not compare them.
@@ -167,7 +167,7 @@
 
     fn deliver(&mut self, message: Message) {
         let Some(process) = self.running[usize::from(message.to)].as_mut() else { return };
-        if let Some(reply) = process.receive(&message, &mut self.went_back) {
+        if let Some(reply) = process.receive(&message, &mut self.accepted_former_process) {
             self.send(message.to, message.from, reply);
         }
     }
@@ -180,21 +180,21 @@
     }
 
     /// The state after the partition has healed and each process has probed each other one.
-    fn converge(&self) -> World {
-        let mut world = self.clone();
-        world.partitioned = None;
-        world.deliver_all();
+    fn converge(&self) -> TierState {
+        let mut tier = self.clone();
+        tier.partitioned = None;
+        tier.deliver_all();
         for _ in 0..PROBES_TO_CONVERGE {
             for from in 0..PROCESSES as u8 {
                 for to in 0..PROCESSES as u8 {
-                    if from != to && world.running[usize::from(from)].is_some() {
-                        world.probe(from, to);
-                        world.deliver_all();
+                    if from != to && tier.running[usize::from(from)].is_some() {
+                        tier.probe(from, to);
+                        tier.deliver_all();
                     }
                 }
             }
         }
-        world
+        tier
     }
 
     /// Whether each running process knows each other one as alive.
@@ -213,11 +213,11 @@
 struct Tier;
 
 impl Model for Tier {
-    type State = World;
+    type State = TierState;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
-        let mut just_started = World {
+    fn init_states(&self) -> Vec<TierState> {
+        let mut just_started = TierState {
             running: [None, None, None],
             starts: 0,
             in_transit: Vec::new(),
@@ -230,7 +230,7 @@
             has_crashed: false,
             partitioned: None,
             has_healed: false,
-            went_back: false,
+            accepted_former_process: false,
         };
         (0..PROCESSES as u8).for_each(|index| just_started.start(index));
         let mut converged = just_started.converge();
@@ -238,22 +238,22 @@
         vec![converged, just_started]
     }
 
-    fn actions(&self, world: &World, actions: &mut Vec<Step>) {
-        let may_send = world.in_transit.len() < MAX_IN_TRANSIT;
+    fn actions(&self, tier: &TierState, actions: &mut Vec<Step>) {
+        let may_send = tier.in_transit.len() < MAX_IN_TRANSIT;
         for i in 0..PROCESSES as u8 {
-            let Some(process) = &world.running[usize::from(i)] else {
+            let Some(process) = &tier.running[usize::from(i)] else {
                 actions.push(Step::Start(i));
                 continue;
             };
-            if !world.has_crashed {
+            if !tier.has_crashed {
                 actions.push(Step::Crash(i));
             }
             for j in (0..PROCESSES as u8).filter(|j| *j != i) {
                 let state = process.known[usize::from(j)].state();
-                if may_send && world.probes < MAX_PROBES {
+                if may_send && tier.probes < MAX_PROBES {
                     actions.push(Step::Probe { from: i, to: j });
                 }
-                if state == MemberState::Alive && !world.has_suspected {
+                if state == MemberState::Alive && !tier.has_suspected {
                     actions.push(Step::Suspect { by: i, subject: j });
                 }
                 if state == MemberState::Suspect {
@@ -263,104 +263,106 @@
                 let has_update = process.known[usize::from(third)]
                     .status()
                     .is_some_and(|status| status.state != MemberState::Alive || status.incarnation > 0);
-                if may_send && world.updates < MAX_UPDATES && has_update {
+                if may_send && tier.updates < MAX_UPDATES && has_update {
                     actions.push(Step::SendUpdate { from: i, to: j, subject: third });
                 }
             }
         }
-        for message in 0..world.in_transit.len() {
+        for message in 0..tier.in_transit.len() {
             actions.push(Step::Deliver(message));
-            if !world.has_lost {
+            if !tier.has_lost {
                 actions.push(Step::Lose(message));
             }
-            if !world.has_duplicated && may_send {
+            if !tier.has_duplicated && may_send {
                 actions.push(Step::Duplicate(message));
             }
         }
-        if world.partitioned.is_some() {
+        if tier.partitioned.is_some() {
             actions.push(Step::Heal);
-        } else if !world.has_healed {
+        } else if !tier.has_healed {
             (0..PROCESSES as u8).for_each(|index| actions.push(Step::Partition(index)));
         }
     }
 
-    fn next_state(&self, last: &World, step: Step) -> Option<World> {
-        let mut world = last.clone();
+    fn next_state(&self, last: &TierState, step: Step) -> Option<TierState> {
+        let mut tier = last.clone();
         match step {
             Step::Probe { from, to } => {
-                world.probes += 1;
-                world.probe(from, to);
+                tier.probes += 1;
+                tier.probe(from, to);
             }
             Step::SendUpdate { from, to, subject } => {
-                world.updates += 1;
-                let process = world.running[usize::from(from)].as_ref()?;
+                tier.updates += 1;
+                let process = tier.running[usize::from(from)].as_ref()?;
                 let status = pack(process.known[usize::from(subject)].status()?);
-                world.send(from, to, Body::Update { subject, status });
+                tier.send(from, to, Body::Update { subject, status });
             }
             Step::Deliver(message) => {
-                let message = world.in_transit.remove(message);
-                world.deliver(message);
+                let message = tier.in_transit.remove(message);
+                tier.deliver(message);
             }
             Step::Duplicate(message) => {
-                world.has_duplicated = true;
-                let message = world.in_transit[message].clone();
-                world.deliver(message);
+                tier.has_duplicated = true;
+                let message = tier.in_transit[message].clone();
+                tier.deliver(message);
             }
             Step::Lose(message) => {
-                world.has_lost = true;
-                world.in_transit.remove(message);
+                tier.has_lost = true;
+                tier.in_transit.remove(message);
             }
             Step::Suspect { by, subject } => {
-                world.has_suspected = true;
-                let process = world.running[usize::from(by)].as_mut()?;
+                tier.has_suspected = true;
+                let process = tier.running[usize::from(by)].as_mut()?;
                 process.known[usize::from(subject)].declare(MemberState::Suspect)?;
             }
             Step::DeclareDead { by, subject } => {
-                let process = world.running[usize::from(by)].as_mut()?;
+                let process = tier.running[usize::from(by)].as_mut()?;
                 process.known[usize::from(subject)].declare(MemberState::Dead)?;
             }
             Step::Crash(index) => {
-                world.has_crashed = true;
-                world.running[usize::from(index)] = None;
+                tier.has_crashed = true;
+                tier.running[usize::from(index)] = None;
             }
-            Step::Start(index) => world.start(index),
+            Step::Start(index) => tier.start(index),
             Step::Partition(index) => {
-                world.partitioned = Some(index);
+                tier.partitioned = Some(index);
                 // Messages in transit between the two sides are lost.
-                world.in_transit.retain(|message| (message.from == index) == (message.to == index));
+                tier.in_transit.retain(|message| (message.from == index) == (message.to == index));
             }
             Step::Heal => {
-                world.partitioned = None;
-                world.has_healed = true;
+                tier.partitioned = None;
+                tier.has_healed = true;
             }
         }
-        (world.in_transit.len() <= MAX_IN_TRANSIT + 1).then_some(world)
+        (tier.in_transit.len() <= MAX_IN_TRANSIT + 1).then_some(tier)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("no former process comes back", |_, world: &World| !world.went_back),
-            Property::<Self>::always("running processes converge to alive", |_, world: &World| {
-                world.converge().has_converged()
+            Property::<Self>::always("no former process comes back", |_, tier: &TierState| {
+                !tier.accepted_former_process
             }),
-            Property::<Self>::sometimes("a running process is declared dead", |_, world: &World| {
+            Property::<Self>::always("running processes converge to alive", |_, tier: &TierState| {
+                tier.converge().has_converged()
+            }),
+            Property::<Self>::sometimes("a running process is declared dead", |_, tier: &TierState| {
                 let is_wrong = |process: &Process, j: usize| {
-                    process.known[j].state() == MemberState::Dead && world.running[j].is_some()
+                    process.known[j].state() == MemberState::Dead && tier.running[j].is_some()
                 };
-                world.running.iter().flatten().any(|process| (0..PROCESSES).any(|j| is_wrong(process, j)))
+                tier.running.iter().flatten().any(|process| (0..PROCESSES).any(|j| is_wrong(process, j)))
             }),
-            Property::<Self>::sometimes("a restarted process is verified", |_, world: &World| {
+            Property::<Self>::sometimes("a restarted process is verified", |_, tier: &TierState| {
                 let first_starts = PROCESSES as u32;
                 let has_verified =
                     |process: &Process| process.newest_verified.iter().any(|boot| *boot > first_starts);
-                world.running.iter().flatten().any(has_verified)
+                tier.running.iter().flatten().any(has_verified)
             }),
         ]
     }
 }
 
 #[test]
-fn running_processes_converge_to_alive_and_no_former_process_comes_back() {
+fn running_processes_converge_to_alive_and_former_processes_never_become_live_again() {
     let checker = Tier.checker().threads(2).spawn_bfs().join();
     println!("{} states, {} unique", checker.state_count(), checker.unique_state_count());
     checker.assert_properties();
