--- a/crates/gaugesaddle-membership/src/auth.rs
+++ b/crates/gaugesaddle-membership/src/auth.rs
@@ -1,12 +1,12 @@
-//! Authentication of datagrams: a keyed BLAKE3 hash with a key that all proxies of a tier share. It excludes strangers;
-//! it does not encrypt, and it does not tell one holder of the key from another.
+//! Authentication of datagrams: a keyed BLAKE3 hash with a key that all proxies of a tier share. It rejects
+//! senders without the key; it does not encrypt, and it does not distinguish between holders of the key.
 
-/// Bytes of a tag: a guess succeeds with a probability of 2^-128.
+/// Bytes of a tag: a guessed tag is valid with a probability of 2^-128.
 pub const TAG_BYTES: usize = 16;
-/// Fewest bytes of a shared secret. A shorter one could be guessed.
+/// Minimum number of bytes of a shared secret. A shorter one could be guessed.
 pub const MIN_KEY_BYTES: usize = 32;
 
-/// Context of the key derivation. It is part of the wire format: another string is another key.
+/// Context of the key derivation. It is part of the wire format: another string yields another key.
 const KEY_CONTEXT: &str = "gaugesaddle peers datagram tag 1";
 
 /// The shared secret has fewer than [`MIN_KEY_BYTES`] bytes.
@@ -72,7 +72,8 @@
         let Some(key) = &self.0 else { return Some(bytes) };
         let (body, tag) = bytes.split_at_checked(bytes.len().checked_sub(TAG_BYTES)?)?;
         let expected = blake3::keyed_hash(key, body);
-        // Compares every byte: a comparison that ends early would reveal, by its duration, how many bytes were right.
+        // Compares all bytes in constant time: the duration of a comparison that stops at the first difference would
+        // reveal how many bytes are correct.
         let difference = expected.as_bytes().iter().zip(tag).fold(0, |sum, (a, b)| sum | (a ^ b));
         (difference == 0).then_some(body)
     }
--- a/crates/gaugesaddle-membership/src/auth/tests.rs
+++ b/crates/gaugesaddle-membership/src/auth/tests.rs
@@ -15,5 +15,5 @@
     assert_eq!(auth.verify(b"short"), None);
     assert_eq!(Authenticator::from_secret(&[7; 31]).unwrap_err(), KeyTooShort { length: 31 });
     assert_eq!(Authenticator::disabled().verify(b"hello"), Some(&b"hello"[..]));
-    assert!(!format!("{auth:?}").contains('7'), "no secret in a log");
+    assert!(!format!("{auth:?}").contains('7'), "the debug output contains no secret");
 }
--- a/crates/gaugesaddle-membership/src/config.rs
+++ b/crates/gaugesaddle-membership/src/config.rs
@@ -6,7 +6,8 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// The members of a tier. The list is fixed for the life of a process; who of them is live is what the protocol finds.
+/// The members of a tier. The list is fixed for the lifetime of a process; the protocol determines which of them
+/// are live.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TierConfig {
     /// The address of each member, in an order that all members share. A position in this list is a member's index.
@@ -27,17 +28,19 @@
     /// There is no address, or there are more than [`MAX_MEMBERS`].
     #[error("expected 1 to {MAX_MEMBERS} addresses")]
     AddressCount,
-    /// The own index is not in the list.
+    /// The index of this process is not in the list.
     #[error("expected a list with this proxy's own address")]
     OwnIndex,
     /// An address occurs twice.
     #[error("expected each address once, got {0} twice")]
     DuplicateAddress(SocketAddr),
-    /// The name or the zone cannot be sent.
-    #[error("expected names of up to {MAX_NAME_BYTES} printable letters without blanks")]
+    /// The name or the zone is too long, or has a character other than printable ASCII.
+    #[error(
+        "expected a name and a zone of at most {MAX_NAME_BYTES} printable ASCII characters without spaces"
+    )]
     Name,
-    /// Without a key, any host could send datagrams in a member's name.
-    #[error("expected loopback addresses only where there is no key, got {0}")]
+    /// An address is not a loopback address, and there is no key: any host could impersonate a member.
+    #[error("expected only loopback addresses without a key, got {0}")]
     KeyRequired(SocketAddr),
 }
 
--- a/crates/gaugesaddle-membership/src/counters.rs
+++ b/crates/gaugesaddle-membership/src/counters.rs
@@ -15,9 +15,9 @@
     pub misaddressed: u64,
     /// Received datagrams without a valid tag.
     pub unauthenticated: u64,
-    /// Received datagrams that arrived before, or too late to tell.
+    /// Received datagrams whose counter was received before or lies behind the replay window.
     pub replayed: u64,
-    /// Received datagrams of a process that has not proven to be alive.
+    /// Received datagrams of a process that is not verified: it has not acknowledged a probe of this process.
     pub unverified: u64,
     /// Replies that were not sent because of the rate limit.
     pub rate_limited: u64,
@@ -25,7 +25,7 @@
     pub probes: u64,
     /// Of these, probes without any acknowledgement, direct or indirect.
     pub failed_probes: u64,
-    /// Wrong statuses of this process that it refuted.
+    /// Wrong statuses of this process that it has refuted.
     pub refutations: u64,
     /// Stalls of this process.
     pub stalls: u64,
--- a/crates/gaugesaddle-membership/src/lib.rs
+++ b/crates/gaugesaddle-membership/src/lib.rs
@@ -1,6 +1,6 @@
-//! SWIM gossip membership with Lifeguard's extensions, without I/O, clock or threads: which proxies of a tier are live,
-//! what each of them publishes, and how far this can be trusted. The host passes in datagrams and the time, and carries
-//! out each [`Output`].
+//! SWIM gossip membership with Lifeguard's extensions, without I/O, clock or threads. It determines which proxies of a
+//! tier are live, stores the record that each of them publishes, and reports how reliable this information is. The host
+//! passes in datagrams and the current time, and executes each [`Output`].
 //!
 //! Sources: Das, Gupta, Motivala, *SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol*
 //! (2002); Dadgar, Phillips, Currey, *Lifeguard: Local Health Awareness for More Accurate Failure Detection* (2018).
@@ -12,9 +12,10 @@
 //! - [`KnownMember`] and [`LocalMember`] are the core rules: how updates and acknowledgements change the
 //!   [`MemberState`] of another member, and how this process refutes a wrong one. `tests/model.rs` checks them with a
 //!   model checker.
-//! - [`View`] summarizes the membership; [`PartitionStatus`] tells a small tier from a partitioned one.
-//! - [`Record`] is what a member publishes, opaque to the protocol; [`Signals`] is its content, and [`Totals`] the sum
-//!   over the live members with the age of its inputs.
+//! - [`View`] summarizes the membership; [`PartitionStatus`] distinguishes a small tier from a
+//!   partitioned one.
+//! - [`Record`] is the payload that a member publishes; the protocol does not interpret it. [`Signals`] is its content,
+//!   and [`Totals`] the sum over the live members, with the age of the summed records.
 //! - [`wire`] is the datagram format.
 //!
 //! # Example
@@ -43,7 +44,7 @@
 //! let mut now = Time(0);
 //! while processes.iter().any(|process| process.live_members() != [0, 1]) {
 //!     now = now + Micros(10_000);
-//!     assert!(now < Time(10_000_000), "both are live within ten seconds");
+//!     assert!(now < Time(10_000_000), "both processes must be live within ten seconds");
 //!     for sender in 0..2 {
 //!         let mut outputs = Vec::new();
 //!         processes[sender].run_timers(now, &mut outputs);
@@ -62,19 +63,20 @@
 //!
 //! # Guarantees
 //!
-//! - Nothing that arrives makes it panic.
-//! - A former process never becomes live again, whatever is delayed, duplicated or replayed: another process counts
-//!   only after it has acknowledged a new probe.
+//! - No received datagram causes a panic.
+//! - A former process never becomes live again, even if datagrams are delayed, duplicated or replayed: another process
+//!   at an index is accepted only after it has acknowledged a new probe.
 //! - A record is never replaced by an older one.
 //!
-//! **During a partition** each side declares the other dead and continues; [`View::partition_status`] tells that this
-//! may be the smaller side. After the partition has healed, every process refutes what was disseminated about it, and
-//! both sides converge to the same statuses. Nothing waits for agreement. If only some links are broken, a process that
-//! any member reaches is probed through that member.
+//! **During a partition** each side declares the other dead and continues; [`View::partition_status`] reports that
+//! this process may be on the smaller side. After the partition has healed, every process refutes wrong updates about
+//! itself, and both sides converge to the same statuses. No operation waits for agreement. If only some links are
+//! broken, a member is probed through another member that reaches it.
 //!
-//! **After a stall** of the own process its time-outs are postponed by the stall, so it declares nobody dead because of
-//! it, and what was received meanwhile counts as old as the stall. [`View::since_stall`] tells how long ago that was.
-//! If the others declared it dead, it refutes that.
+//! **After a stall** of this process, its time-outs are extended by the duration of the stall, so that the stall does
+//! not lead it to declare other members dead. Datagrams that arrived during the stall are treated as being as old as
+//! the stall. [`View::since_stall`] is the time since its end. If other members declared this process dead, it refutes
+//! that.
 //!
 //! # Bounds
 //!
@@ -86,8 +88,8 @@
 //! Times are those of the host's monotonic clock; clocks of two machines are never compared.
 //!
 //! Not covered: tiers whose members have the addresses in a different order, records that exceed one datagram,
-//! encryption (the tag only excludes strangers), and which of two live processes at one index is the right one (they
-//! are reported by [`Output::IndexConflict`]).
+//! encryption (the tag only rejects senders without the key), and a choice between two live processes at one index
+//! (they are reported by [`Output::IndexConflict`]).
 
 mod auth;
 mod config;
--- a/crates/gaugesaddle-membership/src/member.rs
+++ b/crates/gaugesaddle-membership/src/member.rs
@@ -6,11 +6,13 @@
 use gaugesaddle_balancer::{Micros, Time};
 use std::net::SocketAddr;
 
-/// Probes of one member that may still be acknowledged. Older ones are forgotten.
+/// Maximum number of open probes of one member, that is probes that may still be acknowledged. A further one replaces
+/// the oldest.
 const MAX_OPEN_PROBES: usize = 3;
 /// An index whose process changed this often within [`CONFLICT_WINDOW`] is used by two live processes.
 pub(crate) const MAX_PROCESS_CHANGES: usize = 3;
-/// See [`MAX_PROCESS_CHANGES`]. A process that crashes and restarts by itself takes longer for three restarts.
+/// See [`MAX_PROCESS_CHANGES`]. A process that crashes and is restarted automatically takes longer for three
+/// restarts.
 pub(crate) const CONFLICT_WINDOW: Micros = Micros(5_000_000);
 
 /// A probe that may still be acknowledged.
@@ -27,7 +29,7 @@
     pub boot: Boot,
 }
 
-/// Everything known of one configured member.
+/// The table entry of one configured member.
 pub(crate) struct Member {
     pub known: KnownMember,
     /// When its state last changed.
@@ -42,11 +44,12 @@
     pub name: String,
     /// Its zone; empty until it has sent it.
     pub zone: String,
-    /// It has acknowledged a probe that carried this process's name and zone.
+    /// Whether it has acknowledged a probe that carried this process's name and zone.
     pub has_our_hello: bool,
     pub last_ack: Option<LastAck>,
     open_probes: Vec<OpenProbe>,
-    /// When its process last changed, or two processes acknowledged one probe. At most [`MAX_PROCESS_CHANGES`].
+    /// The last times when its process changed or two processes acknowledged one probe; at most
+    /// [`MAX_PROCESS_CHANGES`].
     process_changes: Vec<Time>,
 }
 
@@ -89,7 +92,7 @@
         !self.open_probes.is_empty()
     }
 
-    /// Drops what belongs to the former process, its open probes included.
+    /// Resets the state that belongs to the former process, including its open probes.
     pub fn reset_process(&mut self) {
         self.open_probes.clear();
         self.replay_window = ReplayWindow::default();
@@ -111,7 +114,7 @@
     }
 }
 
-/// One configured member, as the published state shows it.
+/// One configured member, for the published state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberView {
     /// Its index.
--- a/crates/gaugesaddle-membership/src/member_state.rs
+++ b/crates/gaugesaddle-membership/src/member_state.rs
@@ -1,15 +1,16 @@
-//! The state of a member as one process knows it, and the rules that change it. This is the core of the membership
-//! protocol: it knows neither time nor network, so that `tests/model.rs` can check it under every order of messages.
+//! The state of a member in the view of one process, and its transition rules. This is the core of the membership
+//! protocol. It depends on neither time nor network, so that `tests/model.rs` can check it under every order of
+//! messages.
 //!
-//! Updates about one process are ordered by incarnation first and by state second (SWIM, section 4.2). Whoever receives
-//! the same updates therefore ends with the same status, in whatever order they arrive.
+//! Updates about one process are ordered by incarnation first and by state second (SWIM, section 4.2). Members that
+//! receive the same updates therefore end with the same status, in any order of arrival.
 //!
-//! An update never introduces another process at an index, and neither does a datagram that may be old. Only the
-//! acknowledgement of a probe that this process sent itself does. A process that has ended acknowledges nothing, so no
-//! former process ever comes back, whatever is delayed, duplicated or replayed.
+//! Another process at an index is accepted only if it acknowledges a probe that this process itself sent. Updates and
+//! other datagrams do not suffice, because they may be old. A process that has ended acknowledges no probe, so a former
+//! process never becomes live again, even if datagrams are delayed, duplicated or replayed.
 
-/// Identifies one run of a process: drawn at random at each start, never 0. Boots have no order; which of two processes
-/// is newer follows from their incarnations.
+/// Identifies one run of a process: a random number that is drawn at each start and is never 0. Boots have no temporal
+/// order; of two processes at one index, the newer one has the higher incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Boot(pub u32);
 
@@ -39,13 +40,13 @@
     Suspect,
     /// It did not refute the suspicion in time.
     Dead,
-    /// It announced that it leaves.
+    /// It announced its departure.
     Departed,
 }
 
 impl MemberState {
-    /// The name in log lines and in the published state. Operators' tools read these: `Departed` stays "left" and
-    /// `Unknown` stays "unseen".
+    /// The name in log lines and in the published state. Operators' tools parse these names: `Departed` remains
+    /// "left", and `Unknown` remains "unseen".
     pub fn name(self) -> &'static str {
         match self {
             MemberState::Unknown => "unseen",
@@ -56,25 +57,25 @@
         }
     }
 
-    /// Whether the member counts as live. A suspect does, until its time is over.
+    /// Whether the member counts as live. A suspect does until its suspicion times out.
     pub fn is_live(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 }
 
-/// The status of one process of a member, as updates carry it.
+/// The status of one process of a member, as carried by updates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct MemberStatus {
     /// The process.
     pub boot: Boot,
-    /// Raised only by that process, to refute a wrong status. At most [`MAX_INCARNATION`].
+    /// Incremented only by that process, to refute a wrong status. At most [`MAX_INCARNATION`].
     pub incarnation: u32,
     /// Its state.
     pub state: MemberState,
 }
 
-/// The highest incarnation that is accepted from the network. No process refutes as often as this, and the limit leaves
-/// space for the increment of a refutation.
+/// The highest incarnation that is accepted from the network. No process refutes that often, and the limit leaves room
+/// for the increment of a refutation.
 pub const MAX_INCARNATION: u32 = 1 << 30;
 
 /// The result of an update or an acknowledgement.
@@ -82,13 +83,13 @@
 pub enum UpdateResult {
     /// It was newer and has been applied.
     Applied,
-    /// It was known or older.
+    /// It was already known or older.
     Stale,
-    /// It concerns a process that has not proven to be alive; a probe will tell.
+    /// It concerns a process that is not verified; only the acknowledgement of a probe can verify it.
     ProbeNeeded,
 }
 
-/// What this process knows of one other member: nothing, or the status of its current process.
+/// The status of one other member's current process, as known to this process; none while the member is unknown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct KnownMember(Option<MemberStatus>);
 
@@ -119,7 +120,7 @@
                     UpdateResult::Stale
                 }
             }
-            // That another process of the member is dead or departed is no reason for a probe.
+            // An update that declares another process of the member dead or departed does not require a probe.
             _ if !update.state.is_live() => UpdateResult::Stale,
             _ => UpdateResult::ProbeNeeded,
         }
@@ -141,15 +142,15 @@
         }
     }
 
-    /// Declares the member suspect or dead by this process's own observation. Returns the new status, or `None` if the
-    /// member is unknown or already in that state or a later one.
+    /// Declares the member suspect or dead, based on this process's own observation. Returns the new status, or `None`
+    /// if the member is unknown or already in that state or a later one.
     pub fn declare(&mut self, state: MemberState) -> Option<MemberStatus> {
         let known = self.0.filter(|status| status.state < state)?;
         self.0 = Some(MemberStatus { state, ..known });
         self.0
     }
 
-    /// Removes the status of a member that has long been dead or departed.
+    /// Removes the status of a member that has been dead or departed for the retention time.
     pub fn clear(&mut self) {
         self.0 = None;
     }
@@ -160,7 +161,7 @@
 pub struct LocalMember {
     /// This process.
     pub boot: Boot,
-    /// Raised to refute a wrong status.
+    /// Incremented to refute a wrong status.
     pub incarnation: u32,
 }
 
@@ -170,8 +171,8 @@
         LocalMember { boot, incarnation: 0 }
     }
 
-    /// Checks an update about this process's own index. Returns `true` if it was wrong and the incarnation has been
-    /// raised to refute it: it named this process other than alive, or another process at this index.
+    /// Checks an update about this process's own index. It is wrong if it reports this process in a state other than
+    /// alive, or another process at this index. Returns `true` if the incarnation has been raised to refute it.
     pub fn refute(&mut self, update: MemberStatus) -> bool {
         let is_wrong = update.boot != self.boot || update.state != MemberState::Alive;
         if !is_wrong || update.state == MemberState::Unknown || update.incarnation < self.incarnation {
@@ -181,7 +182,7 @@
         true
     }
 
-    /// The status that the other members should have of this process.
+    /// The correct status of this process, for the other members.
     pub fn status(self) -> MemberStatus {
         MemberStatus { boot: self.boot, incarnation: self.incarnation, state: MemberState::Alive }
     }
--- a/crates/gaugesaddle-membership/src/member_state/tests.rs
+++ b/crates/gaugesaddle-membership/src/member_state/tests.rs
@@ -17,7 +17,7 @@
     known
 }
 
-/// Every pair of states at every order of incarnations, for updates about one process.
+/// Covers every pair of states with a lower, an equal and a higher incarnation, for updates about one process.
 #[test]
 fn updates_are_applied_only_if_they_are_newer() {
     for from in [Alive, Suspect, Dead, Departed] {
@@ -87,5 +87,5 @@
     assert!(local.refute(status(B, 4, Alive)), "another process at its index");
     assert_eq!(local.incarnation, 5);
     assert!(local.refute(status(A, MAX_INCARNATION, Dead)));
-    assert_eq!(local.incarnation, MAX_INCARNATION, "it stays at the maximum");
+    assert_eq!(local.incarnation, MAX_INCARNATION, "the incarnation stays at the maximum");
 }
--- a/crates/gaugesaddle-membership/src/membership.rs
+++ b/crates/gaugesaddle-membership/src/membership.rs
@@ -1,5 +1,5 @@
-//! One process's view of its tier: its state, its turns, and what its host can request. The modules below hold the
-//! protocol, one concern each.
+//! One process's view of its tier: its state, its timers and the operations for its host. The submodules implement one
+//! part of the protocol each.
 
 mod broadcast;
 mod indirect;
@@ -28,13 +28,13 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
 
-/// A turn that is late by more than this means that the process was stopped or starved. It is ten times the delay of
+/// If the timers run late by more than this, the process was stopped or got no CPU time. It is ten times the delay of
 /// three late timers on a busy core.
 const STALL_THRESHOLD: Micros = Micros(300_000);
-/// Interval of the search for dead members to forget.
+/// Interval of the search for dead and departed members whose retention time is over.
 const EXPIRY_INTERVAL: Micros = Micros(1_000_000);
 
-/// When other members first and last probed this index for another process.
+/// Times of the first and the last update that reported another live process at the index of this process.
 #[derive(Clone, Copy)]
 struct ConflictReports {
     first: Time,
@@ -44,7 +44,7 @@
 /// One process's view of its tier.
 ///
 /// The host calls [`Membership::handle_datagram`] for each datagram it receives and [`Membership::run_timers`] at
-/// [`Membership::next_timer_at`] at the latest, and carries out each [`Output`].
+/// [`Membership::next_timer_at`] at the latest, and executes each [`Output`].
 pub struct Membership {
     settings: Settings,
     auth: Authenticator,
@@ -53,7 +53,7 @@
     /// Counter of the last datagram sent.
     datagram_counter: u64,
     rng: Pcg64Mcg,
-    /// One entry for each configured member; the own one is not used.
+    /// One entry for each configured member; the entry of this process is never updated.
     members: Vec<Member>,
     suspects: BTreeSet<u16>,
     /// Live members, this process not included.
@@ -70,9 +70,10 @@
     publishing: PublishSchedule,
     budget: ByteBudget,
     replies: ReplyLimit,
-    /// The next turn is due at this time.
+    /// When the timers are due next.
     timers_due_at: Time,
-    /// Datagrams that are read before the next turn may be older than their arrival by this much: the last stall.
+    /// Datagrams that are read before the timers run again may have arrived earlier by up to this much: the duration of
+    /// the last stall.
     receive_delay: Micros,
     /// End of the last stall, or the start.
     resumed_at: Time,
@@ -127,8 +128,9 @@
         })
     }
 
-    /// Does everything that is due. To be called at [`Membership::next_timer_at`] at the latest, after all datagrams that have
-    /// arrived: a process that has stalled must not suspect others before it has read their acknowledgements.
+    /// Executes all actions that are due. The host calls it at [`Membership::next_timer_at`] at the latest, after it
+    /// has passed in all datagrams that have arrived: a process that has stalled must not suspect other members before
+    /// it has read their acknowledgements.
     pub fn run_timers(&mut self, now: Time, out: &mut Vec<Output>) {
         self.detect_stall(now, out);
         self.receive_delay = Micros(0);
@@ -153,7 +155,7 @@
         self.timers_due_at = self.next_timer_at();
     }
 
-    /// When the next turn is due at the latest. `Time(u64::MAX)` after [`Membership::leave`].
+    /// When [`Membership::run_timers`] is due next. `Time(u64::MAX)` after [`Membership::leave`].
     pub fn next_timer_at(&self) -> Time {
         if self.departed {
             return Time(u64::MAX);
@@ -212,8 +214,8 @@
         fits
     }
 
-    /// Announces the departure to each live member, once; nothing is sent afterwards. Not to be called if a successor
-    /// already uses this index.
+    /// Announces the departure to each live member, once; nothing is sent afterwards. The host must not call it if
+    /// a successor process already uses this index.
     pub fn leave(&mut self, out: &mut Vec<Output>) {
         if std::mem::replace(&mut self.departed, true) {
             return;
@@ -223,8 +225,8 @@
         }
     }
 
-    /// Detects that this process was stopped or starved since the turn that was due. Its time-outs are then postponed
-    /// by the stall: what others sent meanwhile has not been read yet.
+    /// Detects that this process was stopped or got no CPU time since its timers were due. Its time-outs are then
+    /// extended by the duration of the stall, because datagrams that arrived in the meantime have not been read yet.
     fn detect_stall(&mut self, now: Time, out: &mut Vec<Output>) {
         if !self.started || now - self.timers_due_at <= STALL_THRESHOLD {
             return;
--- a/crates/gaugesaddle-membership/src/membership/broadcast.rs
+++ b/crates/gaugesaddle-membership/src/membership/broadcast.rs
@@ -1,5 +1,5 @@
-//! What is sent: datagrams with their counters, updates that are added to other datagrams, and the local record to all
-//! live members in cycles.
+//! Transmission: datagrams with their counters, updates that are piggybacked on other datagrams, and the local record,
+//! which is sent to all live members in cycles.
 
 use super::Membership;
 use crate::member_state::{MemberState, MemberStatus};
@@ -9,11 +9,11 @@
 use gaugesaddle_balancer::{Micros, Time};
 use std::net::SocketAddr;
 
-/// Each update is sent this often, times the logarithm of the number of live members (SWIM, section 4.1). With this
-/// factor an update misses a member with a probability below 1 in n^2, also with a third of the datagrams lost (virtual
-/// time).
+/// Each update is sent this many times the binary logarithm of the number n of live members (SWIM, section 4.1). With
+/// this factor an update misses a member with a probability below 1 in n^2, even if a third of the datagrams is lost
+/// (in virtual time).
 const UPDATE_SENDS_FACTOR: u32 = 3;
-/// Updates wait this long at most for a datagram that is sent anyway.
+/// Maximum time for which updates wait for another datagram that can carry them.
 const MAX_UPDATE_DELAY: Micros = Micros(50_000);
 
 impl Membership {
@@ -35,7 +35,7 @@
         self.send_to(to, datagram, out);
     }
 
-    /// Sends, and charges the bytes to the budget.
+    /// Sends a datagram and charges its bytes to the budget.
     pub(super) fn send_within_budget(
         &mut self, now: Time, index: u16, datagram: DatagramBuilder, out: &mut Vec<Output>,
     ) {
@@ -70,7 +70,7 @@
         Section::Hello { name: self.config.name.clone(), zone: self.config.zone.clone() }
     }
 
-    /// One ping to all members at the start, if one address reaches them.
+    /// Sends one ping to all members at the start, if a broadcast address is configured.
     pub(super) fn broadcast_hello(&mut self, out: &mut Vec<Output>) {
         let Some(to) = self.config.broadcast_address else { return };
         let mut datagram = self.new_datagram(BROADCAST);
@@ -79,7 +79,7 @@
         self.send_to(to, datagram, out);
     }
 
-    /// Adds as many pending updates as fit.
+    /// Adds as many pending updates to the datagram as fit.
     pub(super) fn add_updates(&mut self, now: Time, datagram: &mut DatagramBuilder) {
         if self.updates.is_empty() {
             return;
@@ -97,7 +97,7 @@
         (self.updates_sent_at + MAX_UPDATE_DELAY).max(self.budget.available_at())
     }
 
-    /// Sends updates that no other datagram carried to a random live member.
+    /// Sends pending updates to a random live member, if no other datagram has carried them in time.
     pub(super) fn send_updates(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.updates.is_empty() || self.live_peers == 0 || now < self.send_updates_at() {
             return;
@@ -131,7 +131,8 @@
         }
     }
 
-    /// A publish cycle is complete. Starts the next one, unless the publish interval is not over or nobody is live.
+    /// Starts the next publish cycle after the last one is complete. Returns `false` if the publish interval is not
+    /// over or no other member is live.
     fn start_publish_cycle(&mut self, now: Time) -> bool {
         self.publishing.last_cycle = now - self.publishing.cycle_started_at;
         let next_cycle_at = self.publishing.cycle_started_at + self.settings.publish_interval;
@@ -155,10 +156,10 @@
         self.send_within_budget(now, index, datagram, out);
     }
 
-    /// The record of a member as it is sent now.
+    /// The section with the record of a member and its age at this time.
     pub(super) fn record_section(&self, now: Time, subject: u16) -> Option<Section> {
         let record = self.records.get(subject)?;
-        // The local record counts as new whenever it is sent: its owner confirms it.
+        // The local record is sent with age 0: its owner confirms it at each transmission.
         let age_ms = if subject == self.config.own_index { 0 } else { record.age(now).0 / 1000 };
         Some(Section::Record {
             subject,
--- a/crates/gaugesaddle-membership/src/membership/probe.rs
+++ b/crates/gaugesaddle-membership/src/membership/probe.rs
@@ -9,9 +9,9 @@
 use gaugesaddle_balancer::{Micros, Time};
 use rand_core::RngCore;
 
-/// Records that one probe requests because they did not arrive from their owners.
+/// Maximum number of records that one probe requests because they did not arrive from their owners.
 const MAX_RECORD_REQUESTS: usize = 3;
-/// A record that is older than this many publish cycles was missed.
+/// A record that is older than this many publish cycles is overdue and is requested from other members.
 const MISSED_CYCLES: u64 = 3;
 
 impl Membership {
@@ -44,9 +44,9 @@
         self.send(target, datagram, out);
     }
 
-    /// Probes outside of the cycle: a process that is not verified, or a member that may refute its status. At most
-    /// once in the acknowledgement time-out. If an earlier probe is still open, another member is requested to probe as
-    /// well: one direction of the direct path may be broken.
+    /// Probes a member outside of the cycle, because its process is not verified or because it may refute its status.
+    /// Sends at most one such probe within the acknowledgement time-out. If an earlier probe is still open, another
+    /// member is requested to probe as well: one direction of the direct path may be broken.
     pub(super) fn probe_outside_cycle(&mut self, now: Time, index: u16, out: &mut Vec<Output>) {
         let member = self.member(index);
         if member.last_probed.is_some_and(|at| now - at < self.settings.ack_timeout) {
@@ -88,7 +88,7 @@
             Some(Probe { target, nonce, sent_at: now, phase: ProbePhase::Direct, helpers: 0, receipts: 0 });
     }
 
-    /// The interval of a probe is over without an acknowledgement.
+    /// Closes the current probe if it has not been acknowledged by the end of its interval: it has failed.
     fn close_current_probe(&mut self, now: Time, out: &mut Vec<Output>) {
         let Some(probe) = self.probes.current.take() else { return };
         if !self.state(probe.target).is_live() {
@@ -112,7 +112,7 @@
                 return Some(index);
             }
         }
-        // If the cycle ends here, the second pass goes through the next one.
+        // If the cycle is complete, the second iteration takes a member from the next cycle.
         for _ in 0..2 {
             while let Some(index) = self.probes.remaining.pop() {
                 if self.state(index).is_live() {
@@ -126,9 +126,9 @@
         None
     }
 
-    /// The live member that was neither received from nor probed for longest, if its record is overdue. Every second
-    /// probe goes to it: a process that missed the update about a death would otherwise detect it only in its own
-    /// cycle.
+    /// The live member with the least recent contact, that is a received datagram or a probe, if this is longer ago
+    /// than the age at which a record is overdue. Every second probe goes to it: a process that missed the update about
+    /// a death would otherwise detect the death only in its own cycle.
     fn least_recent_contact(&self, now: Time) -> Option<u16> {
         let last_contact = |index: &u16| {
             let member = self.member(*index);
@@ -139,7 +139,7 @@
         (now - last_contact(&longest) > self.record_overdue_after()).then_some(longest)
     }
 
-    /// Some live members whose records are overdue; `target` may have them.
+    /// Up to [`MAX_RECORD_REQUESTS`] live members whose records are overdue and may be available from `target`.
     fn missed_records(&mut self, now: Time, target: u16) -> Vec<u16> {
         let overdue_after = self.record_overdue_after();
         let mut missed = self.live_peer_indices();
@@ -167,8 +167,8 @@
         }
     }
 
-    /// Whether a process at this index needs a probe so that it learns its status and can refute it. A departed member
-    /// is not probed for that.
+    /// Whether the member has to be probed, so that it receives its status and can refute it. A departed member is not
+    /// probed for this reason.
     pub(super) fn needs_refutation_probe(&self, index: u16) -> bool {
         matches!(self.state(index), MemberState::Suspect | MemberState::Dead)
     }
--- a/crates/gaugesaddle-membership/src/membership/query.rs
+++ b/crates/gaugesaddle-membership/src/membership/query.rs
@@ -1,4 +1,4 @@
-//! What the host can read of the membership.
+//! Queries of the host.
 
 use super::Membership;
 use crate::counters::Counters;
@@ -24,7 +24,7 @@
         self.counters
     }
 
-    /// A summary of the membership, with measures of how far it can be trusted.
+    /// A summary of the membership, with measures of its reliability.
     pub fn view(&self, now: Time) -> View {
         let count = |wanted: MemberState| self.peer_indices(|state| state == wanted).len();
         View {
@@ -48,7 +48,7 @@
         indices.filter(is_live).collect()
     }
 
-    /// The process that is live at an index; `None` for this process's own index.
+    /// The process of a live member; `None` if the member is not live, and for this process's own index.
     pub fn live_boot(&self, index: u16) -> Option<Boot> {
         let known = self.members.get(usize::from(index))?.known;
         known.boot().filter(|_| known.state().is_live())
--- a/crates/gaugesaddle-membership/src/membership/receive.rs
+++ b/crates/gaugesaddle-membership/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! Datagrams that arrive: which are accepted, what verifies a process, and the effect of each section.
+//! Received datagrams: which ones are accepted, how a process is verified, and the effect of each section.
 
 use super::Membership;
 use crate::member::LastAck;
@@ -9,14 +9,15 @@
 use std::net::SocketAddr;
 
 impl Membership {
-    /// A datagram has arrived from `from`. Nothing in it makes this panic; what is not valid is counted and dropped.
+    /// Processes a datagram that arrived from `from`. No content causes a panic; invalid datagrams are counted and
+    /// dropped.
     pub fn handle_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8], out: &mut Vec<Output>) {
         self.detect_stall(now, out);
         if self.departed {
             return;
         }
         self.receive(now, from, bytes, out);
-        // The datagram may have moved the next turn to the past; that is not a stall.
+        // The datagram may have moved the next due time into the past; that is not a stall.
         self.timers_due_at = self.next_timer_at().max(now);
     }
 
@@ -59,7 +60,7 @@
             self.counters.malformed += 1;
             return None;
         };
-        // The cheap checks first: a host that is not a member costs no hash.
+        // The cheap checks come first: no hash is computed for a datagram from a host that is not a member.
         let is_for_us = header.to == self.config.own_index || header.to == BROADCAST;
         let index = header.from;
         if !is_for_us || !self.is_peer(index) || self.config.addresses[usize::from(index)] != from {
@@ -90,8 +91,9 @@
         }
     }
 
-    /// A datagram of a process that is not verified. It is acknowledged, so that this process is verified there, and
-    /// probed; nothing else in it counts.
+    /// Processes a datagram of a process that is not verified. Its pings are acknowledged, so that the sender can
+    /// verify this process, and a wrong status in them is refuted. The sender is probed. All other sections are
+    /// ignored.
     fn receive_unverified(&mut self, now: Time, index: u16, sections: &[Section], out: &mut Vec<Output>) {
         for section in sections {
             let Section::Ping { nonce, status } = section else { continue };
@@ -208,8 +210,8 @@
             return;
         }
         let member = self.member(subject);
-        // A member that this process received from since it can have been declared dead elsewhere is partitioned from
-        // there, not dead: it becomes a suspect and is probed.
+        // A suspicion lasts at least for the minimum time-out. If a datagram of the member arrived here within that
+        // time, the member is partitioned from those that declared it dead: it becomes suspect and is probed.
         let min_suspicion = self.settings.min_suspicion;
         let is_recent = member.last_received.is_some_and(|at| now - at < min_suspicion);
         let is_same_process = member.known.boot() == Some(status.boot);
--- a/crates/gaugesaddle-membership/src/membership/suspect.rs
+++ b/crates/gaugesaddle-membership/src/membership/suspect.rs
@@ -7,7 +7,8 @@
 use gaugesaddle_balancer::{Micros, Time};
 
 impl Membership {
-    /// `suspecter`, perhaps this process, received no acknowledgement from the member.
+    /// Raises or confirms a suspicion: `suspecter`, which may be this process, received no acknowledgement from the
+    /// member.
     pub(super) fn suspect(&mut self, now: Time, index: u16, suspecter: u16, out: &mut Vec<Output>) {
         let before = self.member(index).known;
         if self.member_mut(index).known.declare(MemberState::Suspect).is_some() {
@@ -19,7 +20,7 @@
         }
     }
 
-    /// Another member suspects as well. Disseminated if it shortens the time-out.
+    /// Records that another member suspects as well, and disseminates this if it shortens the time-out.
     pub(super) fn confirm_suspicion(&mut self, index: u16, status: MemberStatus, suspecter: u16) {
         let Some(suspicion) = &mut self.member_mut(index).suspicion else { return };
         if suspicion.confirm(suspecter) {
@@ -33,8 +34,8 @@
         self.suspects.iter().flat_map(deadlines).flatten().min()
     }
 
-    /// When this process confirms a suspicion that another member raised, if it receives nothing from the suspect until
-    /// then: its own probe was sent at once, and half of the minimum time-out is enough for the acknowledgement.
+    /// When this process confirms a suspicion that another member raised, if it receives no datagram from the suspect
+    /// until then: its own probe was sent at once, and half of the minimum time-out is enough for the acknowledgement.
     fn own_confirmation_at(&self, index: u16) -> Option<Time> {
         let suspicion = self.member(index).suspicion.as_ref()?;
         if suspicion.is_confirmed_by(self.config.own_index) {
@@ -48,8 +49,8 @@
         Some(suspicion.deadline(&self.settings, self.live_peers.saturating_sub(1)))
     }
 
-    /// Confirms suspicions of other members and declares suspects dead whose time is over, unless this process received
-    /// a datagram from them meanwhile.
+    /// Confirms suspicions of other members and declares suspects dead whose suspicion has timed out, unless this
+    /// process has received a datagram from them since the suspicion started.
     pub(super) fn check_suspicions(&mut self, now: Time, out: &mut Vec<Output>) {
         let to_confirm = self.suspects_due(now, |index| self.own_confirmation_at(index));
         for index in to_confirm {
--- a/crates/gaugesaddle-membership/src/membership/transition.rs
+++ b/crates/gaugesaddle-membership/src/membership/transition.rs
@@ -8,8 +8,8 @@
 use crate::suspicion::Suspicion;
 use gaugesaddle_balancer::{Micros, Time};
 
-/// When others probe this index for another process for longer than this, that process is live: they would have learned
-/// of this one by now.
+/// If other members report another process at this index for longer than this, that process is live: otherwise they
+/// would have accepted this process by now.
 const CONFLICT_TOLERANCE: Micros = Micros(3_000_000);
 
 impl Membership {
@@ -44,8 +44,8 @@
         self.status_changed(now, index, before, Cause::ProbeAcked, out);
     }
 
-    /// The process at an index changed, or two processes acknowledged one probe. Several of these in a short time are
-    /// more than a restart.
+    /// Records that the process at an index changed, or that two processes acknowledged one probe. Several of these
+    /// events within a short time are an index conflict, not a restart.
     pub(super) fn process_changed(&mut self, now: Time, index: u16, out: &mut Vec<Output>) {
         let member = self.member_mut(index);
         let was_in_conflict = member.is_in_conflict(now);
@@ -71,8 +71,8 @@
         self.updates.add(own_index, self.local.status(), own_index);
     }
 
-    /// Another member believes that another process is live at this index. Soon after a start that is the former
-    /// process, later a rival.
+    /// Records that another member reported another live process at this index. Soon after a start this is the former
+    /// process; later it is an index conflict.
     fn conflicting_process_reported(&mut self, now: Time, out: &mut Vec<Output>) {
         let recent = self.conflict_reports.filter(|reports| now - reports.last < CONFLICT_WINDOW);
         let first = recent.map_or(now, |reports| reports.first);
@@ -84,7 +84,7 @@
         out.push(Output::IndexConflict { index: self.config.own_index });
     }
 
-    /// Brings all tables up to date after the status of a member has changed, and disseminates it.
+    /// Updates all tables after the status of a member has changed, and disseminates the status.
     pub(super) fn status_changed(
         &mut self, now: Time, index: u16, before: KnownMember, cause: Cause, out: &mut Vec<Output>,
     ) {
@@ -129,7 +129,7 @@
         let position = self.random_below(self.probes.remaining.len() + 1);
         self.probes.remaining.insert(position, index);
         if from == MemberState::Dead && !is_other_process {
-            self.reconnects.accelerate(now); // a link works again: others may be reachable as well
+            self.reconnects.accelerate(now); // a link works again: other members may be reachable as well
         }
     }
 
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Forgets members that have been dead or departed for the retention time.
+    /// Removes the status of members that have been dead or departed for the retention time.
     pub(super) fn remove_expired(&mut self, now: Time, out: &mut Vec<Output>) {
         let retention = self.settings.retention;
         for index in self.peer_indices(|state| matches!(state, MemberState::Dead | MemberState::Departed)) {
--- a/crates/gaugesaddle-membership/src/output.rs
+++ b/crates/gaugesaddle-membership/src/output.rs
@@ -1,4 +1,4 @@
-//! What the membership requests of its host: datagrams to send, messages to deliver, and events to log.
+//! Actions that the membership requests from its host: datagrams to send, messages to deliver, and events to log.
 
 use crate::member_state::{Boot, MemberState};
 use gaugesaddle_balancer::Micros;
@@ -16,7 +16,7 @@
     },
     /// Deliver a message from the host of a live member.
     MessageReceived {
-        /// Index of the sender. The message comes from the process that is known to be live there.
+        /// Index of the sender. The message was sent by the live process at this index.
         from: u16,
         /// The payload.
         body: Vec<u8>,
@@ -33,9 +33,9 @@
         /// Their indices, the lower one first.
         indices: (u16, u16),
     },
-    /// Log: this process was stopped or starved.
+    /// Log: this process was stopped or got no CPU time.
     Stalled {
-        /// For how long.
+        /// Duration of the stall.
         duration: Micros,
     },
 }
--- a/crates/gaugesaddle-membership/src/rate_limit.rs
+++ b/crates/gaugesaddle-membership/src/rate_limit.rs
@@ -1,11 +1,12 @@
-//! Limits of what is sent: a byte budget for everything that the protocol can postpone, and a token bucket for replies.
+//! Limits of the outgoing traffic: a byte budget for datagrams that the protocol can postpone, and a token bucket for
+//! replies.
 
 use gaugesaddle_balancer::{Micros, Time};
 
-/// Replies to other members per second. When a tier of 1,000 starts at once, each member receives some hundred probes a
-/// second.
+/// Replies to other members per second. When a tier of 1,000 starts at once, each member receives about a hundred
+/// probes per second.
 const REPLIES_PER_S: f64 = 2000.0;
-/// Replies that may be sent at one moment.
+/// Capacity of the token bucket: replies that may be sent at once.
 const REPLY_BURST: f64 = 500.0;
 /// An unused budget is carried over for at most this time.
 pub(crate) const MAX_BUDGET_CREDIT: Micros = Micros(50_000);
@@ -20,7 +21,7 @@
         ByteBudget { available_at: now }
     }
 
-    /// Until this time the budget is used up.
+    /// When the budget is available again.
     pub fn available_at(&self) -> Time {
         self.available_at
     }
--- a/crates/gaugesaddle-membership/src/records.rs
+++ b/crates/gaugesaddle-membership/src/records.rs
@@ -1,6 +1,6 @@
 //! The newest record of each member. A record is an opaque payload that its owner publishes to all others. Records are
 //! ordered by version within one process of the owner; an older one never replaces a newer one. A record is removed
-//! when its owner is dead, departed, or another process.
+//! when its owner is dead or departed, or when another process takes the owner's index.
 
 use crate::member_state::Boot;
 use gaugesaddle_balancer::{Micros, Time};
@@ -28,8 +28,8 @@
 #[derive(Clone, Debug, Default)]
 struct Slot {
     record: Option<Record>,
-    /// Process and version of the newest record so far. It outlasts the record: otherwise an older one could be
-    /// inserted after a removal.
+    /// Process and version of the newest record so far. It is kept when the record is removed: otherwise
+    /// an older one could be inserted afterwards.
     newest: Option<(Boot, u32)>,
 }
 
@@ -59,7 +59,7 @@
         true
     }
 
-    /// Removes the record of a member that is dead, departed or another process.
+    /// Removes the record of a member that is dead or departed, or whose process changed.
     pub fn remove(&mut self, index: u16) {
         if let Some(slot) = self.0.get_mut(usize::from(index)) {
             slot.record = None;
--- a/crates/gaugesaddle-membership/src/records/tests.rs
+++ b/crates/gaugesaddle-membership/src/records/tests.rs
@@ -13,6 +13,9 @@
     assert_eq!((record.version, record.age(Time(20))), (1, Micros(11)));
     records.remove(1);
     assert_eq!(records.get(1), None);
-    assert!(!records.insert(Time(20), 1, (Boot(2), 1), Micros(0), &[]), "its version outlasts the removal");
+    assert!(
+        !records.insert(Time(20), 1, (Boot(2), 1), Micros(0), &[]),
+        "its version is kept after the removal"
+    );
     assert!(!records.insert(Time(20), 2, (Boot(2), 1), Micros(0), &[]), "no such index");
 }
--- a/crates/gaugesaddle-membership/src/replay.rs
+++ b/crates/gaugesaddle-membership/src/replay.rs
@@ -1,6 +1,8 @@
-//! Replay protection: each datagram of a process counts once. Reordered datagrams are accepted within a window.
+//! Replay protection: each datagram of a process is accepted at most once. Reordered datagrams are accepted within a
+//! window.
 
-/// Counters behind the newest that are still accepted: what a network reorders within a second of the fastest sender.
+/// Number of counters behind the newest one that are still accepted: as many datagrams as the fastest sender sends
+/// within one second, which the network may reorder.
 const WINDOW_SIZE: u64 = 128;
 
 /// The counters received from one process, as a sliding window (as in RFC 4303, section 3.4.3).
--- a/crates/gaugesaddle-membership/src/schedule.rs
+++ b/crates/gaugesaddle-membership/src/schedule.rs
@@ -1,12 +1,13 @@
-//! When and in which order the members are probed, reconnected and sent records: plain state, without decisions.
+//! State of the schedules by which members are probed, reconnected and sent records. The decisions are made in
+//! `membership`.
 
 use gaugesaddle_balancer::{Micros, Time};
 
-/// Time after the start, after a stall, and after a lost member came back, in which lost members are probed at the fast
-/// rate.
+/// Time in which members that are not live are probed at the fast rate: after the start, after a stall, and after a
+/// dead member has become live again.
 pub(crate) const FAST_RECONNECT_TIME: Micros = Micros(2_000_000);
 
-/// How far the current probe has gone.
+/// The phase of the current probe.
 ///
 /// ```text
 /// Direct ---- ack time-out ----> Indirect ---- half of the remaining time ----> Repeated
@@ -45,18 +46,18 @@
     pub last_ack: Time,
 }
 
-/// Probes of lost members: those that are unknown, dead or departed.
+/// Probes of members that are not live, that is unknown, dead or departed.
 pub(crate) struct ReconnectSchedule {
-    /// Lost members that remain in this cycle, in random order; the last one is next.
+    /// Members that are not live and remain in this cycle, in random order; the last one is next.
     pub non_live: Vec<u16>,
     /// The same for those that died recently.
     pub recently_dead: Vec<u16>,
     /// Members that died recently: as counted at the start of their cycle, plus the deaths since.
     pub recently_dead_count: usize,
-    /// Whether one of the recently dead is next. Alternates.
+    /// Whether the next probe goes to a recently dead member. Alternates.
     pub recently_dead_next: bool,
     pub next_at: Time,
-    /// Until then lost members are probed at the fast rate.
+    /// Until this time members that are not live are probed at the fast rate.
     pub fast_until: Time,
 }
 
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Starts to probe lost members at the fast rate for a while.
+    /// Switches to the fast rate for [`FAST_RECONNECT_TIME`].
     pub fn accelerate(&mut self, now: Time) {
         self.fast_until = now + FAST_RECONNECT_TIME;
         self.next_at = now;
--- a/crates/gaugesaddle-membership/src/settings.rs
+++ b/crates/gaugesaddle-membership/src/settings.rs
@@ -2,18 +2,18 @@
 
 use gaugesaddle_balancer::{ConfigError, Micros};
 
-/// Most members of a tier: indices fit two bytes, and every process has a table of this size.
+/// Maximum number of members of a tier: indices fit two bytes, and every process has a table of up to this size.
 pub const MAX_MEMBERS: usize = 4096;
 
-/// Times and budgets. All proxies of a tier should have the same; the protocol does not depend on it. The comment of
-/// each field names its key in the operator's file.
+/// Times and budgets. All proxies of a tier should have the same values, but the protocol does not require it. The
+/// comment of each field gives its key in the operator's file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Interval of the probes of live members (`probe_ms`).
     pub probe_interval: Micros,
-    /// Wait for the direct acknowledgement, before other members are requested to probe (`answer_ms`).
+    /// Time-out of the direct acknowledgement, after which other members are requested to probe (`answer_ms`).
     pub ack_timeout: Micros,
-    /// Members that are requested to probe (`indirect`).
+    /// Number of members that are requested to probe (`indirect`).
     pub indirect_probes: u32,
     /// Time-out of a suspicion that several members raised (`suspect_least_ms`).
     pub min_suspicion: Micros,
@@ -21,35 +21,36 @@
     pub max_suspicion: Micros,
     /// The local record is sent to each other member at most once in this time (`publish_ms`).
     pub publish_interval: Micros,
-    /// Bytes per second for records, messages, pending updates and probes of lost members together. Probes and
-    /// acknowledgements of live members come on top, at a constant rate.
+    /// Bytes per second for records, messages, pending updates and probes of members that are not live, together
+    /// (`bytes_per_s`). Probes and acknowledgements of live members come on top, at a constant rate.
     pub bytes_per_s: u32,
-    /// Each lost member is probed at least once in this time (`retry_ms`).
+    /// Each member that is not live is probed at least once in this time (`retry_ms`).
     pub reconnect_interval: Micros,
-    /// A dead or departed member is forgotten after this time and counts as unknown again (`forget_s`).
+    /// The status of a dead or departed member is removed after this time: the member is unknown again (`forget_s`).
     pub retention: Micros,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            // Five probes a second, a constant 0.5 kB/s. Of 300 proxies half are killed at once: 95 in 100 of these
-            // deaths are known within 3 s (virtual time; with four probes a second it took 3.05 s).
+            // Five probes per second, a constant 0.5 kB/s. If half of 300 proxies are killed at once, 95% of these
+            // deaths are known within 3 s of virtual time (3.05 s with four probes per second).
             probe_interval: Micros(200_000),
-            // Some twenty turns of a busy proxy.
+            // About twenty iterations of the event loop of a busy proxy.
             ack_timeout: Micros(100_000),
-            // With 50% loss both ways one of three helpers succeeds more often than not.
+            // With 50% packet loss in both directions, one of three helpers succeeds more often than not.
             indirect_probes: 3,
-            // With 300 proxies and 30% loss, hardly any live member is declared dead.
+            // With 300 proxies and 30% packet loss, hardly any live member is declared dead.
             min_suspicion: Micros(800_000),
-            // Three times the minimum, where no other member confirms.
+            // Three times the minimum; applies if no other member confirms the suspicion.
             max_suspicion: Micros(2_400_000),
-            // Consumers of the records evaluate them no more often.
+            // The consumers of the records do not evaluate them more often.
             publish_interval: Micros(500_000),
-            // With the constant rate below 16 kB/s; a record of 40 bytes reaches 299 others every two seconds.
+            // Below 16 kB/s together with the constant rate; a record of 40 bytes reaches 299 other members every two
+            // seconds.
             bytes_per_s: 12_000,
             reconnect_interval: Micros(5_000_000),
-            // Longer than the restart of a machine.
+            // Longer than a machine takes to restart.
             retention: Micros(600_000_000),
         }
     }
--- a/crates/gaugesaddle-membership/src/signals.rs
+++ b/crates/gaugesaddle-membership/src/signals.rs
@@ -1,6 +1,6 @@
-//! The record that a proxy publishes: its arrivals, its requests in flight, and what it observes of the backends of
-//! each zone. Values are sent as logarithms in two bytes, exact to a thousandth; classes and zones are identified by
-//! their order in the settings, which all proxies share.
+//! The record that a proxy publishes: its arrivals, its requests in flight, and its observations of the
+//! backends of each zone. Values are sent as logarithms in two bytes, exact to a thousandth; classes and zones are
+//! identified by their order in the settings, which all proxies share.
 
 use crate::records::Record;
 use crate::wire::MAX_RECORD_BYTES;
@@ -8,31 +8,31 @@
 
 /// Version of the format: the first byte of the record.
 pub const FORMAT_VERSION: u8 = 2;
-/// Most request classes in a record.
+/// Maximum number of request classes in a record.
 pub const MAX_CLASSES: usize = 16;
-/// Most zones in a record.
+/// Maximum number of zones in a record.
 pub const MAX_ZONES: usize = 8;
 
 /// Format version, number of classes, number of zones.
 const HEADER_BYTES: usize = 3;
-// The header; in flight, rejected and demand; two bytes for each class; four values for each zone.
+// The header; in flight, rejected and demand; two bytes for each class; four values of two bytes for each zone.
 const _: () = assert!(HEADER_BYTES + 6 + 2 * MAX_CLASSES + 8 * MAX_ZONES <= MAX_RECORD_BYTES);
 
 /// Steps of the encoding for each doubling of a value.
 const STEPS_PER_DOUBLING: f64 = 1000.0;
-/// A higher demand is sent as this one: the highest code means that the demand is not known.
+/// Highest demand that is sent. The highest code is reserved: it means that the demand is not known.
 const MAX_DEMAND_PER_S: f64 = 1e15;
 
-/// What one proxy observes of the backends of a zone.
+/// The observations of one proxy about the backends of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ZoneSignal {
     /// Backends that may receive requests.
     pub backends: f64,
-    /// Of these, unhealthy ones.
+    /// Number of unhealthy ones among them.
     pub unhealthy: f64,
     /// Capacity of the healthy ones, in requests per second.
     pub capacity_per_s: f64,
-    /// For how long some have been unhealthy, in seconds; 0 if none is.
+    /// Time for which some of them have been unhealthy, in seconds; 0 if none is.
     pub unhealthy_for_s: f64,
 }
 
@@ -43,12 +43,12 @@
     pub arrivals_per_s: Vec<f64>,
     /// Requests in flight.
     pub in_flight: f64,
-    /// Requests per second that it rejects or fails.
+    /// Requests per second that the proxy rejects or that fail.
     pub rejected_per_s: f64,
-    /// The demand that its allocation is computed from, in requests per second. It changes only when it differs from
-    /// the arrivals by more than chance. `None` while it is not known.
+    /// The demand from which the proxy's allocation is computed, in requests per second. It changes only when it
+    /// differs from the arrivals by more than random variation. `None` while it is not known.
     pub demand_per_s: Option<f64>,
-    /// By zone.
+    /// Observations by zone.
     pub zones: Vec<ZoneSignal>,
 }
 
@@ -120,7 +120,7 @@
     Some((f64::from(code) / STEPS_PER_DOUBLING).exp2() - 1.0)
 }
 
-/// The sum of the signals of the live members, with the age of its inputs.
+/// The sum of the signals of the live members, with the age of their records.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Totals {
     /// Live members.
--- a/crates/gaugesaddle-membership/src/suspicion/tests.rs
+++ b/crates/gaugesaddle-membership/src/suspicion/tests.rs
@@ -18,7 +18,7 @@
     assert_eq!(
         Suspicion::new(Time(0), 1).deadline(&settings, 0).0,
         settings.min_suspicion.0,
-        "nobody could confirm"
+        "no other member could confirm"
     );
     s.postpone(Time(5));
     s.postpone(Time(3));
--- a/crates/gaugesaddle-membership/src/view.rs
+++ b/crates/gaugesaddle-membership/src/view.rs
@@ -1,4 +1,4 @@
-//! A summary of the membership at one moment, with measures of how far it can be trusted.
+//! A summary of the membership at one moment, with measures of its reliability.
 
 use gaugesaddle_balancer::Micros;
 
@@ -7,11 +7,11 @@
 pub enum PartitionStatus {
     /// More than half of the configured members are live.
     Majority,
-    /// At most half of the configured members are live, but more than half of the known ones: the tier is small or
-    /// still starting, and nobody is missing.
+    /// At most half of the configured members are live, but more than half of the known ones that did not depart: the
+    /// tier is small or still starting.
     Small,
-    /// Half or more of the known members are dead, and none of these announced its departure: this process may be on
-    /// the smaller side of a partition, and the other side may decide differently.
+    /// At least half of the known members that did not depart are dead: this process may be on the smaller side of a
+    /// partition, and the other side may decide differently.
     Partitioned,
 }
 
@@ -39,15 +39,16 @@
     pub dead: usize,
     /// Members that announced their departure.
     pub departed: usize,
-    /// Configured members that never acknowledged a probe.
+    /// Configured members without a status: they have not acknowledged a probe, or their status was removed after the
+    /// retention time.
     pub unknown: usize,
     /// Time since the set of live members last changed.
     pub since_change: Micros,
     /// Time since the last acknowledgement of any probe of this process. Much more than a few probe intervals means
     /// that this process is isolated.
     pub since_ack: Micros,
-    /// Time since this process last resumed after a stall, or since its start. What it knows is as old as that until it
-    /// has probed again.
+    /// Time since this process last resumed after a stall, or since its start. Until it has probed the other members
+    /// again, its information about them is from before that.
     pub since_stall: Micros,
     /// Multiplier of this process's own time-outs, 1 (healthy) to 4.
     pub health_multiplier: u32,
@@ -64,7 +65,7 @@
         self.live > self.dead
     }
 
-    /// Tells a small tier from a partitioned one.
+    /// Distinguishes a small tier from a partitioned one.
     pub fn partition_status(&self) -> PartitionStatus {
         if !self.has_majority_of_known() {
             PartitionStatus::Partitioned
--- a/crates/gaugesaddle-membership/src/wire.rs
+++ b/crates/gaugesaddle-membership/src/wire.rs
@@ -57,7 +57,7 @@
     pub boot: Boot,
     /// The incarnation of that process.
     pub incarnation: u32,
-    /// Different in each datagram of this process, and rising.
+    /// Increases with each datagram of this process.
     pub counter: u64,
 }
 
@@ -129,7 +129,7 @@
     Update {
         /// Index of the member.
         subject: u16,
-        /// Index of the member that observed it. Suspicions are counted by their reporters.
+        /// Index of the member that observed it. Each reporter counts once for a suspicion.
         reporter: u16,
         /// The member's status.
         status: MemberStatus,
--- a/crates/gaugesaddle-membership/src/wire/decode.rs
+++ b/crates/gaugesaddle-membership/src/wire/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes datagrams. Nothing that arrives makes it panic, and no section exceeds the length of its datagram.
+//! Decodes datagrams. No input causes a panic, and no section exceeds the length of its datagram.
 
 use super::{kind, Header, Section};
 use super::{HEADER_BYTES, MAGIC, MAX_DATAGRAM_BYTES, MAX_MESSAGE_BYTES, MAX_NAME_BYTES, MAX_RECORD_BYTES};
@@ -8,20 +8,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// The datagram is too long, or ends within the header or a section.
-    #[error("the datagram is too long or truncated")]
+    #[error("the datagram exceeds {MAX_DATAGRAM_BYTES} bytes or is truncated")]
     Length,
     /// It does not start with the magic number of this version.
-    #[error("another protocol or version")]
+    #[error("the datagram does not start with the magic number of this protocol version")]
     Magic,
     /// The kind of a section is unknown.
-    #[error("an unknown kind of section")]
+    #[error("the kind of a section is unknown")]
     Kind,
     /// A value is out of its range.
-    #[error("a value out of its range")]
+    #[error("a value is out of its range")]
     Value,
 }
 
-/// Decodes the header only: what has to be known before the tag is verified.
+/// Decodes the header only, which is needed before the tag is verified.
 ///
 /// # Errors
 /// The datagram is too long, truncated or of another version, or a value is out of its range.
@@ -100,7 +100,7 @@
     fn status(&mut self) -> Result<Option<MemberStatus>, DecodeError> {
         let state = match self.u8()? {
             0 => {
-                self.take(8)?; // boot and incarnation of an unknown member: not used
+                self.take(8)?; // boot and incarnation of an unknown member are not used
                 return Ok(None);
             }
             1 => MemberState::Alive,
--- a/crates/gaugesaddle-membership/src/wire/encode.rs
+++ b/crates/gaugesaddle-membership/src/wire/encode.rs
@@ -108,7 +108,7 @@
     }
 }
 
-/// One byte of length and the bytes; what exceeds 255 bytes is cut off.
+/// Appends one byte of length and the bytes, truncated to 255.
 fn encode_bytes(out: &mut Vec<u8>, bytes: &[u8]) {
     let length = bytes.len().min(usize::from(u8::MAX));
     out.push(length as u8);
--- a/crates/gaugesaddle-membership/src/wire/tests.rs
+++ b/crates/gaugesaddle-membership/src/wire/tests.rs
@@ -51,7 +51,11 @@
     all_sections().iter().for_each(|s| _ = datagram.push(s));
     let bytes = datagram.finish();
     let complete: Vec<usize> = (0..=bytes.len()).filter(|n| decode_sections(&bytes[..*n]).is_ok()).collect();
-    assert_eq!(complete.len(), all_sections().len() + 1, "a cut between two sections is no truncation");
+    assert_eq!(
+        complete.len(),
+        all_sections().len() + 1,
+        "a datagram that ends between two sections is valid"
+    );
     assert_eq!(decode_header(&bytes[..21]), Err(DecodeError::Length));
     assert_eq!(decode_header(&[0x47, 2, 0, 0]), Err(DecodeError::Magic));
     assert_eq!(decode_header(&[0x47; 257]), Err(DecodeError::Length));
--- a/crates/gaugesaddle-membership/tests/conflicts.rs
+++ b/crates/gaugesaddle-membership/tests/conflicts.rs
@@ -1,15 +1,15 @@
-//! The failure: two processes use one index, or two proxies one name, and nobody reports it.
+//! Guards against a conflict that is not reported: two processes use the same index, or two proxies have the same name.
 
 use gaugesaddle_balancer::{Micros, Time};
 use gaugesaddle_membership::{Authenticator, Boot, Membership, Output, Settings, TierConfig};
 use std::net::SocketAddr;
 
 const MEMBERS: usize = 3;
-/// Virtual time between turns.
+/// Virtual time between two runs of the timers.
 const STEP: Micros = Micros(10_000);
 /// Virtual transit time of a datagram.
 const TRANSIT: Micros = Micros(1000);
-/// Deliveries within one step: enough for every reply to a reply.
+/// Rounds of delivery within one step: enough for every reply to a reply.
 const DELIVERY_ROUNDS: usize = 6;
 
 /// A process and the index that it uses. Several may use the same.
@@ -46,7 +46,7 @@
     };
     let (auth, seed) = (Authenticator::disabled(), u64::from(boot));
     let membership = Membership::new(Settings::default(), auth, config, Boot(boot), seed, Time(0));
-    Process { index, membership: membership.expect("a valid configuration") }
+    Process { index, membership: membership.expect("the configuration is valid") }
 }
 
 fn collect_outputs(
@@ -60,7 +60,8 @@
     }
 }
 
-/// Runs for some virtual seconds; a datagram reaches every process that uses the destination's index.
+/// Runs the processes for some seconds of virtual time. A datagram reaches every process that uses the destination's
+/// index.
 fn run_for(processes: &mut [Process], seconds: u64) -> Vec<Report> {
     let mut reports = Vec::new();
     for step in 0..seconds * 1_000_000 / STEP.0 {
@@ -92,8 +93,8 @@
     let reported_by = |index: usize| {
         reports.iter().any(|report| report.by == index && report.output == Output::IndexConflict { index: 1 })
     };
-    assert!(reported_by(0) && reported_by(2), "by the other members");
-    assert!(reported_by(1), "and by the two processes");
+    assert!(reported_by(0) && reported_by(2), "expected a report by the other members");
+    assert!(reported_by(1), "expected a report by the two processes");
 }
 
 #[test]
--- a/crates/gaugesaddle-membership/tests/golden_datagrams.rs
+++ b/crates/gaugesaddle-membership/tests/golden_datagrams.rs
@@ -1,6 +1,7 @@
-//! The failure: a renamed or moved field changes the datagrams between proxies of two builds.
+//! Guards against a change of the datagram format, which would break compatibility between proxies of two builds: a
+//! renamed or moved field changes the encoded bytes.
 //!
-//! The labels are those of `data/datagrams.txt`, which is never edited.
+//! The labels are those of `data/datagrams.txt`, which must not be edited.
 
 use gaugesaddle_membership::wire::{decode_header, decode_sections, DatagramBuilder, Header, Section};
 use gaugesaddle_membership::{Authenticator, Boot, MemberState, MemberStatus, Signals, ZoneSignal};
@@ -46,14 +47,14 @@
         .into_iter()
         .map(|(name, section)| {
             let mut datagram = DatagramBuilder::new(head, 0);
-            assert!(datagram.push(&section), "{name} fits");
+            assert!(datagram.push(&section), "{name} must fit into a datagram");
             let bytes = datagram.finish();
             assert_eq!(decode_header(&bytes), Ok(head), "{name}");
             assert_eq!(decode_sections(&bytes), Ok(vec![section]), "{name}");
             format!("{name}: {}", hex(&bytes))
         })
         .collect();
-    let auth = Authenticator::from_secret(&[7; 32]).expect("a key of 32 bytes");
+    let auth = Authenticator::from_secret(&[7; 32]).expect("the key has 32 bytes");
     encoded.push(format!("tagged: {}", hex(&auth.sign(DatagramBuilder::new(head, 16).finish()))));
     let zone = ZoneSignal { backends: 12.0, unhealthy: 3.0, capacity_per_s: 400.0, unhealthy_for_s: 2.5 };
     let signals = Signals {
--- a/crates/gaugesaddle-membership/tests/model.rs
+++ b/crates/gaugesaddle-membership/tests/model.rs
@@ -1,12 +1,12 @@
-//! The core rules of the membership, checked by a model checker under every order of messages: three processes,
-//! messages lost and duplicated, wrong suspicions, one crash with a restart, one partition that heals.
+//! Checks the core rules of the membership with a model checker under every order of messages: three processes, lost
+//! and duplicated messages, wrong suspicions, one crash with a restart, and one partition that heals.
 //!
 //! Bounds: [`MAX_PROBES`] probes and [`MAX_UPDATES`] disseminated updates in a run, [`MAX_IN_TRANSIT`] messages in
-//! transit, one message lost, one duplicated, one wrong suspicion that may end in a wrong declaration of death, one
+//! transit, one lost and one duplicated message, one wrong suspicion that may end in a wrong declaration of death, one
 //! crash with a restart, one partition of one process from the others.
 //!
-//! Convergence is checked from every reachable state: the network heals, everything in transit arrives, each process
-//! probes each other one three times; then each must know every other running process as alive.
+//! Convergence is checked from every reachable state: the network heals, all messages in transit arrive, each process
+//! probes every other one three times; then each must consider every other running process alive.
 
 use gaugesaddle_membership::{Boot, KnownMember, LocalMember, MemberState, MemberStatus, UpdateResult};
 use stateright::{Checker, Model, Property};
@@ -15,10 +15,10 @@
 const MAX_PROBES: u8 = 2;
 const MAX_UPDATES: u8 = 1;
 const MAX_IN_TRANSIT: usize = 2;
-/// Probes of each process to each other one until all must have converged.
+/// Probes from each process to every other one, after which all must have converged.
 const PROBES_TO_CONVERGE: usize = 3;
 
-/// A status as numbers, which have the order that the model checker needs: boot, incarnation, state.
+/// A status as numbers, which are ordered as the model checker requires: boot, incarnation, state.
 type PackedStatus = (u32, u32, u8);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -42,7 +42,7 @@
     local: LocalMember,
     known: [KnownMember; PROCESSES],
     open_probes: [Option<u8>; PROCESSES],
-    /// The newest process that it verified at each index.
+    /// The boot of the newest process that it has verified at each index.
     newest_verified: [u32; PROCESSES],
 }
 
@@ -61,7 +61,7 @@
     /// The process that is partitioned from the others.
     partitioned: Option<u8>,
     has_healed: bool,
-    /// A process has accepted an older process of another one.
+    /// A process has accepted a process at another index that is older than one it had verified there.
     accepted_former_process: bool,
 }
 
@@ -96,7 +96,7 @@
 }
 
 impl Process {
-    /// As `membership/receive.rs` does it. Returns the reply.
+    /// Processes a message by the rules of `membership/receive.rs`. Returns the reply.
     fn receive(&mut self, message: &Message, accepted_former_process: &mut bool) -> Option<Body> {
         let from = usize::from(message.from);
         let boot = Boot(message.boot);
@@ -136,7 +136,7 @@
 impl TierState {
     fn start(&mut self, index: u8) {
         self.starts += 1;
-        // Boots rise with the starts, for the check alone: the core rules do not compare them.
+        // Boots increase with each start only for this check: the core rules do not compare them.
         let process = Process {
             local: LocalMember::new(Boot(self.starts)),
             known: Default::default(),
@@ -147,7 +147,7 @@
     }
 
     fn send(&mut self, from: u8, to: u8, body: Body) {
-        let local = self.running[usize::from(from)].as_ref().expect("it runs").local;
+        let local = self.running[usize::from(from)].as_ref().expect("the sender is running").local;
         if self.partitioned.is_some_and(|p| (p == from) != (p == to)) {
             return;
         }
@@ -159,7 +159,7 @@
     fn probe(&mut self, from: u8, to: u8) {
         self.nonces += 1;
         let nonce = self.nonces;
-        let process = self.running[usize::from(from)].as_mut().expect("it runs");
+        let process = self.running[usize::from(from)].as_mut().expect("the sender is running");
         process.open_probes[usize::from(to)] = Some(nonce);
         let status = process.known[usize::from(to)].status().map(pack);
         self.send(from, to, Body::Ping { nonce, status });
@@ -179,7 +179,7 @@
         }
     }
 
-    /// The state after the partition has healed and each process has probed each other one.
+    /// The state after the partition has healed and each process has probed every other one.
     fn converge(&self) -> TierState {
         let mut tier = self.clone();
         tier.partitioned = None;
@@ -197,7 +197,7 @@
         tier
     }
 
-    /// Whether each running process knows each other one as alive.
+    /// Whether each running process considers every other running process alive.
     fn has_converged(&self) -> bool {
         (0..PROCESSES).all(|i| {
             let Some(process) = &self.running[i] else { return true };
@@ -339,7 +339,7 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("no former process comes back", |_, tier: &TierState| {
+            Property::<Self>::always("no former process becomes live again", |_, tier: &TierState| {
                 !tier.accepted_former_process
             }),
             Property::<Self>::always("running processes converge to alive", |_, tier: &TierState| {
