--- a/crates/gaugesaddle-membership/src/lib.rs
+++ b/crates/gaugesaddle-membership/src/lib.rs
@@ -47,7 +47,7 @@
 //!     assert!(now < Time(10_000_000), "both processes must be live within ten seconds");
 //!     for sender in 0..2 {
 //!         let mut outputs = Vec::new();
-//!         processes[sender].run_timers(now, &mut outputs);
+//!         processes[sender].run_due_timers(now, &mut outputs);
 //!         while let Some(output) = outputs.pop() {
 //!             let Output::Send { bytes, .. } = output else { continue };
 //!             let mut replies = Vec::new();
--- a/crates/gaugesaddle-membership/src/member_state.rs
+++ b/crates/gaugesaddle-membership/src/member_state.rs
@@ -151,7 +151,7 @@
     }
 
     /// Removes the status of a member that has been dead or departed for the retention time.
-    pub fn clear(&mut self) {
+    pub fn clear_status(&mut self) {
         self.0 = None;
     }
 }
--- a/crates/gaugesaddle-membership/src/member_state/tests.rs
+++ b/crates/gaugesaddle-membership/src/member_state/tests.rs
@@ -72,7 +72,7 @@
     assert_eq!(known.declare(Suspect), Some(status(A, 5, Suspect)));
     assert_eq!(known.declare(Suspect), None);
     assert_eq!(known.declare(Dead), Some(status(A, 5, Dead)));
-    known.clear();
+    known.clear_status();
     assert_eq!(known.state(), Unknown);
 }
 
--- a/crates/gaugesaddle-membership/src/membership.rs
+++ b/crates/gaugesaddle-membership/src/membership.rs
@@ -43,7 +43,7 @@
 
 /// One process's view of its tier.
 ///
-/// The host calls [`Membership::handle_datagram`] for each datagram it receives and [`Membership::run_timers`] at
+/// The host calls [`Membership::handle_datagram`] for each datagram it receives and [`Membership::run_due_timers`] at
 /// [`Membership::next_timer_at`] at the latest, and executes each [`Output`].
 pub struct Membership {
     settings: Settings,
@@ -131,7 +131,7 @@
     /// Executes all actions that are due. The host calls it at [`Membership::next_timer_at`] at the latest, after it
     /// has passed in all datagrams that have arrived: a process that has stalled must not suspect other members before
     /// it has read their acknowledgements.
-    pub fn run_timers(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub fn run_due_timers(&mut self, now: Time, out: &mut Vec<Output>) {
         self.detect_stall(now, out);
         self.receive_delay = Micros(0);
         if self.departed {
@@ -155,7 +155,7 @@
         self.timers_due_at = self.next_timer_at();
     }
 
-    /// When [`Membership::run_timers`] is due next. `Time(u64::MAX)` after [`Membership::leave`].
+    /// When [`Membership::run_due_timers`] is due next. `Time(u64::MAX)` after [`Membership::leave`].
     pub fn next_timer_at(&self) -> Time {
         if self.departed {
             return Time(u64::MAX);
--- a/crates/gaugesaddle-membership/src/membership/transition.rs
+++ b/crates/gaugesaddle-membership/src/membership/transition.rs
@@ -150,7 +150,7 @@
             if now - member.state_since < retention {
                 continue;
             }
-            member.known.clear();
+            member.known.clear_status();
             member.state_since = now;
             self.updates.remove(index);
             let MemberStatus { boot, incarnation, state: from } = status;
--- a/crates/gaugesaddle-membership/tests/conflicts.rs
+++ b/crates/gaugesaddle-membership/tests/conflicts.rs
@@ -69,7 +69,7 @@
         let mut in_transit = Vec::new();
         for process in processes.iter_mut() {
             let mut outputs = Vec::new();
-            process.membership.run_timers(now, &mut outputs);
+            process.membership.run_due_timers(now, &mut outputs);
             collect_outputs(process.index, outputs, &mut in_transit, &mut reports);
         }
         for _ in 0..DELIVERY_ROUNDS {
--- a/crates/gaugesaddle-membership/tests/model.rs
+++ b/crates/gaugesaddle-membership/tests/model.rs
@@ -61,8 +61,8 @@
     /// The process that is partitioned from the others.
     partitioned: Option<u8>,
     has_healed: bool,
-    /// A process has accepted a process at another index that is older than one it had verified there.
-    accepted_former_process: bool,
+    /// A process has accepted, at another index, an older process than one it had verified there.
+    reverted: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -97,7 +97,7 @@
 
 impl Process {
     /// Processes a message by the rules of `membership/receive.rs`. Returns the reply.
-    fn receive(&mut self, message: &Message, accepted_former_process: &mut bool) -> Option<Body> {
+    fn receive(&mut self, message: &Message, reverted: &mut bool) -> Option<Body> {
         let from = usize::from(message.from);
         let boot = Boot(message.boot);
         let mut reply = None;
@@ -105,7 +105,7 @@
             Body::Ack { nonce } if self.open_probes[from] == Some(*nonce) => {
                 self.open_probes[from] = None;
                 if self.known[from].apply_ack(boot, message.incarnation) == UpdateResult::Applied {
-                    *accepted_former_process |= message.boot < self.newest_verified[from];
+                    *reverted |= message.boot < self.newest_verified[from];
                     self.newest_verified[from] = self.newest_verified[from].max(message.boot);
                 }
             }
@@ -167,7 +167,7 @@
 
     fn deliver(&mut self, message: Message) {
         let Some(process) = self.running[usize::from(message.to)].as_mut() else { return };
-        if let Some(reply) = process.receive(&message, &mut self.accepted_former_process) {
+        if let Some(reply) = process.receive(&message, &mut self.reverted) {
             self.send(message.to, message.from, reply);
         }
     }
@@ -230,7 +230,7 @@
             has_crashed: false,
             partitioned: None,
             has_healed: false,
-            accepted_former_process: false,
+            reverted: false,
         };
         (0..PROCESSES as u8).for_each(|index| just_started.start(index));
         let mut converged = just_started.converge();
@@ -339,9 +339,7 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("no former process becomes live again", |_, tier: &TierState| {
-                !tier.accepted_former_process
-            }),
+            Property::<Self>::always("no former process is accepted", |_, tier: &TierState| !tier.reverted),
             Property::<Self>::always("running processes converge to alive", |_, tier: &TierState| {
                 tier.converge().has_converged()
             }),
--- a/crates/gaugesaddle-proxy-simulation/src/fuzz.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/fuzz.rs
@@ -100,8 +100,8 @@
         let (mut first, mut second) = (Vec::new(), Vec::new());
         let signals = gaugesaddle_membership::Signals::default().encode();
         self.peer.publish(self.now, &signals);
-        self.target.run_timers(self.now, &mut first);
-        self.peer.run_timers(self.now, &mut second);
+        self.target.run_due_timers(self.now, &mut first);
+        self.peer.run_due_timers(self.now, &mut second);
         for _ in 0..4 {
             let (a, b) = (std::mem::take(&mut first), std::mem::take(&mut second));
             for output in a {
--- a/crates/gaugesaddle-proxy-simulation/src/tier/membership_kind.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/tier/membership_kind.rs
@@ -93,7 +93,7 @@
                 Signals { arrivals_per_s: vec![10.0; 3], zones: vec![zone; 3], ..Signals::default() };
             self.peers.publish(Time(now), &signals.encode());
         }
-        self.peers.run_timers(Time(now), &mut self.outputs);
+        self.peers.run_due_timers(Time(now), &mut self.outputs);
         self.drain_outputs(out);
     }
 
--- a/crates/gaugesaddle/src/membership/tier.rs
+++ b/crates/gaugesaddle/src/membership/tier.rs
@@ -208,7 +208,7 @@
                 membership.publish(now, &record);
             }
         }
-        membership.run_timers(now, outputs);
+        membership.run_due_timers(now, outputs);
         drop(membership); // message handlers borrow it
         self.carry_out(socket, outputs);
     }
--- a/crates/gaugesaddle/tests/tier/mod.rs
+++ b/crates/gaugesaddle/tests/tier/mod.rs
@@ -268,7 +268,7 @@
                     published = now() + Micros(250_000);
                     peers.publish(now(), &says.lock().unwrap());
                 }
-                peers.run_timers(now(), &mut out);
+                peers.run_due_timers(now(), &mut out);
                 for output in out.drain(..) {
                     if let Output::Send { to, bytes } = output {
                         let _ = socket.send_to(&bytes, to);
