--- a/crates/gaugesaddle-membership/src/member_state/tests.rs
+++ b/crates/gaugesaddle-membership/src/member_state/tests.rs
@@ -17,9 +17,9 @@
     known
 }
 
-/// Every pair of states at every order of incarnations, for updates about one process.
+/// Covers every pair of states with a lower, an equal and a higher incarnation, for updates about one process.
 #[test]
-fn updates_never_move_a_process_backwards() {
+fn updates_are_applied_only_if_they_are_newer() {
     for from in [Alive, Suspect, Dead, Departed] {
         for to in [Alive, Suspect, Dead, Departed] {
             for (incarnation, is_newer) in [(4, false), (5, to > from), (6, true)] {
@@ -66,13 +66,13 @@
 }
 
 #[test]
-fn declarations_move_forward_and_need_a_known_member() {
+fn declarations_only_advance_the_state_of_known_members() {
     assert_eq!(KnownMember::default().declare(Dead), None);
     let mut known = known_member(status(A, 5, Alive));
     assert_eq!(known.declare(Suspect), Some(status(A, 5, Suspect)));
     assert_eq!(known.declare(Suspect), None);
     assert_eq!(known.declare(Dead), Some(status(A, 5, Dead)));
-    known.forget();
+    known.clear_status();
     assert_eq!(known.state(), Unknown);
 }
 
@@ -87,5 +87,5 @@
     assert!(local.refute(status(B, 4, Alive)), "another process at its index");
     assert_eq!(local.incarnation, 5);
     assert!(local.refute(status(A, MAX_INCARNATION, Dead)));
-    assert_eq!(local.incarnation, MAX_INCARNATION, "it stays at the maximum");
+    assert_eq!(local.incarnation, MAX_INCARNATION, "the incarnation stays at the maximum");
 }
--- a/crates/gaugesaddle-membership/src/membership.rs
+++ b/crates/gaugesaddle-membership/src/membership.rs
@@ -1,5 +1,5 @@
-//! One process's view of its tier: its state, its turns, and what its host can request. The modules below hold the
-//! protocol, one concern each.
+//! One process's view of its tier: its state, its timers and the operations for its host. The submodules implement one
+//! part of the protocol each.
 
 mod broadcast;
 mod indirect;
@@ -28,23 +28,23 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
 
-/// A turn that is late by more than this means that the process was stopped or starved. It is ten times the delay of
+/// If the timers run late by more than this, the process was stopped or got no CPU time. It is ten times the delay of
 /// three late timers on a busy core.
 const STALL_THRESHOLD: Micros = Micros(300_000);
-/// Interval of the search for dead members to forget.
+/// Interval of the search for dead and departed members whose retention time is over.
 const EXPIRY_INTERVAL: Micros = Micros(1_000_000);
 
-/// When other members first and last probed this index for another process.
+/// Times of the first and the last update that reported another live process at the index of this process.
 #[derive(Clone, Copy)]
-struct RivalSightings {
+struct ConflictReports {
     first: Time,
     last: Time,
 }
 
 /// One process's view of its tier.
 ///
-/// The host calls [`Membership::datagram`] for each datagram it receives and [`Membership::turn`] at
-/// [`Membership::wake`] at the latest, and carries out each [`Output`].
+/// The host calls [`Membership::handle_datagram`] for each datagram it receives and [`Membership::run_due_timers`] at
+/// [`Membership::next_timer_at`] at the latest, and executes each [`Output`].
 pub struct Membership {
     settings: Settings,
     auth: Authenticator,
@@ -53,7 +53,7 @@
     /// Counter of the last datagram sent.
     datagram_counter: u64,
     rng: Pcg64Mcg,
-    /// One entry for each configured member; the own one is not used.
+    /// One entry for each configured member; the entry of this process is never updated.
     members: Vec<Member>,
     suspects: BTreeSet<u16>,
     /// Live members, this process not included.
@@ -70,9 +70,10 @@
     publishing: PublishSchedule,
     budget: ByteBudget,
     replies: ReplyLimit,
-    /// The next turn is due at this time.
-    turn_due: Time,
-    /// Datagrams that are read before the next turn may be older than their arrival by this much: the last stall.
+    /// When the timers are due next.
+    timers_due_at: Time,
+    /// Datagrams that are read before the timers run again may have arrived earlier by up to this much: the duration of
+    /// the last stall.
     receive_delay: Micros,
     /// End of the last stall, or the start.
     resumed_at: Time,
@@ -81,7 +82,7 @@
     next_expiry: Time,
     started: bool,
     departed: bool,
-    rival: Option<RivalSightings>,
+    conflict_reports: Option<ConflictReports>,
 }
 
 impl Membership {
@@ -116,20 +117,21 @@
             publishing: PublishSchedule::new(now),
             budget: ByteBudget::new(now),
             replies: ReplyLimit::new(now),
-            turn_due: now,
+            timers_due_at: now,
             receive_delay: Micros(0),
             resumed_at: now,
             live_changed_at: now,
             next_expiry: now + EXPIRY_INTERVAL,
             started: false,
             departed: false,
-            rival: None,
+            conflict_reports: None,
         })
     }
 
-    /// Does everything that is due. To be called at [`Membership::wake`] at the latest, after all datagrams that have
-    /// arrived: a process that has stalled must not suspect others before it has read their acknowledgements.
-    pub fn turn(&mut self, now: Time, out: &mut Vec<Output>) {
+    /// Executes all actions that are due. The host calls it at [`Membership::next_timer_at`] at the latest, after it
+    /// has passed in all datagrams that have arrived: a process that has stalled must not suspect other members before
+    /// it has read their acknowledgements.
+    pub fn run_due_timers(&mut self, now: Time, out: &mut Vec<Output>) {
         self.detect_stall(now, out);
         self.receive_delay = Micros(0);
         if self.departed {
@@ -143,23 +145,23 @@
         self.repeat_probe(now, out);
         self.check_suspicions(now, out);
         self.probe_next(now, out);
-        self.probe_lost(now, out);
+        self.probe_non_live(now, out);
         self.send_records(now, out);
         self.send_updates(now, out);
         if now >= self.next_expiry {
             self.next_expiry = now + EXPIRY_INTERVAL;
-            self.forget_expired(now, out);
+            self.remove_expired(now, out);
         }
-        self.turn_due = self.wake();
+        self.timers_due_at = self.next_timer_at();
     }
 
-    /// When the next turn is due at the latest. `Time(u64::MAX)` after [`Membership::leave`].
-    pub fn wake(&self) -> Time {
+    /// When [`Membership::run_due_timers`] is due next. `Time(u64::MAX)` after [`Membership::leave`].
+    pub fn next_timer_at(&self) -> Time {
         if self.departed {
             return Time(u64::MAX);
         }
         if !self.started {
-            return self.turn_due;
+            return self.timers_due_at;
         }
         let mut earliest = self.next_expiry;
         if let Some(at) = self.next_probe_phase_at() {
@@ -168,7 +170,7 @@
         if let Some(at) = self.next_suspicion_check_at() {
             earliest = earliest.min(at);
         }
-        if self.lost_members() > 0 {
+        if self.non_live_members() > 0 {
             earliest = earliest.min(self.reconnects.next_at.max(self.budget.available_at()));
         }
         if self.live_peers > 0 {
@@ -212,8 +214,8 @@
         fits
     }
 
-    /// Announces the departure to each live member, once; nothing is sent afterwards. Not to be called if a successor
-    /// already uses this index.
+    /// Announces the departure to each live member, once; nothing is sent afterwards. The host must not call it if
+    /// a successor process already uses this index.
     pub fn leave(&mut self, out: &mut Vec<Output>) {
         if std::mem::replace(&mut self.departed, true) {
             return;
@@ -223,14 +225,14 @@
         }
     }
 
-    /// Detects that this process was stopped or starved since the turn that was due. Its time-outs are then postponed
-    /// by the stall: what others sent meanwhile has not been read yet.
+    /// Detects that this process was stopped or got no CPU time since its timers were due. Its time-outs are then
+    /// extended by the duration of the stall, because datagrams that arrived in the meantime have not been read yet.
     fn detect_stall(&mut self, now: Time, out: &mut Vec<Output>) {
-        if !self.started || now - self.turn_due <= STALL_THRESHOLD {
+        if !self.started || now - self.timers_due_at <= STALL_THRESHOLD {
             return;
         }
-        let duration = now - self.turn_due;
-        self.turn_due = now;
+        let duration = now - self.timers_due_at;
+        self.timers_due_at = now;
         self.receive_delay = duration;
         self.resumed_at = now;
         self.counters.stalls += 1;
@@ -266,7 +268,7 @@
     }
 
     /// Members that are unknown, dead or departed.
-    fn lost_members(&self) -> usize {
+    fn non_live_members(&self) -> usize {
         self.members.len() - 1 - self.live_peers
     }
 
