--- a/crates/gaugesaddle-federation/src/budget.rs
+++ b/crates/gaugesaddle-federation/src/budget.rs
@@ -129,7 +129,7 @@
     }
 
     /// Sets this proxy's rate, and its burst in proportion; lower limits of classes stay. Changes nothing where
-    /// [`has_rate`](Budget::has_rate) is false.
+    /// [`uses_sliding_window`](Budget::uses_sliding_window) is false.
     pub fn set_rate(&mut self, per_s: u32) {
         if let RateLimit::Window(window) = &mut self.rate {
             window.set_limit(per_s);
@@ -139,12 +139,12 @@
     }
 
     /// Whether this proxy has a number of requests per second; otherwise the proxies send in turns.
-    pub fn has_rate(&self) -> bool {
+    pub fn uses_sliding_window(&self) -> bool {
         matches!(self.rate, RateLimit::Window(_))
     }
 
     /// Sets the expected requests per second by class: classes of a lower priority weight leave that capacity.
-    pub fn expect_demand(&mut self, per_s: impl IntoIterator<Item = f64>) {
+    pub fn set_expected_demand(&mut self, per_s: impl IntoIterator<Item = f64>) {
         for (class, per_s) in self.classes.iter_mut().zip(per_s) {
             class.expected_per_s = if per_s.is_finite() { per_s.max(0.0) } else { 0.0 };
         }
@@ -161,18 +161,20 @@
         reserved
     }
 
-    /// How many more requests of the class may be sent now, while only `open_fraction` (0 to 1) of the budget may be used.
+    /// How many more requests of the class may be sent now, while only `budget_fraction` (0 to 1) of the budget may be used.
     ///
     /// # Errors
     /// The limit that leaves none. A class that does not exist has no rate.
-    pub fn available(&mut self, now: Time, class: usize, open_fraction: f64) -> Result<u32, BudgetExceeded> {
+    pub fn available(
+        &mut self, now: Time, class: usize, budget_fraction: f64,
+    ) -> Result<u32, BudgetExceeded> {
         self.now = self.now.max(now);
         let now = self.now;
         if class >= self.classes.len() {
             return Err(BudgetExceeded::Rate);
         }
-        let closed = if open_fraction > 0.0 {
-            (f64::from(self.rate.limit_per_s()) * (1.0 - open_fraction.clamp(0.0, 1.0))) as u32
+        let closed = if budget_fraction > 0.0 {
+            (f64::from(self.rate.limit_per_s()) * (1.0 - budget_fraction.clamp(0.0, 1.0))) as u32
         } else {
             u32::MAX
         };
@@ -194,8 +196,8 @@
     ///
     /// # Errors
     /// As [`available`](Budget::available); nothing is taken then.
-    pub fn acquire(&mut self, now: Time, class: usize, open_fraction: f64) -> Result<(), BudgetExceeded> {
-        self.available(now, class, open_fraction)?;
+    pub fn acquire(&mut self, now: Time, class: usize, budget_fraction: f64) -> Result<(), BudgetExceeded> {
+        self.available(now, class, budget_fraction)?;
         let now = self.now;
         self.rate.record(now);
         self.burst.record(now);
--- a/crates/gaugesaddle-federation/src/budget/tests.rs
+++ b/crates/gaugesaddle-federation/src/budget/tests.rs
@@ -34,12 +34,12 @@
 fn low_priority_leaves_expected_demand_and_class_limits_hold() {
     let classes = vec![class(8.0), class(1.0), ClassLimits { per_s: Some(3), priority_weight: 2.0 }];
     let mut budget = Budget::new(&BudgetLimits { classes, ..limits(20, 20, 1000) }, ONE_PROXY);
-    budget.expect_demand([4.2, 100.0, 3.0]);
+    budget.set_expected_demand([4.2, 100.0, 3.0]);
     assert_eq!(admitted(&mut budget, at(0), 2, 9), 3, "its own limit");
     assert_eq!(admitted(&mut budget, at(0), 1, 30), 12, "five are reserved");
     assert_eq!(budget.available(at(0), 1, 1.0), Err(BudgetExceeded::Rate));
     assert_eq!(admitted(&mut budget, at(0), 0, 30), 5);
-    budget.expect_demand([0.0, 0.0, 0.0]);
+    budget.set_expected_demand([0.0, 0.0, 0.0]);
     assert_eq!(budget.available(at(1000), 1, 1.0), Ok(20), "no other demand");
     assert_eq!(budget.available(at(1000), 1, 0.25), Ok(5), "a quarter is open");
     assert_eq!(budget.available(at(1000), 1, 0.0), Err(BudgetExceeded::Rate));
@@ -79,7 +79,7 @@
         fraction: 0.02,
         even: EvenAllocation { proxies: 40, position: 39 },
     });
-    assert!(!budget.has_rate(), "thirty a second among forty proxies: in turns");
+    assert!(!budget.uses_sliding_window(), "thirty a second among forty proxies: in turns");
 }
 
 #[test]
--- a/crates/gaugesaddle-federation/src/credentials.rs
+++ b/crates/gaugesaddle-federation/src/credentials.rs
@@ -15,7 +15,7 @@
 
 /// What the host found in a set of files. Times are wall-clock times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CredentialFacts {
+pub struct CredentialMetadata {
     /// First moment at which the own certificate is valid.
     pub valid_from: Time,
     /// Last moment at which it is valid.
@@ -62,7 +62,7 @@
 ///
 /// # Errors
 /// The first thing that is wrong with them.
-pub fn check(now: Time, facts: &CredentialFacts) -> Result<(), CredentialError> {
+pub fn validate(now: Time, facts: &CredentialMetadata) -> Result<(), CredentialError> {
     if facts.key_mode & GROUP_AND_OTHERS != 0 {
         return Err(CredentialError::KeyAccessible(facts.key_mode & PERMISSIONS));
     }
--- a/crates/gaugesaddle-federation/src/credentials/tests.rs
+++ b/crates/gaugesaddle-federation/src/credentials/tests.rs
@@ -4,8 +4,8 @@
     Time(day * DAY_US)
 }
 
-fn valid() -> CredentialFacts {
-    CredentialFacts {
+fn valid() -> CredentialMetadata {
+    CredentialMetadata {
         valid_from: day(10),
         valid_until: day(100),
         key_matches: true,
@@ -19,21 +19,24 @@
 #[test]
 fn each_fault_has_its_own_error() {
     let now = day(50);
-    assert_eq!(check(now, &valid()), Ok(()));
+    assert_eq!(validate(now, &valid()), Ok(()));
     for (facts, expected) in [
-        (CredentialFacts { key_mode: 0o640, ..valid() }, CredentialError::KeyAccessible(0o640)),
-        (CredentialFacts { key_mode: 0o604, ..valid() }, CredentialError::KeyAccessible(0o604)),
-        (CredentialFacts { chain_length: 0, ..valid() }, CredentialError::NoCertificate),
-        (CredentialFacts { anchors: 0, ..valid() }, CredentialError::NoAnchor),
-        (CredentialFacts { key_matches: false, ..valid() }, CredentialError::KeyMismatch),
-        (CredentialFacts { names_own_region: false, ..valid() }, CredentialError::WrongName),
-        (CredentialFacts { valid_from: day(0), valid_until: day(49), ..valid() }, CredentialError::Expired),
+        (CredentialMetadata { key_mode: 0o640, ..valid() }, CredentialError::KeyAccessible(0o640)),
+        (CredentialMetadata { key_mode: 0o604, ..valid() }, CredentialError::KeyAccessible(0o604)),
+        (CredentialMetadata { chain_length: 0, ..valid() }, CredentialError::NoCertificate),
+        (CredentialMetadata { anchors: 0, ..valid() }, CredentialError::NoAnchor),
+        (CredentialMetadata { key_matches: false, ..valid() }, CredentialError::KeyMismatch),
+        (CredentialMetadata { names_own_region: false, ..valid() }, CredentialError::WrongName),
         (
-            CredentialFacts { valid_from: day(51), valid_until: day(99), ..valid() },
+            CredentialMetadata { valid_from: day(0), valid_until: day(49), ..valid() },
+            CredentialError::Expired,
+        ),
+        (
+            CredentialMetadata { valid_from: day(51), valid_until: day(99), ..valid() },
             CredentialError::NotYetValid,
         ),
     ] {
-        assert_eq!(check(now, &facts), Err(expected));
+        assert_eq!(validate(now, &facts), Err(expected));
     }
 }
 
--- a/crates/gaugesaddle-federation/src/endpoints.rs
+++ b/crates/gaugesaddle-federation/src/endpoints.rs
@@ -86,7 +86,7 @@
     }
 
     /// Time until some full gateway may have budget again; `None` where none is full.
-    pub fn full_for(&self, now: Time) -> Option<Micros> {
+    pub fn shortest_full_backoff(&self, now: Time) -> Option<Micros> {
         let is_full = |avoided: &&Avoidance| avoided.reason == Unavailable::Full && now < avoided.until;
         self.avoided.iter().flatten().filter(is_full).map(|avoided| avoided.until - now).min()
     }
--- a/crates/gaugesaddle-federation/src/endpoints/tests.rs
+++ b/crates/gaugesaddle-federation/src/endpoints/tests.rs
@@ -16,7 +16,7 @@
     selector.mark_unavailable(at(0), 1, Unavailable::Full);
     assert_eq!(select(&mut selector, at(1), 3), [2, 0, 2]);
     assert_eq!(selector.select(at(2), 0b101), None, "the others were attempted");
-    assert_eq!(selector.full_for(at(2)), Some(Micros(98_000)));
+    assert_eq!(selector.shortest_full_backoff(at(2)), Some(Micros(98_000)));
     assert_eq!(selector.select(at(100), 0b101), Some(1));
     (0..3).for_each(|connection| selector.mark_unavailable(at(200), connection, Unavailable::Full));
     assert_eq!(selector.select(at(299), 0), None);
@@ -32,7 +32,7 @@
     assert_eq!(selector.select(at(1), 0), Some(0));
     assert_eq!(selector.select(at(1), 0b01), None);
     assert_eq!(selector.select(at(1), 0), Some(1), "in turn");
-    assert_eq!(selector.full_for(at(1)), None, "none is full");
+    assert_eq!(selector.shortest_full_backoff(at(1)), None, "none is full");
     selector.mark_unavailable(at(2), 0, Unavailable::Full);
     assert_eq!(selector.select(at(3), 0), Some(1));
     selector.mark_unavailable(at(2), 9, Unavailable::Full);
--- a/crates/gaugesaddle-federation/src/lib.rs
+++ b/crates/gaugesaddle-federation/src/lib.rs
@@ -41,7 +41,7 @@
 //!     initial_round_trip: Micros(40_000),
 //!     deadline_margin: Micros(10_000),
 //! });
-//! let request = HopRequest { class: 0, remaining: Micros(250_000), via: None, open_fraction: 1.0 };
+//! let request = HopRequest { class: 0, remaining: Micros(250_000), via: None, budget_fraction: 1.0 };
 //! let hop = link.start_hop(Time(0), request)?;
 //! assert_eq!(hop.via.header_value(), "north;left=0");
 //! assert_eq!(hop.remaining, Micros(200_000));
--- a/crates/gaugesaddle-federation/src/link.rs
+++ b/crates/gaugesaddle-federation/src/link.rs
@@ -85,7 +85,7 @@
     /// The regions that it came through; `None` from a client.
     pub via: Option<&'a Via>,
     /// Fraction of the budget that may be used, 0 to 1.
-    pub open_fraction: f64,
+    pub budget_fraction: f64,
 }
 
 /// What a request that is sent carries.
@@ -139,18 +139,18 @@
         &self.settings.remote
     }
 
-    /// How many requests of the class may be sent now, while `open_fraction` (0 to 1) of the budget may be used.
-    pub fn available(&mut self, now: Time, class: usize, open_fraction: f64) -> u32 {
-        if self.backoff.is_over(now) && open_fraction > 0.0 {
-            self.budget.available(now, class, open_fraction).unwrap_or(0)
+    /// How many requests of the class may be sent now, while `budget_fraction` (0 to 1) of the budget may be used.
+    pub fn available(&mut self, now: Time, class: usize, budget_fraction: f64) -> u32 {
+        if self.backoff.is_over(now) && budget_fraction > 0.0 {
+            self.budget.available(now, class, budget_fraction).unwrap_or(0)
         } else {
             0
         }
     }
 
     /// Sets the expected requests per second by class.
-    pub fn expect_demand(&mut self, per_s: impl IntoIterator<Item = f64>) {
-        self.budget.expect_demand(per_s);
+    pub fn set_expected_demand(&mut self, per_s: impl IntoIterator<Item = f64>) {
+        self.budget.set_expected_demand(per_s);
     }
 
     /// Takes another allocation of the budget.
@@ -192,7 +192,7 @@
         }
         // Must be last: only this step takes something.
         self.budget
-            .acquire(now, request.class, request.open_fraction)
+            .acquire(now, request.class, request.budget_fraction)
             .map_err(|_| LinkError::BudgetExceeded)?;
         Ok(Hop { via, remaining })
     }
--- a/crates/gaugesaddle-federation/src/link/tests.rs
+++ b/crates/gaugesaddle-federation/src/link/tests.rs
@@ -24,7 +24,7 @@
 
 /// A client's request with that time until its deadline.
 fn request(remaining: Micros) -> HopRequest<'static> {
-    HopRequest { class: 0, remaining, via: None, open_fraction: 1.0 }
+    HopRequest { class: 0, remaining, via: None, budget_fraction: 1.0 }
 }
 
 #[test]
@@ -61,7 +61,7 @@
     );
     assert_eq!(link.start_hop(at(0), request(ms(45))), Err(LinkError::DeadlineTooShort));
     assert_eq!(
-        link.start_hop(at(0), HopRequest { open_fraction: 0.0, ..request(ms(250)) }),
+        link.start_hop(at(0), HopRequest { budget_fraction: 0.0, ..request(ms(250)) }),
         Err(LinkError::BudgetExceeded),
         "nothing is open"
     );
--- a/crates/gaugesaddle-federation/src/spillover.rs
+++ b/crates/gaugesaddle-federation/src/spillover.rs
@@ -209,7 +209,7 @@
     }
 
     /// The fraction of the budget that may be used, 0 to 1.
-    pub fn open_fraction(&self, now: Time, mode: SpilloverMode) -> f64 {
+    pub fn budget_fraction(&self, now: Time, mode: SpilloverMode) -> f64 {
         match (mode, self.state) {
             (SpilloverMode::Never, _) => 0.0,
             (SpilloverMode::Now, _) | (SpilloverMode::Auto, SpilloverState::Spilling) => 1.0,
--- a/crates/gaugesaddle-federation/src/spillover/tests.rs
+++ b/crates/gaugesaddle-federation/src/spillover/tests.rs
@@ -32,13 +32,13 @@
     let mut spillover = spillover();
     assert_eq!(run(&mut spillover, 0, 1000, |_| 1.0), []);
     assert_eq!(run(&mut spillover, 1000, 3000, |_| 0.0), [(1500, Spilling)]);
-    assert_eq!(spillover.open_fraction(at(3000), Auto), 1.0);
+    assert_eq!(spillover.budget_fraction(at(3000), Auto), 1.0);
     assert_eq!(run(&mut spillover, 3000, 6000, |_| 1.0), [(5000, Returning)]);
-    assert!((spillover.open_fraction(at(10_000), Auto) - 0.5).abs() < 1e-9, "half of the return");
+    assert!((spillover.budget_fraction(at(10_000), Auto) - 0.5).abs() < 1e-9, "half of the return");
     assert_eq!(run(&mut spillover, 6000, 7000, |_| 0.2), [(6250, Spilling)], "relapse");
     assert_eq!(run(&mut spillover, 7000, 12_000, |_| 1.0), [(9000, Returning)]);
     assert_eq!(run(&mut spillover, 12_000, 25_000, |_| 1.0), [(19_000, Local)]);
-    assert_eq!(spillover.open_fraction(at(25_000), Auto), 0.0);
+    assert_eq!(spillover.budget_fraction(at(25_000), Auto), 0.0);
 }
 
 #[test]
@@ -61,10 +61,10 @@
 #[test]
 fn the_mode_overrides_the_state() {
     let mut spillover = spillover();
-    assert_eq!(spillover.open_fraction(at(0), Now), 1.0);
+    assert_eq!(spillover.budget_fraction(at(0), Now), 1.0);
     run(&mut spillover, 0, 1000, |_| 0.0);
     assert_eq!(spillover.state(), Spilling);
-    assert_eq!(spillover.open_fraction(at(1000), Never), 0.0);
+    assert_eq!(spillover.budget_fraction(at(1000), Never), 0.0);
 }
 
 #[test]
@@ -74,7 +74,7 @@
     for (i, capacity_per_s) in figures.into_iter().enumerate() {
         for demand_per_s in figures {
             odd.observe(at(1000 + i as u64), FleetCapacity { capacity_per_s, demand_per_s });
-            assert!(odd.coverage().is_finite() && (0.0..=1.0).contains(&odd.open_fraction(at(0), Auto)));
+            assert!(odd.coverage().is_finite() && (0.0..=1.0).contains(&odd.budget_fraction(at(0), Auto)));
         }
     }
     let mut backwards = spillover();
--- a/crates/gaugesaddle/src/federation/region_watch.rs
+++ b/crates/gaugesaddle/src/federation/region_watch.rs
@@ -92,7 +92,7 @@
 
     /// Fraction of the budgets that may be used now, 0 to 1.
     fn open_fraction(&self, now: Time) -> f64 {
-        self.spillover.open_fraction(now, self.regions.switch.get().key.mode())
+        self.spillover.budget_fraction(now, self.regions.switch.get().key.mode())
     }
 
     /// Sets for each class the fraction that the fleet here cannot serve, the highest priority served first.
@@ -121,7 +121,7 @@
             let leaving = self.direct_fraction.iter().zip(&capacity.demand_per_s);
             let demands: Vec<f64> = leaving.map(|(fraction, demand)| fraction * demand).collect();
             for link in self.regions.links.borrow_mut().iter_mut() {
-                link.expect_demand(demands.iter().copied());
+                link.set_expected_demand(demands.iter().copied());
             }
         }
         let is_reachable = self.regions.links.borrow().iter().any(|link| link.backoff_until(now).is_none());
@@ -240,7 +240,7 @@
             class: request.class.0,
             remaining: request.deadline - now,
             via: request.via,
-            open_fraction: self.open_fraction(now),
+            budget_fraction: self.open_fraction(now),
         };
         let (link, gaugesaddle_federation::Hop { via, remaining }) = {
             let mut links = regions.links.borrow_mut();
--- a/crates/gaugesaddle/src/federation/regions.rs
+++ b/crates/gaugesaddle/src/federation/regions.rs
@@ -260,7 +260,7 @@
         let mut inbound = self.inbound.borrow_mut();
         let inbound = &mut inbound[sender];
         inbound.arrivals = inbound.arrivals.saturating_add(1);
-        if self.uses_leases.get() && inbound.budget.has_rate() {
+        if self.uses_leases.get() && inbound.budget.uses_sliding_window() {
             let leases = self.leases.borrow();
             inbound.budget.set_rate(leases.as_ref().map_or(0, |leases| leases.manager.usable(sender, now)));
         }
--- a/crates/gaugesaddle/src/federation/remote_gateways.rs
+++ b/crates/gaugesaddle/src/federation/remote_gateways.rs
@@ -245,7 +245,7 @@
 
     /// The result where no gateway is available. Full ones are no failure of the link, and soon have budget again.
     fn unavailable(&self, now: Time, began: Time, last: Option<Unavailable>) -> HopResult {
-        let full_for = self.selector.borrow().full_for(now);
+        let full_for = self.selector.borrow().shortest_full_backoff(now);
         match (last, full_for) {
             (Some(Unavailable::Unreachable), None) => HopFailure::NOT_SENT.result(now - began),
             _ => not_executed(now - began, full_for),
--- a/crates/gaugesaddle/src/federation/tls.rs
+++ b/crates/gaugesaddle/src/federation/tls.rs
@@ -2,7 +2,7 @@
 
 use super::settings::{OtherRegion, RegionSection};
 use gaugesaddle_balancer::Time;
-use gaugesaddle_federation::credentials::{check, CredentialError, CredentialFacts};
+use gaugesaddle_federation::credentials::{validate, CredentialError, CredentialMetadata};
 use rustls::client::Resumption;
 use rustls::crypto::{ring, CryptoProvider};
 use rustls::pki_types::pem::PemObject;
@@ -160,7 +160,7 @@
         (us(c.validity().not_before.timestamp()), us(c.validity().not_after.timestamp()))
     });
     let (valid_from, valid_until) = times.unwrap_or_default();
-    let facts = CredentialFacts {
+    let facts = CredentialMetadata {
         valid_from,
         valid_until,
         key_matches: certified.keys_match().is_ok(),
@@ -169,7 +169,7 @@
         chain_length: chain.len(),
         anchors: anchors.len(),
     };
-    check(now, &facts).map_err(KeyError::Unfit)?;
+    validate(now, &facts).map_err(KeyError::Unfit)?;
     let mut roots = RootCertStore::empty();
     for anchor in anchors {
         roots.add(anchor).map_err(library("trust"))?;
