--- a/crates/gaugesaddle-federation/src/credentials.rs
+++ b/crates/gaugesaddle-federation/src/credentials.rs
@@ -1,93 +1,95 @@
-//! Which certificates and keys may replace those in use. The host reads the files; this decides from what it found.
+//! Decides whether new certificates and keys may replace the current ones. The host reads the files and passes their
+//! metadata.
 
 use gaugesaddle_balancer::{Micros, Time};
 use thiserror::Error;
 
 const DAY_US: u64 = 86_400 * 1_000_000;
-/// First warning before a certificate expires.
+/// Time before the expiry of a certificate at which the first warning is due.
 const FIRST_WARNING: Micros = Micros(30 * DAY_US);
-/// Second warning.
+/// Time before the expiry of a certificate at which the second warning is due.
 const SECOND_WARNING: Micros = Micros(7 * DAY_US);
-/// Permission bits that let others than the owner access a private key.
+/// Permission bits that grant access to a private key to users other than the owner.
 const GROUP_AND_OTHERS: u32 = 0o077;
-/// Permission bits that an error shows.
+/// Permission bits that are included in an error.
 const PERMISSIONS: u32 = 0o7777;
 
-/// What the host found in a set of files. Times are wall-clock times.
+/// Properties of a certificate, its private key and the trust anchors, as read by the host. Times are wall-clock times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CredentialMetadata {
-    /// First moment at which the own certificate is valid.
+    /// Start of the validity of the region's own certificate.
     pub valid_from: Time,
-    /// Last moment at which it is valid.
+    /// End of the validity of the region's own certificate.
     pub valid_until: Time,
-    /// The private key belongs to the certificate.
+    /// Whether the private key belongs to the certificate.
     pub key_matches: bool,
     /// Permission bits of the key file.
     pub key_mode: u32,
-    /// The certificate names this region.
+    /// Whether the certificate was issued for this region's name.
     pub names_own_region: bool,
-    /// Certificates in the chain.
+    /// Number of certificates in the chain.
     pub chain_length: usize,
-    /// Trust anchors.
+    /// Number of trust anchors.
     pub anchors: usize,
 }
 
-/// Why a set of files is not taken into use; the credentials in use stay.
+/// Why a set of files is rejected. The current credentials remain in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CredentialError {
-    /// The file is incomplete, or another one.
-    #[error("certificate: expected at least one in PEM")]
+    /// The certificate file contains no certificate: it is incomplete, or a different file.
+    #[error("certificate: expected at least one certificate in PEM, found none")]
     NoCertificate,
-    /// There is no authority to trust.
-    #[error("trust: expected at least one certificate in PEM")]
+    /// There are no trust anchors.
+    #[error("trust: expected at least one certificate in PEM, found none")]
     NoAnchor,
-    /// Others may access the key; with the permission bits.
+    /// Users other than the owner may access the key file, which has these permission bits.
     #[error("key: expected a file that only its owner may read (mode 0600), got {0:04o}")]
     KeyAccessible(u32),
-    /// One of certificate and key was replaced and the other not yet.
-    #[error("key: expected the private key of the certificate; the two do not match")]
+    /// Private key and certificate do not belong together, for example because only one of the two files was replaced so
+    /// far.
+    #[error("key: expected the private key of the certificate, but the two do not match")]
     KeyMismatch,
-    /// The certificate is another region's.
-    #[error("certificate: expected one for this region's own name")]
+    /// The certificate was not issued for this region's name.
+    #[error("certificate: expected a certificate for this region's own name")]
     WrongName,
-    /// It is no longer valid.
-    #[error("certificate: expected one that has not expired")]
+    /// The certificate has expired.
+    #[error("certificate: expected a certificate that has not expired")]
     Expired,
-    /// It is not valid yet.
-    #[error("certificate: expected one that is already valid")]
+    /// The certificate is not yet valid.
+    #[error("certificate: expected a certificate that is already valid")]
     NotYetValid,
 }
 
-/// Whether the files may be taken into use.
+/// Checks whether the files may replace the current credentials.
 ///
 /// # Errors
-/// The first thing that is wrong with them.
-pub fn validate(now: Time, facts: &CredentialMetadata) -> Result<(), CredentialError> {
-    if facts.key_mode & GROUP_AND_OTHERS != 0 {
-        return Err(CredentialError::KeyAccessible(facts.key_mode & PERMISSIONS));
+/// The first check that failed.
+pub fn validate(now: Time, metadata: &CredentialMetadata) -> Result<(), CredentialError> {
+    if metadata.key_mode & GROUP_AND_OTHERS != 0 {
+        return Err(CredentialError::KeyAccessible(metadata.key_mode & PERMISSIONS));
     }
-    if facts.chain_length == 0 {
+    if metadata.chain_length == 0 {
         return Err(CredentialError::NoCertificate);
     }
-    if facts.anchors == 0 {
+    if metadata.anchors == 0 {
         return Err(CredentialError::NoAnchor);
     }
-    if !facts.key_matches {
+    if !metadata.key_matches {
         return Err(CredentialError::KeyMismatch);
     }
-    if !facts.names_own_region {
+    if !metadata.names_own_region {
         return Err(CredentialError::WrongName);
     }
-    if now > facts.valid_until {
+    if now > metadata.valid_until {
         return Err(CredentialError::Expired);
     }
-    if now < facts.valid_from {
+    if now < metadata.valid_from {
         return Err(CredentialError::NotYetValid);
     }
     Ok(())
 }
 
-/// How soon the certificate in use expires.
+/// How soon the current certificate expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Expiry {
     /// In more than 30 days.
@@ -96,12 +98,12 @@
     Near,
     /// Within 7 days.
     Urgent,
-    /// It has expired: peers reject new handshakes.
+    /// The certificate has expired: other regions reject new TLS handshakes.
     Expired,
 }
 
 impl Expiry {
-    /// As of `now`, for a certificate that is valid until `valid_until`.
+    /// The expiry at `now` of a certificate that is valid until `valid_until`.
     pub fn of(now: Time, valid_until: Time) -> Expiry {
         if now > valid_until {
             return Expiry::Expired;
--- a/crates/gaugesaddle-federation/src/credentials/tests.rs
+++ b/crates/gaugesaddle-federation/src/credentials/tests.rs
@@ -17,10 +17,10 @@
 }
 
 #[test]
-fn each_fault_has_its_own_error() {
+fn each_invalid_property_has_a_distinct_error() {
     let now = day(50);
     assert_eq!(validate(now, &valid()), Ok(()));
-    for (facts, expected) in [
+    for (metadata, expected) in [
         (CredentialMetadata { key_mode: 0o640, ..valid() }, CredentialError::KeyAccessible(0o640)),
         (CredentialMetadata { key_mode: 0o604, ..valid() }, CredentialError::KeyAccessible(0o604)),
         (CredentialMetadata { chain_length: 0, ..valid() }, CredentialError::NoCertificate),
@@ -36,12 +36,12 @@
             CredentialError::NotYetValid,
         ),
     ] {
-        assert_eq!(validate(now, &facts), Err(expected));
+        assert_eq!(validate(now, &metadata), Err(expected));
     }
 }
 
 #[test]
-fn expiry_is_reported_in_advance() {
+fn expiry_levels_follow_the_remaining_validity() {
     for (now, expected) in [
         (10, Expiry::Distant),
         (69, Expiry::Distant),
--- a/crates/gaugesaddle-federation/src/endpoints.rs
+++ b/crates/gaugesaddle-federation/src/endpoints.rs
@@ -1,20 +1,21 @@
-//! Which connection to a region's gateways has the next request.
+//! Selection of the connection to a region's gateways for the next request.
 
 use gaugesaddle_balancer::{Micros, Time};
 
-/// Maximum connections to one region: a proxy does not connect to each gateway of a large region.
+/// Maximum number of connections to one region: a proxy does not connect to every gateway of a large region.
 pub const MAX_CONNECTIONS: usize = 8;
-/// Minimum connections: a second one for when the first is being replaced or has lost a packet.
+/// Minimum number of connections: the second one is used while the first is being replaced or recovers from packet loss.
 pub const MIN_CONNECTIONS: usize = 2;
-/// A gateway without budget is avoided for this long: a tenth of its budget for a second comes back in this time.
+/// Duration for which a gateway without remaining budget is skipped: a tenth of its budget per second is available again
+/// after it.
 const FULL_BACKOFF: Micros = Micros(100_000);
-/// An unreachable gateway is avoided for this long.
+/// Duration for which an unreachable gateway is skipped.
 const UNREACHABLE_BACKOFF: Micros = Micros(1_000_000);
 
 /// Why a connection did not accept a request. The request was not executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unavailable {
-    /// The gateway's allocation of the budget is used up.
+    /// The gateway's allocation of the budget is exhausted.
     Full,
     /// The gateway cannot be reached.
     Unreachable,
@@ -26,16 +27,16 @@
     until: Time,
 }
 
-/// Round robin over the connections to one region, without those that are unavailable.
+/// Round robin over the available connections to one region.
 #[derive(Clone, Debug)]
 pub struct EndpointSelector {
-    /// By connection.
+    /// Indexed by connection.
     avoided: Vec<Option<Avoidance>>,
     next: usize,
 }
 
 impl EndpointSelector {
-    /// One connection a gateway, within [`MIN_CONNECTIONS`] and [`MAX_CONNECTIONS`].
+    /// A selector with one connection per gateway, but at least [`MIN_CONNECTIONS`] and at most [`MAX_CONNECTIONS`].
     pub fn new(gateways: usize) -> EndpointSelector {
         EndpointSelector { avoided: vec![None; gateways.clamp(MIN_CONNECTIONS, MAX_CONNECTIONS)], next: 0 }
     }
@@ -45,8 +46,9 @@
         self.avoided.len()
     }
 
-    /// The next available connection for a request; `attempted` has a bit for each connection that it has been sent to.
-    /// Where all are unreachable the first attempt is made all the same; full ones are not used.
+    /// The next available connection for a request. `attempted` has a bit set for each connection that the request was
+    /// already sent to. If no connection is available, the first attempt uses an unreachable one; full connections are
+    /// never selected.
     pub fn select(&mut self, now: Time, attempted: u32) -> Option<usize> {
         let count = self.avoided.len();
         let reason = |connection: usize| {
@@ -74,7 +76,7 @@
         Some(connection)
     }
 
-    /// A connection did not accept a request: it is avoided for a while.
+    /// Records that a connection did not accept a request; the connection is skipped until its backoff ends.
     pub fn mark_unavailable(&mut self, now: Time, connection: usize, reason: Unavailable) {
         let backoff = match reason {
             Unavailable::Full => FULL_BACKOFF,
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Time until some full gateway may have budget again; `None` where none is full.
+    /// Time until the backoff of the first full connection ends; `None` if no connection is full.
     pub fn shortest_full_backoff(&self, now: Time) -> Option<Micros> {
         let is_full = |avoided: &&Avoidance| avoided.reason == Unavailable::Full && now < avoided.until;
         self.avoided.iter().flatten().filter(is_full).map(|avoided| avoided.until - now).min()
--- a/crates/gaugesaddle-federation/src/lib.rs
+++ b/crates/gaugesaddle-federation/src/lib.rs
@@ -1,25 +1,27 @@
-//! Other regions as last resort: when requests are forwarded to them, how many, and what is believed of the answer. No I/O,
-//! clock or threads.
+//! Failover to other regions: when requests are forwarded to another region, how many, and what a reported outcome means
+//! for the client. The crate does no I/O, reads no clock and starts no threads.
 //!
 //! # Main types
 //!
-//! - [`Spillover`] decides whether the local fleet can serve its demand: local, spilling or returning. One a proxy.
-//! - [`Link`] is one other region, as one proxy sees it. It owns a [`Budget`], a [`RoundTripEstimator`] and a [`Backoff`],
-//!   and decides for each request whether it may be sent, and with what deadline.
-//! - [`Budget`] is this proxy's allocation of what may go to a region, or come from one: in every window of a second, in
-//!   flight, and by class. A gateway has one for each sender.
-//! - [`Via`] lists the regions that a request came through; [`Via::next_hop`] prevents loops.
-//! - [`RemoteOutcome`] is what a gateway reports of a request, [`client_answer`] what its client may be answered then.
-//! - [`RemoteClock`] gives a deadline by a gateway's own clock, [`remaining_at_gateway`] is its check there.
+//! - [`Spillover`] is the state machine of one proxy (local, spilling, returning), driven by whether the local fleet can
+//!   serve the demand.
+//! - [`Link`] is the link from one proxy to one other region. It owns a [`Budget`], a [`RoundTripEstimator`] and a
+//!   [`Backoff`], and decides for each request whether it may be sent and with which deadline.
+//! - [`Budget`] is one proxy's allocation of the requests that may be sent to a region or received from one: per window
+//!   of one second, in flight, and by class. A gateway has one budget per sending region.
+//! - [`Via`] lists the regions that a request has passed through; [`Via::next_hop`] prevents loops.
+//! - [`RemoteOutcome`] is the outcome of a request that a gateway reports; [`client_answer`] derives the answer to the
+//!   client.
+//! - [`RemoteClock`] converts a deadline to a gateway's clock; the gateway checks it with [`remaining_at_gateway`].
 //! - [`EndpointSelector`] chooses among the connections to a region's gateways.
-//! - [`credentials`] decides whether replaced certificates and keys may be taken into use.
+//! - [`credentials`] decides whether replaced certificates and keys may be loaded.
 //!
-//! Which request is forwarded is the balancer's decision (`gaugesaddle_balancer::Offer`,
-//! `gaugesaddle_balancer::Action::Forward`). The host owns sockets, clock, files and random numbers.
+//! The balancer selects the requests that are forwarded (`gaugesaddle_balancer::Offer`,
+//! `gaugesaddle_balancer::Action::Forward`). The host provides sockets, clock, files and random numbers.
 //!
 //! # Example
 //!
-//! A request is forwarded once, with a shorter deadline, and not back again:
+//! A request is forwarded once, with a shorter deadline, and may not be forwarded back:
 //!
 //! ```rust
 //! use gaugesaddle_balancer::{Micros, Time};
@@ -53,17 +55,19 @@
 //!
 //! # Guarantees
 //!
-//! - No request is in a region twice, and none makes more hops than its first region allowed.
+//! - No request visits a region twice, and none makes more hops than its first region allowed.
 //! - Each hop has a strictly shorter deadline than the one before it.
-//! - A gateway accepts no request that it reads after the sender's deadline, however long it waited to be read.
-//! - All proxies together exceed a budget in no window of a second, while their allocations add up to it.
-//! - A request that may have been executed elsewhere is answered as retryable only where a retry is harmless.
-//! - Nothing panics on outside input. Every function of time takes `now`; time that goes back counts as standing still.
+//! - A gateway accepts no request that it reads after the sender's deadline, regardless of the time that the request
+//!   waited before it was read.
+//! - In no window of one second do all proxies together exceed a budget, provided that their allocations add up to it.
+//! - A request that may have been executed elsewhere is answered as retryable only if a retry is harmless.
+//! - No external input causes a panic. Functions that depend on time take `now`; a `now` earlier than a previous one
+//!   counts as no time passed.
 //!
 //! # Bounds
 //!
-//! [`MAX_REGIONS`] regions, [`MAX_HOPS`] hops, [`MAX_HEADER_BYTES`] of header. A budget remembers the sends of one second, a
-//! round trip its last 32 samples.
+//! At most [`MAX_REGIONS`] regions, [`MAX_HOPS`] hops and [`MAX_HEADER_BYTES`] bytes of `Region-Path` header. A budget
+//! stores the sends of one second, a round-trip estimator its last 32 samples.
 
 mod allocation;
 mod backoff;
--- a/crates/gaugesaddle-federation/src/remote_clock.rs
+++ b/crates/gaugesaddle-federation/src/remote_clock.rs
@@ -1,38 +1,39 @@
-//! Deadlines in the steady clock of the gateway at the other end of a connection.
+//! Deadlines by the monotonic clock of the gateway at the other end of a connection.
 //!
-//! A relative deadline says nothing about how long a request waited before it was read: a gateway that was stopped reads it
-//! when it wakes, long after its client was answered. So a gateway reports its clock with each answer, and a request carries
-//! the latest time by that clock at which it may be passed on.
+//! A relative deadline does not account for the time that a request waits before it is read: a gateway process that was
+//! stopped reads the request after it resumes, long after the client was answered. A gateway therefore reports its clock
+//! with each answer, and a request carries the latest time by that clock at which the gateway may pass it on.
 //!
 //! # Derivation
 //!
-//! A reading `r` was made after its request was sent at `s` and before its answer was received at `e`, both by the local
-//! clock. So the offset of the remote clock from the local one lies between `r - e` and `r - s`. The lower end is used: the
-//! remote clock reaches the deadline that results no later than the local clock reaches the local one, whatever the delays
-//! were. While a reading ages, the lower end sinks by what two clocks may drift apart ([`MAX_DRIFT_PER_MILLION`]).
+//! A reading `r` was taken after its request was sent at `s` and before its answer was received at `e`, both by the local
+//! clock. The offset of the remote clock from the local one is therefore between `r - e` and `r - s`. The lower bound is
+//! used: the remote clock reaches the resulting deadline no later than the local clock reaches the local deadline, for any
+//! network delay. As a reading ages, the lower bound is reduced by the maximum drift between two clocks
+//! ([`MAX_DRIFT_PER_MILLION`]).
 //!
-//! Steady clocks count while a process is stopped. A machine that is suspended as a whole may stop its clock; the first
-//! reading that contradicts an earlier one replaces it.
+//! Monotonic clocks advance while a process is stopped. Suspending a whole machine may stop its clock; the first reading
+//! that contradicts an earlier one replaces it.
 
 use gaugesaddle_balancer::{Micros, Time};
 use thiserror::Error;
 
-/// How far two steady clocks drift apart, in millionths: each is slewed by 500 at most.
+/// Maximum drift between two monotonic clocks, in parts per million: each is slewed by at most 500.
 const MAX_DRIFT_PER_MILLION: u64 = 1_000;
-/// How long a reading is used. By then the drift has cost a hundredth of this of each deadline's time.
+/// Maximum age of a usable reading. At this age the allowance for drift shortens each deadline by 10 ms.
 const MAX_READING_AGE: Micros = Micros(10_000_000);
 
-/// A time by the steady clock of a gateway, since it accepted a connection.
+/// A time by the monotonic clock of a gateway, counted from when it accepted the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RemoteTime(pub Micros);
 
 impl RemoteTime {
-    /// Its value in a header: whole microseconds.
+    /// The header value: whole microseconds.
     pub fn header_value(self) -> u64 {
         self.0 .0
     }
 
-    /// Reads a header's value; `None` where it is not a whole number of microseconds.
+    /// Parses a header value; `None` if it is not a whole number of microseconds.
     pub fn parse(value: &[u8]) -> Option<RemoteTime> {
         let digits =
             std::str::from_utf8(value).ok().filter(|text| text.bytes().all(|b| b.is_ascii_digit()))?;
@@ -40,12 +41,12 @@
     }
 }
 
-/// An answer with a reading of the remote clock.
+/// A reading of the remote clock, from the answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockSample {
-    /// When its request was sent, by the local clock.
+    /// When the request was sent, by the local clock.
     pub sent_at: Time,
-    /// When it was received, by the local clock.
+    /// When the answer was received, by the local clock.
     pub received_at: Time,
     /// The remote clock at some time between the two.
     pub reading: RemoteTime,
@@ -57,67 +58,73 @@
     }
 }
 
-/// The lowest offset that the remote clock may have, in microseconds.
+/// Lower bound of the offset of the remote clock from the local one, in microseconds.
 #[derive(Clone, Copy, Debug)]
-struct LowestOffset {
+struct OffsetLowerBound {
     at: Time,
     offset: i128,
 }
 
-impl LowestOffset {
+impl OffsetLowerBound {
     fn at(&self, now: Time) -> i128 {
         let age = (now - self.at).0;
         self.offset - i128::from(age.div_ceil(1_000_000 / MAX_DRIFT_PER_MILLION))
     }
 }
 
-/// What is known of the steady clock at the other end of one connection. It must not be used for another connection.
+/// Estimate of the monotonic clock at the other end of one connection. It must not be used for another connection.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RemoteClock {
-    lowest: Option<LowestOffset>,
+    lower_bound: Option<OffsetLowerBound>,
     last_sample: Option<Time>,
 }
 
 impl RemoteClock {
-    /// Takes a sample into account.
+    /// Updates the estimate with a sample.
     pub fn record(&mut self, sample: ClockSample) {
-        let highest = sample.offset_from(sample.sent_at);
+        let upper_bound = sample.offset_from(sample.sent_at);
         let offset = sample.offset_from(sample.received_at);
-        // Below the highest that is possible now, or the remote clock has stood still: what was known is void.
-        let known = self.lowest.map(|lowest| lowest.at(sample.received_at)).filter(|known| *known <= highest);
-        if known.is_none_or(|known| known <= offset) {
-            self.lowest = Some(LowestOffset { at: sample.received_at, offset });
+        // A previous lower bound above the upper bound of this sample shows that the remote clock was stopped in between;
+        // that lower bound is discarded.
+        let previous = self
+            .lower_bound
+            .map(|lower_bound| lower_bound.at(sample.received_at))
+            .filter(|previous| *previous <= upper_bound);
+        if previous.is_none_or(|previous| previous <= offset) {
+            self.lower_bound = Some(OffsetLowerBound { at: sample.received_at, offset });
         }
         self.last_sample = Some(sample.received_at);
     }
 
-    /// Whether deadlines can be given; otherwise the clock has to be read first.
+    /// Whether the last reading is recent enough to convert deadlines; otherwise a new reading is required.
     pub fn is_current(&self, now: Time) -> bool {
         self.last_sample.is_some_and(|at| now - at < MAX_READING_AGE)
     }
 
-    /// A time by the remote clock that is not after the local `deadline`; `None` where the clock has to be read first, or
-    /// the deadline was over before the connection began.
+    /// A time by the remote clock that is not after the local `deadline`; `None` if there is no recent reading, or if the
+    /// deadline passed before the connection was accepted.
     pub fn deadline(&self, now: Time, deadline: Time) -> Option<RemoteTime> {
-        let lowest = self.lowest.filter(|_| self.is_current(now))?;
-        let remote = i128::from(deadline.0) + lowest.at(deadline.max(now));
+        let lower_bound = self.lower_bound.filter(|_| self.is_current(now))?;
+        let remote = i128::from(deadline.0) + lower_bound.at(deadline.max(now));
         u64::try_from(remote).ok().map(|remote| RemoteTime(Micros(remote)))
     }
 }
 
-/// Why a gateway does not accept the deadline of a request. The request was not executed.
+/// Why a gateway rejects the deadline of a request. The request was not executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DeadlineError {
-    /// It carries no deadline by this gateway's clock, so how long it was under way cannot be known.
-    #[error("expected Region-Deadline-Us, a time by the clock that Region-Clock-Us reports")]
+    /// The request carries no valid deadline by this gateway's clock, so its time in transit cannot be determined.
+    #[error(
+        "Region-Deadline-Us: expected a time by the clock that Region-Clock-Us reports, found no valid value"
+    )]
     Missing,
-    /// Its client may have been answered already.
+    /// The deadline has passed; the client may already have been answered.
     #[error("the deadline had passed when the request was read")]
     Passed,
 }
 
-/// The time that remains for a request at a gateway: what its sender reported as remaining, but never beyond the deadline by
-/// the gateway's own clock, which is `now`.
+/// The time that remains for a request at a gateway: the remaining time `reported` by the sender, limited by `deadline`.
+/// `now` and `deadline` are times by the gateway's own clock.
 ///
 /// # Errors
 /// The deadline is missing or has passed.
--- a/crates/gaugesaddle-federation/src/remote_clock/tests.rs
+++ b/crates/gaugesaddle-federation/src/remote_clock/tests.rs
@@ -1,4 +1,5 @@
-//! Fails where a gateway could pass a request on after its client was answered, or where a healthy link loses deadlines.
+//! Guards against a gateway that passes a request on after the client was answered, and against a healthy link for which
+//! no deadline can be computed.
 
 use super::*;
 use proptest::prelude::*;
@@ -14,7 +15,7 @@
 }
 
 #[test]
-fn without_a_recent_reading_there_is_no_deadline() {
+fn no_deadline_is_computed_without_a_recent_reading() {
     let mut clock = RemoteClock::default();
     assert_eq!(clock.deadline(Time(5), Time(10)), None);
     clock.record(sample(100, 200, 50));
@@ -24,7 +25,7 @@
 }
 
 #[test]
-fn the_shortest_delay_of_recent_readings_counts() {
+fn the_recent_reading_with_the_shortest_delay_determines_the_offset() {
     let mut clock = RemoteClock::default();
     // The remote clock is 1 s ahead; the answer takes 40 ms, then 2 ms, then 500 ms.
     clock.record(sample(0, 80_000, SECOND + 40_000));
@@ -33,21 +34,25 @@
     assert_eq!(clock.deadline(Time(104_000), Time(104_000)), Some(remote(SECOND + 102_000)));
     clock.record(sample(110_000, 612_000, SECOND + 112_000));
     let deadline = clock.deadline(Time(612_000), Time(612_000)).unwrap();
-    assert_eq!(deadline, remote(SECOND + 612_000 - 2_000 - 508), "the drift of 508 ms, too");
+    assert_eq!(
+        deadline,
+        remote(SECOND + 612_000 - 2_000 - 508),
+        "reduced by the maximum drift within 508 ms"
+    );
 }
 
 #[test]
-fn a_remote_clock_that_stood_still_voids_earlier_readings() {
+fn a_reading_after_the_remote_clock_was_stopped_replaces_earlier_ones() {
     let mut clock = RemoteClock::default();
     clock.record(sample(0, 2_000, 1_000));
-    // Suspended for 3 s: the reading is lower than any delay explains.
+    // The machine was suspended for 3 s: no network delay accounts for a reading this low.
     clock.record(sample(4 * SECOND, 4 * SECOND + 2_000, SECOND + 1_000));
     let now = Time(4 * SECOND + 2_000);
     assert_eq!(clock.deadline(now, now), Some(remote(SECOND + 1_000)));
 }
 
 #[test]
-fn a_gateway_goes_by_the_earlier_of_both_deadlines() {
+fn a_gateway_applies_the_earlier_of_the_reported_and_the_absolute_deadline() {
     let reported = Micros(200_000);
     assert_eq!(remaining_at_gateway(remote(500), reported, Some(remote(900_000))), Ok(reported));
     assert_eq!(remaining_at_gateway(remote(500), reported, Some(remote(10_500))), Ok(Micros(10_000)));
@@ -57,7 +62,7 @@
 }
 
 #[test]
-fn only_whole_microseconds_are_read() {
+fn remote_time_parses_only_whole_microseconds() {
     assert_eq!(RemoteTime::parse(b"0"), Some(remote(0)));
     assert_eq!(RemoteTime::parse(b"18446744073709551615"), Some(remote(u64::MAX)));
     for text in ["", "-1", "+1", " 1", "1 ", "1.5", "18446744073709551616", "soon", "\u{661}"] {
@@ -66,16 +71,17 @@
     assert_eq!(RemoteTime::parse(b"\xff"), None);
 }
 
-/// The time by a remote clock that drifts by so many millionths, at a local time.
+/// The time by a remote clock at the local time `local`; the remote clock drifts by `drift_per_million` parts per million.
 fn remote_at(local: u64, offset: u64, drift_per_million: i64) -> u64 {
     let drift = i128::from(local) * i128::from(drift_per_million) / 1_000_000;
-    u64::try_from(i128::from(local + offset) + drift).expect("a time")
+    u64::try_from(i128::from(local + offset) + drift).expect("the remote time must not be negative")
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    /// Whatever the delays and drift, the remote clock reaches the deadline no later than the local one does.
+    /// For any delays and drift, the remote clock reaches the remote deadline no later than the local clock reaches the
+    /// local one.
     #[test]
     fn the_remote_deadline_is_never_after_the_local_one(
         offset in 0..100 * SECOND,
@@ -93,7 +99,7 @@
         }
         let local = now + ahead;
         if let Some(deadline) = clock.deadline(Time(now), Time(local)) {
-            // A microsecond for the rounding of the test's own clock.
+            // The tolerance of one microsecond covers the rounding in `remote_at`.
             prop_assert!(deadline.header_value() <= remote_at(local, offset, drift) + 1);
         }
     }
--- a/crates/gaugesaddle-federation/src/remote_outcome.rs
+++ b/crates/gaugesaddle-federation/src/remote_outcome.rs
@@ -1,29 +1,29 @@
-//! What became of a request in another region, and what its client may be answered then.
+//! The outcome of a request in another region, and the answer to the client that it permits.
 
 use gaugesaddle_balancer::{Effect, KeyScope, Outcome};
 
-/// What a gateway reports of a request.
+/// The outcome of a request as reported by a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RemoteOutcome {
-    /// A backend there served it.
+    /// A backend of the other region served the request.
     Executed,
-    /// No backend there has executed it, nor will.
+    /// No backend of the other region has executed the request or will execute it.
     NotExecuted,
-    /// Some backend there may have executed it, or may yet.
+    /// A backend of the other region may have executed the request or may still execute it.
     Indeterminate,
 }
 
-/// Whether any of a request may have been sent when its connection failed.
+/// Whether any part of a request may have been sent before its connection failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transmission {
-    /// Nothing was handed over.
+    /// No part of the request was sent.
     NotStarted,
-    /// Some of it may have been received.
+    /// The other side may have received part of the request.
     Started,
 }
 
 impl Transmission {
-    /// [`Transmission::Started`] where some of the request may have been sent.
+    /// [`Transmission::Started`] if `started`, that is, if any part of the request may have been sent.
     pub fn started_if(started: bool) -> Transmission {
         if started {
             Transmission::Started
@@ -34,7 +34,7 @@
 }
 
 impl RemoteOutcome {
-    /// Its value in the header `Region-Fate`.
+    /// The value of the header `Region-Fate`.
     pub fn header_value(self) -> &'static str {
         match self {
             RemoteOutcome::Executed => "ran",
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Reads the header `Region-Fate` of a gateway's answer. Without a known value the outcome is indeterminate: nothing
-    /// else is safe.
+    /// Parses the header `Region-Fate` of a gateway's answer. A missing or unknown value means
+    /// [`RemoteOutcome::Indeterminate`], the only safe assumption.
     pub fn from_header(value: Option<&[u8]>) -> RemoteOutcome {
         match value {
             Some(b"ran") => RemoteOutcome::Executed,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The outcome of a request whose connection failed before an answer came.
+    /// The outcome of a request whose connection failed before an answer was received.
     pub fn of_connection_failure(transmission: Transmission) -> RemoteOutcome {
         match transmission {
             Transmission::Started => RemoteOutcome::Indeterminate,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// As the outcome of an attempt in the balancer.
+    /// The corresponding outcome of an attempt in the balancer.
     pub fn attempt_outcome(self) -> Outcome {
         match self {
             RemoteOutcome::Executed => Outcome::Ok,
@@ -71,18 +71,18 @@
     }
 }
 
-/// The final answer to a client whose request another region did not serve.
+/// The final answer to a client whose request was not served by another region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientAnswer {
-    /// Rejected: a retry is harmless.
+    /// The request was rejected: a retry is harmless.
     Rejected,
-    /// Failed: nothing is guaranteed.
+    /// The request failed: it may have been executed.
     Failed,
 }
 
-/// The answer to a client whose request had this outcome elsewhere. The request was forwarded only because it was known
-/// not to have been executed here, or is free to repeat. A keyed one that may have been executed there is failed, since no
-/// zone here would recognize its retry.
+/// The answer to a client whose request had the given outcome in another region. Only requests that were not executed in
+/// the local region, or that may be repeated freely, are forwarded. A request with an idempotency key that may have been
+/// executed in the other region is answered as failed, because no local zone would recognize its retry.
 pub fn client_answer(effect: Effect, outcome: Outcome) -> ClientAnswer {
     match effect {
         Effect::Free => ClientAnswer::Rejected,
@@ -91,8 +91,9 @@
     }
 }
 
-/// What a gateway reports of a request that its own balancer rejected. A rejection guarantees that a retry is harmless
-/// among the backends here; for a key that only they know, that is no guarantee for another region.
+/// The outcome that a gateway reports for a request that its own balancer rejected. A rejection guarantees that a retry is
+/// harmless among the gateway's backends. For an idempotency key that only those backends share, this does not extend to
+/// another region.
 pub fn outcome_of_rejection(effect: Effect) -> RemoteOutcome {
     match effect {
         Effect::Keyed(KeyScope::All, _) => RemoteOutcome::Indeterminate,
--- a/crates/gaugesaddle-federation/src/remote_outcome/tests.rs
+++ b/crates/gaugesaddle-federation/src/remote_outcome/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use gaugesaddle_balancer::Micros;
 
-/// The table of docs/design/region.md, cell by cell.
+/// Compares every cell of the table in docs/design/region.md.
 #[test]
-fn client_answers_follow_the_table() {
+fn client_answers_match_the_documented_table() {
     let keyed = |scope| Effect::Keyed(scope, Micros(1_200_000));
     let rows = [
         (Effect::Free, ClientAnswer::Rejected, ClientAnswer::Rejected),
--- a/crates/gaugesaddle-federation/src/spillover.rs
+++ b/crates/gaugesaddle-federation/src/spillover.rs
@@ -1,33 +1,35 @@
-//! Whether the local fleet can serve its demand, as one proxy sees it.
+//! The state machine with which one proxy decides, from the local fleet's capacity and demand, whether requests may be
+//! forwarded to other regions.
 
 use gaugesaddle_balancer::{Micros, Time};
 
 /// Below this demand, in requests per second, coverage cannot be estimated.
 const MIN_DEMAND_PER_S: f64 = 0.5;
-/// Lower bound of the return's duration, in seconds: a guard against division by zero.
+/// Lower bound of the return duration, in seconds; prevents a division by zero.
 const MIN_RETURN_S: f64 = 1e-6;
 
-/// The balancer's estimates for one proxy, over all its backends: no single failure shows here.
+/// The balancer's estimates for one proxy, aggregated over all its backends: the failure of a single backend is not
+/// visible in them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetCapacity {
-    /// What usable backends can serve for it, in requests per second.
+    /// Capacity of the usable backends that is available to this proxy, in requests per second.
     pub capacity_per_s: f64,
-    /// What arrives at it, in requests per second.
+    /// Arrival rate at this proxy, in requests per second.
     pub demand_per_s: f64,
 }
 
-/// When the state changes. Coverage is capacity over demand.
+/// Thresholds and durations of the state transitions. Coverage is capacity divided by demand.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SpilloverThresholds {
     /// Coverage below this is insufficient.
     pub low_coverage: f64,
-    /// Coverage from this on is sufficient; above `low_coverage`.
+    /// Coverage at or above this is sufficient; greater than `low_coverage`.
     pub high_coverage: f64,
-    /// Insufficient for this long: spillover starts.
+    /// Spillover starts after coverage has been insufficient for this long.
     pub enter_after: Micros,
-    /// Sufficient for this long: the return starts.
+    /// The return starts after coverage has been sufficient for this long.
     pub leave_after: Micros,
-    /// Insufficient for this long during the return: spillover starts again.
+    /// During the return, spillover restarts after coverage has been insufficient for this long.
     pub relapse_after: Micros,
     /// Duration of the return.
     pub return_duration: Micros,
@@ -35,8 +37,8 @@
 
 impl Default for SpilloverThresholds {
     fn default() -> SpilloverThresholds {
-        // Above a half the balancer serves the highest priority weights by itself. The balancer needs some hundred
-        // milliseconds to detect an unhealthy backend; an uncached fleet warms up in about ten seconds.
+        // With a coverage above 0.5 the balancer alone can serve the requests of the highest priority weights. It detects
+        // an unhealthy backend within a few hundred milliseconds; a fleet with cold caches warms up in about ten seconds.
         SpilloverThresholds {
             low_coverage: 0.5,
             high_coverage: 0.8,
@@ -48,19 +50,19 @@
     }
 }
 
-/// What a proxy does with requests that its fleet cannot serve.
+/// How a proxy handles requests that its local fleet cannot serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SpilloverState {
-    /// Nothing is sent to other regions.
+    /// No request is sent to other regions.
     Local,
-    /// What the balancer would reject may be sent.
+    /// Requests that the balancer would reject may be sent.
     Spilling,
-    /// A decreasing fraction of it may be sent.
+    /// Requests that the balancer would reject may be sent, within a decreasing fraction of the budget.
     Returning,
 }
 
 impl SpilloverState {
-    /// For operators.
+    /// Name in the operator's state output.
     pub fn name(self) -> &'static str {
         match self {
             SpilloverState::Local => "local",
@@ -70,26 +72,26 @@
     }
 }
 
-/// The operators' setting.
+/// The operator's setting for spillover.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SpilloverMode {
-    /// By the thresholds.
+    /// Follows the state, which the thresholds determine.
     #[default]
     Auto,
-    /// Nothing is sent.
+    /// No request is sent to other regions.
     Never,
-    /// An exercise: what the balancer would reject may be sent, and a fraction of all requests besides.
+    /// Failover exercise: requests that the balancer would reject may be sent, and also a fraction of all requests.
     Now,
 }
 
-/// A change of state.
+/// A state transition.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Transition {
-    /// State before it.
+    /// The previous state.
     pub from: SpilloverState,
-    /// State after it.
+    /// The new state.
     pub to: SpilloverState,
-    /// Coverage at that moment.
+    /// Coverage at the transition.
     pub coverage: f64,
 }
 
@@ -103,26 +105,26 @@
 ///     │                              └──────────────────────────────┘     │
 ///     │                            insufficient for `relapse_after`       │
 ///     └───────────────────────────────────────────────────────────────────┘
-///                 `return_duration` has passed and still sufficient
+///                 `return_duration` has passed and coverage is sufficient
 /// ```
 ///
-/// Between the two thresholds nothing changes, and each interruption restarts the time, so a fleet that flaps around a
-/// threshold stays in its state.
+/// Coverage between the two thresholds is neither sufficient nor insufficient, and each interruption restarts the
+/// measured duration, so coverage that flaps around a threshold causes no transition.
 ///
-/// While returning, the fraction that may be sent falls linearly to 0. That bounds how fast load comes back; how much a
-/// warming backend gets of it is the balancer's own slow start.
+/// While returning, the usable fraction of the budget decreases linearly to 0. This limits the rate at which load returns
+/// to the local fleet; the balancer's slow start limits the part of it that a warming backend receives.
 #[derive(Clone, Debug)]
 pub struct Spillover {
     thresholds: SpilloverThresholds,
     state: SpilloverState,
-    /// Start of the state.
+    /// Start of the current state.
     since: Time,
-    /// Start of the present uninterrupted insufficiency.
+    /// Start of the current uninterrupted period of insufficient coverage.
     insufficient_since: Option<Time>,
-    /// Start of the present uninterrupted sufficiency.
+    /// Start of the current uninterrupted period of sufficient coverage.
     sufficient_since: Option<Time>,
     coverage: f64,
-    /// Latest time seen: time that goes back counts as standing still.
+    /// Latest observed time; an earlier `now` is replaced by it.
     now: Time,
 }
 
@@ -140,7 +142,8 @@
         }
     }
 
-    /// Takes an observation of the fleet; expected several times within the shortest threshold.
+    /// Records an observation of the fleet and returns the state transition that it causes. The caller observes several
+    /// times within the shortest of the threshold durations.
     pub fn observe(&mut self, now: Time, fleet: FleetCapacity) -> Option<Transition> {
         self.now = self.now.max(now);
         let now = self.now;
@@ -162,10 +165,11 @@
     fn update_coverage(&mut self, fleet: FleetCapacity) {
         let FleetCapacity { capacity_per_s, demand_per_s } = fleet;
         if !capacity_per_s.is_finite() || !demand_per_s.is_finite() {
-            return; // unknown: the last one stays
+            return; // the coverage is unknown: the last value remains
         }
         self.coverage = if demand_per_s < MIN_DEMAND_PER_S {
-            // Without demand any capacity suffices, and none does not: the first request would find no backend.
+            // Without demand any capacity above zero is sufficient. Zero capacity is not: no backend could serve the first
+            // request.
             f64::from(capacity_per_s > 0.0)
         } else {
             (capacity_per_s / demand_per_s).max(0.0)
@@ -193,12 +197,12 @@
         }
     }
 
-    /// The present state.
+    /// The current state.
     pub fn state(&self) -> SpilloverState {
         self.state
     }
 
-    /// Start of the present state.
+    /// Start of the current state.
     pub fn since(&self) -> Time {
         self.since
     }
--- a/crates/gaugesaddle-federation/src/spillover/tests.rs
+++ b/crates/gaugesaddle-federation/src/spillover/tests.rs
@@ -14,7 +14,7 @@
     FleetCapacity { capacity_per_s: 100.0 * coverage, demand_per_s: 100.0 }
 }
 
-/// Observes every 50 ms; returns the transitions with their times in milliseconds.
+/// Records an observation every 50 ms; returns the transitions with their times in milliseconds.
 fn run(
     spillover: &mut Spillover, from_ms: u64, to_ms: u64, coverage: impl Fn(u64) -> f64,
 ) -> Vec<(u64, SpilloverState)> {
@@ -28,13 +28,16 @@
 }
 
 #[test]
-fn each_transition_takes_its_own_time() {
+fn each_transition_requires_its_configured_duration() {
     let mut spillover = spillover();
     assert_eq!(run(&mut spillover, 0, 1000, |_| 1.0), []);
     assert_eq!(run(&mut spillover, 1000, 3000, |_| 0.0), [(1500, Spilling)]);
     assert_eq!(spillover.budget_fraction(at(3000), Auto), 1.0);
     assert_eq!(run(&mut spillover, 3000, 6000, |_| 1.0), [(5000, Returning)]);
-    assert!((spillover.budget_fraction(at(10_000), Auto) - 0.5).abs() < 1e-9, "half of the return");
+    assert!(
+        (spillover.budget_fraction(at(10_000), Auto) - 0.5).abs() < 1e-9,
+        "half of the return duration has passed"
+    );
     assert_eq!(run(&mut spillover, 6000, 7000, |_| 0.2), [(6250, Spilling)], "relapse");
     assert_eq!(run(&mut spillover, 7000, 12_000, |_| 1.0), [(9000, Returning)]);
     assert_eq!(run(&mut spillover, 12_000, 25_000, |_| 1.0), [(19_000, Local)]);
@@ -42,7 +45,7 @@
 }
 
 #[test]
-fn a_fleet_that_flaps_around_a_threshold_stays_in_its_state() {
+fn coverage_flapping_around_a_threshold_causes_no_transition() {
     let mut spillover = spillover();
     let flapping = |ms: u64| if (ms / 50) % 2 == 0 { 0.45 } else { 0.55 };
     assert_eq!(run(&mut spillover, 0, 60_000, flapping), []);
@@ -53,7 +56,7 @@
 }
 
 #[test]
-fn short_insufficiency_changes_nothing() {
+fn insufficiency_shorter_than_enter_after_causes_no_transition() {
     let mut spillover = spillover();
     assert_eq!(run(&mut spillover, 0, 10_000, |ms| if ms % 1000 < 400 { 0.0 } else { 1.0 }), []);
 }
@@ -68,21 +71,23 @@
 }
 
 #[test]
-fn impossible_figures_and_times_are_harmless() {
-    let figures = [f64::NAN, f64::INFINITY, -1.0, 0.0, 1e300];
-    let mut odd = spillover();
-    for (i, capacity_per_s) in figures.into_iter().enumerate() {
-        for demand_per_s in figures {
-            odd.observe(at(1000 + i as u64), FleetCapacity { capacity_per_s, demand_per_s });
-            assert!(odd.coverage().is_finite() && (0.0..=1.0).contains(&odd.budget_fraction(at(0), Auto)));
+fn non_finite_rates_and_backward_time_are_tolerated() {
+    let rates = [f64::NAN, f64::INFINITY, -1.0, 0.0, 1e300];
+    let mut invalid = spillover();
+    for (i, capacity_per_s) in rates.into_iter().enumerate() {
+        for demand_per_s in rates {
+            invalid.observe(at(1000 + i as u64), FleetCapacity { capacity_per_s, demand_per_s });
+            assert!(
+                invalid.coverage().is_finite() && (0.0..=1.0).contains(&invalid.budget_fraction(at(0), Auto))
+            );
         }
     }
     let mut backwards = spillover();
     run(&mut backwards, 5000, 5200, |_| 0.0);
-    assert_eq!(run(&mut backwards, 0, 400, |_| 0.0), [], "time that goes back stands still");
+    assert_eq!(run(&mut backwards, 0, 400, |_| 0.0), [], "an earlier now counts as no time passed");
     let mut idle = spillover();
     for n in 0..20 {
         idle.observe(at(n * 50), FleetCapacity { capacity_per_s: 0.0, demand_per_s: 0.0 });
     }
-    assert_eq!(idle.state(), Spilling, "without demand, a fleet without capacity is insufficient");
+    assert_eq!(idle.state(), Spilling, "zero capacity is insufficient even without demand");
 }
--- a/crates/gaugesaddle-federation/src/via.rs
+++ b/crates/gaugesaddle-federation/src/via.rs
@@ -1,23 +1,24 @@
 //! The regions that a request has passed through, and the rule that prevents loops.
 //!
-//! As a header: `Region-Path: north, south;left=1`. Names in the order of the hops, the sender last, then the number of
-//! further hops that the request may make. Only an authenticated gateway is believed. It has the shape of CDN-Loop (RFC
-//! 8586) without being it: that header must be forwarded whoever wrote it, and this one must not.
+//! The header is `Region-Path: north, south;left=1`: the region names in the order of the hops, the sender last, then the
+//! number of further hops that the request may make. It is accepted from authenticated gateways only. It resembles CDN-Loop
+//! (RFC 8586) but is a separate header, because CDN-Loop must be forwarded regardless of its origin, and this header must
+//! not.
 
 use thiserror::Error;
 
 /// Maximum number of regions that may be configured.
 pub const MAX_REGIONS: usize = 16;
-/// Maximum number of hops that may be configured; more would use up the deadline in transit.
+/// Maximum number of hops that may be configured; with more, the deadline would be spent in transit.
 pub const MAX_HOPS: u8 = 4;
 /// Maximum length of a region's name, in bytes.
 const MAX_NAME_BYTES: usize = 32;
-/// Maximum length of the header's value: the longest list of regions with its separators, in bytes.
+/// Maximum length of the header value in bytes: the longest list of regions with its separators.
 pub const MAX_HEADER_BYTES: usize = (MAX_HOPS as usize + 1) * (MAX_NAME_BYTES + 2) + 8;
-/// Precedes the number of hops.
+/// Separates the region names from the number of remaining hops.
 const HOPS_SEPARATOR: &str = ";left=";
 
-/// Whether this may be a region's name: lower-case letters, digits and inner hyphens.
+/// Whether `name` is a valid region name: lower-case letters, digits, and hyphens that are neither first nor last.
 pub fn is_valid_name(name: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
     (1..=MAX_NAME_BYTES).contains(&name.len())
@@ -26,41 +27,43 @@
         && !name.ends_with('-')
 }
 
-/// The regions that a request has left, in order, and the hops that it may still make.
+/// The regions that have forwarded a request, in order, and the number of hops that it may still make.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Via {
     regions: Vec<String>,
     remaining_hops: u8,
 }
 
-/// Why a header cannot be used.
+/// Why a `Region-Path` header is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ViaError {
     /// Longer than [`MAX_HEADER_BYTES`], or more than [`MAX_HOPS`] regions.
     #[error("Region-Path: expected up to {MAX_HEADER_BYTES} bytes and {MAX_HOPS} regions")]
     TooLong,
     /// An entry is not a region's name.
-    #[error("Region-Path: expected names of lower-case letters, digits and hyphens, separated by commas")]
+    #[error(
+        "Region-Path: expected region names of lower-case letters, digits and hyphens, separated by commas"
+    )]
     InvalidName,
-    /// A region is in it twice: the request has looped already.
-    #[error("Region-Path: expected each region once")]
+    /// A region is listed twice: the request has already looped.
+    #[error("Region-Path: expected each region once, found a duplicate")]
     DuplicateRegion,
-    /// The number of hops is missing, not a number, or too high.
+    /// The number of remaining hops is missing, not a number, or too high.
     #[error("Region-Path: expected ;left= and a number from 0 to {MAX_HOPS} at its end")]
     InvalidHops,
-    /// The last region is not the one that the sender's certificate names.
-    #[error("Region-Path: expected the sender's own region last")]
+    /// The last region differs from the one in the sender's certificate.
+    #[error("Region-Path: expected the region of the sender's certificate as the last entry")]
     WrongSender,
 }
 
 /// Why a request may not be forwarded to a region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Ineligible {
-    /// It has been there, or comes from there.
-    #[error("the request has been in that region")]
+    /// The request has visited the region, or originates there.
+    #[error("the request has already visited the region")]
     AlreadyVisited,
-    /// It may make no further hop.
-    #[error("the request may make no further hop")]
+    /// The request may make no further hop.
+    #[error("the request has no remaining hops")]
     HopsExhausted,
 }
 
@@ -72,10 +75,10 @@
 }
 
 impl Via {
-    /// Reads the header of a request that came from the region `sender`.
+    /// Parses the header of a request that was received from the region `sender`.
     ///
     /// # Errors
-    /// What is wrong with it; see [`ViaError`].
+    /// The header is invalid; see [`ViaError`].
     pub fn parse(header: &str, sender: &str) -> Result<Via, ViaError> {
         if header.len() > MAX_HEADER_BYTES {
             return Err(ViaError::TooLong);
@@ -121,10 +124,10 @@
         self.regions.iter().any(|visited| visited == region)
     }
 
-    /// Whether the region `local` may accept a request that came this way.
+    /// Checks whether the region `local` may accept a request with this header.
     ///
     /// # Errors
-    /// [`Ineligible::AlreadyVisited`] where it has been there.
+    /// [`Ineligible::AlreadyVisited`] if the request has already visited `local`.
     pub fn check_entry(&self, local: &str) -> Result<(), Ineligible> {
         if self.has_visited(local) {
             Err(Ineligible::AlreadyVisited)
@@ -133,11 +136,12 @@
         }
     }
 
-    /// The header with which the region `local` forwards a request to the region `to`. `incoming` is what it came with,
-    /// `None` from a client; a client's request may make `max_hops` hops. A forwarded one never gets more hops than it had.
+    /// The header with which the region `local` forwards a request to the region `to`. `incoming` is the header that the
+    /// request was received with, `None` for a request of a client, which may make `max_hops` hops. Forwarding never raises
+    /// the number of remaining hops.
     ///
     /// # Errors
-    /// Why it may not be forwarded.
+    /// The request may not be forwarded to `to`; see [`Ineligible`].
     pub fn next_hop(incoming: Option<&Via>, local: &str, to: &str, max_hops: u8) -> Result<Via, Ineligible> {
         let mut via = match incoming {
             None => Via { regions: Vec::new(), remaining_hops: max_hops.min(MAX_HOPS) },
--- a/crates/gaugesaddle-federation/src/via/tests.rs
+++ b/crates/gaugesaddle-federation/src/via/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn each_hop_adds_a_region_and_uses_a_hop() {
+fn each_hop_appends_a_region_and_decrements_the_remaining_hops() {
     let first = Via::next_hop(None, "north", "south", 2).expect("eligible");
     assert_eq!(first.header_value(), "north;left=1");
     let received = Via::parse(&first.header_value(), "north").expect("as written");
@@ -21,14 +21,14 @@
     assert_eq!(
         via.check_entry("north"),
         Err(Ineligible::AlreadyVisited),
-        "its own region must not accept it"
+        "the region that forwarded the request must not accept it"
     );
     assert_eq!(Via::next_hop(Some(&via), "north", "west", 4), Err(Ineligible::AlreadyVisited));
     assert_eq!(Via::next_hop(None, "north", "south", 0), Err(Ineligible::HopsExhausted));
 }
 
 #[test]
-fn invalid_headers_are_rejected_with_the_reason() {
+fn invalid_headers_are_rejected_with_a_specific_error() {
     let many = (0..1000).map(|n| format!("r{n}")).collect::<Vec<_>>().join(", ");
     for (header, expected) in [
         ("north", ViaError::InvalidHops),
