--- a/crates/gaugesaddle-federation/src/budget.rs
+++ b/crates/gaugesaddle-federation/src/budget.rs
@@ -1,56 +1,56 @@
-//! How many requests may go to a region, or come from one: a rate, a burst and a number in flight, over all proxies
-//! together, in every window of a second and not only on average.
+//! The budget of requests that may be sent to a region or received from one: a rate, a burst and a number in flight. It
+//! applies to all proxies together and holds in every window of one second, not only on average.
 //!
-//! A token bucket of rate r and burst b passes r + b in some second; a log of the last sends passes r. Its memory is
-//! proportional to r, which for a last resort is small. Proxies do not coordinate each send: each has its allocation, and
-//! the allocations add up to the budget. Where the rate is below the number of proxies, each has one send in its slots of
-//! the common clock.
+//! A token bucket of rate r and burst b admits up to r + b requests in one second; a sliding-window log admits r. The
+//! memory of the log is proportional to r, which is small for failover traffic. Proxies do not coordinate each send: each
+//! has its allocation, and the allocations add up to the budget. If the rate is below the number of proxies, each proxy may
+//! send one request in each of its slots of the shared clock.
 
 use crate::allocation::{EvenAllocation, WeightedAllocation};
 use crate::rate_limit::{RateLimit, SlidingWindow, SECOND};
 use gaugesaddle_balancer::{Micros, Time};
 use thiserror::Error;
 
-/// Window of a burst.
+/// Window over which the burst limit is enforced.
 const BURST_WINDOW: Micros = Micros(100_000);
 
-/// The limit that leaves no capacity.
+/// The exhausted limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BudgetExceeded {
-    /// Requests per second, of the region or of the class, or the burst.
-    #[error("budget: no requests left in this second")]
+    /// The requests per second of the region or of the class, or the burst.
+    #[error("request budget: the rate or burst limit is reached")]
     Rate,
-    /// Requests in flight.
-    #[error("budget: no requests left in flight")]
+    /// The requests in flight.
+    #[error("request budget: the in-flight limit is reached")]
     InFlight,
 }
 
 /// The limits of one class of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassLimits {
-    /// Requests per second of all proxies, where the class has a lower limit than the region.
+    /// Requests per second of all proxies together, if the class has a lower limit than the region.
     pub per_s: Option<u32>,
-    /// Priority weight of its requests.
+    /// Priority weight of the class's requests.
     pub priority_weight: f64,
 }
 
 /// The limits of a budget, for all proxies together.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BudgetLimits {
-    /// Requests in any window of a second.
+    /// Maximum number of requests in any window of one second.
     pub per_s: u32,
-    /// Requests in any window of a tenth of a second.
+    /// Maximum number of requests in any window of a tenth of a second.
     pub burst: u32,
-    /// Requests in flight.
+    /// Maximum number of requests in flight.
     pub in_flight: u32,
-    /// By class.
+    /// Limits of each class.
     pub classes: Vec<ClassLimits>,
 }
 
-/// How much of a limit is used.
+/// Usage of a limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Present use.
+    /// Current usage.
     pub used: u32,
     /// This proxy's limit.
     pub limit: u32,
@@ -66,12 +66,12 @@
 struct ClassBudget {
     rate: Option<ClassRate>,
     priority_weight: f64,
-    /// Sends of the last second, without a limit of its own.
+    /// Sends of the last second; this window has no limit of its own.
     sent: SlidingWindow,
     expected_per_s: f64,
 }
 
-/// Sends in one second of the clock.
+/// Number of sends within one second of the clock.
 #[derive(Clone, Copy, Debug, Default)]
 struct SecondCount {
     second: u64,
@@ -85,18 +85,18 @@
     burst: SlidingWindow,
     classes: Vec<ClassBudget>,
     in_flight: Usage,
-    /// Of all proxies; the limits of classes are in `classes`.
+    /// Requests per second of all proxies together, like the other totals; the limits of classes are in `classes`.
     total_per_s: u32,
     total_burst: u32,
     total_in_flight: u32,
-    /// Latest time seen: time that goes back counts as standing still.
+    /// Latest observed time; an earlier `now` is replaced by it.
     now: Time,
-    /// For operators.
+    /// Sends in the latest second of the clock, reported to operators.
     current_second: SecondCount,
 }
 
 impl Budget {
-    /// One proxy's even allocation of `limits`.
+    /// The budget of one proxy: its even allocation of `limits`.
     pub fn new(limits: &BudgetLimits, allocation: EvenAllocation) -> Budget {
         let class = |limits: &ClassLimits| ClassBudget {
             rate: limits.per_s.map(|per_s| ClassRate { per_s, limit: RateLimit::new(per_s, allocation) }),
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Takes another allocation of the same limits: by demand among the live proxies, where the other end enforces the
-    /// total. What was sent in the last second still counts.
+    /// Applies another allocation of the same limits, by demand among the live proxies. The other side enforces the total.
+    /// Sends of the last second still count, except for a rate that changes between sliding window and time slots.
     pub fn reallocate(&mut self, allocation: WeightedAllocation) {
         self.rate.reallocate(self.total_per_s, allocation);
         self.burst.set_limit(allocation.of_total(self.total_burst).max(1));
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Sets this proxy's rate, and its burst in proportion; lower limits of classes stay. Changes nothing where
+    /// Sets this proxy's rate, and its burst in proportion; lower limits of classes remain. Has no effect if
     /// [`uses_sliding_window`](Budget::uses_sliding_window) is false.
     pub fn set_rate(&mut self, per_s: u32) {
         if let RateLimit::Window(window) = &mut self.rate {
@@ -138,19 +138,20 @@
         }
     }
 
-    /// Whether this proxy has a number of requests per second; otherwise the proxies send in turns.
+    /// Whether this proxy's rate is limited by a sliding window; otherwise the proxies send in assigned time slots.
     pub fn uses_sliding_window(&self) -> bool {
         matches!(self.rate, RateLimit::Window(_))
     }
 
-    /// Sets the expected requests per second by class: classes of a lower priority weight leave that capacity.
+    /// Sets the expected requests per second of each class; capacity for them is reserved from classes of a lower priority
+    /// weight.
     pub fn set_expected_demand(&mut self, per_s: impl IntoIterator<Item = f64>) {
         for (class, per_s) in self.classes.iter_mut().zip(per_s) {
             class.expected_per_s = if per_s.is_finite() { per_s.max(0.0) } else { 0.0 };
         }
     }
 
-    /// Requests of higher priority weights that are still expected within this second.
+    /// Number of requests of classes with a higher priority weight that are still expected within the current second.
     fn reserved_for_higher(&mut self, now: Time, class: usize) -> u32 {
         let priority_weight = self.classes[class].priority_weight;
         let mut reserved: u32 = 0;
@@ -161,10 +162,11 @@
         reserved
     }
 
-    /// How many more requests of the class may be sent now, while only `budget_fraction` (0 to 1) of the budget may be used.
+    /// Number of further requests of the class that may be sent at `now`, while only `budget_fraction` (0 to 1) of the
+    /// budget may be used.
     ///
     /// # Errors
-    /// The limit that leaves none. A class that does not exist has no rate.
+    /// The exhausted limit; [`BudgetExceeded::Rate`] for a class that does not exist.
     pub fn available(
         &mut self, now: Time, class: usize, budget_fraction: f64,
     ) -> Result<u32, BudgetExceeded> {
@@ -173,12 +175,12 @@
         if class >= self.classes.len() {
             return Err(BudgetExceeded::Rate);
         }
-        let closed = if budget_fraction > 0.0 {
+        let unusable = if budget_fraction > 0.0 {
             (f64::from(self.rate.limit_per_s()) * (1.0 - budget_fraction.clamp(0.0, 1.0))) as u32
         } else {
             u32::MAX
         };
-        let withheld = self.reserved_for_higher(now, class).saturating_add(closed);
+        let withheld = self.reserved_for_higher(now, class).saturating_add(unusable);
         let class_rate = self.classes[class].rate.as_mut();
         let by_class = class_rate.map_or(u32::MAX, |rate| rate.limit.remaining(now));
         let by_region = self.rate.remaining(now).saturating_sub(withheld);
@@ -192,10 +194,10 @@
         }
     }
 
-    /// Takes capacity for one request; each has to end by one [`release`](Budget::release).
+    /// Acquires capacity for one request; the caller must call [`release`](Budget::release) once when it ends.
     ///
     /// # Errors
-    /// As [`available`](Budget::available); nothing is taken then.
+    /// As for [`available`](Budget::available); no capacity is acquired then.
     pub fn acquire(&mut self, now: Time, class: usize, budget_fraction: f64) -> Result<(), BudgetExceeded> {
         self.available(now, class, budget_fraction)?;
         let now = self.now;
@@ -215,17 +217,17 @@
         Ok(())
     }
 
-    /// A request that was acquired has ended.
+    /// Releases the capacity of a request that has ended.
     pub fn release(&mut self) {
         self.in_flight.used = self.in_flight.used.saturating_sub(1);
     }
 
-    /// Requests in flight.
+    /// Requests in flight, and their limit.
     pub fn in_flight(&self) -> Usage {
         self.in_flight
     }
 
-    /// Requests sent in the second of the clock that contains `now`.
+    /// Requests sent in the second of the clock that contains `now`, and their limit.
     pub fn rate_usage(&self, now: Time) -> Usage {
         let SecondCount { second, sent } = self.current_second;
         let used = if second == now.0 / SECOND.0 { sent } else { 0 };
--- a/crates/gaugesaddle-federation/src/credentials.rs
+++ b/crates/gaugesaddle-federation/src/credentials.rs
@@ -64,26 +64,26 @@
 ///
 /// # Errors
 /// The first check that failed.
-pub fn validate(now: Time, metadata: &CredentialMetadata) -> Result<(), CredentialError> {
-    if metadata.key_mode & GROUP_AND_OTHERS != 0 {
-        return Err(CredentialError::KeyAccessible(metadata.key_mode & PERMISSIONS));
+pub fn validate(now: Time, credential_metadata: &CredentialMetadata) -> Result<(), CredentialError> {
+    if credential_metadata.key_mode & GROUP_AND_OTHERS != 0 {
+        return Err(CredentialError::KeyAccessible(credential_metadata.key_mode & PERMISSIONS));
     }
-    if metadata.chain_length == 0 {
+    if credential_metadata.chain_length == 0 {
         return Err(CredentialError::NoCertificate);
     }
-    if metadata.anchors == 0 {
+    if credential_metadata.anchors == 0 {
         return Err(CredentialError::NoAnchor);
     }
-    if !metadata.key_matches {
+    if !credential_metadata.key_matches {
         return Err(CredentialError::KeyMismatch);
     }
-    if !metadata.names_own_region {
+    if !credential_metadata.names_own_region {
         return Err(CredentialError::WrongName);
     }
-    if now > metadata.valid_until {
+    if now > credential_metadata.valid_until {
         return Err(CredentialError::Expired);
     }
-    if now < metadata.valid_from {
+    if now < credential_metadata.valid_from {
         return Err(CredentialError::NotYetValid);
     }
     Ok(())
--- a/crates/gaugesaddle-federation/src/credentials/tests.rs
+++ b/crates/gaugesaddle-federation/src/credentials/tests.rs
@@ -20,7 +20,7 @@
 fn each_invalid_property_has_a_distinct_error() {
     let now = day(50);
     assert_eq!(validate(now, &valid()), Ok(()));
-    for (metadata, expected) in [
+    for (credential_metadata, expected) in [
         (CredentialMetadata { key_mode: 0o640, ..valid() }, CredentialError::KeyAccessible(0o640)),
         (CredentialMetadata { key_mode: 0o604, ..valid() }, CredentialError::KeyAccessible(0o604)),
         (CredentialMetadata { chain_length: 0, ..valid() }, CredentialError::NoCertificate),
@@ -36,7 +36,7 @@
             CredentialError::NotYetValid,
         ),
     ] {
-        assert_eq!(validate(now, &metadata), Err(expected));
+        assert_eq!(validate(now, &credential_metadata), Err(expected));
     }
 }
 
--- a/crates/gaugesaddle-federation/src/link.rs
+++ b/crates/gaugesaddle-federation/src/link.rs
@@ -1,4 +1,4 @@
-//! One other region, as one proxy of this one sees it: what may be sent there now, and what came of it.
+//! The link from one proxy to one other region: admission of the requests to send, and accounting of their results.
 
 use crate::allocation::{EvenAllocation, WeightedAllocation};
 use crate::backoff::Backoff;
@@ -16,99 +16,99 @@
     pub local: String,
     /// Name of the other region.
     pub remote: String,
-    /// What may be sent there, all proxies together.
+    /// Limits of the requests to the other region, for all proxies together.
     pub budget: BudgetLimits,
-    /// Which proxy this is.
+    /// This proxy's allocation of the budget.
     pub allocation: EvenAllocation,
-    /// Hops that a client's request may make.
+    /// Maximum number of hops of a client's request.
     pub max_hops: u8,
-    /// Estimated round-trip time until one was measured.
+    /// Estimated round-trip time until one is measured.
     pub initial_round_trip: Micros,
-    /// Subtracted from a deadline at each hop, besides the round trip.
+    /// Margin that is subtracted from a deadline at each hop in addition to the round trip.
     pub deadline_margin: Micros,
 }
 
 /// Why a request is not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LinkError {
-    /// It would loop, or may make no further hop.
-    #[error("forwarding to a region: {0}")]
+    /// The request would loop, or may make no further hop.
+    #[error("forwarding to another region: {0}")]
     Ineligible(#[source] Ineligible),
-    /// Its remaining time is below the round trip and margin.
-    #[error("forwarding to a region: no answer could come before the deadline")]
+    /// The remaining time of the request is below the round trip plus the margin.
+    #[error("forwarding to another region: the remaining time is below the round trip plus the margin")]
     DeadlineTooShort,
-    /// The budget is used up.
-    #[error("forwarding to a region: the budget is used up")]
+    /// The budget is exhausted.
+    #[error("forwarding to another region: the budget is exhausted")]
     BudgetExceeded,
-    /// The region rejected a request, or the link failed, a moment ago.
-    #[error("forwarding to a region: backing off")]
+    /// The link is in backoff, after the region rejected a request or the link failed.
+    #[error("forwarding to another region: the link is in backoff")]
     Backoff,
 }
 
-/// Counts since the start.
+/// Counters of a link since its creation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkCounters {
-    /// Requests that were sent.
+    /// Requests sent.
     pub sent: u64,
-    /// Of these: served there.
+    /// Requests sent that the other region executed.
     pub executed: u64,
-    /// Of these: rejected without being executed.
+    /// Requests sent that were rejected without being executed.
     pub not_executed: u64,
-    /// Of these: may have been executed.
+    /// Requests sent that may have been executed.
     pub indeterminate: u64,
-    /// Not sent: [`LinkError::Ineligible`].
+    /// Requests not sent because of [`LinkError::Ineligible`].
     pub ineligible: u64,
-    /// Not sent: [`LinkError::DeadlineTooShort`].
+    /// Requests not sent because of [`LinkError::DeadlineTooShort`].
     pub deadline_too_short: u64,
-    /// Not sent: [`LinkError::BudgetExceeded`].
+    /// Requests not sent because of [`LinkError::BudgetExceeded`].
     pub over_budget: u64,
-    /// Not sent: [`LinkError::Backoff`].
+    /// Requests not sent because of [`LinkError::Backoff`].
     pub backed_off: u64,
 }
 
-/// This proxy's use of a link.
+/// This proxy's usage of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkUsage {
     /// Requests in flight.
     pub in_flight: Usage,
-    /// Requests in this second.
+    /// Requests in the current second of the clock.
     pub per_s: Usage,
 }
 
-/// A request that is to be sent.
+/// A request to be sent to another region.
 #[derive(Clone, Copy, Debug)]
 pub struct HopRequest<'a> {
-    /// Index of its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Time until its deadline.
+    /// Time until the request's deadline.
     pub remaining: Micros,
-    /// The regions that it came through; `None` from a client.
+    /// The regions that the request has passed through; `None` for a request of a client.
     pub via: Option<&'a Via>,
     /// Fraction of the budget that may be used, 0 to 1.
     pub budget_fraction: f64,
 }
 
-/// What a request that is sent carries.
+/// Header values of a request that is sent to another region.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Hop {
-    /// The regions that it came through, this one included.
+    /// The regions that the request has passed through, including this one.
     pub via: Via,
-    /// Time that the other side has, in full milliseconds.
+    /// Time that remains at the other side, in whole milliseconds.
     pub remaining: Micros,
 }
 
-/// How a hop ended.
+/// The result of a hop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HopResult {
-    /// What became of the request.
+    /// The outcome of the request.
     pub outcome: RemoteOutcome,
-    /// Time since it was sent.
+    /// Time since the request was sent.
     pub duration: Micros,
-    /// How long the other side worked on it, where it reported that; the remainder is the round trip.
+    /// Processing time of the other side, if it was reported; the rest of `duration` is the round trip.
     pub remote_duration: Option<Micros>,
     /// The delay that the other side requested when it rejected the request.
     pub retry_after: Option<Micros>,
-    /// No answer came: the link itself failed.
+    /// Whether the link itself failed, so that no answer was received.
     pub link_failed: bool,
 }
 
@@ -123,7 +123,7 @@
 }
 
 impl Link {
-    /// A link without any history.
+    /// A link without samples, backoff or counts.
     pub fn new(settings: LinkSettings) -> Link {
         Link {
             budget: Budget::new(&settings.budget, settings.allocation),
@@ -139,7 +139,8 @@
         &self.settings.remote
     }
 
-    /// How many requests of the class may be sent now, while `budget_fraction` (0 to 1) of the budget may be used.
+    /// Number of requests of the class that may be sent at `now`, while only `budget_fraction` (0 to 1) of the budget may
+    /// be used.
     pub fn available(&mut self, now: Time, class: usize, budget_fraction: f64) -> u32 {
         if self.backoff.is_over(now) && budget_fraction > 0.0 {
             self.budget.available(now, class, budget_fraction).unwrap_or(0)
@@ -148,26 +149,26 @@
         }
     }
 
-    /// Sets the expected requests per second by class.
+    /// Sets the expected requests per second of each class.
     pub fn set_expected_demand(&mut self, per_s: impl IntoIterator<Item = f64>) {
         self.budget.set_expected_demand(per_s);
     }
 
-    /// Takes another allocation of the budget.
+    /// Applies another allocation of the budget.
     pub fn reallocate(&mut self, allocation: WeightedAllocation) {
         self.budget.reallocate(allocation);
     }
 
-    /// What a hop subtracts from a deadline: round trip and margin.
+    /// Time that a hop subtracts from a deadline: the estimated round trip plus the margin.
     pub fn hop_overhead(&self, now: Time) -> Micros {
         Micros(self.round_trip.estimate(now).0.saturating_add(self.settings.deadline_margin.0))
     }
 
-    /// Decides whether a request may be sent, and what it carries. Each that may has to end by one
-    /// [`complete`](Link::complete) or [`cancel`](Link::cancel).
+    /// Decides whether a request may be sent, and returns its header values. For each started hop the caller must call
+    /// [`complete`](Link::complete) or [`cancel`](Link::cancel) once.
     ///
     /// # Errors
-    /// Why it may not; nothing of the budget is taken then.
+    /// The request may not be sent; no budget is acquired then.
     pub fn start_hop(&mut self, now: Time, request: HopRequest) -> Result<Hop, LinkError> {
         let result = self.try_start_hop(now, request);
         let counter = match result {
@@ -190,14 +191,14 @@
         if !self.backoff.is_over(now) {
             return Err(LinkError::Backoff);
         }
-        // Must be last: only this step takes something.
+        // Must be the last check: it acquires budget.
         self.budget
             .acquire(now, request.class, request.budget_fraction)
             .map_err(|_| LinkError::BudgetExceeded)?;
         Ok(Hop { via, remaining })
     }
 
-    /// A hop has ended; `random` is uniform in 0 to 1 and spreads the backoff.
+    /// Records the result of a hop; `random` is uniform in 0 to 1 and provides the jitter of the backoff.
     pub fn complete(&mut self, now: Time, result: HopResult, random: f64) {
         self.budget.release();
         match result.outcome {
@@ -205,8 +206,8 @@
             RemoteOutcome::NotExecuted => self.counters.not_executed += 1,
             RemoteOutcome::Indeterminate => self.counters.indeterminate += 1,
         }
-        // Never of a failed link: that duration is the client's deadline, and as a round trip it would keep all other
-        // requests from being sent long after the link has recovered.
+        // A failed hop is not a sample: its duration is the client's deadline, and as a round trip it would prevent all
+        // other requests from being sent long after the link has recovered.
         if let Some(remote_duration) = result.remote_duration.filter(|_| !result.link_failed) {
             let round_trip = result.duration.0.saturating_sub(remote_duration.0);
             self.round_trip.record(now, Micros(round_trip));
@@ -221,23 +222,24 @@
         }
     }
 
-    /// The client of a hop disconnected, or its deadline passed: nothing was learned of the link.
+    /// Records that the client of a hop disconnected or that its deadline passed. Round trip and backoff are unchanged,
+    /// because neither event indicates the state of the link.
     pub fn cancel(&mut self) {
         self.budget.release();
         self.counters.indeterminate += 1;
     }
 
-    /// Counts so far.
+    /// Counters since the creation of the link.
     pub fn counters(&self) -> LinkCounters {
         self.counters
     }
 
-    /// This proxy's present use.
+    /// This proxy's current usage.
     pub fn usage(&self, now: Time) -> LinkUsage {
         LinkUsage { in_flight: self.budget.in_flight(), per_s: self.budget.rate_usage(now) }
     }
 
-    /// End of the present backoff; `None` where there is none.
+    /// End of the current backoff; `None` if the link is not in backoff.
     pub fn backoff_until(&self, now: Time) -> Option<Time> {
         Some(self.backoff.until()).filter(|until| *until > now)
     }
--- a/crates/gaugesaddle-federation/src/link/tests.rs
+++ b/crates/gaugesaddle-federation/src/link/tests.rs
@@ -22,13 +22,13 @@
     })
 }
 
-/// A client's request with that time until its deadline.
+/// A client's request with the given time until its deadline.
 fn request(remaining: Micros) -> HopRequest<'static> {
     HopRequest { class: 0, remaining, via: None, budget_fraction: 1.0 }
 }
 
 #[test]
-fn a_request_carries_a_shorter_deadline_and_its_regions() {
+fn a_hop_carries_a_shorter_deadline_and_the_visited_regions() {
     let mut link = link();
     let hop = link.start_hop(at(0), request(ms(250))).expect("within the budget");
     assert_eq!((hop.via.header_value().as_str(), hop.remaining), ("north;left=0", ms(200)));
@@ -41,18 +41,22 @@
     };
     link.complete(at(60), result, 0.5);
     let hop = link.start_hop(at(70), request(ms(250))).expect("within the budget");
-    assert_eq!(hop.remaining, ms(230), "the measured round trip, 10 ms, and the margin");
+    assert_eq!(
+        hop.remaining,
+        ms(230),
+        "250 ms less the measured round trip of 10 ms and the margin of 10 ms"
+    );
     assert_eq!(link.counters().executed, 1);
 }
 
 #[test]
-fn each_error_is_counted_and_takes_nothing() {
+fn each_error_is_counted_and_acquires_no_budget() {
     let mut link = link();
     let from_south = Via::parse("south;left=1", "south").expect("valid");
     assert_eq!(
         link.start_hop(at(0), HopRequest { via: Some(&from_south), ..request(ms(250)) }),
         Err(LinkError::Ineligible(Ineligible::AlreadyVisited)),
-        "both regions forward to each other"
+        "the request was received from the region that it would be forwarded to"
     );
     let exhausted = Via::parse("west;left=0", "west").expect("valid");
     assert_eq!(
@@ -63,11 +67,11 @@
     assert_eq!(
         link.start_hop(at(0), HopRequest { budget_fraction: 0.0, ..request(ms(250)) }),
         Err(LinkError::BudgetExceeded),
-        "nothing is open"
+        "no part of the budget may be used"
     );
     (0..3).for_each(|_| assert!(link.start_hop(at(0), request(ms(250))).is_ok()));
     let fourth = link.start_hop(at(0), request(ms(250)));
-    assert_eq!(fourth, Err(LinkError::BudgetExceeded), "three in flight");
+    assert_eq!(fourth, Err(LinkError::BudgetExceeded), "three requests are in flight");
     let counters = link.counters();
     assert_eq!(
         (counters.sent, counters.ineligible, counters.deadline_too_short, counters.over_budget),
@@ -76,7 +80,7 @@
 }
 
 #[test]
-fn a_failed_link_backs_off_and_its_duration_is_no_round_trip() {
+fn a_failed_hop_starts_a_backoff_and_is_not_a_round_trip_sample() {
     let mut link = link();
     link.start_hop(at(0), request(ms(250))).expect("within the budget");
     let failed = HopResult {
@@ -93,7 +97,7 @@
 }
 
 #[test]
-fn a_rejection_is_obeyed_and_releases_its_budget() {
+fn a_rejection_starts_the_requested_backoff_and_releases_its_budget() {
     let mut link = link();
     link.start_hop(at(0), request(ms(250))).expect("within the budget");
     let rejected = HopResult {
--- a/crates/gaugesaddle-federation/src/rate_limit/tests.rs
+++ b/crates/gaugesaddle-federation/src/rate_limit/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// The failure: a log whose remaining sends nobody looked up grew for as long as the process ran.
+/// Guards against unbounded growth of a log whose usage is never read: expired entries used to be dropped only on reads.
 #[test]
-fn a_window_that_is_only_recorded_stays_bounded() {
+fn recording_sends_drops_expired_entries() {
     let mut window = SlidingWindow::new(SECOND, u32::MAX);
     for ms in 0..10_000u64 {
         window.record(Time(ms * 1000));
--- a/crates/gaugesaddle-federation/src/remote_clock.rs
+++ b/crates/gaugesaddle-federation/src/remote_clock.rs
@@ -20,7 +20,7 @@
 
 /// Maximum drift between two monotonic clocks, in parts per million: each is slewed by at most 500.
 const MAX_DRIFT_PER_MILLION: u64 = 1_000;
-/// Maximum age of a usable reading. At this age the allowance for drift shortens each deadline by 10 ms.
+/// Maximum age of a usable reading. At this age the allowance for drift shortens each deadline by at least 10 ms.
 const MAX_READING_AGE: Micros = Micros(10_000_000);
 
 /// A time by the monotonic clock of a gateway, counted from when it accepted the connection.
@@ -86,11 +86,11 @@
         let offset = sample.offset_from(sample.received_at);
         // A previous lower bound above the upper bound of this sample shows that the remote clock was stopped in between;
         // that lower bound is discarded.
-        let previous = self
+        let previous_bound = self
             .lower_bound
             .map(|lower_bound| lower_bound.at(sample.received_at))
-            .filter(|previous| *previous <= upper_bound);
-        if previous.is_none_or(|previous| previous <= offset) {
+            .filter(|previous_bound| *previous_bound <= upper_bound);
+        if previous_bound.is_none_or(|previous_bound| previous_bound <= offset) {
             self.lower_bound = Some(OffsetLowerBound { at: sample.received_at, offset });
         }
         self.last_sample = Some(sample.received_at);
--- a/crates/gaugesaddle-federation/src/spillover/tests.rs
+++ b/crates/gaugesaddle-federation/src/spillover/tests.rs
@@ -73,12 +73,13 @@
 #[test]
 fn non_finite_rates_and_backward_time_are_tolerated() {
     let rates = [f64::NAN, f64::INFINITY, -1.0, 0.0, 1e300];
-    let mut invalid = spillover();
+    let mut with_invalid_rates = spillover();
     for (i, capacity_per_s) in rates.into_iter().enumerate() {
         for demand_per_s in rates {
-            invalid.observe(at(1000 + i as u64), FleetCapacity { capacity_per_s, demand_per_s });
+            with_invalid_rates.observe(at(1000 + i as u64), FleetCapacity { capacity_per_s, demand_per_s });
             assert!(
-                invalid.coverage().is_finite() && (0.0..=1.0).contains(&invalid.budget_fraction(at(0), Auto))
+                with_invalid_rates.coverage().is_finite()
+                    && (0.0..=1.0).contains(&with_invalid_rates.budget_fraction(at(0), Auto))
             );
         }
     }
--- a/crates/gaugesaddle-federation/tests/failover.rs
+++ b/crates/gaugesaddle-federation/tests/failover.rs
@@ -1,9 +1,11 @@
-//! Failover of two and three regions, every order of messages, losses, crashes and outages within a stated bound, by a
-//! model checker: no request is in a region twice, each gets one final answer, no keyed one runs twice, and every
-//! history ends. The regions use the crate's own loop rule and answers to clients.
+//! Model checking of failover between two and three regions. The checker explores every order of messages, message losses,
+//! crashes and outages within the bound below and verifies that no request visits a region twice, each request gets exactly
+//! one final answer, no request with an idempotency key is executed twice, and every execution terminates. The modelled
+//! regions use the crate's loop prevention and client answers.
 //!
-//! Bound: one keyed and one free request at the same time, the backends of each region lost at any moment and back at any
-//! later one or never, up to two messages lost, one gateway killed with its requests.
+//! Bound: one request with an idempotency key and one that may be repeated freely, concurrently; the backends of each
+//! region fail at any time and recover at any later time or never; up to two messages are lost; one gateway is killed
+//! together with its requests.
 
 use gaugesaddle_balancer::{Effect, KeyScope, Micros, Outcome};
 use gaugesaddle_federation::{
@@ -11,20 +13,20 @@
 };
 use stateright::{Checker, Model, Property};
 
-const NAMES: [&str; 3] = ["north", "south", "west"];
+const REGION_NAMES: [&str; 3] = ["north", "south", "west"];
 const MAX_HOPS: u8 = 2;
-const KEYED: usize = 0;
-const REQUESTS: usize = 2;
+const KEYED_REQUEST: usize = 0;
+const REQUEST_COUNT: usize = 2;
 const MAX_LOSSES: u8 = 2;
 
 fn effect(request: usize) -> Effect {
     [Effect::Keyed(KeyScope::Zone, Micros(1_200_000)), Effect::Free][request]
 }
 
-/// The region that wrote a header: the last name in it.
+/// Index of the region that wrote a header: the last region in it.
 fn sender_of(via: &str) -> usize {
     let regions = via.split(';').next().unwrap();
-    NAMES.iter().position(|name| regions.ends_with(name)).unwrap()
+    REGION_NAMES.iter().position(|name| regions.ends_with(name)).unwrap()
 }
 
 /// A message between two regions.
@@ -34,38 +36,38 @@
     Response { request: usize, to: usize, outcome: u8 },
 }
 
-/// A request in a region.
+/// A request that a region has not answered yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Pending {
-    /// The header that it came with; `None` from a client.
+    /// The header that the request was received with; `None` for a request of a client.
     via: Option<String>,
-    /// It was forwarded and waits for the other region's response.
+    /// Whether the request was forwarded and the response of the other region is outstanding.
     is_forwarded: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
-struct World {
-    /// By region: its backends are lost.
+struct ModelState {
+    /// By region: whether its backends have failed.
     lost: Vec<bool>,
-    /// By region: its backends have recovered.
+    /// By region: whether its backends have recovered from a failure.
     recovered: Vec<bool>,
-    /// By region: its gateway was killed.
+    /// By region: whether its gateway was killed.
     killed: Vec<bool>,
     messages: Vec<Message>,
     /// By region and request.
     pending: Vec<Vec<Option<Pending>>>,
-    /// By request: the regions that had it, in order.
+    /// By request: the regions that it has visited, in order.
     visited: Vec<Vec<usize>>,
-    /// By request: executions.
+    /// By request: number of executions, and of attempts that may have been executed.
     executions: Vec<u8>,
-    /// By request: final answers of its first region.
+    /// By request: final answers of its first region to the client.
     answers: Vec<Vec<&'static str>>,
     losses: u8,
     kills: u8,
 }
 
-impl World {
-    /// Messages are a set: their order makes no difference to the state.
+impl ModelState {
+    /// Keeps the messages sorted, because states that differ only in the order of messages are equivalent.
     fn send(&mut self, message: Message) {
         self.messages.push(message);
         self.messages.sort();
@@ -85,30 +87,31 @@
     DeliverMessage(usize),
     /// The region executes the request and responds.
     Serve(usize, usize),
-    /// An attempt there may have been executed and gave no response.
+    /// An attempt in the region may have been executed and returned no response.
     FailAttempt(usize, usize),
-    /// The region cannot serve it: it is forwarded, or given up.
+    /// The region cannot serve the request, and forwards it, or rejects it if no other region is eligible.
     Forward(usize, usize),
-    /// Its deadline passes while it waits.
+    /// The deadline of a forwarded request passes.
     Expire(usize, usize),
 }
 
-struct Regions(usize);
+/// The model, with the number of regions.
+struct FailoverModel(usize);
 
-fn outcome(number: u8) -> RemoteOutcome {
+fn outcome_from_number(number: u8) -> RemoteOutcome {
     [RemoteOutcome::Executed, RemoteOutcome::NotExecuted, RemoteOutcome::Indeterminate][number as usize]
 }
 
-impl Regions {
-    /// A region ends a request: answers its client, or as a gateway its sender.
-    fn end(&self, w: &mut World, region: usize, request: usize, outcome: Outcome) {
-        let Some(Pending { via, .. }) = w.pending[region][request].take() else { return };
+impl FailoverModel {
+    /// A region ends a request: it answers the client, or reports the outcome to the region that sent the request.
+    fn finish(&self, state: &mut ModelState, region: usize, request: usize, outcome: Outcome) {
+        let Some(Pending { via, .. }) = state.pending[region][request].take() else { return };
         let unserved = match outcome {
             Outcome::Ok => None,
             outcome => Some(client_answer(effect(request), outcome)),
         };
         match via {
-            None => w.answers[request].push(match unserved {
+            None => state.answers[request].push(match unserved {
                 None => "served",
                 Some(ClientAnswer::Rejected) => "rejected",
                 Some(ClientAnswer::Failed) => "failed",
@@ -119,81 +122,87 @@
                     Some(ClientAnswer::Rejected) => outcome_of_rejection(effect(request)),
                     Some(ClientAnswer::Failed) => RemoteOutcome::Indeterminate,
                 };
-                w.respond(request, sender_of(&via), outcome);
+                state.respond(request, sender_of(&via), outcome);
             }
         }
     }
 
-    fn kill_gateway(&self, w: &mut World, region: usize) {
-        w.killed[region] = true;
-        w.kills = 1;
-        for request in 0..REQUESTS {
-            match w.pending[region][request].take() {
+    fn kill_gateway(&self, state: &mut ModelState, region: usize) {
+        state.killed[region] = true;
+        state.kills = 1;
+        for request in 0..REQUEST_COUNT {
+            match state.pending[region][request].take() {
                 None => {}
-                // Its own clients may send the request again.
-                Some(Pending { via: None, .. }) => w.answers[request].push("killed"),
-                // The sender sees the connection break.
+                // The connection to the client breaks; the client may retry.
+                Some(Pending { via: None, .. }) => state.answers[request].push("killed"),
+                // The sending region detects the connection failure.
                 Some(Pending { via: Some(via), .. }) => {
                     let outcome = RemoteOutcome::of_connection_failure(Transmission::Started);
-                    w.respond(request, sender_of(&via), outcome);
+                    state.respond(request, sender_of(&via), outcome);
                 }
             }
         }
     }
 
-    fn deliver(&self, w: &mut World, message: Message) {
+    fn deliver(&self, state: &mut ModelState, message: Message) {
         match message {
             Message::Request { request, to, via } => {
                 let from = sender_of(&via);
-                let received = Via::parse(&via, NAMES[from]).expect("a gateway's own header");
-                if w.killed[to] {
-                    // The connection is refused: nothing was sent.
+                let received =
+                    Via::parse(&via, REGION_NAMES[from]).expect("a header written by a gateway must parse");
+                if state.killed[to] {
+                    // The connection is refused before any part of the request is sent.
                     let outcome = RemoteOutcome::of_connection_failure(Transmission::NotStarted);
-                    w.respond(request, from, outcome);
-                } else if received.check_entry(NAMES[to]).is_err() || w.pending[to][request].is_some() {
-                    w.respond(request, from, RemoteOutcome::NotExecuted);
+                    state.respond(request, from, outcome);
+                } else if received.check_entry(REGION_NAMES[to]).is_err()
+                    || state.pending[to][request].is_some()
+                {
+                    state.respond(request, from, RemoteOutcome::NotExecuted);
                 } else {
-                    w.visited[request].push(to);
-                    w.pending[to][request] = Some(Pending { via: Some(via), is_forwarded: false });
+                    state.visited[request].push(to);
+                    state.pending[to][request] = Some(Pending { via: Some(via), is_forwarded: false });
                 }
             }
             Message::Response { request, to, outcome: number } => {
-                if matches!(w.pending[to][request], Some(Pending { is_forwarded: true, .. })) {
-                    self.end(w, to, request, outcome(number).attempt_outcome());
+                if matches!(state.pending[to][request], Some(Pending { is_forwarded: true, .. })) {
+                    self.finish(state, to, request, outcome_from_number(number).attempt_outcome());
                 }
             }
         }
     }
 
-    fn forward(&self, w: &mut World, region: usize, request: usize) {
-        let Some(pending) = &mut w.pending[region][request] else { return };
-        let incoming =
-            pending.via.as_ref().map(|via| Via::parse(via, NAMES[sender_of(via)]).expect("as it came"));
+    fn forward(&self, state: &mut ModelState, region: usize, request: usize) {
+        let Some(pending) = &mut state.pending[region][request] else { return };
+        let incoming = pending
+            .via
+            .as_ref()
+            .map(|via| Via::parse(via, REGION_NAMES[sender_of(via)]).expect("a received header must parse"));
         let next_hop = (0..self.0).filter(|to| *to != region).find_map(|to| {
-            let via = Via::next_hop(incoming.as_ref(), NAMES[region], NAMES[to], MAX_HOPS).ok()?;
+            let via =
+                Via::next_hop(incoming.as_ref(), REGION_NAMES[region], REGION_NAMES[to], MAX_HOPS).ok()?;
             Some(Message::Request { request, to, via: via.header_value() })
         });
         match next_hop {
             Some(message) => {
                 pending.is_forwarded = true;
-                w.send(message);
+                state.send(message);
             }
-            None => self.end(w, region, request, Outcome::NeverSent),
+            None => self.finish(state, region, request, Outcome::NeverSent),
         }
     }
 }
 
-impl Model for Regions {
-    type State = World;
+impl Model for FailoverModel {
+    type State = ModelState;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
+    fn init_states(&self) -> Vec<ModelState> {
         let from_client = Some(Pending { via: None, is_forwarded: false });
-        let mut pending = vec![vec![None; REQUESTS]; self.0];
-        // Both regions have clients: both may fail over to each other.
+        let mut pending = vec![vec![None; REQUEST_COUNT]; self.0];
+        // Each of the first two regions has a request of a client, so both may fail over to each other.
         pending[0][0] = from_client.clone();
         pending[1][1] = from_client;
-        vec![World {
+        vec![ModelState {
             lost: vec![false; self.0],
             recovered: vec![false; self.0],
             killed: vec![false; self.0],
@@ -201,24 +210,24 @@
             visited: vec![vec![0], vec![1]],
             executions: vec![0, 0],
             answers: vec![vec![], vec![]],
-            ..World::default()
+            ..ModelState::default()
         }]
     }
 
-    fn actions(&self, w: &World, steps: &mut Vec<Step>) {
+    fn actions(&self, state: &ModelState, steps: &mut Vec<Step>) {
         for region in 0..self.0 {
-            if !w.lost[region] && !w.recovered[region] {
+            if !state.lost[region] && !state.recovered[region] {
                 steps.push(Step::LoseBackends(region));
             }
-            if w.lost[region] {
+            if state.lost[region] {
                 steps.push(Step::RecoverBackends(region));
             }
-            if w.kills == 0 && !w.killed[region] {
+            if state.kills == 0 && !state.killed[region] {
                 steps.push(Step::KillGateway(region));
             }
-            for request in 0..REQUESTS {
-                match &w.pending[region][request] {
-                    Some(Pending { is_forwarded: false, .. }) if !w.lost[region] => {
+            for request in 0..REQUEST_COUNT {
+                match &state.pending[region][request] {
+                    Some(Pending { is_forwarded: false, .. }) if !state.lost[region] => {
                         steps.extend([Step::Serve(region, request), Step::FailAttempt(region, request)]);
                     }
                     Some(Pending { is_forwarded: false, .. }) => steps.push(Step::Forward(region, request)),
@@ -227,82 +236,89 @@
                 }
             }
         }
-        for message in 0..w.messages.len() {
+        for message in 0..state.messages.len() {
             steps.push(Step::DeliverMessage(message));
-            if w.losses < MAX_LOSSES {
+            if state.losses < MAX_LOSSES {
                 steps.push(Step::LoseMessage(message));
             }
         }
     }
 
-    fn next_state(&self, before: &World, step: Step) -> Option<World> {
-        let mut w = before.clone();
+    fn next_state(&self, before: &ModelState, step: Step) -> Option<ModelState> {
+        let mut state = before.clone();
         match step {
-            Step::LoseBackends(region) => w.lost[region] = true,
+            Step::LoseBackends(region) => state.lost[region] = true,
             Step::RecoverBackends(region) => {
-                w.lost[region] = false;
-                w.recovered[region] = true;
+                state.lost[region] = false;
+                state.recovered[region] = true;
             }
-            Step::KillGateway(region) => self.kill_gateway(&mut w, region),
+            Step::KillGateway(region) => self.kill_gateway(&mut state, region),
             Step::LoseMessage(message) => {
-                w.losses += 1;
-                w.messages.remove(message);
+                state.losses += 1;
+                state.messages.remove(message);
             }
             Step::DeliverMessage(message) => {
-                let message = w.messages.remove(message);
-                self.deliver(&mut w, message);
+                let message = state.messages.remove(message);
+                self.deliver(&mut state, message);
             }
             Step::Serve(region, request) => {
-                w.executions[request] += 1;
-                self.end(&mut w, region, request, Outcome::Ok);
+                state.executions[request] += 1;
+                self.finish(&mut state, region, request, Outcome::Ok);
             }
             Step::FailAttempt(region, request) => {
-                w.executions[request] += 1;
-                self.end(&mut w, region, request, Outcome::Reset);
+                state.executions[request] += 1;
+                self.finish(&mut state, region, request, Outcome::Reset);
             }
-            Step::Forward(region, request) => self.forward(&mut w, region, request),
-            Step::Expire(region, request) => self.end(&mut w, region, request, Outcome::TimedOut),
+            Step::Forward(region, request) => self.forward(&mut state, region, request),
+            Step::Expire(region, request) => self.finish(&mut state, region, request, Outcome::TimedOut),
         }
-        Some(w)
+        Some(state)
     }
 
-    fn properties(&self) -> Vec<Property<Regions>> {
+    fn properties(&self) -> Vec<Property<FailoverModel>> {
         vec![
-            Property::always("no request is in a region twice", |_, w: &World| {
-                w.visited
+            Property::always("no request visits a region twice", |_, state: &ModelState| {
+                state
+                    .visited
                     .iter()
                     .all(|visited| (0..visited.len()).all(|i| !visited[i + 1..].contains(&visited[i])))
             }),
-            Property::always("one final answer at most", |_, w: &World| {
-                w.answers.iter().all(|answers| answers.len() <= 1)
+            Property::always("each request has at most one final answer", |_, state: &ModelState| {
+                state.answers.iter().all(|answers| answers.len() <= 1)
             }),
-            Property::always("a keyed request is executed once at most", |_, w: &World| {
-                w.executions[KEYED] <= 1
+            Property::always("a keyed request is executed at most once", |_, state: &ModelState| {
+                state.executions[KEYED_REQUEST] <= 1
             }),
-            Property::always("a rejected keyed request was not executed", |_, w: &World| {
-                w.answers[KEYED] != ["rejected"] || w.executions[KEYED] == 0
+            Property::always("a rejected keyed request was not executed", |_, state: &ModelState| {
+                state.answers[KEYED_REQUEST] != ["rejected"] || state.executions[KEYED_REQUEST] == 0
             }),
-            Property::eventually("every request has its answer", |_, w: &World| {
-                w.answers.iter().all(|answers| answers.len() == 1)
+            Property::eventually("every request has exactly one final answer", |_, state: &ModelState| {
+                state.answers.iter().all(|answers| answers.len() == 1)
             }),
-            // Reached at least once: shows that requests are forwarded in the model.
-            Property::sometimes("another region serves", |_, w: &World| {
-                w.visited[0].len() == 2 && w.answers[0] == ["served"]
-            }),
-            Property::sometimes("a request waits for its own region to recover", |_, w: &World| {
-                w.recovered[0] && w.visited[0] == [0] && w.answers[0] == ["served"]
-            }),
-            Property::sometimes("both failed over to each other and gave up", |_, w: &World| {
-                let both_forwarded = w.visited.iter().all(|visited| visited.len() > 1);
-                both_forwarded && w.answers.iter().all(|answers| answers == &["rejected"])
+            // The `sometimes` properties must be reachable: they show that the model covers these executions.
+            Property::sometimes("another region serves a request", |_, state: &ModelState| {
+                state.visited[0].len() == 2 && state.answers[0] == ["served"]
             }),
+            Property::sometimes(
+                "a request is served by its own region after a recovery",
+                |_, state: &ModelState| {
+                    state.recovered[0] && state.visited[0] == [0] && state.answers[0] == ["served"]
+                },
+            ),
+            Property::sometimes(
+                "both requests fail over to the other region and are rejected",
+                |_, state: &ModelState| {
+                    let both_forwarded = state.visited.iter().all(|visited| visited.len() > 1);
+                    both_forwarded && state.answers.iter().all(|answers| answers == &["rejected"])
+                },
+            ),
         ]
     }
 }
 
 #[test]
 fn two_regions_fail_over_to_each_other() {
-    let checker = Regions(2).checker().spawn_bfs().join();
+    let checker = FailoverModel(2).checker().spawn_bfs().join();
     checker.assert_properties();
     eprintln!("two regions: {} states", checker.unique_state_count());
     assert!(checker.unique_state_count() > 1000, "{} states", checker.unique_state_count());
@@ -310,7 +326,7 @@
 
 #[test]
 fn three_regions_fail_over_in_a_ring() {
-    let checker = Regions(3).checker().threads(2).spawn_bfs().join();
+    let checker = FailoverModel(3).checker().threads(2).spawn_bfs().join();
     checker.assert_properties();
     eprintln!("three regions: {} states", checker.unique_state_count());
     assert!(checker.unique_state_count() > 10_000, "{} states", checker.unique_state_count());
--- a/crates/gaugesaddle-federation/tests/golden_headers.rs
+++ b/crates/gaugesaddle-federation/tests/golden_headers.rs
@@ -1,9 +1,9 @@
-//! The failure: a renamed word changes the headers between gateways of two builds.
+//! Guards against a rename that changes the header values exchanged between gateways of different versions.
 
 use gaugesaddle_federation::{RemoteOutcome, Via, MAX_HEADER_BYTES};
 
 #[test]
-fn headers_between_gateways_keep_their_text() {
+fn gateway_header_values_are_stable() {
     let first = Via::next_hop(None, "north", "south", 3).expect("eligible");
     assert_eq!(first.header_value(), "north;left=2");
     let second = Via::next_hop(Some(&first), "south", "west", 4).expect("eligible");
--- a/crates/gaugesaddle-federation/tests/properties.rs
+++ b/crates/gaugesaddle-federation/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Random histories against plain references: budgets over every window and all proxies, the loop rule, the header, and
-//! the times of the spillover states.
+//! Property tests that compare random histories with simple reference implementations: budgets of all proxies over every
+//! window, loop prevention, header parsing, and the durations of the spillover states.
 
 use gaugesaddle_balancer::{Micros, Time};
 use gaugesaddle_federation::*;
@@ -13,7 +13,7 @@
     }
 }
 
-/// The maximum in any window of a second, as a plain count over all pairs.
+/// Maximum number of sends in any window of one second, by exhaustive counting.
 fn max_per_second(sent_at: &[u64]) -> usize {
     let within = |i: usize| sent_at[i..].iter().take_while(|at| **at < sent_at[i] + 1_000_000).count();
     (0..sent_at.len()).map(within).max().unwrap_or(0)
@@ -22,9 +22,9 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// However uneven the demand of the proxies: no second of the fleet exceeds the budget, nor a class its own limit.
+    /// For any distribution of demand among the proxies, no window of one second exceeds the budget or the limit of a class.
     #[test]
-    fn the_budget_of_all_proxies_holds_in_every_second(
+    fn the_total_budget_holds_in_every_window_of_one_second(
         per_s in 1u32..60, proxies in 1u32..40, class_per_s in 1u32..20,
         attempts in prop::collection::vec((0u32..40, 0usize..2, 0u64..60_000), 1..1200),
     ) {
@@ -49,7 +49,8 @@
         prop_assert!(max_per_second(&sent_of_class) <= class_per_s as usize);
     }
 
-    /// In flight is what was acquired and not released, by a plain count, and never more than the limit.
+    /// The requests in flight are the acquired less the released requests, as counted independently, and never exceed the
+    /// limit.
     #[test]
     fn in_flight_is_acquired_less_released(
         in_flight in 1u32..20, steps in prop::collection::vec(any::<bool>(), 1..300),
@@ -71,8 +72,8 @@
         }
     }
 
-    /// A request that each region forwards at will, and each gateway believes: it is in no region twice, and makes no
-    /// more hops than its first region allowed.
+    /// Each region forwards a request to an arbitrary region, and each gateway accepts the header: the request visits no
+    /// region twice and makes no more hops than its first region allowed.
     #[test]
     fn no_request_loops(hops in 0u8..=6, forwards in prop::collection::vec((0usize..5, 0u8..=6), 0..12)) {
         let names = ["north", "south", "west", "east", "mid"];
@@ -80,7 +81,7 @@
         for (to, allowed) in forwards {
             let allowed = if via.is_none() { hops } else { allowed };
             let Ok(next) = Via::next_hop(via.as_ref(), names[at], names[to], allowed) else { continue };
-            let received = Via::parse(&next.header_value(), names[at]).expect("a header that was written");
+            let received = Via::parse(&next.header_value(), names[at]).expect("a header written by next_hop must parse");
             prop_assert_eq!(&received, &next);
             prop_assert!(received.check_entry(names[to]).is_ok());
             prop_assert!(!visited.contains(&to));
@@ -90,16 +91,16 @@
         prop_assert!(visited.len() - 1 <= usize::from(hops.min(MAX_HOPS)));
     }
 
-    /// Whatever is in the header: no panic, and what can be read is written the same.
+    /// No header value causes a panic, and a header that parses is preserved by formatting and parsing it again.
     #[test]
-    fn arbitrary_headers_are_read_or_rejected(text in "[a-c, ;=left0-9\\-]{0,60}|.{0,40}", sender in "[a-c]{1,2}") {
+    fn arbitrary_headers_are_parsed_or_rejected(text in "[a-c, ;=left0-9\\-]{0,60}|.{0,40}", sender in "[a-c]{1,2}") {
         if let Ok(via) = Via::parse(&text, &sender) {
             prop_assert_eq!(via.regions().last(), Some(&sender));
             prop_assert_eq!(Via::parse(&via.header_value(), &sender), Ok(via));
         }
     }
 
-    /// Each hop has strictly less time than the one before it, by the round trip at least.
+    /// The remaining time strictly decreases at each hop, by at least the round trip and the margin.
     #[test]
     fn deadlines_shrink_at_every_hop(
         remaining in 0u64..10_000_000, round_trip in 0u64..2_000_000, margin in 0u64..50_000
@@ -114,9 +115,10 @@
         }
     }
 
-    /// The state machine against a plain form of its rule: what it observed last, read backwards, must have lasted.
+    /// Compares the state machine with a reference that derives the duration of the current coverage condition from the
+    /// whole history of observations.
     #[test]
-    fn no_state_is_left_before_its_time(observed in prop::collection::vec((0usize..4, 1u64..40), 1..60)) {
+    fn transitions_match_a_reference_over_the_whole_history(observed in prop::collection::vec((0usize..4, 1u64..40), 1..60)) {
         let levels = [0.0, 0.49, 0.7, 1.0];
         let t = SpilloverThresholds::default();
         let mut spillover = Spillover::new(t);
@@ -130,7 +132,7 @@
                 let before = spillover.state();
                 let fleet = FleetCapacity { capacity_per_s: coverage * 100.0, demand_per_s: 100.0 };
                 let transition = spillover.observe(Time(now), fleet);
-                // How long the coverage has been insufficient, or sufficient, without a break.
+                // Duration for which the coverage has satisfied the condition `holds` without interruption.
                 let lasted = |holds: &dyn Fn(f64) -> bool| {
                     let first = history.iter().rev().take_while(|entry| holds(entry.1)).last();
                     first.map_or(0, |entry| now - entry.0)
