--- a/crates/gaugesaddle-federation/src/credentials/tests.rs
+++ b/crates/gaugesaddle-federation/src/credentials/tests.rs
@@ -4,8 +4,8 @@
     Time(day * DAY_US)
 }
 
-fn valid() -> CredentialFacts {
-    CredentialFacts {
+fn valid() -> CredentialMetadata {
+    CredentialMetadata {
         valid_from: day(10),
         valid_until: day(100),
         key_matches: true,
@@ -17,28 +17,31 @@
 }
 
 #[test]
-fn each_fault_has_its_own_error() {
+fn each_invalid_property_has_a_distinct_error() {
     let now = day(50);
-    assert_eq!(check(now, &valid()), Ok(()));
-    for (facts, expected) in [
-        (CredentialFacts { key_mode: 0o640, ..valid() }, CredentialError::KeyAccessible(0o640)),
-        (CredentialFacts { key_mode: 0o604, ..valid() }, CredentialError::KeyAccessible(0o604)),
-        (CredentialFacts { chain_length: 0, ..valid() }, CredentialError::NoCertificate),
-        (CredentialFacts { anchors: 0, ..valid() }, CredentialError::NoAnchor),
-        (CredentialFacts { key_matches: false, ..valid() }, CredentialError::KeyMismatch),
-        (CredentialFacts { names_own_region: false, ..valid() }, CredentialError::WrongName),
-        (CredentialFacts { valid_from: day(0), valid_until: day(49), ..valid() }, CredentialError::Expired),
+    assert_eq!(validate(now, &valid()), Ok(()));
+    for (credential_metadata, expected) in [
+        (CredentialMetadata { key_mode: 0o640, ..valid() }, CredentialError::KeyAccessible(0o640)),
+        (CredentialMetadata { key_mode: 0o604, ..valid() }, CredentialError::KeyAccessible(0o604)),
+        (CredentialMetadata { chain_length: 0, ..valid() }, CredentialError::NoCertificate),
+        (CredentialMetadata { anchors: 0, ..valid() }, CredentialError::NoAnchor),
+        (CredentialMetadata { key_matches: false, ..valid() }, CredentialError::KeyMismatch),
+        (CredentialMetadata { names_own_region: false, ..valid() }, CredentialError::WrongName),
         (
-            CredentialFacts { valid_from: day(51), valid_until: day(99), ..valid() },
+            CredentialMetadata { valid_from: day(0), valid_until: day(49), ..valid() },
+            CredentialError::Expired,
+        ),
+        (
+            CredentialMetadata { valid_from: day(51), valid_until: day(99), ..valid() },
             CredentialError::NotYetValid,
         ),
     ] {
-        assert_eq!(check(now, &facts), Err(expected));
+        assert_eq!(validate(now, &credential_metadata), Err(expected));
     }
 }
 
 #[test]
-fn expiry_is_reported_in_advance() {
+fn expiry_levels_follow_the_remaining_validity() {
     for (now, expected) in [
         (10, Expiry::Distant),
         (69, Expiry::Distant),
