--- a/crates/gaugesaddle/src/configuration/operator/tests.rs
+++ b/crates/gaugesaddle/src/configuration/operator/tests.rs
@@ -86,10 +86,7 @@
     for (text, expected) in [
         (list("127.0.0.3:7946", ""), "peers.addresses: expected a list with this proxy's own address"),
         (list("127.0.0.1:7946", "own = \"127.0.0.3:1\"\n"), "peers.own: expected a list with this proxy's"),
-        (
-            list("0.0.0.0:7946", "own = \"127.0.0.1:7946\"\n"),
-            "peers.key: missing, expected the file of a key",
-        ),
+        (list("0.0.0.0:7946", "own = \"127.0.0.1:7946\"\n"), "peers.key: missing, expected a key file"),
         (list("127.0.0.1:7946", "key = \"k\"\n"), "peers.key: expected an absolute path"),
         (list("127.0.0.1:7946", "answer_ms = 300\n"), "peers.answer_ms: expected 10 to 5000, below probe_ms"),
         (list("127.0.0.1:7946", "bytes_per_s = 10\n"), "peers.bytes_per_s: expected 1000 to 1000000"),
--- a/crates/gaugesaddle/src/membership.rs
+++ b/crates/gaugesaddle/src/membership.rs
@@ -1,9 +1,9 @@
-//! The I/O of the membership in the running proxy: the UDP socket, its timer, and the key file. Which proxies are live
-//! is decided in `gaugesaddle_membership`; [`Tier`] passes datagrams and the time to it and carries out its outputs.
+//! I/O of the membership in the running proxy: the UDP socket, its timer, and the key file. `gaugesaddle_membership`
+//! decides which proxies are live; [`Tier`] passes datagrams and the time to it and carries out its outputs.
 //!
-//! - [`settings`] is the section `[peers]` of the operator's file.
-//! - [`Tier`] is this proxy's membership with its socket. Subsystems read live members and their signals from it, and
-//!   exchange messages with other proxies through it.
+//! - [`settings`] contains the section `[peers]` of the operator's file.
+//! - [`Tier`] contains this proxy's membership and its socket. Subsystems read live members and their signals from it,
+//!   and exchange messages with other proxies through it.
 //! - [`PeerWatch`] measures this proxy's own signals and publishes them.
 
 pub mod allocation;
@@ -23,14 +23,14 @@
 pub use tier::Tier;
 pub use watch::PeerWatch;
 
-/// The platform's settings for the tier, if it allows traffic between proxies.
+/// The platform's settings for the tier; present only where the platform allows messages between proxies.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Platform {
-    /// `peer_listen`.
+    /// Address of the datagram socket (key `peer_listen`).
     pub listen: Option<SocketAddr>,
-    /// `peers`.
+    /// Addresses of the members in the platform's order (key `peers`).
     pub addresses: Vec<SocketAddr>,
-    /// `peers_all`.
+    /// Address that reaches all members (key `peers_all`).
     pub all: Option<SocketAddr>,
 }
 
@@ -42,11 +42,11 @@
     pub position: u32,
 }
 
-/// The live members, in an order that all members share, and how far this can be trusted.
+/// The live members in an order common to all members, with the times that show how reliable this view is.
 pub struct LiveMembers {
-    /// Configured members.
+    /// Number of configured members.
     pub configured: usize,
-    /// Time since this process last stalled; 0 until it has its socket.
+    /// Time since this process last stalled; 0 until its socket is bound.
     pub since_stall: Micros,
     /// Time since the set of live members last changed.
     pub since_change: Micros,
@@ -60,29 +60,28 @@
 pub struct MemberReport {
     /// Its index.
     pub index: u16,
-    /// Its zone; empty until it has sent it.
+    /// Its zone; empty until it is received.
     pub zone: String,
     /// Age of the signals.
     pub age: Micros,
-    /// Its signals.
     pub signals: Signals,
 }
 
-/// This process in the tier.
+/// Identity of this process in the tier.
 pub struct LocalIdentity {
-    /// Its index.
+    /// Its index among the configured members.
     pub index: u16,
-    /// Configured members.
+    /// Number of configured members.
     pub members: u16,
-    /// Its boot number.
+    /// Random number chosen at the start of this process.
     pub boot: u32,
 }
 
-/// A message to another proxy.
+/// A message to another proxy: the index of the receiver and the body.
 pub type OutgoingMessage = (u16, Vec<u8>);
 
-/// Handles messages of other proxies' hosts. Each handler receives all messages and recognizes its own by their format.
+/// Handles messages from other proxies. Each handler receives all messages and recognizes its own by their format.
 pub trait MessageHandler {
-    /// Handles a message of the member at index `from`; appends the replies.
+    /// Handles a message from the member at index `from`; appends the replies.
     fn handle_message(&self, now: Time, from: u16, body: &[u8], replies: &mut Vec<OutgoingMessage>);
 }
--- a/crates/gaugesaddle/src/membership/allocation.rs
+++ b/crates/gaugesaddle/src/membership/allocation.rs
@@ -1,5 +1,5 @@
-//! Allocation by demand in the running proxy: `gaugesaddle_allocation` derives this proxy's fraction from the tier, which is
-//! reported here to the balancer and to the links to other regions.
+//! Allocation by demand in the running proxy: `gaugesaddle_allocation` derives this proxy's fraction from the live members
+//! and their demands; this module reports it to the balancer and to the links to other regions.
 
 use crate::configuration::InvalidKey;
 use crate::federation::Regions;
@@ -14,24 +14,24 @@
 use serde::Deserialize;
 use std::rc::Rc;
 
-/// Interval of observations: as often as records are published.
+/// Interval between observations; equals the interval at which members publish records.
 const OBSERVATION_INTERVAL: Micros = Micros(500_000);
-/// The same while the live members are not known yet, so that they are used soon after they are.
+/// Interval while the live members are not known yet, so that they are used soon after they become known.
 const PROVISIONAL_INTERVAL: Micros = Micros(50_000);
 
 /// `[shares]`. A change requires a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AllocationSection {
-    /// Whether allocation is by demand; otherwise it is equal among the configured proxies.
+    /// Whether allocation is by demand; otherwise all configured proxies have equal fractions.
     pub enabled: bool,
-    /// Percentage that is divided equally.
+    /// Percentage of the total that is divided equally.
     pub floor_percent: u32,
     /// Maximum multiple of the equal fraction.
     pub most_times: u32,
     /// Minimum change of a fraction, in percent of it.
     pub least_percent: u32,
-    /// Time constant of changes.
+    /// Time constant of the smoothing of changes, in milliseconds.
     pub over_ms: u32,
 }
 
@@ -52,7 +52,7 @@
     /// Checks the section. `peers`: whether the membership is enabled.
     ///
     /// # Errors
-    /// The first invalid key.
+    /// Returns the first invalid key.
     pub fn check(&self, peers: bool) -> Result<(), InvalidKey> {
         if self.enabled && !peers {
             return Err(InvalidKey::new("shares.enabled", "expected peers.enabled = true beside it"));
@@ -92,7 +92,7 @@
     regions: Option<Rc<Regions>>,
     allocator: Allocator,
     next: Time,
-    /// When leases are updated next.
+    /// Time of the next update of leases.
     lease_at: Time,
 }
 
@@ -122,7 +122,7 @@
     }
 }
 
-/// The observation of one poll, as it is published.
+/// The published result of one observation.
 struct Observation {
     is_by_demand: bool,
     /// This proxy's fraction of all traffic.
@@ -140,7 +140,7 @@
                 Observation { is_by_demand: false, fraction: weight / view.configured.max(1) as f64 }
             }
             Allocation::ByDemand(tier) => {
-                // Reported each time: a balancer that was restarted knows nothing of it.
+                // Reported at each observation, since a restarted balancer has lost it.
                 events.push(Event::Tier(tier));
                 events.push(Event::Assignments(self.allocator.uses().to_vec()));
                 self.registry.live_proxies.set(tier.proxies);
@@ -154,13 +154,13 @@
         }
     }
 
-    /// The published state.
+    /// Returns the published state.
     fn view(
         &self, now: Time, tier: &TierView, observation: &Observation, balancer: &Balancer,
     ) -> AllocationView {
         let Observation { is_by_demand, fraction } = *observation;
         let live = tier.indices.len();
-        // Operators' tools read these words.
+        // Operators' tools match these texts.
         let (state, basis) =
             if is_by_demand { ("by need", "need, of the living") } else { ("waking", "the told number") };
         let leases = self.regions.iter().flat_map(|regions| regions.lease_views(now));
@@ -181,7 +181,7 @@
         }
     }
 
-    /// The quantities that are divided by this proxy's fraction.
+    /// Returns the quantities that are divided among the proxies by their fractions.
     fn soft_quantities(&self, fraction: f64, basis: &str, balancer: &Balancer) -> Vec<SoftQuantityView> {
         let status = balancer.status();
         let view = |name: &str, whole, own, used| SoftQuantityView {
@@ -192,7 +192,7 @@
             by: basis.into(),
         };
         let total = |own: f64| own / fraction.max(1e-6);
-        // Before backends were assigned the balancer chooses its own.
+        // Before backends are assigned the balancer selects its own subset.
         let assigned = self.allocator.uses().len();
         let uses = if assigned > 0 { assigned as f64 } else { status.ready };
         vec![
@@ -221,7 +221,7 @@
         };
         let observation = self.observe(now, &view, balancer, events);
         if now >= self.lease_at {
-            // Counts over a shorter time would be chance.
+            // Demand counted over a shorter period would be mostly noise.
             self.lease_at = now + OBSERVATION_INTERVAL;
             if let Some(regions) = &self.regions {
                 regions.update_leases(now, &self.tier, &live.indices);
@@ -231,7 +231,7 @@
     }
 
     fn on_list(&mut self, _: Time, _: ListUpdate) {
-        self.next = Time(0); // new backends are assigned at once
+        self.next = Time(0); // assigns new backends without delay
     }
 
     fn wake_at(&self) -> Time {
--- a/crates/gaugesaddle/src/membership/key.rs
+++ b/crates/gaugesaddle/src/membership/key.rs
@@ -1,4 +1,4 @@
-//! Reads the key file.
+//! Reads the file of the key that authenticates datagrams.
 
 use super::error::{PeersError, MAX_KEY_BYTES};
 use gaugesaddle_membership::MIN_KEY_BYTES;
@@ -7,10 +7,10 @@
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
 
-/// Mode bits of the group and of others.
+/// Permission bits of the group and of others.
 const GROUP_AND_OTHERS: u32 = 0o077;
 
-/// Reads the secret of a key file that only its owner may access.
+/// Reads the secret from a key file; the file must be accessible to its owner only.
 pub(super) fn read_key(path: &Path) -> Result<Vec<u8>, PeersError> {
     let read_error = |source| PeersError::Read { path: path.into(), source };
     let file = File::open(path).map_err(read_error)?;
--- a/crates/gaugesaddle/src/membership/settings.rs
+++ b/crates/gaugesaddle/src/membership/settings.rs
@@ -1,4 +1,4 @@
-//! The section `[peers]` of the operator's file: the members of the tier, and the times and budgets of the membership.
+//! The section `[peers]` of the operator's file: the members of the tier, and the timers and limits of the membership.
 
 use super::error::PeersError;
 use super::key::read_key;
@@ -18,31 +18,31 @@
     pub enabled: bool,
     /// The address of its socket; by default the platform's `peer_listen`.
     pub listen: Option<SocketAddr>,
-    /// The address of each member, in an order that all members share; by default the platform's `peers`.
+    /// The address of each member, in an order common to all members; by default the platform's `peers`.
     pub addresses: Vec<SocketAddr>,
-    /// The address in this list at which the others reach this proxy; by default `listen`.
+    /// The address in this list at which the other members reach this proxy; by default `listen`.
     pub own: Option<SocketAddr>,
-    /// An address that reaches all members, if there is one.
+    /// An address that reaches all members, such as a broadcast address, if there is one.
     pub all: Option<SocketAddr>,
     /// The file of the shared key. Without one, only loopback addresses are accepted.
     pub key: Option<PathBuf>,
-    /// Interval of probes.
+    /// Interval between probes, in milliseconds.
     pub probe_ms: u32,
-    /// Wait for an acknowledgement before other members are requested to probe.
+    /// Timeout of a direct probe, in milliseconds; after it other members are requested to probe indirectly.
     pub answer_ms: u32,
-    /// Members that are requested to probe.
+    /// Number of members that are requested to probe indirectly.
     pub indirect: u32,
-    /// Time-out of a suspicion that several members raised.
+    /// Timeout of a suspicion that several members have confirmed, in milliseconds.
     pub suspect_least_ms: u32,
-    /// Time-out of a suspicion that only one member raised.
+    /// Timeout of a suspicion that only one member has raised, in milliseconds.
     pub suspect_most_ms: u32,
-    /// The local signals are sent to each other member at most once in this time.
+    /// Minimum time between two records of local signals sent to the same member, in milliseconds.
     pub publish_ms: u32,
-    /// Bytes per second for everything that can be postponed: records, messages, updates, probes of lost members.
+    /// Bytes per second for all traffic that can be postponed: records, messages, updates, probes of lost members.
     pub bytes_per_s: u32,
-    /// Each lost member is probed at least once in this time.
+    /// Maximum time between two probes of the same lost member, in milliseconds.
     pub retry_ms: u32,
-    /// A dead or departed member is forgotten after this time.
+    /// Time in seconds after which the entry of a dead or departed member is deleted.
     pub forget_s: u32,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl PeersSection {
-    /// The settings of the membership.
+    /// Converts the section to the settings of the membership.
     pub fn settings(&self) -> Settings {
         let ms = |value: u32| Micros(u64::from(value) * 1000);
         Settings {
@@ -90,7 +90,7 @@
     /// Checks the section.
     ///
     /// # Errors
-    /// The first invalid key.
+    /// Returns the first invalid key.
     pub fn check(&self) -> Result<(), InvalidKey> {
         let invalid = |key: &str, finding: String| Err(InvalidKey::new(format!("peers.{key}"), finding));
         if let Err(e) = self.settings().check() {
@@ -118,7 +118,7 @@
         let Some(listen) = self.listen else {
             return invalid(
                 "listen",
-                "missing, expected the address where this proxy takes datagrams".into(),
+                "missing, expected the address at which this proxy receives datagrams".into(),
             );
         };
         let own = self.own.unwrap_or(listen);
@@ -126,14 +126,14 @@
             let key = if self.own.is_some() { "own" } else { "addresses" };
             return invalid(
                 key,
-                format!("expected a list with this proxy's own address, got none with {own}"),
+                format!("expected a list with this proxy's own address, got one without {own}"),
             );
         }
         let mut addresses = self.addresses.iter().chain(&self.all).chain(&self.listen);
         match addresses.find(|address| !address.ip().is_loopback()) {
             Some(address) if self.key.is_none() => invalid(
                 "key",
-                format!("missing, expected the file of a key, for {address} is no loopback address"),
+                format!("missing, expected a key file because {address} is not a loopback address"),
             ),
             _ => Ok(()),
         }
@@ -142,7 +142,7 @@
     /// Reads the key file, if there is one.
     ///
     /// # Errors
-    /// The file cannot be read, has a wrong length, or others than its owner may access it.
+    /// Returns an error if the file cannot be read, has a wrong length, or is accessible to users other than its owner.
     pub fn secret(&self) -> Result<Option<Vec<u8>>, PeersError> {
         self.key.as_deref().map(read_key).transpose()
     }
--- a/crates/gaugesaddle/src/membership/state.rs
+++ b/crates/gaugesaddle/src/membership/state.rs
@@ -1,4 +1,4 @@
-//! The tier in the published state. Its field names are read by operators' tools and keep their words.
+//! Converts the membership to the published state. Operators' tools read its field names, so they must not change.
 
 use super::Tier;
 use crate::operations::registry::{MemberRow, MembershipView, SignalTotals};
@@ -9,7 +9,7 @@
 const STALE_INTERVALS: u64 = 8;
 
 impl Tier {
-    /// The published state of the tier.
+    /// Returns the published state of the tier.
     pub fn view(&self, now: Time) -> MembershipView {
         let membership = self.membership.borrow();
         let view = membership.view(now);
@@ -84,7 +84,7 @@
     }
 }
 
-/// A boot number as logs and the state show it.
+/// Formats a boot number for logs and the published state.
 fn boot_name(boot: u32) -> String {
     format!("{boot:08x}")
 }
--- a/crates/gaugesaddle/src/membership/tier.rs
+++ b/crates/gaugesaddle/src/membership/tier.rs
@@ -19,25 +19,25 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 
-/// Datagrams that are read before a turn: more than a socket's buffer holds. A proxy that has stalled reads everything
-/// that arrived meanwhile before it suspects anybody.
+/// Maximum number of datagrams that are read before a turn: more than the socket's receive buffer holds. A proxy that has
+/// stalled thus reads everything that arrived meanwhile before it suspects any member.
 const MAX_READS_PER_TURN: usize = 1024;
-/// Requested size of the socket's receive buffer: enough for a tier of 300 that replies at once.
+/// Requested size of the socket's receive buffer: enough for simultaneous replies from a tier of 300.
 const RECEIVE_BUFFER_BYTES: usize = 1 << 20;
-/// Interval of attempts to bind the address while the previous process still has it.
+/// Delay between attempts to bind the address while the previous process still uses it.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// This proxy's membership with its socket.
 pub struct Tier {
     pub(super) membership: RefCell<Membership>,
     pub(super) publish_interval: Micros,
-    /// Datagrams that the system did not accept.
+    /// Number of datagrams that the system did not accept.
     pub(super) unsent: Cell<u64>,
     /// Names of the request classes, in the order of the settings.
     pub(super) classes: Vec<String>,
     clock: Clock,
     listen: SocketAddr,
-    /// The record that is published next; empty before the first.
+    /// The record to publish next; empty before the first.
     next_record: RefCell<Vec<u8>>,
     /// `None` until the address is bound.
     socket: RefCell<Option<Rc<UdpSocket>>>,
@@ -53,7 +53,7 @@
 }
 
 impl MemberList {
-    /// The list of the file, if it has one; otherwise that of the platform.
+    /// Uses the list of the operator's file, if it has one; otherwise that of the platform.
     fn resolve(
         section: &PeersSection, platform: Option<Platform>, local: &LocalProxy,
     ) -> Result<MemberList, PeersError> {
@@ -76,11 +76,11 @@
 }
 
 impl Tier {
-    /// Reads the key and checks the configuration. `platform` is `None` if its settings do not allow traffic between
+    /// Reads the key and checks the configuration. `platform` is `None` if the platform does not allow messages between
     /// proxies.
     ///
     /// # Errors
-    /// The configuration is incomplete or invalid, or the key file cannot be used.
+    /// Returns an error if the configuration is incomplete or invalid, or if the key file cannot be used.
     pub fn new(
         section: &PeersSection, platform: Option<Platform>, local: LocalProxy, classes: &[String],
         clock: Clock,
@@ -121,11 +121,11 @@
     /// Binds the socket.
     ///
     /// # Errors
-    /// The system refuses, as a rule because the previous process still has the address.
+    /// Returns the system's error, as a rule because the previous process still uses the address.
     pub fn bind(&self) -> io::Result<UdpSocket> {
         let socket = Socket::new(Domain::for_address(self.listen), Type::DGRAM, None)?;
         socket.set_nonblocking(true)?;
-        // A smaller buffer works as well: datagrams that overflow it are lost, and lost datagrams are expected.
+        // A smaller buffer is acceptable: datagrams that overflow it are lost, and the protocol tolerates loss.
         let _ = socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES);
         socket.bind(&self.listen.into())?;
         UdpSocket::from_std(socket.into())
@@ -136,8 +136,8 @@
         self.listen
     }
 
-    /// Takes part in the membership until the runtime ends. Without a socket it first waits until the previous process
-    /// has released the address.
+    /// Runs the membership until the runtime ends. Without a socket it first waits until the previous process has
+    /// released the address.
     pub async fn run(self: Rc<Tier>, socket: Option<UdpSocket>) {
         let socket = match socket {
             Some(socket) => socket,
@@ -148,7 +148,7 @@
         self.log_identity();
         let mut outputs = Vec::new();
         let mut next_publish = self.clock.now();
-        // One byte more than permitted, so that longer datagrams are recognized.
+        // One byte more than the maximum, so that longer datagrams are recognized.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let wake = self.membership.borrow().wake().min(next_publish);
@@ -159,7 +159,7 @@
                 () = tokio::time::sleep_until(self.clock.instant(wake)) => {}
             }
             self.step(&socket, &mut buffer, &mut next_publish, &mut outputs);
-            // An endless stream of datagrams must not block the other tasks of the runtime.
+            // A continuous stream of datagrams must not block the other tasks of the runtime.
             tokio::task::yield_now().await;
         }
     }
@@ -185,8 +185,8 @@
         tracing::info!("peers: this is {index} of {members}, boot {boot:08x}, at {}", self.listen);
     }
 
-    /// Reads everything that has arrived, then takes the turn: a process that has stalled must not suspect anybody
-    /// before it has read the acknowledgements.
+    /// Reads all received datagrams, then runs the timers: a process that has stalled must not suspect any member before
+    /// it has read the acknowledgements that arrived meanwhile.
     fn step(
         &self, socket: &UdpSocket, buffer: &mut [u8], next_publish: &mut Time, outputs: &mut Vec<Output>,
     ) {
@@ -197,7 +197,7 @@
                     membership.datagram(self.clock.now(), from, &buffer[..length], outputs);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Err(_) => {} // a destination was unreachable; its missing acknowledgements show the same
+                Err(_) => {} // a destination was unreachable; missing acknowledgements reveal that as well
             }
         }
         let now = self.clock.now();
@@ -209,7 +209,7 @@
             }
         }
         membership.turn(now, outputs);
-        drop(membership); // message handlers borrow it
+        drop(membership); // message handlers borrow the membership
         self.carry_out(socket, outputs);
     }
 
@@ -219,7 +219,7 @@
                 Output::MessageReceived { from, body } => self.dispatch_message(from, &body),
                 Output::Send { to, bytes } => {
                     if socket.try_send_to(&bytes, to).is_err() {
-                        self.unsent.set(self.unsent.get() + 1); // the same as lost in transit
+                        self.unsent.set(self.unsent.get() + 1); // equivalent to a datagram lost in transit
                     }
                 }
                 Output::StateChanged(transition) => tracing::info!("peers: {transition}"),
@@ -252,7 +252,7 @@
         }
     }
 
-    /// Sends messages to the hosts of live members; any may get lost. Nothing is sent before the address is bound.
+    /// Sends messages to live members, without a guarantee of delivery. Nothing is sent before the address is bound.
     pub fn send_messages(&self, messages: impl IntoIterator<Item = OutgoingMessage>) {
         let Some(socket) = self.socket.borrow().clone() else { return };
         let (now, mut outputs) = (self.clock.now(), Vec::new());
@@ -260,11 +260,11 @@
         for (index, body) in messages {
             membership.send_message(now, index, &body, &mut outputs);
         }
-        drop(membership); // message handlers borrow it
+        drop(membership); // message handlers borrow the membership
         self.carry_out(&socket, &mut outputs);
     }
 
-    /// Announces the departure to all members; not to be called if a successor has the address.
+    /// Announces the departure to all members; must not be called if a successor process uses the address.
     pub fn leave(&self) {
         let mut outputs = Vec::new();
         self.membership.borrow_mut().leave(&mut outputs);
@@ -273,17 +273,18 @@
         }
     }
 
-    /// Replaces the record that is published.
+    /// Sets the record to publish next.
     pub(super) fn publish(&self, record: Vec<u8>) {
         *self.next_record.borrow_mut() = record;
     }
 
-    /// The index of this proxy.
+    /// Returns the index of this proxy.
     pub fn own_index(&self) -> u16 {
         self.membership.borrow().own_index()
     }
 
-    /// This process in the tier; `None` until the address is bound: the previous process may still use the index.
+    /// Returns the identity of this process in the tier; `None` until the address is bound, since the previous process
+    /// may still use the index.
     pub fn bound_identity(&self) -> Option<LocalIdentity> {
         self.socket.borrow().as_ref()?;
         Some(self.identity())
@@ -298,14 +299,14 @@
         }
     }
 
-    /// The live members.
+    /// Returns the live members.
     pub fn live_members(&self, now: Time) -> LiveMembers {
         let membership = self.membership.borrow();
         let view = membership.view(now);
         let indices = membership.live_members();
         let own_index = membership.own_index();
         let own = indices.iter().position(|index| *index == own_index).unwrap_or(0);
-        // Without the address this process receives nothing and would take itself for the only live member.
+        // Without a bound socket this process receives nothing and would consider itself the only live member.
         let is_bound = self.socket.borrow().is_some();
         let since_stall = if is_bound { view.since_stall } else { Micros(0) };
         LiveMembers {
@@ -317,7 +318,7 @@
         }
     }
 
-    /// The signals of these members, as far as they have arrived.
+    /// Returns the signals of these members, as far as they have been received.
     pub fn reports(&self, now: Time, indices: &[u16]) -> Vec<MemberReport> {
         let membership = self.membership.borrow();
         let report = |index: &u16| {
@@ -329,7 +330,7 @@
         indices.iter().filter_map(report).collect()
     }
 
-    /// The demand of each of these members in requests per second; `None` while it is not known.
+    /// Returns the demand of each of these members in requests per second; `None` while it is unknown.
     pub fn demands(&self, indices: &[u16]) -> Vec<Option<f64>> {
         let membership = self.membership.borrow();
         let demand = |index: &u16| Signals::decode(&membership.record(*index)?.body)?.demand_per_s;
@@ -337,7 +338,8 @@
     }
 }
 
-/// The name if it can be sent, cut to its maximum length; otherwise empty.
+/// Returns the name, truncated to its maximum length, or an empty string if it contains other than graphic ASCII
+/// characters.
 fn sendable_name(name: String) -> String {
     if !name.bytes().all(|byte| byte.is_ascii_graphic()) {
         return String::new();
--- a/crates/gaugesaddle/src/membership/watch.rs
+++ b/crates/gaugesaddle/src/membership/watch.rs
@@ -1,5 +1,5 @@
-//! Measures the signals of this proxy and publishes them: rates from counters of the extension point, the health of
-//! each zone from the balancer.
+//! Measures the signals of this proxy and publishes them: rates from counters of the driver's extension interface, the
+//! health of each zone from the balancer.
 
 use super::Tier;
 use crate::operations::registry::{Registry, RequestEnd};
@@ -10,7 +10,7 @@
 use gaugesaddle_membership::{Signals, ZoneSignal};
 use std::rc::Rc;
 
-/// Shortest time between two measurements, in seconds: a rate is never divided by zero.
+/// Minimum period of a rate, in seconds; prevents a division by zero.
 const MIN_PERIOD_S: f64 = 1e-3;
 
 /// A counter and its smoothed rate.
@@ -26,25 +26,25 @@
         self.count = self.count.saturating_add(1);
     }
 
-    /// The rate per second, `period_s` after the last measurement.
+    /// Returns the smoothed rate per second; `period_s` is the time since the last measurement.
     fn measure(&mut self, period_s: f64) -> f64 {
         self.rate.record(std::mem::take(&mut self.count), period_s)
     }
 }
 
-/// A zone and since when it has unhealthy backends.
+/// A zone and the time since which it has unhealthy backends.
 struct ZoneHealth {
     id: ZoneId,
     unhealthy_since: Option<Time>,
 }
 
-/// Publishes the signals of this proxy once in each publish interval.
+/// Publishes the signals of this proxy once per publish interval.
 pub struct PeerWatch {
     tier: Rc<Tier>,
     registry: Rc<Registry>,
-    /// In the order of the settings.
+    /// Zones in the order of the settings.
     zones: Vec<ZoneHealth>,
-    /// By class.
+    /// Arrivals by request class.
     arrivals: Vec<RateCounter>,
     rejected: RateCounter,
     demand: DemandEstimator,
@@ -68,7 +68,7 @@
     }
 
     fn measure(&mut self, now: Time, period_s: f64, balancer: &Balancer) -> Signals {
-        // Before the counters are reset by their own measurement.
+        // Must be read first: measuring the rates resets the counters.
         let arrived = self.arrivals.iter().fold(0, |sum: u32, class| sum.saturating_add(class.count));
         Signals {
             demand_per_s: self.demand.record(arrived, period_s),
@@ -89,7 +89,7 @@
             signals.push(ZoneSignal {
                 backends: f64::from(found.backends),
                 unhealthy: f64::from(found.unhealthy),
-                // Before the first request is served, the capacity is not known.
+                // The capacity is infinite, that is unknown, before the first request is served.
                 capacity_per_s: if found.capacity_per_s.is_finite() { found.capacity_per_s } else { 0.0 },
                 unhealthy_for_s: zone.unhealthy_since.map_or(0.0, |since| (now - since).secs()),
             });
@@ -104,7 +104,7 @@
             return;
         }
         self.next = now + self.tier.publish_interval;
-        // The first turn only starts the period.
+        // The first poll only starts the period.
         if let Some(last) = self.last_measured.replace(now) {
             let period_s = (now - last).secs().max(MIN_PERIOD_S);
             let signals = self.measure(now, period_s, balancer);
