--- a/crates/gaugesaddle/src/federation.rs
+++ b/crates/gaugesaddle/src/federation.rs
@@ -1,10 +1,12 @@
-//! Other regions as last resort, in the running proxy. Whether a request leaves is the balancer's decision, when and how many
-//! may leave is decided in `gaugesaddle_federation`; here both get their inputs, and their decisions are carried out.
+//! Spillover to other regions as a last resort, in the running proxy. The balancer decides which requests are forwarded;
+//! `gaugesaddle_federation` decides when forwarding is permitted and limits its rate. These modules supply the inputs of
+//! both and carry out their decisions.
 //!
 //! - [`Regions`] is this proxy's state of all other regions: links, budgets, leases, keys.
-//! - [`RegionWatch`] connects it with the driver: it offers the balancer what may leave, and forwards what does.
-//! - `remote_gateways` sends requests to the gateways of a region, [`gateway`] accepts those of others.
-//! - [`tls`] reads certificates and keys, `key_watch` replaces them while the proxy serves.
+//! - [`RegionWatch`] connects it with the driver: it offers the balancer the permitted number of requests, and forwards
+//!   the requests that the balancer hands over.
+//! - `remote_gateways` sends requests to the gateways of another region; [`gateway`] accepts requests from other regions.
+//! - [`tls`] reads certificates and keys; `key_watch` replaces them while the proxy serves.
 
 mod gateway;
 mod headers;
@@ -23,21 +25,21 @@
 use settings::RegionSection;
 use tls::KeyError;
 
-/// Why other regions cannot be used.
+/// An error that prevents the use of other regions.
 #[derive(Debug, thiserror::Error)]
 pub enum FederationError {
     /// A key of `[region]` does not match the platform's configuration.
     #[error(transparent)]
     Section(#[from] InvalidKey),
-    /// The certificate, key or trust anchors.
+    /// The certificate, key or trust anchors cannot be used.
     #[error(transparent)]
     Keys(#[from] KeyError),
 }
 
-/// Checks the files that the section names.
+/// Checks the certificate, key and trust files that the section names.
 ///
 /// # Errors
-/// One of them cannot be used.
+/// Returns an error if one of them cannot be used.
 pub fn check(settings: &RegionSection) -> Result<(), FederationError> {
     if settings.enabled {
         tls::load(settings, Clock::new().now())?;
--- a/crates/gaugesaddle/src/federation/gateway.rs
+++ b/crates/gaugesaddle/src/federation/gateway.rs
@@ -1,5 +1,5 @@
-//! The gateway: accepts requests of other regions. A peer is accepted once its certificate is that of a region; its requests
-//! go to the same driver and balancer as a client's.
+//! The gateway: accepts requests from other regions. A peer is accepted if its certificate is that of a configured region;
+//! its requests are submitted to the same driver and balancer as those of clients.
 
 use super::headers::{CLOCK, DEADLINE, DURATION, FULL, OUTCOME, VIA};
 use super::regions::Regions;
@@ -29,21 +29,21 @@
 use tokio_rustls::server::TlsStream;
 use tokio_rustls::TlsAcceptor;
 
-/// A handshake that takes longer is given up: it uses a connection.
+/// Timeout of the TLS handshake, during which a peer occupies a connection.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for a request's body, from its head on.
+/// Timeout for reading a request's body, counted from its head.
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
-/// Requests at once on one connection; the budgets limit them further.
+/// Maximum number of concurrent requests on one connection; the budgets limit them further.
 const MAX_STREAMS: u32 = 1024;
 /// Maximum size of a request's head.
 const MAX_HEAD_BYTES: u32 = 16 << 10;
-/// Delay after a failed accept, for want of descriptors for instance.
+/// Delay after a failed accept, for example for lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// A peer that answers no ping for this long is disconnected.
+/// Interval of HTTP/2 pings, and the time without an acknowledgement after which the peer is disconnected.
 const PING_TIMEOUT: Duration = Duration::from_secs(5);
-/// Interval of checks whether all requests have ended.
+/// Interval at which a drain checks whether all requests have ended.
 const DRAIN_POLL_INTERVAL: Micros = Micros(5_000);
-/// `Retry-After` of a rejection for want of capacity, in seconds.
+/// `Retry-After` of a rejection for lack of capacity, in seconds.
 const RETRY_AFTER_S: u64 = 1;
 
 /// Counts a connection; released on drop.
@@ -64,7 +64,7 @@
     }
 }
 
-/// A request in a sender's budget; released on drop.
+/// A request that occupies a part of a sender's budget; released on drop.
 struct BudgetSlot {
     regions: Rc<Regions>,
     sender: usize,
@@ -76,16 +76,16 @@
     }
 }
 
-/// Why a request was rejected before it reached the driver: it was not executed.
+/// Why a request was rejected before it was submitted to the driver; it was not executed.
 #[derive(Clone, Copy, Debug)]
 enum HopRejection {
-    /// It is malformed, has been here, or has no sound deadline.
+    /// It is malformed, has already passed through this region, or has no valid deadline.
     Invalid(&'static str),
-    /// No backend here can be used.
+    /// No local backend is available.
     NotReady,
     /// This gateway's allocation of the sender's budget is used up.
     OverBudget,
-    /// Its client may have been answered already.
+    /// Its client may have received its response already.
     DeadlinePassed,
 }
 
@@ -94,8 +94,10 @@
         let (status, text) = match self {
             HopRejection::Invalid(text) => (StatusCode::BAD_REQUEST, text),
             HopRejection::NotReady => (StatusCode::SERVICE_UNAVAILABLE, "not ready"),
-            HopRejection::OverBudget => (StatusCode::SERVICE_UNAVAILABLE, "over the region's budget"),
-            HopRejection::DeadlinePassed => (StatusCode::SERVICE_UNAVAILABLE, "its deadline had passed"),
+            HopRejection::OverBudget => (StatusCode::SERVICE_UNAVAILABLE, "the region's budget is used up"),
+            HopRejection::DeadlinePassed => {
+                (StatusCode::SERVICE_UNAVAILABLE, "the request's deadline has passed")
+            }
         };
         let mut response = text_response(status, text);
         let headers = response.headers_mut();
@@ -110,12 +112,12 @@
     }
 }
 
-/// Serves other regions until the program ends.
+/// Accepts connections from other regions until the program ends.
 pub async fn serve(regions: Rc<Regions>, server: Rc<Server>, listener: TcpListener) {
     let max_connections = regions.settings.connections as usize;
     loop {
         match listener.accept().await {
-            // Closed at once: a peer that is not accepted tries the next gateway.
+            // Over the limit a connection is closed immediately, so that the peer tries another gateway.
             Ok(_) if regions.gateway.connections.get() >= max_connections => {
                 regions.gateway.record_unauthenticated();
             }
@@ -128,23 +130,23 @@
                 });
             }
             Err(e) => {
-                tracing::warn!("region.listen: accept: {e}");
+                tracing::warn!("region.listen: accepting a connection failed, retrying: {e}");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// The other end of a connection.
+/// The authenticated peer of a connection.
 #[derive(Clone, Copy)]
 struct Peer {
-    /// Index of its region.
+    /// Index of its region in the settings.
     sender: usize,
     accepted_at: Time,
 }
 
 impl Peer {
-    /// The clock that is reported to it.
+    /// Returns the clock reading that is reported to the peer.
     fn reported_clock(self, now: Time) -> RemoteTime {
         RemoteTime(now - self.accepted_at)
     }
@@ -156,7 +158,7 @@
     let stream = match tokio::time::timeout(HANDSHAKE_TIMEOUT, acceptor.accept(stream)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(e)) => {
-            tracing::debug!("region.listen: handshake: {e}");
+            tracing::debug!("region.listen: TLS handshake failed: {e}");
             return None;
         }
         Err(_) => return None,
@@ -164,7 +166,9 @@
     let certificate = stream.get_ref().1.peer_certificates().and_then(|chain| chain.first());
     let sender = certificate.and_then(|certificate| tls::region_of(certificate, &regions.settings.other));
     if sender.is_none() {
-        tracing::warn!("region.listen: a peer whose certificate is that of no region");
+        tracing::warn!(
+            "region.listen: closed a connection whose peer certificate matches no configured region"
+        );
     }
     Some((sender?, stream))
 }
@@ -193,16 +197,16 @@
         _ = connection.as_mut() => return,
         _ = keys_changed.changed() => connection.as_mut().graceful_shutdown(),
     }
-    // Made with earlier keys: its requests end, and no new ones begin.
+    // The connection was established with earlier keys: its requests complete, and no new ones are accepted.
     let _ = tokio::time::timeout(drain, connection).await;
 }
 
-/// Whether a request is for the clock only.
+/// Whether a request asks for a clock reading only.
 fn requests_clock(head: &Parts) -> bool {
     head.method == Method::OPTIONS && head.headers.contains_key(CLOCK) && !head.headers.contains_key(VIA)
 }
 
-/// The deadline that a request carries, by the clock that this gateway reports on its connection.
+/// Reads the deadline of a request, by the clock that this gateway reports on the connection.
 fn deadline_of(head: &Parts) -> Option<RemoteTime> {
     let mut values = head.headers.get_all(DEADLINE).iter();
     match (values.next(), values.next()) {
@@ -211,20 +215,26 @@
     }
 }
 
-/// The regions that a request came through, which must not contain this one.
+/// Reads the regions that a request has passed through; they must not contain this region.
 fn via_of(regions: &Regions, sender: usize, head: &Parts) -> Result<Via, HopRejection> {
     let sender_name = &regions.settings.other[sender].name;
     let mut values = head.headers.get_all(VIA).iter();
     let (Some(text), None) = (values.next().and_then(|value| value.to_str().ok()), values.next()) else {
-        return Err(HopRejection::Invalid("expected one Region-Path"));
+        return Err(HopRejection::Invalid("expected exactly one Region-Path header"));
     };
     let via = Via::parse(text, sender_name);
-    let via = via.map_err(|_| HopRejection::Invalid("Region-Path: not of its form"))?;
-    via.check_entry(&regions.settings.name).map_err(|_| HopRejection::Invalid("it has been here"))?;
+    let via = via.map_err(|_| {
+        HopRejection::Invalid(
+            "Region-Path: expected the visited regions, the sender last, and the remaining hops",
+        )
+    })?;
+    via.check_entry(&regions.settings.name).map_err(|_| {
+        HopRejection::Invalid("Region-Path: the request has already passed through this region")
+    })?;
     Ok(via)
 }
 
-/// Answers one request of another region.
+/// Answers one request from another region.
 async fn answer(
     regions: &Rc<Regions>, server: &Server, peer: Peer, request: Request<Incoming>,
 ) -> Response<ResponseBody> {
@@ -249,7 +259,7 @@
     response
 }
 
-/// [`Regions::admit`] has counted those over budget.
+/// Counts a rejection; [`Regions::admit`] has already counted those over budget.
 fn record_rejection(regions: &Regions, peer: Peer, rejection: HopRejection) {
     match rejection {
         HopRejection::Invalid(_) => regions.gateway.record_invalid(),
@@ -258,8 +268,8 @@
     }
 }
 
-/// Limits a request's remaining time by its deadline. It may have been in the socket of a stopped process: nothing is
-/// executed for a client that was answered.
+/// Limits a request's remaining time by its deadline. The request may have waited in the socket of a stopped process; it
+/// must not be executed if its client may have received a response.
 fn limit_remaining(
     attributes: &mut RequestAttributes, now: RemoteTime, deadline: Option<RemoteTime>,
 ) -> Result<(), HopRejection> {
@@ -291,19 +301,20 @@
     }
     let slot = BudgetSlot { regions: regions.clone(), sender };
     let body = tokio::time::timeout(BODY_TIMEOUT, Limited::new(body, BODY_BYTES).collect()).await;
-    let body = body.ok().and_then(Result::ok).ok_or(HopRejection::Invalid("the body did not come whole"))?;
+    let body =
+        body.ok().and_then(Result::ok).ok_or(HopRejection::Invalid("the body is incomplete or too large"))?;
     let body = CallBody::Buffered(body.to_bytes());
-    // Again: reading the body has taken time.
+    // Checked again, since reading the body has taken time.
     limit_remaining(&mut attributes, clock(), deadline)?;
     let effect = server.rules.classes.get(attributes.class.0).map_or(Effect::Unsafe, |class| class.effect);
     let answer = server.submit(attributes, head, body, sender as u64, Some(via)).await;
     drop(slot);
-    // A duplicate id is that of another request, or its own on the way round.
+    // A duplicate id belongs to another request, or to the same request after a routing loop.
     let answer = answer.map_err(|invalid| HopRejection::Invalid(invalid.1))?;
     Ok(response_of(answer, effect))
 }
 
-/// The driver's answer as the sender gets it.
+/// Converts the driver's answer to the response for the sender.
 fn response_of(answer: Answer, effect: Effect) -> Response<ResponseBody> {
     let (mut response, outcome) = match answer {
         Answer::Served(answer) => {
@@ -320,7 +331,7 @@
     response
 }
 
-/// Waits until no request of another region is in service, until `latest` at most.
+/// Waits until no request from another region is in service, but not beyond `latest`.
 pub async fn drained(regions: &Regions, latest: Time) {
     let is_in_service = || regions.inbound.borrow().iter().any(|sender| sender.budget.in_flight().used > 0);
     while regions.clock.now() < latest && is_in_service() {
--- a/crates/gaugesaddle/src/federation/key_watch.rs
+++ b/crates/gaugesaddle/src/federation/key_watch.rs
@@ -1,4 +1,4 @@
-//! Replaces certificate, key and trust anchors while the proxy serves.
+//! Replaces the certificate, key and trust anchors while the proxy serves.
 
 use super::regions::Regions;
 use super::remote_gateways::ClientKeys;
@@ -7,12 +7,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Interval of checks of the key files.
+/// Interval between checks of the key files.
 const KEY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 const MICROS_PER_DAY: u64 = 86_400_000_000;
 
 impl Regions {
-    /// Watches the key files until the program ends. A set that cannot be used is logged once, and the present one stays.
+    /// Watches the key files until the program ends. A set of files that cannot be used is logged once, and the present set
+    /// stays in use.
     pub async fn watch_keys(self: Rc<Regions>) {
         let mut last_error = String::new();
         loop {
@@ -27,7 +28,7 @@
                 continue;
             }
             match tls::load(&self.settings, self.clock.now()) {
-                // Replaced again while they were read: what was read may be a mixture.
+                // The files were replaced again during the read, which may have mixed two sets.
                 Ok(_) if tls::stamp(&self.settings) != stamp => self.check_keys_now.notify_one(),
                 Ok(identity) => {
                     self.replace_keys(identity, stamp);
@@ -37,7 +38,9 @@
                     let error = e.to_string();
                     if error != last_error {
                         self.rejected_keys.set(self.rejected_keys.get() + 1);
-                        tracing::warn!("region: the keys stay as they were: {error}");
+                        tracing::warn!(
+                            "region: new key files rejected, the present keys stay in use: {error}"
+                        );
                         last_error = error;
                     }
                 }
@@ -52,7 +55,7 @@
         self.stamp.set(stamp);
         self.keys_changed.send_replace(generation);
         self.warned_of.set(Expiry::Distant);
-        tracing::info!("region: keys read again and in use, the {generation}. change since the start");
+        tracing::info!("region: keys read again and in use, change {generation} since the start");
     }
 
     fn warn_of_expiry(&self) {
@@ -64,10 +67,12 @@
         }
         match expiry {
             Expiry::Expired => {
-                tracing::error!("region: the certificate has ended: other regions refuse this one");
+                tracing::error!(
+                    "region: the certificate has expired: other regions reject connections of this one"
+                );
             }
             _ => tracing::warn!(
-                "region: the certificate ends in {} days",
+                "region: the certificate expires in {} days",
                 (valid_until - now).0 / MICROS_PER_DAY
             ),
         }
--- a/crates/gaugesaddle/src/federation/region_watch.rs
+++ b/crates/gaugesaddle/src/federation/region_watch.rs
@@ -1,4 +1,5 @@
-//! Connects the driver with other regions: offers the balancer what may leave, and forwards what does.
+//! Connects the driver with other regions: offers the balancer the number of requests that may be forwarded, and forwards
+//! those that it hands over.
 
 use super::regions::{Inbound, Regions, Switch};
 use super::remote_gateways::{forwardable_body, Hop};
@@ -13,17 +14,17 @@
 };
 use std::rc::Rc;
 
-/// Interval of observations of the fleet: several in the shortest time of the rule.
+/// Interval between observations of the fleet: allows for several within the shortest period of the spillover rule.
 const OBSERVATION_INTERVAL: Micros = Micros(50_000);
-/// Fraction of the idempotent requests that are attempted here although no backend seems usable, so that a recovery is
-/// noticed. Others are not attempted: an unresponsive backend would make their outcome unknown.
+/// Fraction of the idempotent requests that are attempted at local backends although none seems usable, so that a recovery
+/// is detected. Non-idempotent ones are not attempted: an unresponsive backend would leave their outcome unknown.
 const LOCAL_PROBE_FRACTION: f64 = 0.1;
-/// The same where no class is idempotent.
+/// Fraction of all requests that are attempted at local backends where no class is idempotent.
 const MIN_LOCAL_PROBE_FRACTION: f64 = 0.02;
-/// Highest coverage that is published.
+/// Maximum published coverage.
 const MAX_PUBLISHED_COVERAGE: f64 = 9.99;
 
-/// A hop in flight. Dropped before it is completed, it counts as cancelled.
+/// A hop in flight. It is recorded as cancelled if it is dropped before completion.
 struct HopGuard {
     regions: Rc<Regions>,
     link: usize,
@@ -46,23 +47,23 @@
     }
 }
 
-/// The extension of the driver.
+/// The driver's extension for other regions.
 pub struct RegionWatch {
     regions: Rc<Regions>,
     registry: Rc<Registry>,
     spillover: Spillover,
     next_observation: Time,
     next_offer: Time,
-    /// Whether an offer stands.
+    /// Whether the balancer has an offer that is not empty.
     has_offered: bool,
-    /// By class: the fraction that leaves without an attempt here, and its maximum.
+    /// Fraction of each class that is forwarded without a local attempt, and its maximum.
     direct_fraction: Vec<f64>,
     max_direct_fraction: Vec<f64>,
     priority_weights: Vec<f64>,
     tick: Micros,
 }
 
-/// The maximum fraction of a class that leaves without an attempt here.
+/// Returns the maximum fraction of a class that is forwarded without a local attempt.
 fn max_direct_fraction(class: &Class, has_idempotent: bool) -> f64 {
     match (class.effect == Effect::Free, has_idempotent) {
         (true, _) => 1.0 - LOCAL_PROBE_FRACTION,
@@ -72,7 +73,7 @@
 }
 
 impl RegionWatch {
-    /// `tick`: how often the balancer decides.
+    /// `tick`: interval of the balancer's decisions.
     pub fn new(regions: Rc<Regions>, registry: Rc<Registry>, classes: &[Class], tick: Micros) -> RegionWatch {
         let has_idempotent = classes.iter().any(|class| class.effect == Effect::Free);
         let max = |class: &Class| max_direct_fraction(class, has_idempotent);
@@ -90,12 +91,12 @@
         }
     }
 
-    /// Fraction of the budgets that may be used now, 0 to 1.
+    /// Returns the fraction of the budgets that may be used now, 0 to 1.
     fn open_fraction(&self, now: Time) -> f64 {
         self.spillover.open_fraction(now, self.regions.switch.get().key.mode())
     }
 
-    /// Sets for each class the fraction that the fleet here cannot serve, the highest priority served first.
+    /// Sets for each class the fraction that the local fleet cannot serve, assigning capacity by priority.
     fn update_direct_fractions(&mut self, capacity: &Capacity, exercise: f64) {
         let mut order: Vec<usize> = (0..self.priority_weights.len()).collect();
         order.sort_by(|a, b| self.priority_weights[*b].total_cmp(&self.priority_weights[*a]));
@@ -109,43 +110,43 @@
         }
     }
 
-    /// Observes the fleet; `open` is the fraction of the budgets that was usable before. Returns the present one.
-    fn observe(&mut self, now: Time, balancer: &Balancer, open: f64) -> f64 {
+    /// Observes the fleet; `previous` is the fraction of the budgets that was usable before. Returns the present one.
+    fn observe(&mut self, now: Time, balancer: &Balancer, previous: f64) -> f64 {
         let capacity = balancer.capacity();
         self.observe_coverage(now, &capacity);
         let Switch { key, exercise_percent } = self.regions.switch.get();
         let exercise = if key == SwitchKey::Now { f64::from(exercise_percent) / 100.0 } else { 0.0 };
-        let now_open = self.open_fraction(now);
-        if now_open > 0.0 || open > 0.0 {
+        let open = self.open_fraction(now);
+        if open > 0.0 || previous > 0.0 {
             self.update_direct_fractions(&capacity, exercise);
-            let leaving = self.direct_fraction.iter().zip(&capacity.demand_per_s);
-            let demands: Vec<f64> = leaving.map(|(fraction, demand)| fraction * demand).collect();
+            let forwarded = self.direct_fraction.iter().zip(&capacity.demand_per_s);
+            let demands: Vec<f64> = forwarded.map(|(fraction, demand)| fraction * demand).collect();
             for link in self.regions.links.borrow_mut().iter_mut() {
                 link.expect_demand(demands.iter().copied());
             }
         }
         let is_reachable = self.regions.links.borrow().iter().any(|link| link.backoff_until(now).is_none());
-        self.registry.region_serves.set(now_open > 0.0 && is_reachable);
+        self.registry.region_serves.set(open > 0.0 && is_reachable);
         *self.registry.region.borrow_mut() = Some(self.view(now));
-        now_open
+        open
     }
 
     fn observe_coverage(&mut self, now: Time, capacity: &Capacity) {
         let demand: f64 = capacity.demand_per_s.iter().sum();
-        // Before any request was served nothing speaks against the fleet.
+        // Before the first request is served, the capacity is unknown and assumed to equal the demand.
         let is_known = capacity.capacity_per_s.is_finite();
         let capacity = if is_known { capacity.capacity_per_s } else { demand };
         let fleet = FleetCapacity { capacity_per_s: capacity, demand_per_s: demand };
         if let Some(Transition { from, to, coverage }) = self.spillover.observe(now, fleet) {
             tracing::info!(
-                "region: {} after {}: backends can do {capacity:.0} of {demand:.0} a second ({coverage:.2})",
+                "region: state is {} after {}: capacity {capacity:.0}/s, demand {demand:.0}/s, coverage {coverage:.2}",
                 to.name(),
                 from.name()
             );
         }
     }
 
-    /// The published state.
+    /// Returns the published state.
     fn view(&self, now: Time) -> RegionView {
         let regions = &self.regions;
         let mut links = regions.links.borrow_mut();
@@ -167,7 +168,7 @@
         }
     }
 
-    /// What may leave now, where anything may.
+    /// Returns the offer to the balancer: the requests that may be forwarded now.
     fn offer(&self, now: Time, open: f64) -> Offer {
         let mut links = self.regions.links.borrow_mut();
         let classes = 0..self.priority_weights.len();
@@ -175,13 +176,13 @@
             links.iter_mut().map(|link| link.available(now, class, open)).sum()
         };
         let capacity = classes.clone().map(|class| available(class, &mut links)).collect();
-        // The first link that has capacity is the first one that is used.
+        // Links are tried in order: the first one that has capacity is used first.
         let usable = links.iter_mut().filter_map(|link| {
             let has_capacity = classes.clone().any(|class| link.available(now, class, open) > 0);
             has_capacity.then(|| link.hop_overhead(now))
         });
         let hop_duration = usable.min().unwrap_or_default();
-        // While the spillover returns, ever less is kept from the backends here; the rest is what they cannot serve.
+        // While the spillover returns, the fraction that bypasses the local backends decreases with `open`.
         let direct_fraction = self.direct_fraction.iter().map(|f| (f * open).clamp(0.0, 1.0)).collect();
         Offer { capacity, hop_duration, direct_fraction }
     }
@@ -223,12 +224,12 @@
             }
             return;
         }
-        // The balancer decides once a tick: it could not use what changes in between.
+        // The balancer decides once a tick: it could not use a new offer before that.
         if now < self.next_offer {
             return;
         }
         self.next_offer = now + self.tick;
-        // Offered anew each tick even if unchanged: the balancer has used some of the last offer.
+        // Renewed at each tick even if unchanged: the balancer may have used a part of the last offer.
         self.has_offered = true;
         events.push(Event::Offer(self.offer(now, open)));
     }
@@ -247,9 +248,10 @@
             let mut reachable = links.iter_mut().enumerate().filter(|(i, _)| regions.gateways[*i].is_some());
             reachable.find_map(|(i, link)| link.start_hop(now, hop_request).ok().map(|hop| (i, hop)))?
         };
-        // Whatever ends the hop, the guard releases what it has taken of the budget.
+        // The guard releases the hop's part of the budget however the hop ends.
         let mut guard = HopGuard { regions: regions.clone(), link, is_complete: false };
-        // A tick before the driver gives up: an unresponsive region is told apart from a client that disconnects.
+        // One tick before the driver abandons the request, so that an unresponsive region is distinguished from a client
+        // that disconnects.
         let deadline = Time(request.deadline.0.saturating_sub(self.tick.0));
         let call = request.call.clone();
         Some(Box::pin(async move {
--- a/crates/gaugesaddle/src/federation/regions.rs
+++ b/crates/gaugesaddle/src/federation/regions.rs
@@ -21,23 +21,23 @@
 use tokio::net::TcpListener;
 use tokio::sync::{watch, Notify};
 
-/// Percentage of each proxy's entitlement to inbound requests that is never leased.
+/// Percentage of each proxy's entitlement to inbound requests that is reserved for it and never leased.
 const RESERVED_PERCENT: u32 = 25;
-/// Duration of a lease of inbound requests per second; a proxy that starts has only its reserved part for this long. Shorter
-/// leases cost messages, longer ones leave more with members that die.
+/// Duration of a lease of inbound requests per second; a proxy that starts has only its reserved part for this time. Shorter
+/// leases cost more messages, longer ones leave capacity unused for longer after a member fails.
 const LEASE_DURATION: Micros = Micros(4_000_000);
-/// Between two users of a lease: the window of the rate.
+/// Time between the end of a lease and its reuse by another proxy: the window over which the rate is limited.
 const GRACE_PERIOD: Micros = Micros(1_000_000);
-/// Makes this generator's sequence differ from others with the same seed.
+/// Combined with the seed so that this generator's sequence differs from others with the same seed.
 const RANDOM_STREAM: u64 = 0x7265_6769_6f6e;
 
 /// Counters of the gateway.
 #[derive(Default)]
 pub(super) struct GatewayCounters {
     pub(super) connections: Cell<usize>,
-    /// Handshakes that failed, and peers whose certificate is that of no region.
+    /// Failed handshakes, connections over the limit, and peers whose certificate matches no region.
     pub(super) unauthenticated: Cell<u64>,
-    /// Requests that were malformed or had been here.
+    /// Requests that were malformed or had already passed through this region.
     pub(super) invalid: Cell<u64>,
 }
 
@@ -51,26 +51,27 @@
     }
 }
 
-/// What this proxy accepts from one region.
+/// Budget and counters of inbound requests from one region.
 pub(super) struct Inbound {
     pub(super) budget: Budget,
     pub(super) accepted: u64,
     pub(super) rejected: u64,
-    /// Requests since the leases were last updated, and whether some were rejected for the rate.
+    /// Requests since the leases were last updated.
     arrivals: u32,
-    was_short: bool,
+    /// Whether the rate limit has rejected requests since then.
+    was_rate_limited: bool,
 }
 
 impl Inbound {
     fn new(budget: Budget) -> Inbound {
-        Inbound { budget, accepted: 0, rejected: 0, arrivals: 0, was_short: false }
+        Inbound { budget, accepted: 0, rejected: 0, arrivals: 0, was_rate_limited: false }
     }
 
-    /// The demand since the last call, in requests per second. A sender that was rejected reduces its rate, so that its
-    /// demand is not seen: twice the usable rate is assumed then.
+    /// Returns the demand since the last call, in requests per second. A rejected sender reduces its rate, so that its
+    /// demand cannot be observed: after a rejection at least twice the usable rate is assumed.
     fn take_demand(&mut self, elapsed_s: f64, usable: u32) -> f64 {
         let observed = f64::from(std::mem::take(&mut self.arrivals)) / elapsed_s;
-        if std::mem::take(&mut self.was_short) {
+        if std::mem::take(&mut self.was_rate_limited) {
             observed.max(2.0 * f64::from(usable.max(1)))
         } else {
             observed
@@ -78,13 +79,13 @@
     }
 }
 
-/// Leases of inbound requests per second among this region's proxies; a quantity for each other region.
+/// Leases of inbound requests per second among this region's proxies; there is one quantity for each other region.
 struct InboundLeases {
     manager: LeaseManager,
     updated_at: Time,
 }
 
-/// Whether requests may leave, as operators set it.
+/// The operators' setting of whether requests may be forwarded.
 #[derive(Clone, Copy)]
 pub(super) struct Switch {
     pub(super) key: SwitchKey,
@@ -99,25 +100,25 @@
     /// `None` for a region that has no gateways.
     pub(super) gateways: Vec<Option<RemoteGateways>>,
     pub(super) inbound: RefCell<Vec<Inbound>>,
-    /// `None` until this process has its index in the tier.
+    /// `None` until this process has its index in the tier, that is until its address is bound.
     leases: RefCell<Option<InboundLeases>>,
     uses_leases: Cell<bool>,
     pub(super) identity: RefCell<Identity>,
     pub(super) stamp: Cell<FileStamp>,
     pub(super) keys: Rc<RefCell<ClientKeys>>,
-    /// Notifies connections of other regions that keys have changed.
+    /// Notifies connections from other regions that the keys have changed.
     pub(super) keys_changed: watch::Sender<u64>,
-    /// The key files may have changed.
+    /// Notified when the key files may have changed.
     pub(super) check_keys_now: Notify,
     pub(super) rejected_keys: Cell<u64>,
-    /// The expiry of the certificate that was last logged.
+    /// The most severe expiry state of the present certificate that was logged.
     pub(super) warned_of: Cell<Expiry>,
     pub(super) switch: Cell<Switch>,
     pub(super) gateway: GatewayCounters,
     rng: RefCell<Pcg32>,
 }
 
-/// What the proxy is, for other regions.
+/// The local proxy's properties that its links to other regions depend on.
 pub struct LocalRegion<'a> {
     pub clock: Clock,
     pub allocation: EvenAllocation,
@@ -155,10 +156,10 @@
 }
 
 impl Regions {
-    /// Reads the keys; without valid ones the proxy does not start.
+    /// Reads the keys and creates the links; the proxy does not start without valid keys.
     ///
     /// # Errors
-    /// The section does not match the platform's configuration, or a key file cannot be used.
+    /// Returns an error if the section does not match the platform's configuration or a key file cannot be used.
     pub fn new(settings: RegionSection, local: LocalRegion) -> Result<Rc<Regions>, FederationError> {
         settings.check_with(local.class_names, local.allocation.proxies)?;
         let stamp = tls::stamp(&settings);
@@ -192,23 +193,24 @@
         }))
     }
 
-    /// Applies what a running proxy can change, the switch and the exercise, and checks the key files at once.
+    /// Applies the settings that can change while the proxy runs, the switch and the exercise percentage, and triggers a
+    /// check of the key files.
     pub fn apply_settings(&self, newer: &RegionSection) {
         let switch = Switch { key: newer.switch, exercise_percent: newer.exercise_percent };
         let previous = self.switch.replace(switch);
         if previous.key != newer.switch {
-            tracing::info!("region: the switch is {} after {}", newer.switch.name(), previous.key.name());
+            tracing::info!("region: switch changed from {} to {}", previous.key.name(), newer.switch.name());
         }
         self.check_keys_now.notify_one();
     }
 
-    /// Inbound requests are leased among this region's proxies from now on: none is accepted before this process has its
-    /// index in the tier.
+    /// Enables leases of inbound requests among this region's proxies: from now on none is accepted before this process
+    /// has its index in the tier.
     pub fn use_leases(&self) {
         self.uses_leases.set(true);
     }
 
-    /// Sets this proxy's fraction of what may leave; the other region limits the sum.
+    /// Sets this proxy's fraction of the outbound budgets; the other region limits the sum.
     pub fn reallocate(&self, allocation: WeightedAllocation) {
         self.links.borrow_mut().iter_mut().for_each(|link| link.reallocate(allocation));
     }
@@ -224,11 +226,13 @@
         };
         let terms: Vec<ReservationTerms> = self.settings.other.iter().map(terms).collect();
         let manager = LeaseManager::new(&terms, index, boot, now);
-        let manager = manager.inspect_err(|e| tracing::error!("region: nothing is lent: {e}")).ok()?;
+        let manager = manager
+            .inspect_err(|e| tracing::error!("region: leases of inbound requests are disabled: {e}"))
+            .ok()?;
         Some(InboundLeases { manager, updated_at: now })
     }
 
-    /// Requests and releases leases by the demand since the last call; to be called a few times a second.
+    /// Requests and releases leases according to the demand since the last call; must be called a few times a second.
     pub fn update_leases(&self, now: Time, tier: &Tier, live: &[u16]) {
         let mut leases = self.leases.borrow_mut();
         if leases.is_none() {
@@ -247,7 +251,7 @@
         tier.send_messages(messages);
     }
 
-    /// The leases of inbound requests by region, where they are used.
+    /// Returns the leases of inbound requests by region; empty where leases are not used.
     pub fn lease_views(&self, now: Time) -> Vec<(String, LeaseView)> {
         let leases = self.leases.borrow();
         let Some(InboundLeases { manager, .. }) = leases.as_ref() else { return Vec::new() };
@@ -255,7 +259,8 @@
         others.filter_map(|(i, other)| Some((other.name.clone(), manager.view(i, now)?))).collect()
     }
 
-    /// Whether a request of that region's is accepted; its budget has to be released afterwards.
+    /// Admits a request from a region within its budget; returns whether it is admitted. The caller must release the
+    /// budget after an admitted request has ended.
     pub(super) fn admit(&self, now: Time, sender: usize, class: ClassId) -> bool {
         let mut inbound = self.inbound.borrow_mut();
         let inbound = &mut inbound[sender];
@@ -265,7 +270,7 @@
             inbound.budget.set_rate(leases.as_ref().map_or(0, |leases| leases.manager.usable(sender, now)));
         }
         let result = inbound.budget.acquire(now, class.0, 1.0);
-        inbound.was_short |= result == Err(BudgetExceeded::Rate);
+        inbound.was_rate_limited |= result == Err(BudgetExceeded::Rate);
         match result {
             Ok(()) => inbound.accepted += 1,
             Err(_) => inbound.rejected += 1,
@@ -273,7 +278,7 @@
         result.is_ok()
     }
 
-    /// Serves the gateway, if there is one.
+    /// Runs the gateway, if it has a listener.
     pub async fn serve(self: Rc<Regions>, server: Rc<Server>, listener: Option<TcpListener>) {
         match listener {
             Some(listener) => gateway::serve(self, server, listener).await,
@@ -281,12 +286,12 @@
         }
     }
 
-    /// Waits until no request of another region is in service, at most for `within`.
+    /// Waits until no request from another region is in service, for at most `within`.
     pub async fn drained(&self, within: Micros) {
         gateway::drained(self, self.clock.now() + within).await;
     }
 
-    /// A random number, uniform in 0 to 1.
+    /// Returns a uniformly distributed random number in [0, 1).
     pub(super) fn random_fraction(&self) -> f64 {
         f64::from(self.rng.borrow_mut().next_u32()) / 4_294_967_296.0
     }
--- a/crates/gaugesaddle/src/federation/remote_gateways.rs
+++ b/crates/gaugesaddle/src/federation/remote_gateways.rs
@@ -1,4 +1,5 @@
-//! The gateways of another region: long HTTP/2 connections over mutual TLS, and one request over them to one result.
+//! Client of the gateways of another region: persistent HTTP/2 connections over mutual TLS. Each forwarded request has
+//! exactly one result.
 
 use super::headers::{CLOCK, DEADLINE, DURATION, FULL, OUTCOME, VIA};
 use crate::clock::Clock;
@@ -28,20 +29,21 @@
 use tokio::sync::Mutex;
 use tokio_rustls::TlsConnector;
 
-/// A connection that is not established within this time has failed.
+/// Timeout of establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Where nobody listens a connection fails within this time, and another gateway is tried; one that hangs takes longer, and
-/// no other is tried.
+/// Maximum duration of a failure to connect after which another gateway is tried. A connection to an address without a
+/// listener fails within this time; an unresponsive gateway takes longer, and no other one is tried then.
 const MAX_FAST_FAILURE: Micros = Micros(50_000);
-/// A request that was not sent, since the gateway closed the connection, uses up to so many: one that was idle when keys
-/// changed, and two that the gateway accepted with keys that changed again meanwhile.
+/// Maximum number of connections tried for a request that remains unsent because the gateway closes the connection: one
+/// that was idle when keys changed, and two that the gateway accepted with keys that have changed again meanwhile.
 const MAX_CONNECTIONS_PER_HOP: u32 = 3;
-/// A connection that answers no ping for [`PING_TIMEOUT`] is dead.
+/// Interval of HTTP/2 pings.
 const PING_INTERVAL: Duration = Duration::from_secs(1);
+/// Time without a ping acknowledgement after which a connection is closed.
 const PING_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Maximum size of an answer: it is buffered, as many as may be in flight at once.
+/// Maximum size of a response body. Each response is buffered, so memory grows with the requests in flight.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
-/// Maximum size of an answer's head.
+/// Maximum size of a response's head.
 const MAX_HEAD_BYTES: u32 = 16 << 10;
 
 type Sender = SendRequest<Full<Bytes>>;
@@ -56,14 +58,14 @@
     }
 }
 
-/// The keys in use for connections to other regions, and how often they have changed.
+/// The keys in use for connections to other regions, and the number of changes since the start.
 #[derive(Clone)]
 pub struct ClientKeys {
     pub config: Arc<ClientConfig>,
     pub generation: u64,
 }
 
-/// A connection to a gateway, with what is known of that gateway's clock.
+/// A connection to a gateway, with the estimate of that gateway's clock.
 #[derive(Clone)]
 struct OpenConnection {
     sender: Sender,
@@ -80,27 +82,28 @@
 /// The gateways of one region.
 pub struct RemoteGateways {
     clock: Clock,
-    /// The name in its certificate, and as the authority of requests.
+    /// Name that the gateways' certificates must be valid for.
     name: ServerName<'static>,
+    /// The same name as the authority of requests.
     host: String,
     gateways: Vec<Gateway>,
     selector: RefCell<EndpointSelector>,
     keys: Rc<RefCell<ClientKeys>>,
 }
 
-/// A request to another region.
+/// A request to be forwarded to another region.
 pub struct Hop<'a> {
     pub call: &'a Call,
     pub body: Bytes,
-    /// The regions that it came through, this one included.
+    /// The regions that it has passed through, including this one.
     pub via: &'a Via,
-    /// Time that the other side has, counted from when the hop begins.
+    /// Time available to the other region, counted from the start of the hop.
     pub remaining: Micros,
-    /// When the hop must have ended, by the local clock.
+    /// Time by the local clock at which the hop must have ended.
     pub deadline: Time,
 }
 
-/// No answer came; whether the request may have been received.
+/// A hop without a response; records whether the request may have been received.
 #[derive(Clone, Copy)]
 struct HopFailure {
     transmission: Transmission,
@@ -116,17 +119,17 @@
     }
 }
 
-/// What became of a request at one gateway.
+/// Result of a request to one gateway.
 enum GatewayResult {
     Answered(HopResult, Option<Response<Bytes>>),
-    /// It has not received the request, or rejected it for want of budget: another one may accept it.
+    /// The gateway has not received the request, or rejected it for lack of budget: another gateway may accept it.
     Unavailable(Unavailable),
     Failed(HopFailure),
 }
 
 impl RemoteGateways {
-    /// `first`: index of the address to begin with, so that all proxies together use them all. `None` where the name is no
-    /// valid server name.
+    /// `first`: index of the first address to use; it differs between proxies, so that together they use all addresses.
+    /// Returns `None` if the certificate name is not a valid server name.
     pub fn new(
         clock: Clock, certificate_name: &str, addresses: Vec<SocketAddr>, first: usize,
         keys: Rc<RefCell<ClientKeys>>,
@@ -142,8 +145,9 @@
         Some(RemoteGateways { clock, name, host, gateways, selector, keys })
     }
 
-    /// A connection with the present keys, over which a deadline can be given. Those with earlier keys end by themselves once
-    /// their requests have ended. One that the gateway closes at once is returned all the same: nothing is sent over it.
+    /// Returns a connection established with the present keys, with a current estimate of the gateway's clock, which a
+    /// deadline requires. Connections with earlier keys close once their requests have ended. A connection that the
+    /// gateway closes immediately is returned as well: no request is sent over it.
     async fn connection(&self, gateway: usize) -> Result<OpenConnection, HopFailure> {
         let gateway = &self.gateways[gateway];
         let mut slot = gateway.connection.lock().await;
@@ -164,7 +168,7 @@
             *slot = Some(connection.clone());
         } else if !connection.sender.is_closed() {
             let Gateway { address, .. } = gateway;
-            tracing::warn!("region {}: {address}: the gateway does not report its clock", self.host);
+            tracing::warn!("region {}: {address}: the gateway did not report its clock", self.host);
             return Err(HopFailure::NOT_SENT);
         }
         Ok(connection)
@@ -186,13 +190,13 @@
         let (sender, connection) = handshake.inspect_err(|e| failed(e)).ok()?;
         tokio::task::spawn_local(async move {
             if let Err(e) = connection.await {
-                tracing::debug!("a connection to another region ended: {e}");
+                tracing::debug!("connection to a gateway of another region closed: {e}");
             }
         });
         Some(sender)
     }
 
-    /// Reads the gateway's clock; returns whether that succeeded.
+    /// Requests a reading of the gateway's clock; returns whether one was received.
     async fn read_clock(&self, connection: &mut OpenConnection) -> bool {
         let mut request = Request::new(Full::new(Bytes::new()));
         *request.method_mut() = Method::OPTIONS;
@@ -208,18 +212,18 @@
         answer.is_some_and(|answer| self.record_clock(&connection.remote_clock, sent_at, answer.headers()))
     }
 
-    /// Takes the reading of a gateway's answer into account; returns whether it has one.
+    /// Records the clock reading in a gateway's response; returns whether it has one.
     fn record_clock(&self, clock: &Cell<RemoteClock>, sent_at: Time, headers: &HeaderMap) -> bool {
         let reading = headers.get(CLOCK).and_then(|value| RemoteTime::parse(value.as_bytes()));
         let Some(reading) = reading else { return false };
-        let mut known = clock.get();
-        known.record(ClockSample { sent_at, received_at: self.clock.now(), reading });
-        clock.set(known);
+        let mut estimate = clock.get();
+        estimate.record(ClockSample { sent_at, received_at: self.clock.now(), reading });
+        clock.set(estimate);
         true
     }
 
-    /// Sends a request to the region and returns its one result, with the answer if a backend there served it. Where a gateway
-    /// did not receive it, or has no budget for it, the next one is tried.
+    /// Forwards a request to the region and returns its result, with the response if a backend there served it. The next
+    /// gateway is tried if one did not receive the request or has no budget for it.
     pub async fn send(&self, hop: &Hop<'_>) -> (HopResult, Option<Response<Bytes>>) {
         let began = self.clock.now();
         let (mut attempted, mut last) = (0, None);
@@ -243,7 +247,8 @@
         }
     }
 
-    /// The result where no gateway is available. Full ones are no failure of the link, and soon have budget again.
+    /// Returns the result where no gateway is available. Gateways without budget do not count as a failure of the link,
+    /// since their budget is renewed soon.
     fn unavailable(&self, now: Time, began: Time, last: Option<Unavailable>) -> HopResult {
         let full_for = self.selector.borrow().full_for(now);
         match (last, full_for) {
@@ -268,7 +273,7 @@
         }
     }
 
-    /// Reads a gateway's answer, and removes the headers that no client gets.
+    /// Reads a gateway's response, and removes the headers that are not for clients.
     fn read_answer(&self, sent_at: Time, mut answer: Response<Bytes>) -> GatewayResult {
         let duration = self.clock.now() - sent_at;
         let headers = answer.headers_mut();
@@ -286,7 +291,7 @@
         GatewayResult::Answered(result, (outcome == RemoteOutcome::Executed).then_some(answer))
     }
 
-    /// Sends a request over one connection and reads the full answer.
+    /// Sends a request to one gateway and reads the complete response.
     async fn exchange(
         &self, gateway: usize, hop: &Hop<'_>, began: Time, transmission: &Cell<Transmission>,
     ) -> Result<Response<Bytes>, HopFailure> {
@@ -295,7 +300,7 @@
             connections += 1;
             let mut connection = self.connection(gateway).await?;
             let is_ready = connection.sender.ready().await.is_ok();
-            // Only now: a connection may have had to be established.
+            // Measured after the connection is ready, since it may have had to be established.
             let sent_at = self.clock.now();
             let deadline = connection.remote_clock.get().deadline(sent_at, hop.deadline);
             let sent = match deadline.filter(|_| is_ready) {
@@ -304,17 +309,17 @@
                     let remaining = Micros(hop.remaining.0.saturating_sub((sent_at - began).0));
                     let request = request(&self.host, hop, remaining, deadline);
                     connection.sender.try_send_request(request).await.map_err(|mut e| {
-                        // It was returned unsent, or rejected by the other side before it was processed.
+                        // Not sent if hyper returns the request, or if the gateway rejected it before processing.
                         let is_sent = e.take_message().is_none() && !is_refused_stream(e.error());
                         HopFailure { transmission: Transmission::started_if(is_sent) }
                     })
                 }
-                // Closed, or the deadline was over before the gateway accepted the connection.
+                // The connection is closed, or the deadline precedes the start of the gateway's clock.
                 None => Err(HopFailure::NOT_SENT),
             };
             let answer = match sent {
                 Ok(answer) => answer,
-                // The other side closed the connection before this request, for new keys for instance.
+                // The gateway closed the connection before this request was sent, for example because of new keys.
                 Err(HopFailure { transmission: Transmission::NotStarted })
                     if connections < MAX_CONNECTIONS_PER_HOP =>
                 {
@@ -325,7 +330,7 @@
             };
             let (mut head, body): (_, Incoming) = answer.into_parts();
             self.record_clock(&connection.remote_clock, sent_at, &head.headers);
-            // An answer that breaks off must not look complete; the request was executed all the same.
+            // A truncated response must not be passed on as complete, although the request may have been executed.
             let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
             let body = body.map_err(|_| HopFailure::MAY_BE_SENT)?;
             gaugesaddle_http_connection::strip_connection_headers(&mut head.headers);
@@ -347,7 +352,7 @@
     headers.remove(name).as_ref().and_then(number)
 }
 
-/// RFC 9113, section 8.7: a stream that was reset with REFUSED_STREAM was not processed.
+/// Whether the stream was reset with REFUSED_STREAM: such a request was not processed (RFC 9113, section 8.7).
 fn is_refused_stream(e: &hyper::Error) -> bool {
     let mut source = std::error::Error::source(e);
     while let Some(e) = source {
@@ -370,7 +375,7 @@
     *request.uri_mut() = uri(host, head.uri().path_and_query().map_or("/", |path| path.as_str()));
     *request.headers_mut() = head.headers().clone();
     let headers = request.headers_mut();
-    // Whatever a client wrote there is not forwarded.
+    // Values set by a client are not forwarded.
     for name in [OUTCOME, FULL, DURATION, VIA, CLOCK] {
         headers.remove(name);
     }
@@ -382,7 +387,7 @@
     request
 }
 
-/// The body of a request that may be forwarded: a buffered, small one.
+/// Returns the body of a request that may be forwarded, which must be buffered and of limited size.
 pub fn forwardable_body(call: &Call) -> Option<Bytes> {
     match &call.body {
         CallBody::Buffered(bytes) if bytes.len() <= BODY_BYTES => Some(bytes.clone()),
--- a/crates/gaugesaddle/src/federation/settings.rs
+++ b/crates/gaugesaddle/src/federation/settings.rs
@@ -1,4 +1,4 @@
-//! `[region]` of the operator's file: this region, the rule, and the others with their budgets.
+//! The section `[region]` of the operator's file: this region, the spillover rule, and the other regions with their budgets.
 
 use crate::configuration::InvalidKey;
 use gaugesaddle_balancer::Micros;
@@ -9,46 +9,46 @@
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
-/// `[region]`. Wants a restart, but for `switch` and `exercise_percent`, which are taken up at SIGHUP.
+/// The section `[region]`. A change requires a restart, except for `switch` and `exercise_percent`, which apply at SIGHUP.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RegionSection {
-    /// Whether there are other regions at all.
+    /// Whether other regions are used.
     pub enabled: bool,
     /// This region's name.
     pub name: String,
-    /// The name in this region's certificate; empty: its own name.
+    /// The name in this region's certificate; if empty, the region's name.
     pub certificate_name: String,
-    /// Whether requests may leave: by the rule, never, or now.
+    /// Whether requests may be forwarded: by the rule, never, or now.
     pub switch: SwitchKey,
-    /// With `switch = "now"`, so many in a hundred requests leave at once.
+    /// Percentage of requests that are forwarded without a local attempt while `switch = "now"`.
     pub exercise_percent: u32,
-    /// Where other regions connect; none: nothing is taken in.
+    /// The gateway's address, to which other regions connect; without one no requests are accepted from them.
     pub listen: Option<SocketAddr>,
-    /// The certificate and what leads to its authority, in PEM.
+    /// File of the certificate and its chain to the authority, in PEM.
     pub certificate: PathBuf,
-    /// Its private key, in PEM, readable by its owner only.
+    /// File of its private key, in PEM, accessible to its owner only.
     pub key: PathBuf,
-    /// The authorities of all regions, in PEM.
+    /// File of the certificates of all regions' authorities, in PEM.
     pub trust: PathBuf,
-    /// Hops that a request of a client's may make.
+    /// Maximum number of hops of a client's request.
     pub hops: u32,
-    /// Taken off a deadline at each hop, beside the round trip.
+    /// Time subtracted from a deadline at each hop, in addition to the round trip, in milliseconds.
     pub margin_ms: u32,
-    /// Connections made with earlier keys are cut after this time at the latest.
+    /// Time in seconds after which connections established with earlier keys are closed.
     pub drain_s: u32,
-    /// Connections of other regions that are held at once.
+    /// Maximum number of concurrent connections from other regions.
     pub connections: u32,
-    /// When the local fleet counts as unable.
+    /// The conditions under which requests are forwarded.
     pub rule: Rule,
-    /// The others, the first asked first.
+    /// The other regions, in the order in which they are tried.
     pub other: Vec<OtherRegion>,
 }
 
 impl Default for RegionSection {
     fn default() -> RegionSection {
-        // One hop: a second region is a last resort, a third would answer too late. 10 ms: two turns of the module
-        // at either side. A minute outlasts every deadline. 64 connections: two from each of 32 proxies.
+        // One hop, since a third region would respond too late. A margin of 10 ms is two ticks of the balancer at either
+        // side. A drain of one minute exceeds every deadline. 64 connections are two from each of 32 proxies.
         RegionSection {
             enabled: false,
             name: String::new(),
@@ -69,20 +69,20 @@
     }
 }
 
-/// `region.switch`.
+/// The value of `region.switch`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum SwitchKey {
-    /// By the rule.
+    /// Requests are forwarded by the rule.
     Auto,
-    /// Nothing leaves.
+    /// No requests are forwarded.
     Never,
-    /// An exercise.
+    /// Requests are forwarded as an exercise.
     Now,
 }
 
 impl SwitchKey {
-    /// For the decisions.
+    /// Converts the value to the mode of the spillover.
     pub fn mode(self) -> SpilloverMode {
         match self {
             SwitchKey::Auto => SpilloverMode::Auto,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// As it is written.
+    /// Returns the value as written in the file.
     pub fn name(self) -> &'static str {
         match self {
             SwitchKey::Auto => "auto",
@@ -101,43 +101,43 @@
     }
 }
 
-/// `[region.rule]`.
+/// The section `[region.rule]`: thresholds of the spillover. Coverage is the ratio of usable capacity to demand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rule {
-    /// Usable capacity under so many hundredths of the demand is short.
+    /// Coverage in percent below which capacity is short.
     pub short_below_percent: u32,
-    /// From so many on it is enough again.
+    /// Coverage in percent from which capacity suffices again.
     pub enough_from_percent: u32,
-    /// Short for so long: requests leave.
+    /// Time of short capacity after which requests are forwarded, in milliseconds.
     pub enter_ms: u32,
-    /// Enough for so long: they return.
+    /// Time of sufficient capacity after which traffic starts to return, in milliseconds.
     pub leave_ms: u32,
-    /// Short for so long while they return: they leave again.
+    /// Time of short capacity while traffic returns after which requests are forwarded again, in milliseconds.
     pub relapse_ms: u32,
-    /// They return over this time.
+    /// Time over which traffic returns gradually, in milliseconds.
     pub return_ms: u32,
 }
 
 impl Default for Rule {
     fn default() -> Rule {
-        let t = SpilloverThresholds::default();
-        let ms = |span: Micros| (span.0 / 1000) as u32;
+        let defaults = SpilloverThresholds::default();
+        let ms = |duration: Micros| (duration.0 / 1000) as u32;
         Rule {
-            short_below_percent: (t.low_coverage * 100.0) as u32,
-            enough_from_percent: (t.high_coverage * 100.0) as u32,
-            enter_ms: ms(t.enter_after),
-            leave_ms: ms(t.leave_after),
-            relapse_ms: ms(t.relapse_after),
-            return_ms: ms(t.return_duration),
+            short_below_percent: (defaults.low_coverage * 100.0) as u32,
+            enough_from_percent: (defaults.high_coverage * 100.0) as u32,
+            enter_ms: ms(defaults.enter_after),
+            leave_ms: ms(defaults.leave_after),
+            relapse_ms: ms(defaults.relapse_after),
+            return_ms: ms(defaults.return_duration),
         }
     }
 }
 
 impl Rule {
-    /// For the decisions.
+    /// Converts the section to the thresholds of the spillover.
     pub fn thresholds(self) -> SpilloverThresholds {
-        let ms = |n: u32| Micros(u64::from(n) * 1000);
+        let ms = |value: u32| Micros(u64::from(value) * 1000);
         SpilloverThresholds {
             low_coverage: f64::from(self.short_below_percent) / 100.0,
             high_coverage: f64::from(self.enough_from_percent) / 100.0,
@@ -149,21 +149,21 @@
     }
 }
 
-/// `[[region.other]]`.
+/// An entry of `[[region.other]]`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct OtherRegion {
-    /// Its name.
+    /// The region's name.
     pub name: String,
-    /// The name in its certificate; empty: its name.
+    /// The name in its certificate; if empty, the region's name.
     pub certificate_name: String,
-    /// Its gateways; none: it is only let in.
+    /// Addresses of its gateways; without any, requests are only accepted from this region.
     pub addresses: Vec<SocketAddr>,
-    /// The round trip until one was measured.
+    /// Round trip that is assumed until one is measured, in milliseconds.
     pub round_trip_ms: u32,
-    /// What may leave for it, over all proxies.
+    /// Budget of requests forwarded to the region, over all proxies.
     pub send: Allowance,
-    /// What is taken in from it, over all proxies.
+    /// Budget of requests accepted from the region, over all proxies.
     pub take: Allowance,
 }
 
@@ -171,18 +171,18 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Allowance {
-    /// Requests in any second; 0: none.
+    /// Maximum number of requests within any second.
     pub per_s: u32,
-    /// Of these within a tenth of a second; 0: all.
+    /// Maximum number of requests within a tenth of a second; 0 for the value of `per_s`.
     pub burst: u32,
-    /// Requests in flight.
+    /// Maximum number of requests in flight.
     pub in_flight: u32,
-    /// For single classes, by name, less a second.
+    /// Lower limits per second for single classes, by name.
     pub classes: BTreeMap<String, u32>,
 }
 
 impl Allowance {
-    /// What may go at one moment.
+    /// Returns the effective burst limit.
     pub fn burst(&self) -> u32 {
         if self.burst == 0 {
             self.per_s
@@ -196,11 +196,11 @@
     }
 }
 
-/// The most that a budget may hold: a log of a second's sends is kept.
+/// Maximum value of a budget: the times of the requests of the last second are stored.
 const MAX_PER_S: u32 = 100_000;
 
 impl RegionSection {
-    /// The name in a certificate.
+    /// Returns the name that this region's certificate must be valid for.
     pub fn own_certificate_name(&self) -> &str {
         if self.certificate_name.is_empty() {
             &self.name
@@ -209,8 +209,8 @@
         }
     }
 
-    /// Maximum number of file descriptors, out of the clients': two connections to each region, the listener, connections of
-    /// others, and three files while keys are read.
+    /// Returns the maximum number of file descriptors used for other regions, which are not available to clients: two
+    /// connections to each region, the listener, connections from other regions, and three files while keys are read.
     pub fn descriptors(&self) -> usize {
         2 * self.other.len() + 4 + self.listen.map_or(0, |_| self.connections as usize)
     }
@@ -218,7 +218,7 @@
     /// Checks the section.
     ///
     /// # Errors
-    /// The first invalid key.
+    /// Returns the first invalid key.
     pub fn check(&self) -> Result<(), InvalidKey> {
         check_range("exercise_percent", self.exercise_percent, 0..=100)?;
         check_range("hops", self.hops, 1..=u32::from(MAX_HOPS))?;
@@ -227,8 +227,8 @@
         check_range("connections", self.connections, 1..=1024)?;
         let rule = &self.rule;
         check_range("rule.short_below_percent", rule.short_below_percent, 1..=100)?;
-        let enough = rule.short_below_percent + 1..=200;
-        check_range("rule.enough_from_percent", rule.enough_from_percent, enough)?;
+        let enough_range = rule.short_below_percent + 1..=200;
+        check_range("rule.enough_from_percent", rule.enough_from_percent, enough_range)?;
         for (key, value) in [
             ("rule.enter_ms", rule.enter_ms),
             ("rule.leave_ms", rule.leave_ms),
@@ -245,7 +245,7 @@
         self.other.iter().enumerate().try_for_each(|(i, other)| self.check_other(i, other))
     }
 
-    /// The name and the files of this region.
+    /// Checks the name and the files of this region.
     fn check_own(&self) -> Result<(), InvalidKey> {
         check_name("name", &self.name)?;
         for (key, path) in [("certificate", &self.certificate), ("key", &self.key), ("trust", &self.trust)] {
@@ -260,7 +260,7 @@
         Ok(())
     }
 
-    /// Names, certificates and addresses must be those of one region only.
+    /// Checks that each name, certificate name and address belongs to one region only.
     fn check_distinct(&self) -> Result<(), InvalidKey> {
         let (mut names, mut addresses) = (BTreeSet::new(), BTreeSet::new());
         let mut certificates = BTreeSet::from([self.own_certificate_name()]);
@@ -290,7 +290,7 @@
         Ok(())
     }
 
-    /// The numbers of another region.
+    /// Checks the numbers of another region.
     fn check_other(&self, i: usize, other: &OtherRegion) -> Result<(), InvalidKey> {
         check_range(&format!("other.{i}.round_trip_ms"), other.round_trip_ms, 1..=10_000)?;
         if !other.send.is_none() || !other.addresses.is_empty() {
@@ -302,10 +302,10 @@
         Ok(())
     }
 
-    /// Checks what depends on the platform's settings: the classes' names and the number of proxies.
+    /// Checks the settings that depend on the platform's: the names of classes and the number of proxies.
     ///
     /// # Errors
-    /// The first invalid key.
+    /// Returns the first invalid key.
     pub fn check_with(&self, classes: &[String], proxies: u32) -> Result<(), InvalidKey> {
         for (i, other) in self.other.iter().enumerate() {
             for (name, allowance) in [("send", &other.send), ("take", &other.take)] {
@@ -314,9 +314,10 @@
                     let known = classes.join(", ");
                     return invalid(&key(&format!("classes.{class}")), format!("expected one of {known}"));
                 }
-                // Requests in flight cannot be rotated among proxies: one that is in flight stays there.
+                // Each proxy requires at least one request in flight: unlike a rate, this budget cannot rotate among
+                // proxies, since a request in flight stays at its proxy.
                 if !allowance.is_none() && allowance.in_flight < proxies {
-                    let expected = format!("expected one for each of the {proxies} proxies at least");
+                    let expected = format!("expected at least one for each of the {proxies} proxies");
                     return invalid(&key("in_flight"), format!("{expected}, got {}", allowance.in_flight));
                 }
             }
@@ -338,7 +339,7 @@
     }
 }
 
-/// A finding at a key of `[region]`.
+/// Returns an error for a key of `[region]`.
 fn invalid(key: &str, finding: String) -> Result<(), InvalidKey> {
     Err(InvalidKey::new(format!("region.{key}"), finding))
 }
@@ -358,7 +359,7 @@
 }
 
 impl OtherRegion {
-    /// The name in its certificate.
+    /// Returns the name that the region's certificate must be valid for.
     pub fn certificate_name(&self) -> &str {
         if self.certificate_name.is_empty() {
             &self.name
--- a/crates/gaugesaddle/src/federation/tls.rs
+++ b/crates/gaugesaddle/src/federation/tls.rs
@@ -1,4 +1,4 @@
-//! Reads certificates, keys and trust anchors, and makes TLS configurations of them.
+//! Reads certificates, keys and trust anchors, and creates TLS configurations from them.
 
 use super::settings::{OtherRegion, RegionSection};
 use gaugesaddle_balancer::Time;
@@ -15,12 +15,12 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Maximum size of a file.
+/// Maximum size of a certificate, key or trust file.
 const MAX_FILE_BYTES: u64 = 1 << 20;
 /// Maximum number of certificates in one file.
 const MAX_CERTIFICATES: usize = 64;
 
-/// Why a set of files cannot be used.
+/// An error in a set of certificate, key and trust files.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyError {
     /// A file cannot be read.
@@ -30,10 +30,10 @@
         key: &'static str,
         /// The file.
         file: String,
-        /// The error of the system.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// A file has other contents than expected. They are not shown: they may be a secret.
+    /// A file has other contents than expected. The contents are not shown, since they may be secret.
     #[error("region.{key}: expected {expected} in PEM in {file}")]
     Contents {
         /// The key of the operator's file.
@@ -43,9 +43,9 @@
         /// The file.
         file: String,
     },
-    /// The files do not fit together, or not this region.
+    /// The files do not match each other, or do not match this region.
     #[error("region.{0}")]
-    Unfit(#[source] CredentialError),
+    InvalidCredentials(#[source] CredentialError),
     /// The TLS library rejects them.
     #[error("region.{key}: {source}")]
     Library {
@@ -69,16 +69,16 @@
 /// Inode, modification time (seconds, nanoseconds) and size of a file; zeroes where it does not exist.
 type FileVersion = (u64, i64, i64, u64);
 
-/// The versions of the three files: it changes when one of them is replaced.
+/// The versions of the three files; differs after one of them is replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FileStamp([FileVersion; 3]);
 
-/// The present versions of the three files.
+/// Reads the present versions of the three files.
 pub fn stamp(settings: &RegionSection) -> FileStamp {
-    let of = |path: &Path| {
+    let version = |path: &Path| {
         std::fs::metadata(path).map_or((0, 0, 0, 0), |m| (m.ino(), m.mtime(), m.mtime_nsec(), m.len()))
     };
-    FileStamp([of(&settings.certificate), of(&settings.key), of(&settings.trust)])
+    FileStamp([version(&settings.certificate), version(&settings.key), version(&settings.trust)])
 }
 
 fn read(key: &'static str, path: &Path) -> Result<(Vec<u8>, u32), KeyError> {
@@ -93,7 +93,7 @@
     Ok((bytes, mode))
 }
 
-/// A file that was read.
+/// The contents and permission bits of a file.
 struct KeyFile<'a> {
     key: &'static str,
     path: &'a Path,
@@ -112,36 +112,36 @@
     let fail =
         || KeyError::Contents { key, expected: "whole certificates", file: path.display().to_string() };
     let found: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(bytes).take(MAX_CERTIFICATES).collect();
-    // A truncated file lacks the last line of a certificate, which is skipped then.
-    let begun = bytes.windows(27).filter(|w| w == b"-----BEGIN CERTIFICATE-----").count();
-    found.ok().filter(|f| f.len() == begun.min(MAX_CERTIFICATES)).ok_or_else(fail)
+    // The parser skips a certificate without its last line, as in a truncated file, so the first lines are counted.
+    let started = bytes.windows(27).filter(|w| w == b"-----BEGIN CERTIFICATE-----").count();
+    found.ok().filter(|f| f.len() == started.min(MAX_CERTIFICATES)).ok_or_else(fail)
 }
 
-/// Whether a certificate is valid for that name.
+/// Whether a certificate is valid for a name.
 pub fn is_for(certificate: &CertificateDer, name: &str) -> bool {
     let Ok(name) = ServerName::try_from(name) else { return false };
     webpki::EndEntityCert::try_from(certificate)
         .is_ok_and(|c| c.verify_is_valid_for_subject_name(&name).is_ok())
 }
 
-/// Index of the region whose certificate a peer has proven to hold.
+/// Returns the index of the region that an authenticated peer certificate belongs to.
 pub fn region_of(certificate: &CertificateDer, others: &[OtherRegion]) -> Option<usize> {
     let mut found = (0..others.len()).filter(|i| is_for(certificate, others[*i].certificate_name()));
-    // One that is valid for two regions identifies neither.
+    // A certificate that is valid for two regions identifies neither.
     found.next().filter(|_| found.next().is_none())
 }
 
 /// Reads and checks the three files.
 ///
 /// # Errors
-/// A file cannot be read, or they do not fit together or to this region.
+/// Returns an error if a file cannot be read, or if the files do not match each other or this region.
 pub fn load(settings: &RegionSection, now: Time) -> Result<Identity, KeyError> {
     let certificate = KeyFile::read("certificate", &settings.certificate)?;
     let trust = KeyFile::read("trust", &settings.trust)?;
     assemble(settings.own_certificate_name(), certificate, KeyFile::read("key", &settings.key)?, trust, now)
 }
 
-/// The same of files that were read.
+/// Checks the contents of the three files and creates the TLS configurations.
 fn assemble(
     own_name: &str, certificate: KeyFile, key: KeyFile, trust: KeyFile, now: Time,
 ) -> Result<Identity, KeyError> {
@@ -169,7 +169,7 @@
         chain_length: chain.len(),
         anchors: anchors.len(),
     };
-    check(now, &facts).map_err(KeyError::Unfit)?;
+    check(now, &facts).map_err(KeyError::InvalidCredentials)?;
     let mut roots = RootCertStore::empty();
     for anchor in anchors {
         roots.add(anchor).map_err(library("trust"))?;
@@ -189,7 +189,7 @@
         .map_err(library("certificate"))?
         .with_root_certificates(roots)
         .with_client_cert_resolver(resolver);
-    // A resumed session would rest on the trust anchors of when it began.
+    // A resumed session would rely on the trust anchors from the time of its original handshake.
     server.session_storage = Arc::new(NoServerSessionStorage {});
     server.send_tls13_tickets = 0;
     client.resumption = Resumption::disabled();
--- a/crates/gaugesaddle/src/federation/tls/tests.rs
+++ b/crates/gaugesaddle/src/federation/tls/tests.rs
@@ -4,61 +4,76 @@
 
 const YEAR_2030: Time = Time(1_893_456_000_000_000);
 
-fn try_all(certificate: &[u8], key: &[u8], trust: &[u8], now: Time) -> Result<Identity, KeyError> {
+fn assemble_identity(certificate: &[u8], key: &[u8], trust: &[u8], now: Time) -> Result<Identity, KeyError> {
     let path = Path::new("/x");
-    let text = |key, bytes: &[u8]| KeyFile { key, path, bytes: bytes.to_vec(), mode: 0o600 };
-    assemble("north", text("certificate", certificate), text("key", key), text("trust", trust), now)
+    let file = |key, bytes: &[u8]| KeyFile { key, path, bytes: bytes.to_vec(), mode: 0o600 };
+    assemble("north", file("certificate", certificate), file("key", key), file("trust", trust), now)
 }
 
-/// Cut, changed, doubled and mixed up at random: an error or a sound set, never a panic, and no error tells what
-/// stood in a file.
+/// Key files that are truncated, altered, concatenated or mixed up at random yield an error or a valid identity, never a
+/// panic, and no error message reveals the contents of a file.
 #[test]
-fn any_bytes_are_keys_or_an_error() {
+fn arbitrary_bytes_yield_a_valid_identity_or_an_error() {
     let (authority, other) = (Authority::new(), Authority::new());
-    let (keys, wrong) = (authority.issue("north"), other.issue("north"));
+    let (keys, foreign_keys) = (authority.issue("north"), other.issue("north"));
     let now = crate::clock::Clock::new().now();
-    assert!(try_all(keys.certificate.as_bytes(), keys.key.as_bytes(), authority.pem.as_bytes(), now).is_ok());
+    assert!(assemble_identity(
+        keys.certificate.as_bytes(),
+        keys.key.as_bytes(),
+        authority.pem.as_bytes(),
+        now
+    )
+    .is_ok());
     assert!(matches!(
-        try_all(keys.certificate.as_bytes(), keys.key.as_bytes(), authority.pem.as_bytes(), YEAR_2030),
-        Err(KeyError::Unfit(CredentialError::Expired))
+        assemble_identity(
+            keys.certificate.as_bytes(),
+            keys.key.as_bytes(),
+            authority.pem.as_bytes(),
+            YEAR_2030
+        ),
+        Err(KeyError::InvalidCredentials(CredentialError::Expired))
     ));
-    let sound = [&keys.certificate, &keys.key, &authority.pem, &wrong.certificate, &wrong.key];
+    let valid_files =
+        [&keys.certificate, &keys.key, &authority.pem, &foreign_keys.certificate, &foreign_keys.key];
     let secret: Vec<&str> = keys.key.lines().filter(|l| l.len() > 30).collect();
-    let mut dice = rand_pcg::Pcg32::seed_from_u64(11);
-    let mut draw = |below: usize| dice.next_u32() as usize % below.max(1);
-    let mut sound_sets = 0;
-    // GAUGESADDLE_FUZZ_CASES asks for more, of the same fixed seed.
+    let mut rng = rand_pcg::Pcg32::seed_from_u64(11);
+    let mut random_below = |below: usize| rng.next_u32() as usize % below.max(1);
+    let mut valid_sets = 0;
+    // GAUGESADDLE_FUZZ_CASES sets another number of cases, generated from the same seed.
     let cases = std::env::var("GAUGESADDLE_FUZZ_CASES").ok().and_then(|n| n.parse().ok()).unwrap_or(20_000);
     for _ in 0..cases {
-        let mut files = [sound[0], sound[1], sound[2]].map(|f| f.as_bytes().to_vec());
-        for _ in 0..=draw(2) {
-            let file = draw(3);
+        let mut files = [valid_files[0], valid_files[1], valid_files[2]].map(|f| f.as_bytes().to_vec());
+        for _ in 0..=random_below(2) {
+            let file = random_below(3);
             let bytes = &mut files[file];
-            match draw(5) {
-                0 => bytes.truncate(draw(bytes.len() + 1)),
+            match random_below(5) {
+                0 => bytes.truncate(random_below(bytes.len() + 1)),
                 1 if !bytes.is_empty() => {
-                    let at = draw(bytes.len());
-                    bytes[at] = draw(256) as u8;
+                    let at = random_below(bytes.len());
+                    bytes[at] = random_below(256) as u8;
                 }
-                2 => bytes.extend_from_slice(sound[draw(5)].as_bytes()),
-                3 => *bytes = sound[draw(5)].as_bytes().to_vec(),
+                2 => bytes.extend_from_slice(valid_files[random_below(5)].as_bytes()),
+                3 => *bytes = valid_files[random_below(5)].as_bytes().to_vec(),
                 _ => {
-                    let at = draw(bytes.len() + 1);
-                    let more: Vec<u8> = (0..draw(40)).map(|_| draw(256) as u8).collect();
+                    let at = random_below(bytes.len() + 1);
+                    let more: Vec<u8> = (0..random_below(40)).map(|_| random_below(256) as u8).collect();
                     bytes.splice(at..at, more);
                 }
             }
         }
-        match try_all(&files[0], &files[1], &files[2], now) {
-            Ok(_) => sound_sets += 1,
+        match assemble_identity(&files[0], &files[1], &files[2], now) {
+            Ok(_) => valid_sets += 1,
             Err(e) => {
-                let told = e.to_string();
-                assert!(told.starts_with("region.") && secret.iter().all(|s| !told.contains(s)), "{told}");
+                let message = e.to_string();
+                assert!(
+                    message.starts_with("region.") && secret.iter().all(|s| !message.contains(s)),
+                    "{message}"
+                );
             }
         }
     }
     assert!(
-        (cases / 200..cases / 20 * 19).contains(&sound_sets),
-        "{sound_sets} sets were sound: both sorts must come"
+        (cases / 200..cases / 20 * 19).contains(&valid_sets),
+        "{valid_sets} of {cases} sets were valid: both valid and invalid sets must be generated"
     );
 }
