--- a/crates/gaugesaddle/src/operations/event_counters.rs
+++ b/crates/gaugesaddle/src/operations/event_counters.rs
@@ -22,7 +22,7 @@
     /// Whether a connection was closed so that others can be served: without waiting for its client.
     pub fn frees_slot(self) -> bool {
         use Reason::*;
-        matches!(self, ClosedIdle | ClosedAhead | ClosedForRoom | ClosedStorm)
+        matches!(self, ClosedIdle | ClosedSurplusIdle | EvictedIdle | ClosedRetryStorm)
     }
 }
 
@@ -30,47 +30,47 @@
     /// Its client closed it, or asked for it to be closed.
     ClosedByClient = "closed: by its client";
     /// Its bytes are no HTTP.
-    ClosedUnreadable = "closed: can't be read";
+    ClosedMalformed = "closed: can't be read";
     /// No request was received in time.
-    ClosedUnasked = "closed: no request in time";
+    ClosedRequestTimeout = "closed: no request in time";
     /// It was idle for too long.
     ClosedIdle = "closed: idle";
     /// More connections were idle than are kept; no limit was reached yet.
-    ClosedAhead = "closed: too many idle";
+    ClosedSurplusIdle = "closed: too many idle";
     /// All connections were in use: it was idle after a request.
-    ClosedForRoom = "closed: for room, idle";
+    EvictedIdle = "closed: for room, idle";
     /// All connections were in use: it had received nothing.
-    ClosedForRoomUnasked = "closed: for room, no request yet";
+    EvictedUnused = "closed: for room, no request yet";
     /// All connections were in use: its request was incomplete.
-    ClosedForRoomReading = "closed: for room, half a request";
+    EvictedReading = "closed: for room, half a request";
     /// In a retry storm its request was rejected and connections are scarce.
-    ClosedStorm = "closed: refused in a storm";
+    ClosedRetryStorm = "closed: refused in a storm";
     /// A request on it was invalid.
-    ClosedWrong = "closed: after a wrong request";
+    ClosedInvalidRequest = "closed: after a wrong request";
     /// The proxy is ending.
     ClosedStopping = "closed: the proxy ends";
     /// The operators drain the proxy.
     ClosedDraining = "closed: the proxy drains";
     /// Its client disconnected before its answer.
-    ClosedLeft = "closed: left before its answer";
+    ClosedClientDisconnected = "closed: left before its answer";
     /// The accept itself failed.
     AcceptFailed = "accept: failed";
     /// 503: more requests open than the settings allow.
-    RefusedOpenCap = "refused: open_cap";
+    OpenCapRejection = "refused: open_cap";
     /// 503: by the balancer.
-    RefusedModule = "refused: by the module";
+    BalancerRejection = "refused: by the module";
     /// 503: the bodies of open requests use all their memory.
-    RefusedBodies = "refused: memory of bodies";
+    BodyMemoryFull = "refused: memory of bodies";
     /// 502: by the balancer, or its deadline had passed.
     Failed = "failed";
     /// 400: the request's head.
-    WrongForm = "wrong: form";
+    BadHead = "wrong: form";
     /// 411 or 413: the framing of the body.
-    WrongFraming = "wrong: framing";
+    BadFraming = "wrong: framing";
     /// 408 or 400: the body is incomplete.
-    WrongBody = "wrong: body not whole";
+    BadBody = "wrong: body not whole";
     /// 409: the id of an open request.
-    WrongId = "wrong: id of an open request";
+    DuplicateId = "wrong: id of an open request";
 }
 
 #[derive(Clone, Copy, Default)]
--- a/crates/gaugesaddle/src/operations/event_counters/tests.rs
+++ b/crates/gaugesaddle/src/operations/event_counters/tests.rs
@@ -21,5 +21,5 @@
 fn every_reason_has_a_text_of_its_own() {
     let unlike: std::collections::BTreeSet<_> = TEXTS.iter().collect();
     assert_eq!(unlike.len(), TEXTS.len());
-    assert_eq!(TEXTS.len(), Reason::WrongId as usize + 1, "the last one ends the table");
+    assert_eq!(TEXTS.len(), Reason::DuplicateId as usize + 1, "the last one ends the table");
 }
--- a/crates/gaugesaddle/src/serving/client_connection.rs
+++ b/crates/gaugesaddle/src/serving/client_connection.rs
@@ -140,7 +140,7 @@
         let (timeout, reason) = if self.is_used() {
             (IDLE_TIMEOUT, Reason::ClosedIdle)
         } else {
-            (FIRST_HEAD_TIMEOUT, Reason::ClosedUnasked)
+            (FIRST_HEAD_TIMEOUT, Reason::ClosedRequestTimeout)
         };
         (now - since >= timeout).then_some(reason)
     }
--- a/crates/gaugesaddle/src/serving/request_rules.rs
+++ b/crates/gaugesaddle/src/serving/request_rules.rs
@@ -24,7 +24,7 @@
 
 impl From<&'static str> for InvalidRequest {
     fn from(text: &'static str) -> InvalidRequest {
-        InvalidRequest(StatusCode::BAD_REQUEST, text, Reason::WrongForm)
+        InvalidRequest(StatusCode::BAD_REQUEST, text, Reason::BadHead)
     }
 }
 
@@ -59,13 +59,13 @@
 pub fn check_framing(head: &Parts, length: Option<u64>, socket: &ClientSocket) -> Result<(), InvalidRequest> {
     if head.headers.contains_key(TRANSFER_ENCODING) && !socket.is_only_chunked(head.method.as_str()) {
         let text = "expected Content-Length or Transfer-Encoding, not both";
-        return Err(InvalidRequest(StatusCode::LENGTH_REQUIRED, text, Reason::WrongFraming));
+        return Err(InvalidRequest(StatusCode::LENGTH_REQUIRED, text, Reason::BadFraming));
     }
     if length.is_some_and(|n| n > MAX_BODY_BYTES) {
         return Err(InvalidRequest(
             StatusCode::PAYLOAD_TOO_LARGE,
             "the body is over 40 MiB",
-            Reason::WrongFraming,
+            Reason::BadFraming,
         ));
     }
     Ok(())
--- a/crates/gaugesaddle/src/serving/server/body_reader.rs
+++ b/crates/gaugesaddle/src/serving/server/body_reader.rs
@@ -63,7 +63,7 @@
             received += bytes.len() as u64;
             if received > MAX_BODY_BYTES {
                 let text = "the body is over 40 MiB";
-                return Err(InvalidRequest(StatusCode::PAYLOAD_TOO_LARGE, text, Reason::WrongFraming));
+                return Err(InvalidRequest(StatusCode::PAYLOAD_TOO_LARGE, text, Reason::BadFraming));
             }
             // Half of the memory is reserved for bodies that are never streamed.
             let is_large = received > BODY_BYTES as u64;
@@ -75,7 +75,7 @@
             }
             if !is_large {
                 let text = "too many large requests at once";
-                return Err(InvalidRequest(StatusCode::SERVICE_UNAVAILABLE, text, Reason::RefusedBodies));
+                return Err(InvalidRequest(StatusCode::SERVICE_UNAVAILABLE, text, Reason::BodyMemoryFull));
             }
             let streaming =
                 Streaming { first: buffered, rest: body, transferred: received, on_complete: None };
@@ -95,11 +95,11 @@
                 }
             }
             Ok(Some(Err(_))) => {
-                return Err(InvalidRequest(StatusCode::BAD_REQUEST, "the body is broken", Reason::WrongBody));
+                return Err(InvalidRequest(StatusCode::BAD_REQUEST, "the body is broken", Reason::BadBody));
             }
             Err(_) => {
                 let text = "the body did not come in time";
-                return Err(InvalidRequest(StatusCode::REQUEST_TIMEOUT, text, Reason::WrongBody));
+                return Err(InvalidRequest(StatusCode::REQUEST_TIMEOUT, text, Reason::BadBody));
             }
         }
     }
--- a/crates/gaugesaddle/src/serving/server/connection_task.rs
+++ b/crates/gaugesaddle/src/serving/server/connection_task.rs
@@ -79,7 +79,7 @@
                 () = poll_fn(|cx| match connection.phase.get() {
                     Phase::InService => socket.poll_disconnected(cx),
                     _ => Poll::Pending,
-                }) => return Reason::ClosedLeft,
+                }) => return Reason::ClosedClientDisconnected,
                 () = connection.close.notified() => match close_action(connection, &socket, is_repeated) {
                     CloseAction::CloseNow => return connection.close_reason(),
                     CloseAction::AwaitRequest => {}
@@ -109,10 +109,10 @@
     fn end_reason(&self, connection: &ClientConnection, is_invalid: bool, is_unreadable: bool) -> Reason {
         let lifecycle = self.registry.lifecycle();
         match connection.phase.get() {
-            Phase::InService => Reason::ClosedLeft,
+            Phase::InService => Reason::ClosedClientDisconnected,
             _ if connection.close_requested.get().is_some() => connection.close_reason(),
-            _ if is_invalid => Reason::ClosedWrong,
-            _ if is_unreadable => Reason::ClosedUnreadable,
+            _ if is_invalid => Reason::ClosedInvalidRequest,
+            _ if is_unreadable => Reason::ClosedMalformed,
             _ if lifecycle.is_stopping() => Reason::ClosedStopping,
             _ if !lifecycle.accepts_clients() => Reason::ClosedDraining,
             _ => Reason::ClosedByClient,
--- a/crates/gaugesaddle/src/serving/server/eviction.rs
+++ b/crates/gaugesaddle/src/serving/server/eviction.rs
@@ -63,9 +63,9 @@
         let ranked = connections.values().filter_map(|c| c.eviction_rank(now).map(|rank| (rank, c)));
         if let Some(((rank, _), connection)) = ranked.min_by_key(|(rank, _)| *rank) {
             let reason = match rank {
-                EvictionRank::UsedOnce | EvictionRank::UsedOften => Reason::ClosedForRoom,
-                EvictionRank::NeverUsed => Reason::ClosedForRoomUnasked,
-                EvictionRank::Reading => Reason::ClosedForRoomReading,
+                EvictionRank::UsedOnce | EvictionRank::UsedOften => Reason::EvictedIdle,
+                EvictionRank::NeverUsed => Reason::EvictedUnused,
+                EvictionRank::Reading => Reason::EvictedReading,
             };
             connection.request_close(now, reason);
         }
@@ -84,7 +84,7 @@
         let surplus = idle.clone().count().saturating_sub(max);
         for _ in 0..surplus {
             if let Some(connection) = idle.clone().min_by_key(|c| c.eviction_rank(now)) {
-                connection.request_close(now, Reason::ClosedAhead);
+                connection.request_close(now, Reason::ClosedSurplusIdle);
             }
         }
     }
--- a/crates/gaugesaddle/src/serving/server/handler.rs
+++ b/crates/gaugesaddle/src/serving/server/handler.rs
@@ -183,9 +183,9 @@
 
     fn rejection(&self, rejection: Rejection, connection: &ClientConnection) -> Response<ResponseBody> {
         self.registry.event_counters.count(if rejection.over_open_cap {
-            Reason::RefusedOpenCap
+            Reason::OpenCapRejection
         } else {
-            Reason::RefusedModule
+            Reason::BalancerRejection
         });
         let status =
             if rejection.by_client { StatusCode::TOO_MANY_REQUESTS } else { StatusCode::SERVICE_UNAVAILABLE };
@@ -194,7 +194,7 @@
         // In a retry storm connections are scarcer than connects: half of them remain for those that are served.
         let is_half_used = self.connections.borrow().len() > self.registry.bounds().connections / 2;
         if self.registry.storm.get().is_damping() && is_half_used {
-            connection.request_close(self.clock.now(), Reason::ClosedStorm);
+            connection.request_close(self.clock.now(), Reason::ClosedRetryStorm);
         }
         answer
     }
@@ -212,7 +212,7 @@
 
 fn duplicate_id() -> InvalidRequest {
     let text = "X-Correlation-Id: that of a request that is open";
-    InvalidRequest(StatusCode::CONFLICT, text, Reason::WrongId)
+    InvalidRequest(StatusCode::CONFLICT, text, Reason::DuplicateId)
 }
 
 /// A response with a short text.
