--- a/crates/gaugesaddle/src/operations.rs
+++ b/crates/gaugesaddle/src/operations.rs
@@ -1,4 +1,4 @@
-//! What operators see and do: counters and state, the admin interface, and hot restarts.
+//! Operations: counters and published state, the admin interface, and hot restarts.
 
 pub mod admin;
 pub mod event_counters;
--- a/crates/gaugesaddle/src/operations/admin.rs
+++ b/crates/gaugesaddle/src/operations/admin.rs
@@ -1,5 +1,5 @@
-//! The operators' HTTP interface of a running proxy (`admin` in the platform's document). One call to a connection; every
-//! call is answered from memory, so none waits for anything but the driver's next turn.
+//! The operators' HTTP interface of a running proxy (`admin` in the platform's document). Each connection carries one call;
+//! every call is answered from memory, so that it waits at most for the driver's next turn.
 
 use crate::clock::Clock;
 use crate::discovery::backend_set::CommandOrigin;
@@ -21,17 +21,18 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::AbortHandle;
 
-/// Callers at once. One more ends the oldest, which has not sent a complete call: a complete one is answered within a
-/// turn of the driver.
+/// Maximum number of concurrent callers. One more closes the oldest connection, whose call is incomplete, since complete
+/// calls are answered within a turn of the driver.
 pub const MAX_CALLERS: usize = 12;
-/// A caller that has not sent its call within this time, or not read its answer, is closed: each takes a descriptor.
+/// Time after which the connection of a caller that has not sent its call or read the response is closed, since each uses a
+/// file descriptor.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// A head is read up to this size.
+/// Maximum size of a request's head.
 const MAX_HEAD_BYTES: usize = 8 << 10;
-/// Delay after a failed accept (for want of descriptors, say).
+/// Delay after a failed accept, for example for lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The interface and what its calls need.
+/// The admin interface and the parts of the proxy that its calls use.
 pub struct Admin {
     pub clock: Clock,
     pub registry: Rc<Registry>,
@@ -39,12 +40,12 @@
     pub hot_restart: Rc<HotRestart>,
 }
 
-/// Status and body of an answer.
+/// Status and body of a response.
 type Answer = (StatusCode, &'static str);
 const OK: Answer = (StatusCode::OK, "ok");
 
 impl Admin {
-    /// Answers calls for as long as the process lives.
+    /// Answers calls until the process ends.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
         let mut callers: VecDeque<AbortHandle> = VecDeque::new();
         loop {
@@ -58,7 +59,7 @@
                     callers.push_back(tokio::task::spawn_local(answered).abort_handle());
                 }
                 Err(e) => {
-                    tracing::debug!("accept of an operator's call: {e}");
+                    tracing::debug!("admin: accepting a connection failed, retrying: {e}");
                     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
@@ -81,7 +82,7 @@
         let mut http = http1::Builder::new();
         http.max_buf_size(MAX_HEAD_BYTES).header_read_timeout(None).keep_alive(false);
         if let Err(e) = http.serve_connection(TokioIo::new(stream), service).await {
-            tracing::debug!("an operator's call: {e}");
+            tracing::debug!("admin: connection failed: {e}");
         }
     }
 
@@ -100,20 +101,20 @@
                 if drained {
                     OK
                 } else {
-                    (StatusCode::CONFLICT, "the process ends")
+                    (StatusCode::CONFLICT, "the proxy is shutting down")
                 }
             }
             (&Method::PUT, "/api/rejoin") => {
-                let back = self.registry.update_lifecycle(gaugesaddle_maintenance::Lifecycle::rejoin);
-                tracing::info!(back, "rejoin requested");
-                if back {
+                let rejoined = self.registry.update_lifecycle(gaugesaddle_maintenance::Lifecycle::rejoin);
+                tracing::info!(rejoined, "rejoin requested");
+                if rejoined {
                     OK
                 } else {
-                    (StatusCode::CONFLICT, "the process ends")
+                    (StatusCode::CONFLICT, "the proxy is shutting down")
                 }
             }
             (_, "/api/ready" | "/api/exclude" | "/api/include" | "/api/evacuate" | "/api/rejoin") => {
-                (StatusCode::METHOD_NOT_ALLOWED, "expected GET for ready, PUT for what changes something")
+                (StatusCode::METHOD_NOT_ALLOWED, "expected GET for ready, PUT for all other calls")
             }
             _ => (StatusCode::NOT_FOUND, "no such call"),
         }
@@ -137,7 +138,7 @@
         let origin = CommandOrigin::ThisProcess;
         let _ = self.inputs.send(Input::Maintain { name: name.as_ref().into(), command, origin, reply });
         let outcome = outcome.await;
-        tracing::info!(backend = %name, ?command, ?outcome, "maintenance");
+        tracing::info!(backend = %name, ?command, ?outcome, "maintenance command handled");
         match outcome {
             Ok(CommandOutcome::Applied | CommandOutcome::Unchanged) => {
                 let name = name.into_owned();
@@ -147,11 +148,13 @@
                 });
                 OK
             }
-            Ok(CommandOutcome::UnknownBackend) => (StatusCode::NOT_FOUND, "no list has named that backend"),
+            Ok(CommandOutcome::UnknownBackend) => {
+                (StatusCode::NOT_FOUND, "unknown backend: no list has contained it")
+            }
             Ok(CommandOutcome::LimitReached) => {
-                (StatusCode::INSUFFICIENT_STORAGE, "too many backends are out")
+                (StatusCode::INSUFFICIENT_STORAGE, "too many backends are excluded")
             }
-            Err(_) => (StatusCode::SERVICE_UNAVAILABLE, "the proxy ends"),
+            Err(_) => (StatusCode::SERVICE_UNAVAILABLE, "the proxy is shutting down"),
         }
     }
 }
--- a/crates/gaugesaddle/src/operations/event_counters.rs
+++ b/crates/gaugesaddle/src/operations/event_counters.rs
@@ -1,5 +1,4 @@
-//! Why client connections were closed and requests were not served: one counter for each reason, logged at most once a
-//! second each.
+//! Counters of closed client connections and unserved requests: one for each reason, each logged at most once a second.
 
 use gaugesaddle_balancer::{Micros, Time};
 use std::cell::{Cell, RefCell};
@@ -9,7 +8,7 @@
 
 macro_rules! reasons {
     ($($(#[$doc:meta])* $name:ident = $text:literal;)*) => {
-        /// What is counted. Each closed connection and each request without a served answer has exactly one.
+        /// Why a connection was closed or a request was not served. Each such event has exactly one reason.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum Reason {
             $($(#[$doc])* $name,)*
@@ -19,7 +18,7 @@
 }
 
 impl Reason {
-    /// Whether a connection was closed so that others can be served: without waiting for its client.
+    /// Whether a connection is closed to free its slot for others. It is closed without waiting for its client then.
     pub fn frees_slot(self) -> bool {
         use Reason::*;
         matches!(self, ClosedIdle | ClosedSurplusIdle | EvictedIdle | ClosedRetryStorm)
@@ -27,60 +26,60 @@
 }
 
 reasons! {
-    /// Its client closed it, or asked for it to be closed.
+    /// The client closed the connection or requested its closure.
     ClosedByClient = "closed: by its client";
-    /// Its bytes are no HTTP.
+    /// The received bytes are not HTTP.
     ClosedMalformed = "closed: can't be read";
-    /// No request was received in time.
+    /// No request was received within the timeout.
     ClosedRequestTimeout = "closed: no request in time";
-    /// It was idle for too long.
+    /// The connection was idle for too long.
     ClosedIdle = "closed: idle";
-    /// More connections were idle than are kept; no limit was reached yet.
+    /// The limit of idle connections was exceeded, while the limit of all connections was not reached.
     ClosedSurplusIdle = "closed: too many idle";
-    /// All connections were in use: it was idle after a request.
+    /// Evicted because all connections were in use: idle after a request.
     EvictedIdle = "closed: for room, idle";
-    /// All connections were in use: it had received nothing.
+    /// Evicted because all connections were in use: no request received yet.
     EvictedUnused = "closed: for room, no request yet";
-    /// All connections were in use: its request was incomplete.
+    /// Evicted because all connections were in use: its request was incomplete.
     EvictedReading = "closed: for room, half a request";
-    /// In a retry storm its request was rejected and connections are scarce.
+    /// A request was rejected during a retry storm while connections were scarce.
     ClosedRetryStorm = "closed: refused in a storm";
-    /// A request on it was invalid.
+    /// A request on the connection was invalid.
     ClosedInvalidRequest = "closed: after a wrong request";
-    /// The proxy is ending.
+    /// The proxy is shutting down.
     ClosedStopping = "closed: the proxy ends";
     /// The operators drain the proxy.
     ClosedDraining = "closed: the proxy drains";
-    /// Its client disconnected before its answer.
+    /// The client disconnected before its response.
     ClosedClientDisconnected = "closed: left before its answer";
-    /// The accept itself failed.
+    /// Accepting a connection failed.
     AcceptFailed = "accept: failed";
-    /// 503: more requests open than the settings allow.
+    /// 503: more requests were open than the settings allow.
     OpenCapRejection = "refused: open_cap";
-    /// 503: by the balancer.
+    /// 503: rejected by the balancer.
     BalancerRejection = "refused: by the module";
-    /// 503: the bodies of open requests use all their memory.
+    /// 503: the bodies of open requests use all memory reserved for bodies.
     BodyMemoryFull = "refused: memory of bodies";
-    /// 502: by the balancer, or its deadline had passed.
+    /// 502: failed by the balancer, or the deadline had passed.
     Failed = "failed";
-    /// 400: the request's head.
+    /// 400: the head of the request is invalid.
     BadHead = "wrong: form";
-    /// 411 or 413: the framing of the body.
+    /// 411 or 413: the body has no length or is too large.
     BadFraming = "wrong: framing";
     /// 408 or 400: the body is incomplete.
     BadBody = "wrong: body not whole";
-    /// 409: the id of an open request.
+    /// 409: the request has the id of an open request.
     DuplicateId = "wrong: id of an open request";
 }
 
 #[derive(Clone, Copy, Default)]
 struct Counter {
     count: u64,
-    /// How many of these were logged, and when.
+    /// The count at the last log line, and the time of that line.
     logged: (u64, Time),
 }
 
-/// The counters.
+/// One counter for each [`Reason`].
 pub struct EventCounters {
     rows: RefCell<[Counter; TEXTS.len()]>,
     has_unlogged: Cell<bool>,
@@ -104,30 +103,31 @@
         self.rows.borrow()[reason as usize].count
     }
 
-    /// All counts, with the names of their reasons.
+    /// Returns all counts with the names of their reasons.
     pub fn all(&self) -> Vec<(String, u64)> {
         self.rows.borrow().iter().zip(TEXTS).map(|(row, text)| (text.to_string(), row.count)).collect()
     }
 
-    /// What is due to be told: every reason that has counted since and was not told within the last second.
+    /// Returns the log line that is due: each reason that was counted since its last line, if that was at least a second
+    /// ago.
     pub fn take_line(&self, now: Time) -> Option<String> {
         if !self.has_unlogged.get() {
             return None;
         }
-        let (mut parts, mut left) = (Vec::new(), false);
+        let (mut parts, mut is_postponed) = (Vec::new(), false);
         for (row, text) in self.rows.borrow_mut().iter_mut().zip(TEXTS) {
-            let more = row.count - row.logged.0;
-            if more == 0 {
+            let increase = row.count - row.logged.0;
+            if increase == 0 {
                 continue;
             }
             if row.logged.0 > 0 && now - row.logged.1 < LOG_INTERVAL {
-                left = true;
+                is_postponed = true;
                 continue;
             }
             row.logged = (row.count, now);
-            parts.push(format!("{text} +{more} ({})", row.count));
+            parts.push(format!("{text} +{increase} ({})", row.count));
         }
-        self.has_unlogged.set(left);
+        self.has_unlogged.set(is_postponed);
         (!parts.is_empty()).then(|| parts.join("; "))
     }
 }
--- a/crates/gaugesaddle/src/operations/hot_restart.rs
+++ b/crates/gaugesaddle/src/operations/hot_restart.rs
@@ -1,14 +1,15 @@
-//! Hot restart: the connection between a proxy and the process that replaces it, on a Unix socket in `$TMPDIR` that both share.
+//! Hot restart: the connection between a proxy and the process that replaces it, over a Unix socket in the common `$TMPDIR`.
 //!
 //! ```text
-//!  process before                         successor
+//!  predecessor                            successor
 //!   listens at the path   <-- connects --
-//!                         -- State ---->   takes the exclusions over, starts
+//!                         -- State ---->   adopts the exclusions, starts
 //!                         <-- Listening -  accepts clients; listens at the path for its own successor
-//!                         <- Exclude, Include ->   both directions, while both live
+//!                         <- Exclude, Include ->   both directions, while both processes run
 //! ```
 //!
-//! As long as the connection stands, the two processes share what one may use. Its end is the other process's end.
+//! While the connection is open, the two processes share the limits of one. A closed connection means that the other process
+//! has ended.
 
 use crate::operations::registry::Registry;
 use crate::operations::state_socket;
@@ -21,34 +22,34 @@
 use tokio::net::UnixStream;
 use tokio::sync::mpsc;
 
-/// The process before must have sent its state within this time; else the successor starts as if there were none.
+/// Timeout for the predecessor's state; after it the successor starts as if there were no predecessor.
 const STATE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Bytes that are read at once.
+/// Size of the read buffer.
 const READ_BYTES: usize = 4 << 10;
 
-/// Commands that the operators gave to the other process, by name of the backend.
+/// Commands that operators gave to the other process, with the name of the backend.
 pub type RemoteCommands = mpsc::UnboundedSender<(String, MaintenanceCommand)>;
 
 type MessageSender = mpsc::UnboundedSender<HandoverMessage>;
 type MessageReceiver = mpsc::UnboundedReceiver<HandoverMessage>;
 
-/// What this process knows of the other one.
+/// This process's side of a hot restart.
 pub struct HotRestart {
-    /// Where the process before listens; `None`: the deployment has no hot restarts.
+    /// Path of the socket at which the predecessor listens; `None` if the deployment has no hot restarts.
     path: Option<PathBuf>,
     registry: Rc<Registry>,
     /// Names of the excluded backends.
     excluded: RefCell<Vec<String>>,
-    /// To the other process while there is one.
+    /// Sends messages to the other process while it is connected.
     other: RefCell<Option<MessageSender>>,
-    /// The other process is the successor and accepts clients.
+    /// Whether the other process is the successor and accepts clients.
     has_successor: Cell<bool>,
 }
 
 impl HotRestart {
-    /// `path`: where both processes meet.
+    /// `path`: path of the socket that connects the processes.
     pub fn new(path: Option<PathBuf>, registry: Rc<Registry>) -> HotRestart {
         HotRestart {
             path,
@@ -59,12 +60,12 @@
         }
     }
 
-    /// Whether the successor accepts clients: this process need not listen any more.
+    /// Whether the successor accepts clients, so that this process need not listen any more.
     pub fn has_successor(&self) -> bool {
         self.has_successor.get()
     }
 
-    /// Forwards a command that this process has applied: the other one must hold it too.
+    /// Forwards a command that this process has applied, so that the other one applies it as well.
     pub fn forward(&self, message: HandoverMessage) {
         self.record_exclusion(&message);
         if let Some(other) = &*self.other.borrow() {
@@ -81,23 +82,26 @@
         }
     }
 
-    /// Connects to the process before this one, if there is one; returns the names of its excluded backends and the
-    /// connection.
+    /// Connects to the predecessor, if there is one; returns the names of its excluded backends and the connection.
     pub async fn connect(&self) -> Option<(Vec<String>, Connection)> {
         let stream = UnixStream::connect(self.path.as_ref()?).await.ok()?;
         let mut connection = Connection { stream, reader: MessageReader::default() };
         let first = tokio::time::timeout(STATE_TIMEOUT, connection.next()).await;
         let Ok(Some(HandoverMessage::State { version, excluded })) = first else {
-            tracing::warn!("hot restart: the process before this one sent no state");
+            tracing::warn!("hot restart: the predecessor sent no state, starting without it");
             return None;
         };
-        tracing::info!(version, excluded = excluded.len(), "hot restart: this process replaces another");
+        tracing::info!(
+            version,
+            excluded = excluded.len(),
+            "hot restart: this process replaces its predecessor"
+        );
         *self.excluded.borrow_mut() = excluded.clone();
         Some((excluded, connection))
     }
 
-    /// Serves the connection to the process before this one until that ends. `listening` is notified when this process
-    /// accepts clients.
+    /// Serves the connection to the predecessor until that process ends. `listening` is notified when this process accepts
+    /// clients.
     pub async fn follow_predecessor(
         self: Rc<Self>, connection: Connection, listening: Rc<tokio::sync::Notify>, commands: RemoteCommands,
     ) {
@@ -112,15 +116,15 @@
             () = self.share(connection, sender, &mut receiver, &commands) => {}
             () = announce => {}
         }
-        tracing::info!("hot restart: the process before this one has ended");
+        tracing::info!("hot restart: the predecessor has ended");
     }
 
-    /// Waits for successors, one at a time, for as long as the process lives.
+    /// Accepts connections of successors, one at a time, until the process ends.
     pub async fn await_successors(self: Rc<Self>, commands: RemoteCommands) {
         let Some(path) = &self.path else { return };
         let listener = match state_socket::bind_over(path) {
             Ok(listener) => listener,
-            Err(e) => return tracing::warn!("hot restart is not possible: {e}"),
+            Err(e) => return tracing::warn!("hot restart: disabled, the socket cannot be bound: {e}"),
         };
         loop {
             let Ok((stream, _)) = listener.accept().await else {
@@ -134,11 +138,11 @@
             let connection = Connection { stream, reader: MessageReader::default() };
             self.share(connection, sender, &mut receiver, &commands).await;
             self.has_successor.set(false);
-            tracing::warn!("hot restart: the process that was to replace this one has ended");
+            tracing::warn!("hot restart: the successor has ended, this process continues to serve");
         }
     }
 
-    /// Shares what the proxy may use with the other process for as long as that is there.
+    /// Shares the limits of the proxy with the other process until that process ends.
     async fn share(
         &self, connection: Connection, sender: MessageSender, outgoing: &mut MessageReceiver,
         commands: &RemoteCommands,
@@ -150,7 +154,7 @@
         *self.other.borrow_mut() = None;
     }
 
-    /// Exchanges messages until the other process is gone, or sends what is no message.
+    /// Exchanges messages until the connection closes or an invalid message is received.
     async fn exchange(
         &self, connection: Connection, outgoing: &mut MessageReceiver, commands: &RemoteCommands,
     ) {
@@ -161,7 +165,9 @@
             while let Some(message) = reader.next_message() {
                 match message {
                     Ok(message) => self.receive(message, commands),
-                    Err(e) => return tracing::warn!("hot restart: from the other process: {e}"),
+                    Err(e) => {
+                        return tracing::warn!("hot restart: invalid message from the other process: {e}")
+                    }
                 }
             }
             tokio::select! {
--- a/crates/gaugesaddle/src/operations/registry.rs
+++ b/crates/gaugesaddle/src/operations/registry.rs
@@ -1,8 +1,8 @@
-//! The one registry of counters, gauges and states. The driver and the server count here and nowhere else; the log and the
-//! state socket read a [`Snapshot`], a copy.
+//! The registry of counters, gauges and states. The driver and the server update only this registry; the state socket reads
+//! a copy of it, a [`Snapshot`].
 //!
-//! Its size is bounded: a row for each class, reason, and backend of the list. A backend's row is removed when the backend has
-//! departed and none of its attempts is in flight.
+//! Its size is bounded: one row for each class, reason, and backend of the list. A backend's row is removed when the backend
+//! has departed and none of its attempts is in flight.
 
 use crate::operations::event_counters::EventCounters;
 use crate::serving::exchange::ListedBackend;
@@ -14,12 +14,13 @@
 
 pub use crate::operations::snapshot::*;
 
-/// Buckets of the latency histogram: each bound is the square root of two times the one before, from 0.5 ms to 23 s. A
-/// quantile is at most 42% too high.
+/// Number of buckets of the latency histogram. Each bound is the previous one times the square root of two, from 0.5 ms to
+/// 23 s, so that a quantile is at most 42% too high.
 const BUCKETS: usize = 32;
+/// Upper bound of the first bucket, in microseconds.
 const FIRST_BOUND_US: f64 = 500.0;
 
-/// How a request ended. The arrivals of a class are the sum of these and the open requests.
+/// How a request ended. The arrivals of a class are the sum of its ended and open requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestEnd {
     InTime,
@@ -31,16 +32,16 @@
     FailedUnanswered,
     /// The balancer was restarted.
     FailedRestart,
-    /// Forwarded, and no region accepted it, or one rejected it as not executed.
+    /// Forwarded, but no region accepted it, or a region rejected it without executing it.
     RejectedByRegion,
-    /// Forwarded, and it may have been executed there without an answer in time.
+    /// Forwarded, and may have been executed in another region without a response in time.
     FailedInRegion,
-    /// Its client disconnected first.
+    /// The client disconnected before the response.
     ClientDisconnected,
 }
 
 impl RequestEnd {
-    /// Whether the proxy did not serve it.
+    /// Whether the request was rejected or failed.
     pub fn is_unserved(self) -> bool {
         !matches!(self, RequestEnd::InTime | RequestEnd::Late | RequestEnd::ClientDisconnected)
     }
@@ -91,8 +92,8 @@
     }
 }
 
-fn add(cell: &Cell<u64>, more: u64) {
-    cell.set(cell.get().saturating_add(more));
+fn add(cell: &Cell<u64>, increase: u64) {
+    cell.set(cell.get().saturating_add(increase));
 }
 
 impl BackendRow {
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Records its limit as the balancer knows it.
+    /// Records the backend's limit as reported by the balancer.
     pub fn record_limit(&self, view: gaugesaddle_balancer::LimitView) {
         self.limit.set(Some(view));
     }
@@ -135,12 +136,12 @@
     (steps.ceil().max(0.0) as usize).min(BUCKETS - 1)
 }
 
-/// The upper bound of a bucket, in microseconds.
+/// Returns the upper bound of a bucket, in microseconds.
 fn bound(bucket: usize) -> u64 {
     (FIRST_BOUND_US * 2f64.powf(bucket as f64 / 2.0)) as u64
 }
 
-/// Everything that is counted.
+/// The counters, gauges and states of a proxy.
 pub struct Registry {
     /// Closed connections and unserved requests by reason.
     pub(crate) event_counters: EventCounters,
@@ -156,23 +157,23 @@
     lifecycle: Cell<Lifecycle>,
     /// Number of accepted connections.
     pub(crate) accepted_connections: Cell<u64>,
-    /// The phase of a retry storm; calm where they are not detected.
+    /// The phase of a retry storm; calm where the detection is disabled.
     pub(crate) storm: Cell<gaugesaddle_overload::StormPhase>,
     pub(crate) storm_view: RefCell<Option<StormState>>,
-    /// Other regions, where there are any.
+    /// Other regions, where they are enabled.
     pub(crate) region: RefCell<Option<RegionView>>,
-    /// The tier of proxies, where it is enabled; read for each snapshot.
+    /// The tier of proxies, where the membership is enabled; read for each snapshot.
     pub(crate) peers: RefCell<Option<Rc<crate::membership::Tier>>>,
-    /// This proxy's allocation, where it is by demand.
+    /// This proxy's allocation, where allocation is by demand.
     pub(crate) allocation: RefCell<Option<AllocationView>>,
     pub(crate) zones: RefCell<Option<ZonesView>>,
-    /// Whether most proxies observe a zone that this one does not: it accepts no more clients.
+    /// Whether this proxy is partitioned: it fails to observe zones that most proxies observe, and is not ready.
     pub(crate) is_partitioned: Cell<bool>,
     /// Number of live proxies, where allocation is by demand; otherwise 0.
     pub(crate) live_proxies: Rc<Cell<u32>>,
     pub(crate) connections: Cell<usize>,
     pub(crate) upstream_sockets: Cell<usize>,
-    /// Limits of one process alone, and while two share the descriptors.
+    /// Limits while one process runs, and while two share the descriptors during a hot restart.
     bounds: [Bounds; 2],
     is_shared: Cell<bool>,
     pub(crate) body_bytes: Cell<usize>,
@@ -185,7 +186,7 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Bounds {
     pub connections: usize,
-    /// Of these, how many may be idle.
+    /// Maximum number of these that may be idle.
     pub idle_connections: usize,
     pub upstream_sockets: usize,
     pub body_bytes: usize,
@@ -222,7 +223,7 @@
         }
     }
 
-    /// The present limits.
+    /// Returns the present limits.
     pub(crate) fn bounds(&self) -> Bounds {
         self.bounds[usize::from(self.is_shared.get())]
     }
@@ -251,12 +252,12 @@
             && !self.is_partitioned.get()
     }
 
-    /// Whether other regions may forward requests here: they go to backends of this region only.
+    /// Whether other regions may forward requests here, which are sent to backends of this region only.
     pub(crate) fn has_backends(&self) -> bool {
         self.serving.get() && self.is_ready()
     }
 
-    /// Number of open requests.
+    /// Returns the number of open requests.
     pub(crate) fn open(&self) -> usize {
         self.open.get()
     }
@@ -275,7 +276,7 @@
         }
     }
 
-    /// Records an update of the list.
+    /// Records an update of the list of backends; a `full` one replaces the list.
     pub(crate) fn record_list(&self, now: Time, index: Option<u64>, full: bool, targets: &[ListedBackend]) {
         self.list.set((index.or(self.list.get().0), Some(now)));
         let mut rows = self.backends.borrow_mut();
@@ -301,7 +302,7 @@
         self.backends.borrow().get(&id).cloned()
     }
 
-    /// A copy of everything, as of now.
+    /// Returns a copy of the registry.
     pub fn snapshot(&self, now: Time) -> Snapshot {
         // Rows of backends that departed with an attempt in flight are removed once it has ended.
         self.backends
@@ -367,12 +368,12 @@
         let served: u64 = self.latency.iter().map(|c| u64::from(c.get())).sum();
         let quantile = |fraction: f64| {
             let rank = (served as f64 * fraction).ceil() as u64;
-            let mut seen = 0;
-            let at = self.latency.iter().position(|c| {
-                seen += u64::from(c.get());
-                seen >= rank
+            let mut cumulative = 0;
+            let bucket = self.latency.iter().position(|c| {
+                cumulative += u64::from(c.get());
+                cumulative >= rank
             });
-            at.filter(|_| served > 0).map(bound)
+            bucket.filter(|_| served > 0).map(bound)
         };
         BackendStateRow {
             name: target.name.to_string(),
--- a/crates/gaugesaddle/src/operations/registry/tests.rs
+++ b/crates/gaugesaddle/src/operations/registry/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_row_leaves_with_its_backend_but_not_before_its_last_attempt() {
+fn a_row_is_removed_after_its_backend_departs_and_its_last_attempt_ends() {
     let registry = registry();
     let ready = [target(1, BackendState::Ready), target(2, BackendState::Ready)];
     registry.record_list(Time(1), Some(1), true, &ready);
@@ -25,7 +25,7 @@
     row.record_sent();
     registry.record_list(Time(2), Some(2), true, &[target(3, BackendState::Ready)]);
     let names = || registry.snapshot(Time(3)).backends.into_iter().map(|b| b.name).collect::<Vec<_>>();
-    assert_eq!(names(), ["b1", "b3"], "b2 left, b1 has an attempt out");
+    assert_eq!(names(), ["b1", "b3"], "b2 departed, b1 has an attempt in flight");
     row.record_end(Outcome::Ok, Micros(1000));
     assert_eq!(names(), ["b3"]);
     registry.record_list(
@@ -38,25 +38,25 @@
 }
 
 #[test]
-fn latency_quantiles_lie_within_their_stated_error() {
+fn latency_quantiles_are_within_the_stated_error() {
     let row = BackendRow::new(target(1, BackendState::Ready));
     for ms in 1..=100 {
         row.record_sent();
         row.record_end(Outcome::Ok, Micros(ms * 1000));
     }
-    let copy = row.view();
-    let within = |got: Option<u64>, true_us: f64| {
-        let ratio = got.unwrap() as f64 / true_us;
-        assert!((0.99..=1.42).contains(&ratio), "{got:?} for {true_us}");
+    let view = row.view();
+    let assert_within_error = |estimate: Option<u64>, exact_us: f64| {
+        let ratio = estimate.unwrap() as f64 / exact_us;
+        assert!((0.99..=1.42).contains(&ratio), "estimate {estimate:?} us, exact {exact_us} us");
     };
-    within(copy.latency_p50_us, 50_000.0);
-    within(copy.latency_p99_us, 99_000.0);
-    assert_eq!(copy.latency_mean_us, Some(50_500));
-    assert_eq!((copy.attempts, copy.in_flight), (100, 0));
+    assert_within_error(view.latency_p50_us, 50_000.0);
+    assert_within_error(view.latency_p99_us, 99_000.0);
+    assert_eq!(view.latency_mean_us, Some(50_500));
+    assert_eq!((view.attempts, view.in_flight), (100, 0));
 }
 
 #[test]
-fn the_longest_and_shortest_latencies_have_a_bucket() {
+fn extreme_latencies_have_a_bucket() {
     assert_eq!(bucket(Micros(0)), 0);
     assert_eq!(bucket(Micros(500)), 0);
     assert_eq!(bucket(Micros(501)), 1);
--- a/crates/gaugesaddle/src/operations/snapshot.rs
+++ b/crates/gaugesaddle/src/operations/snapshot.rs
@@ -1,357 +1,358 @@
-//! The state of a proxy as its readers get it: log, state socket, `gaugesaddle state`. Its fields are an interface of operators'
-//! scripts: `tests/data/state.json` holds them.
+//! The state of a proxy as it is published on the state socket and by `gaugesaddle state`. Operators' scripts read its
+//! fields; the golden file `tests/data/state.json` contains them.
 
 use serde::{Deserialize, Serialize};
 
-/// What a backend may hold, as the module last knew it: a second ago at most.
+/// The concurrency limit of a backend, as the balancer last reported it: at most one second ago.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitState {
-    /// By all proxies together, if this one's part of the traffic is that of each.
+    /// Limit of requests in flight from all proxies together, as this proxy estimates it.
     pub limit: f64,
-    /// By this proxy, in this turn.
+    /// Limit of this proxy.
     pub room: u32,
-    /// What this proxy held.
+    /// Requests in flight from this proxy.
     pub held: u32,
-    /// Mean latency of the last answers.
+    /// Mean latency of recent responses.
     pub recent_us: Option<u64>,
-    /// What the same answers would have taken on an idle backend of the kind.
+    /// Mean latency of the same responses if the backend were idle.
     pub unloaded_us: Option<u64>,
-    /// Why the limit moved last: `start`, `served`, `flat` or `bound`.
+    /// Reason for the last change of the limit: `start`, `served`, `flat` or `bound`.
     pub why: String,
 }
 
-/// Of the form of [`Snapshot`]: it grows by one when a field changes its meaning or leaves.
+/// Version of the format of [`Snapshot`], incremented when a field changes its meaning or is removed.
 pub const SNAPSHOT_VERSION: u32 = 1;
 
-/// A copy of the registry. Times are Unix microseconds, spans microseconds; counters count since `start_us`.
+/// A copy of the registry. Times are Unix times in microseconds, durations are in microseconds; counters start at
+/// `start_us`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The form of this document.
+    /// Version of the format of this document.
     pub version: u32,
-    /// The program's version.
+    /// Version of the program.
     pub program: String,
-    /// The proxy's name.
+    /// Name of the proxy.
     pub name: String,
-    /// When the copy was made.
+    /// Time of the copy.
     pub time_us: u64,
-    /// When the proxy started.
+    /// Start time of the proxy.
     pub start_us: u64,
-    /// Some backend can be sent requests.
+    /// Whether some backend can be sent requests.
     pub serving: bool,
-    /// The proxy was told to end.
+    /// Whether the proxy is shutting down.
     pub stopping: bool,
-    /// Its clients are being sent elsewhere.
+    /// Whether the operators drain the proxy.
     #[serde(default)]
     pub draining: bool,
-    /// Requests that are owed an answer.
+    /// Number of requests that have not been answered.
     pub open: usize,
-    /// By class, in the order of the settings.
+    /// Requests by class, in the order of the settings.
     pub classes: Vec<ClassState>,
-    /// By backend, by name.
+    /// Backends, sorted by name.
     pub backends: Vec<BackendStateRow>,
-    /// Connections of clients.
+    /// Connections from clients.
     pub connections: Gauge,
     /// Connections to backends.
     pub upstream_sockets: Gauge,
-    /// Memory that the bodies of open requests hold.
+    /// Memory used by the bodies of open requests.
     pub body_bytes: Gauge,
     /// The list of backends.
     pub list: ListState,
-    /// Connections closed and requests not served, by reason.
+    /// Closed connections and unserved requests, by reason.
     pub reasons: Vec<(String, u64)>,
-    /// Connections accepted.
+    /// Number of accepted connections.
     #[serde(default)]
     pub connects: u64,
-    /// Storms, where they are watched.
+    /// Retry storms, where they are detected.
     #[serde(default)]
     pub storm: Option<StormState>,
-    /// Other regions, where there are some.
+    /// Other regions, where they are enabled.
     #[serde(default)]
     pub region: Option<RegionView>,
-    /// The tier of proxies, where it is known.
+    /// The tier of proxies, where the membership is enabled.
     #[serde(default)]
     pub peers: Option<MembershipView>,
-    /// This proxy's part, where parts go by need.
+    /// This proxy's allocation, where allocation is by demand.
     #[serde(default)]
     pub shares: Option<AllocationView>,
-    /// Zones as all proxies together find them, where that is on.
+    /// The zones as assessed by all proxies together, where zone failover is enabled.
     #[serde(default)]
     pub zones: Option<ZonesView>,
 }
 
-/// What the tier holds of its zones.
+/// The tier's decision on its zones.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ZonesView {
-    /// The decision that is held; 0 and 0: none yet.
+    /// Epoch of the present decision; 0 before the first.
     pub epoch: u32,
-    /// See `epoch`.
+    /// Revision of the present decision within its epoch; 0 before the first.
     pub round: u16,
-    /// The place of who decided it.
+    /// Index of the member that made the decision.
     pub by: Option<u16>,
-    /// Held for so long.
+    /// Time since this proxy adopted the decision.
     pub held_us: u64,
-    /// This proxy decides.
+    /// Whether this proxy is the decider.
     pub decides: bool,
-    /// The zones that most see and this proxy does not, where it is so cut off that it is not ready.
+    /// Names of the zones that most proxies observe and this one does not, where it is not ready because it is partitioned.
     pub cut_off: Option<String>,
-    /// Places that are blind to a zone that most see.
+    /// Members that do not observe a zone that most proxies observe, with the name of the zone.
     pub blind: Vec<(u16, String)>,
-    /// One row a zone.
+    /// One row for each zone.
     pub zones: Vec<ZoneRow>,
 }
 
-/// One zone of it.
+/// One zone of the tier.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ZoneRow {
     /// Its name.
     pub name: String,
-    /// Proxies whose word counts.
+    /// Number of proxies whose reports count.
     pub voices: u32,
-    /// Of these those that find it lost.
+    /// Number of these that find the zone lost.
     pub against: u32,
-    /// Most do.
+    /// Whether the zone is assessed as lost.
     pub lost: bool,
-    /// What comes to its proxies, in requests a second.
+    /// Demand that arrives at its proxies, in requests per second.
     pub needs: f64,
-    /// What its backends can do; `None`: nobody knows.
+    /// Capacity of its backends, in requests per second; `None` while it is unknown.
     pub can: Option<f64>,
-    /// The part of that which it is trusted with.
+    /// Fraction of its capacity that the zone is trusted with.
     pub trust: f64,
-    /// What of its own stays, by class, those worth most first.
+    /// Fraction of the zone's own traffic that it serves itself, by class, the highest priority first.
     pub near: Vec<f64>,
-    /// Its part of all that leaves a zone for another.
+    /// Fraction that the zone receives of all traffic sent from zone to zone.
     pub to: f64,
 }
 
-/// This proxy's part of what all of them may do, twice a second.
+/// This proxy's allocation of the quantities shared by all proxies, updated twice a second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AllocationView {
-    /// `by need`; `waking`: it does not know yet who lives, and goes by what it was told or knew last.
+    /// `by need`: allocation by demand; `waking`: the live members are not known yet, and the configured number of proxies
+    /// or the last known allocation applies.
     pub state: String,
-    /// Places of the told list.
+    /// Number of configured members.
     pub told: usize,
-    /// Those that live.
+    /// Number of live members.
     pub living: usize,
-    /// Which of them this one is, from 0.
+    /// Position of this proxy among the live members, from 0.
     pub position: usize,
-    /// Its part of what all of them may do.
+    /// This proxy's fraction of all traffic.
     pub part: f64,
-    /// The even part of those that live.
+    /// Equal fraction of each live member.
     pub even: f64,
-    /// What comes to it, and to all of them, in requests a second.
+    /// Demand at this proxy, in requests per second.
     pub need: f64,
-    /// See `need`.
+    /// Demand at all live members together, in requests per second.
     pub needs: f64,
-    /// Of the living so many have not told theirs: they count as the mean.
+    /// Number of live members whose demand is unknown; the mean is assumed for them.
     pub unknown: usize,
-    /// Backends that it uses, of those that are listed ready.
+    /// Number of backends that this proxy uses.
     pub uses: usize,
-    /// See `uses`.
+    /// Number of backends that are listed as ready.
     pub listed: usize,
-    /// What should sum to the whole over all proxies.
+    /// Quantities divided by this proxy's fraction; over all proxies each sums to about its total.
     #[serde(default)]
     pub soft: Vec<SoftQuantityView>,
-    /// What may come from other regions in a second, lent among this region's proxies.
+    /// Requests per second accepted from other regions, leased among this region's proxies.
     #[serde(default)]
     pub lent: Vec<LeaseQuantityView>,
 }
 
-/// One proxy's hold on what is dealt out by need and may be a little off.
+/// A quantity divided among the proxies by their fractions, without a guarantee that the parts sum exactly to the total.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SoftQuantityView {
-    /// What.
+    /// Its name.
     pub name: String,
-    /// Of all proxies together, as this one reckons it.
+    /// Total of all proxies, as this one estimates it.
     pub whole: f64,
-    /// This one's.
+    /// Allocation of this proxy.
     pub own: f64,
-    /// Of that so much is in use.
+    /// Amount of this allocation in use.
     pub used: f64,
-    /// What its part goes by.
+    /// Basis of the allocation.
     pub by: String,
 }
 
-/// A quantity that is lent, in requests a second.
+/// A quantity that is leased among the proxies, in requests per second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaseQuantityView {
-    /// The other region.
+    /// The region from which the requests are accepted.
     pub from: String,
-    /// What all proxies of this one may take.
+    /// Limit of all proxies of this region together.
     pub whole: u32,
-    /// The even part of one.
+    /// Equal entitlement of each proxy.
     pub even: u32,
-    /// What this one may take now, and what it would need.
+    /// Present limit of this proxy.
     pub usable: u32,
-    /// See `usable`.
+    /// Present demand at this proxy.
     pub need: u32,
-    /// Lent to others, and borrowed of them.
+    /// Amount leased to other proxies.
     pub given: u32,
-    /// See `given`.
+    /// Amount borrowed from other proxies.
     pub taken: u32,
-    /// The first of what is borrowed ends so long from now.
+    /// Time to the earliest end of a borrowed lease.
     pub lease_left_us: Option<u64>,
 }
 
-/// What this proxy sees of its tier. This proxy counts among the living.
+/// The tier as observed by this proxy. The number of live members includes this proxy.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MembershipView {
-    /// This proxy's place in the told list.
+    /// Index of this proxy in the configured list.
     pub place: u16,
-    /// Its process, in hex.
+    /// Boot number of this process, in hex.
     pub boot: String,
-    /// Places of the told list.
+    /// Number of configured members.
     pub told: usize,
-    /// Those that live, suspects too.
+    /// Number of live members, including suspected ones.
     pub living: usize,
-    /// Of these those that somebody found silent.
+    /// Number of live members that are suspected.
     pub suspect: usize,
-    /// Met, and dead.
+    /// Number of known members that are dead.
     pub dead: usize,
-    /// Said that they leave.
+    /// Number of members that announced their departure.
     pub left: usize,
-    /// Never met.
+    /// Number of configured members that were never observed.
     pub unseen: usize,
-    /// `most`: more than half of the told tier lives; `small`: fewer were ever met, nobody is missing; `torn`: half or
-    /// more of those that were met are lost.
+    /// `most`: more than half of the configured members are live; `small`: at most half are live, but most of those ever
+    /// observed are; `torn`: half or more of those ever observed are dead, as in a partition.
     pub shape: String,
-    /// More than half of the told tier lives.
+    /// Whether more than half of the configured members are live.
     pub more_than_half: bool,
-    /// So long nobody came to the living or went from them.
+    /// Time since the set of live members last changed.
     pub unchanged_us: u64,
-    /// So long ago anybody answered this proxy.
+    /// Time since any member last acknowledged a probe of this proxy.
     pub answered_us: u64,
-    /// So long ago this process last came back from a stall.
+    /// Time since this process last resumed after a stall.
     pub awake_us: u64,
-    /// How far this proxy stretches its own waits, 1 to 4.
+    /// Local health multiplier: factor by which this proxy extends its own timeouts, 1 to 4.
     pub health: u32,
-    /// The sum over the living.
+    /// Sums of the signals of the live members.
     pub totals: SignalTotals,
-    /// Datagrams sent, their bytes, and those that the system did not take.
+    /// Datagrams sent.
     pub sent: u64,
-    /// See `sent`.
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
-    /// See `sent`.
+    /// Datagrams that the system did not accept.
     pub unsent: u64,
-    /// Datagrams that came; of these not of the form, from no place of the list, without a good tag, here before, and
-    /// of processes that had not proven that they live.
+    /// Datagrams received.
     pub came: u64,
-    /// See `came`.
+    /// Received datagrams that are malformed.
     pub garbled: u64,
-    /// See `came`.
+    /// Received datagrams for another member, or from an address that is not the sender's.
     pub foreign: u64,
-    /// See `came`.
+    /// Received datagrams without a valid authentication tag.
     pub forged: u64,
-    /// See `came`.
+    /// Received datagrams that were rejected as replays.
     pub replayed: u64,
-    /// See `came`.
+    /// Received datagrams from processes that had not proven to be alive.
     pub unproven: u64,
-    /// Questions not answered, for more came than is answered in a second.
+    /// Replies that the rate limit suppressed.
     pub over: u64,
-    /// Questions asked, and those that nobody answered.
+    /// Probes of live members.
     pub asked: u64,
-    /// See `asked`.
+    /// Probes without any acknowledgement, direct or indirect.
     pub silent: u64,
-    /// Times that this proxy was found silent and objected.
+    /// Suspicions of this process that it refuted.
     pub refuted: u64,
-    /// Times that this process slept.
+    /// Stalls of this process.
     pub stalls: u64,
-    /// By place.
+    /// The configured members, by index.
     pub peers: Vec<MemberRow>,
 }
 
-/// The sum of what the living say of themselves.
+/// Sums of the signals that the live members publish.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SignalTotals {
-    /// Living proxies whose record is held.
+    /// Number of live members whose record is known.
     pub told: usize,
-    /// Of these so many are older than `older_than_us`.
+    /// Number of these records that are older than `older_than_us`.
     pub older: usize,
-    /// See `older`.
+    /// Age above which a record counts as stale.
     pub older_than_us: u64,
-    /// The oldest.
+    /// Age of the oldest record.
     pub oldest_us: u64,
-    /// Arrivals a second, by class.
+    /// Arrivals per second, by class.
     pub arrivals_per_s: Vec<(String, f64)>,
-    /// Requests that are open.
+    /// Number of open requests.
     pub held: f64,
-    /// Requests a second that are refused or failed.
+    /// Requests per second that are rejected or fail.
     pub given_up_per_s: f64,
 }
 
-/// One proxy of the tier.
+/// One member of the tier.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MemberRow {
-    /// Its place in the told list.
+    /// Its index in the configured list.
     pub place: u16,
-    /// Where it is reached.
+    /// Its address.
     pub address: String,
-    /// Its name, once it was told.
+    /// Its name; empty until it is received.
     pub name: String,
-    /// Its zone, once it was told.
+    /// Its zone; empty until it is received.
     pub zone: String,
-    /// It is this one.
+    /// Whether it is this proxy.
     pub own: bool,
     /// `unseen`, `alive`, `suspect`, `dead` or `left`.
     pub state: String,
-    /// Since when.
+    /// Time of the last change of the state.
     pub since_us: u64,
-    /// Its process, once it was met, in hex.
+    /// Boot number of its process, in hex; `None` until it is observed.
     pub boot: Option<String>,
-    /// That process's incarnation.
+    /// Incarnation of that process.
     pub incarnation: u32,
-    /// So long ago it was heard directly.
+    /// Time since the last datagram received from it directly.
     pub heard_us: Option<u64>,
-    /// How old its record is.
+    /// Age of its record.
     pub record_age_us: Option<u64>,
-    /// Two living processes claim the place.
+    /// Whether two live processes claim the index.
     pub contested: bool,
 }
 
-/// What is seen of storms, a few times a second.
+/// The state of the detection of retry storms, updated a few times a second.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StormState {
     /// `calm`, `rising`, `storm` or `recovering`.
     pub state: String,
-    /// Since when.
+    /// Time of the last change of the state.
     pub since_us: u64,
-    /// Storms so far.
+    /// Number of storms so far.
     pub storms: u64,
-    /// Requests a second.
+    /// Request rate per second.
     pub per_s: f64,
-    /// What is usual, once that is known.
+    /// Baseline request rate per second, once it is known.
     pub usual_per_s: Option<f64>,
-    /// The part of the requests that were asked before.
+    /// Fraction of the requests that are retries.
     pub repeats: f64,
-    /// Requests a second that are let in, where a storm bounds them.
+    /// Requests admitted per second, while a storm limits them.
     pub let_in_per_s: Option<f64>,
 }
 
-/// How this proxy stands with other regions, a few times a second.
+/// The state of the spillover to other regions, updated a few times a second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RegionView {
     /// This region's name.
     pub name: String,
     /// `local`, `spilling` or `returning`.
     pub state: String,
-    /// Since when.
+    /// Time of the last change of the state; 0 before the first.
     pub since_us: u64,
-    /// What the usable backends can do beside what comes, at most 9.99.
+    /// Ratio of the capacity of usable backends to the demand, at most 9.99.
     pub covered: f64,
     /// `auto`, `never` or `now`.
     pub switch: String,
-    /// When the certificate in use ends.
+    /// Expiry of the certificate in use.
     pub certificate_end_us: u64,
-    /// Sets of keys taken into use since the start, and those that could not be.
+    /// Number of key changes since the start.
     pub keys_taken: u64,
-    /// See `keys_taken`.
+    /// Number of sets of key files that were rejected.
     pub keys_refused: u64,
     /// Open connections from other regions.
     pub connections: usize,
-    /// Handshakes that failed, and peers whose certificate is no region's.
+    /// Failed handshakes, connections over the limit, and peers whose certificate matches no region.
     pub strangers: u64,
-    /// Requests from gateways that were not of the form, or had been here.
+    /// Requests from gateways that were malformed or had already passed through this region.
     pub barred: u64,
-    /// The other regions, in the order of the file.
+    /// The other regions, in the order of the operator's file.
     pub others: Vec<OtherRegionView>,
 }
 
@@ -360,83 +361,83 @@
 pub struct OtherRegionView {
     /// Its name.
     pub name: String,
-    /// Out there now, and how many may be.
+    /// Requests forwarded to it that are in flight, and their limit.
     pub in_flight: (u32, u32),
-    /// Sent in this second, and how many may be.
+    /// Requests forwarded to it in this second, and their limit.
     pub per_s: (u32, u32),
-    /// Sent; of these served there, refused as not run, and those that may have run.
+    /// Requests forwarded to it.
     pub sent: u64,
-    /// See `sent`.
+    /// Forwarded requests that were executed there.
     pub ran: u64,
-    /// See `sent`.
+    /// Forwarded requests that were rejected there without being executed.
     pub not_run: u64,
-    /// See `sent`.
+    /// Forwarded requests that may have been executed there.
     pub may_have_run: u64,
-    /// Not sent: they would go round, or had no hop left.
+    /// Requests not forwarded because they would loop or had no hop left.
     pub barred: u64,
-    /// Not sent: less time left than the way takes.
+    /// Requests not forwarded because less time remained than the hop takes.
     pub too_late: u64,
-    /// Not sent: the budget was used up.
+    /// Requests not forwarded because the budget was used up.
     pub over_budget: u64,
-    /// Not sent: the region refused or failed a moment ago.
+    /// Requests not forwarded during the backoff after a rejection or a failure.
     pub backed_off: u64,
-    /// A high quantile of the way there and back, with the margin.
+    /// Overhead of a hop: a high quantile of the round trip, and the margin.
     pub trip_us: u64,
-    /// Left alone until then.
+    /// End of the backoff.
     pub paused_until_us: Option<u64>,
-    /// From there: in service now, and how many may be.
+    /// Requests from it that are in service, and their limit.
     pub taken_in_flight: (u32, u32),
-    /// From there: taken in, and refused for its budget.
+    /// Requests accepted from it.
     pub taken: u64,
-    /// See `taken`.
+    /// Requests from it that were rejected because its budget was used up or their deadline had passed.
     pub refused: u64,
 }
 
-/// A value with its bound.
+/// A value and its limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gauge {
     /// The value.
     pub now: usize,
-    /// Its bound.
+    /// Its limit.
     pub most: usize,
 }
 
-/// What is known of the list's age.
+/// Version and age of the list of backends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListState {
-    /// The version last told.
+    /// Version of the last update that had one.
     pub index: Option<u64>,
-    /// The time since discovery told anything.
+    /// Time since the last update from discovery.
     pub age_us: Option<u64>,
 }
 
-/// The requests of a class: taken = in_aim + late + refused + failed + left + those open.
+/// The requests of a class: `taken` is the sum of `in_aim`, `late`, `refused`, `failed`, `left` and the open ones.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClassState {
     /// Its name.
     pub name: String,
-    /// Requests that the driver took.
+    /// Requests accepted by the driver.
     pub taken: u64,
-    /// Served within the class's aim.
+    /// Requests served within the latency objective of the class.
     pub in_aim: u64,
-    /// Served after it.
+    /// Requests served after it.
     pub late: u64,
-    /// Refused.
+    /// Requests rejected.
     pub refused: Rejections,
-    /// Failed.
+    /// Requests failed.
     pub failed: Failures,
-    /// The client left before its answer.
+    /// Requests whose client disconnected before the response.
     pub left: u64,
 }
 
-/// Refusals by reason.
+/// Rejections by reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rejections {
-    /// By the module.
+    /// Rejected by the balancer.
     pub module: u64,
-    /// More requests were open than the settings allow.
+    /// Rejected because more requests were open than the settings allow.
     pub open_cap: u64,
-    /// Handed over to other regions, none of which took it.
+    /// Forwarded to other regions without being executed there.
     #[serde(default)]
     pub elsewhere: u64,
 }
@@ -444,13 +445,13 @@
 /// Failures by reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Failures {
-    /// By the module.
+    /// Failed by the balancer.
     pub module: u64,
-    /// The module did not answer in its turn after the deadline.
+    /// Failed because the balancer had not answered in its tick after the deadline.
     pub unanswered: u64,
-    /// The module had to start anew.
+    /// Failed because the balancer was restarted.
     pub restart: u64,
-    /// Handed over to another region, where it may have run.
+    /// Forwarded to another region, where they may have been executed.
     #[serde(default)]
     pub elsewhere: u64,
 }
@@ -466,23 +467,23 @@
     pub zone: String,
     /// Its kind.
     pub kind: String,
-    /// `ready`, `draining`, or `gone` while something of it is out.
+    /// `ready`, `draining`, or `gone`: departed with attempts in flight.
     pub state: String,
-    /// When it started, if that was told.
+    /// Start time of the backend, where the list has it.
     pub booted_us: Option<u64>,
-    /// Attempts that are out.
+    /// Attempts in flight.
     pub in_flight: u32,
     /// Attempts so far.
     pub attempts: u64,
-    /// Attempts by outcome; their sum and those in flight are the attempts.
+    /// Ended attempts by outcome; with those in flight they sum to `attempts`.
     pub outcomes: Vec<(String, u64)>,
-    /// The mean time of those served.
+    /// Mean latency of served attempts.
     pub latency_mean_us: Option<u64>,
-    /// Half of those served took no longer; up to 42% too high.
+    /// Median latency of served attempts; at most 42% too high.
     pub latency_p50_us: Option<u64>,
-    /// 99 in 100 of those served took no longer; up to 42% too high.
+    /// 99th percentile of the latency of served attempts; at most 42% too high.
     pub latency_p99_us: Option<u64>,
-    /// What it may hold; absent until the module has looked at it.
+    /// Its concurrency limit; absent until the balancer has reported one.
     #[serde(default)]
     pub limit: Option<LimitState>,
 }
--- a/crates/gaugesaddle/src/operations/state_socket.rs
+++ b/crates/gaugesaddle/src/operations/state_socket.rs
@@ -1,7 +1,7 @@
 //! The state of a running proxy on a Unix socket: the server in the proxy, and the client of `gaugesaddle state`.
 //!
-//! A client writes one line, `state`, and reads one JSON document ([`Snapshot`]) to the end of the connection. Any other
-//! line is answered with `{"error": ...}`. The socket's mode is 0600: only its owner may connect.
+//! A client writes one line, `state`, and reads one JSON document ([`Snapshot`]) to the end of the connection. The response
+//! to any other line is `{"error": ...}`. The socket's mode is 0600: only its owner may connect.
 
 use crate::clock::Clock;
 use crate::configuration::operator::State;
@@ -18,43 +18,43 @@
 
 /// Maximum length of a client's line.
 const MAX_LINE_BYTES: usize = 64;
-/// A client that does not send its line, or does not read, is disconnected after this time.
+/// Time after which a client that does not send its line or does not read is disconnected.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Delay after a failed accept, for want of descriptors for instance.
+/// Delay after a failed accept, for example for lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Maximum size of a document: many times that of 10,000 backends.
+/// Maximum size of a document: a multiple of the size with 10,000 backends.
 const MAX_DOCUMENT_BYTES: u64 = 64 << 20;
 
-/// Why the state socket cannot be used.
+/// An error of the state socket.
 #[derive(Debug, thiserror::Error)]
 pub enum StateError {
-    /// No socket can be made at the path.
-    #[error("state.socket: expected a path where a socket can be made, got {}: {source}", path.display())]
+    /// No socket can be created at the path.
+    #[error("state.socket: expected a path where a socket can be created, got {}: {source}", path.display())]
     Listen {
         /// The path.
         path: PathBuf,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// No proxy answers.
-    #[error("{}: expected a proxy that answers here: {source}", path.display())]
+    /// No proxy responds at the path.
+    #[error("{}: expected the state socket of a running proxy: {source}", path.display())]
     NoAnswer {
         /// The path.
         path: PathBuf,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The answer is no state.
-    #[error("{}: expected the state of a proxy: {source}", path.display())]
+    /// The response is not a valid state document.
+    #[error("{}: expected the state of a proxy as JSON: {source}", path.display())]
     Invalid {
         /// The path.
         path: PathBuf,
-        /// Where and what.
+        /// The error of the JSON parser, with its position.
         source: serde_json::Error,
     },
 }
 
-/// A bound socket; its file is removed with it, unless another process has replaced it.
+/// A bound socket. Its file is removed on drop, unless another process has replaced it.
 pub(crate) struct BoundState {
     listener: UnixListener,
     path: PathBuf,
@@ -79,16 +79,16 @@
     }
 }
 
-/// Binds the socket. One that a dead process has left is replaced; one that answers is not.
+/// Binds the socket. A socket left by a terminated process is replaced; one that accepts connections is not.
 ///
 /// # Errors
-/// The path is used, or the system refuses.
+/// Returns an error if the path is in use, or if the system rejects the operation.
 pub(crate) fn bind(path: &Path) -> Result<BoundState, StateError> {
     let failed = |source| StateError::Listen { path: path.into(), source };
     let occupied = |kind, text: &str| Err(failed(io::Error::new(kind, text)));
     if let Ok(found) = std::fs::symlink_metadata(path) {
         if !found.file_type().is_socket() {
-            return occupied(io::ErrorKind::AlreadyExists, "there is a file that is no socket");
+            return occupied(io::ErrorKind::AlreadyExists, "a file that is not a socket exists there");
         }
         if std::os::unix::net::UnixStream::connect(path).is_ok() {
             return occupied(io::ErrorKind::AddrInUse, "another process answers there");
@@ -97,36 +97,36 @@
     Ok(BoundState::new(bind_over(path).map_err(failed)?, path))
 }
 
-/// Replaces the socket of the process that this one replaces.
+/// Binds the socket in place of that of the predecessor in a hot restart.
 ///
 /// # Errors
-/// The system refuses.
+/// Returns the system's error.
 pub(crate) fn replace(path: &Path) -> Result<BoundState, StateError> {
     let listener = bind_over(path).map_err(|source| StateError::Listen { path: path.into(), source })?;
     Ok(BoundState::new(listener, path))
 }
 
-/// Binds a socket that only its owner may open, replacing any socket that is there.
+/// Binds a socket that only its owner may open, replacing any existing one.
 ///
 /// # Errors
-/// The system refuses.
+/// Returns the system's error.
 pub(crate) fn bind_over(path: &Path) -> io::Result<UnixListener> {
-    // Created under another name and renamed once its mode is set: others can open it at no moment.
-    let mut draft = path.as_os_str().to_owned();
-    draft.push(format!(".{}", std::process::id()));
-    let draft = PathBuf::from(draft);
-    let _ = std::fs::remove_file(&draft);
-    let listener = UnixListener::bind(&draft)?;
-    let ready = std::fs::set_permissions(&draft, std::fs::Permissions::from_mode(0o600))
-        .and_then(|()| std::fs::rename(&draft, path));
-    if let Err(source) = ready {
-        let _ = std::fs::remove_file(&draft);
+    // Created under a temporary name and renamed once its mode is set, so that other users can never open it.
+    let mut temporary = path.as_os_str().to_owned();
+    temporary.push(format!(".{}", std::process::id()));
+    let temporary = PathBuf::from(temporary);
+    let _ = std::fs::remove_file(&temporary);
+    let listener = UnixListener::bind(&temporary)?;
+    let renamed = std::fs::set_permissions(&temporary, std::fs::Permissions::from_mode(0o600))
+        .and_then(|()| std::fs::rename(&temporary, path));
+    if let Err(source) = renamed {
+        let _ = std::fs::remove_file(&temporary);
         return Err(source);
     }
     Ok(listener)
 }
 
-/// Serves the state on the socket of the newest settings, until the program ends.
+/// Serves the state on the socket that the latest settings name, until the program ends.
 pub(crate) async fn serve(
     registry: Rc<Registry>, clock: Clock, mut settings: watch::Receiver<State>, mut bound: Option<BoundState>,
 ) {
@@ -161,7 +161,7 @@
                 });
             }
             Err(e) => {
-                tracing::warn!("state.socket: accept: {e}");
+                tracing::warn!("state.socket: accepting a connection failed, retrying: {e}");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -189,7 +189,7 @@
 /// Requests the state of a running proxy.
 ///
 /// # Errors
-/// No proxy answers at the socket, or its answer is no state.
+/// Returns an error if no proxy responds at the socket, or if its response is not a valid state document.
 pub fn request(socket: &Path) -> Result<Snapshot, StateError> {
     let document = exchange(socket).map_err(|source| StateError::NoAnswer { path: socket.into(), source })?;
     serde_json::from_slice(&document).map_err(|source| StateError::Invalid { path: socket.into(), source })
--- a/crates/gaugesaddle/src/operations/state_text.rs
+++ b/crates/gaugesaddle/src/operations/state_text.rs
@@ -1,4 +1,4 @@
-//! The state of a proxy as tables for people to read; operators' habits and scripts go by their words.
+//! Renders the state of a proxy as text tables. Operators' scripts match their words, so the texts must not change.
 
 use super::registry::{
     AllocationView, BackendStateRow, ClassState, LeaseQuantityView, LimitState, MembershipView, RegionView,
@@ -14,7 +14,7 @@
     us.map_or("-".into(), |us| format!("{:.1}", us as f64 / 1e3))
 }
 
-/// The full state.
+/// Renders the full state.
 pub fn render(state: &Snapshot) -> String {
     let mut text = render_header(state);
     if let Some(storm) = &state.storm {
@@ -24,8 +24,11 @@
         text += &render_regions(view, state.time_us);
         text.push('\n');
     }
-    if let Some(p) = &state.peers {
-        text += &format!("peers: {} of {} live, {}; `state peers` tells more\n\n", p.living, p.told, p.shape);
+    if let Some(view) = &state.peers {
+        text += &format!(
+            "peers: {} of {} live, {}; `state peers` tells more\n\n",
+            view.living, view.told, view.shape
+        );
     }
     if let Some(view) = &state.zones {
         text += &render_zones(view);
@@ -114,7 +117,7 @@
     table::render(&head, classes.iter().map(row))
 }
 
-/// The columns of outcomes, in their order.
+/// The columns of attempts by outcome, in order.
 const OUTCOMES: [&str; 8] =
     ["ok", "error", "full", "timed_out", "connect_failed", "reset", "cancelled", "never_sent"];
 
@@ -162,13 +165,13 @@
     format!("\n{}", table::render(&["reason", "count"], rows.into_iter()))
 }
 
-/// Other regions, as a table.
+/// Renders the other regions.
 pub fn render_regions(view: &RegionView, now_us: u64) -> String {
-    let since = |at: u64| format!("{:.1} s", now_us.saturating_sub(at) as f64 / 1e6);
-    let for_how_long =
-        if view.since_us == 0 { String::new() } else { format!(" for {}", since(view.since_us)) };
+    let elapsed = |since: u64| format!("{:.1} s", now_us.saturating_sub(since) as f64 / 1e6);
+    let state_duration =
+        if view.since_us == 0 { String::new() } else { format!(" for {}", elapsed(view.since_us)) };
     let mut text = format!(
-        "region {}: {}{for_how_long}, switch {}; backends cover {:.2} of what comes\n\
+        "region {}: {}{state_duration}, switch {}; backends cover {:.2} of what comes\n\
          keys changed {} times, {} sets could not be used; the certificate ends in {} days\n\
          connections from other regions {}, strangers {}, requests barred {}\n\n",
         view.name,
@@ -182,15 +185,18 @@
         view.strangers,
         view.barred,
     );
-    let of = |pair: (u32, u32)| format!("{} of {}", pair.0, pair.1);
-    let rows = view.others.iter().map(|o| {
-        let paused = o.paused_until_us.filter(|until| *until > now_us);
-        let mut row = vec![o.name.clone(), of(o.in_flight), of(o.per_s)];
-        row.extend([o.sent, o.ran, o.not_run, o.may_have_run].map(|n| n.to_string()));
-        row.extend([o.barred, o.too_late, o.over_budget, o.backed_off].map(|n| n.to_string()));
-        row.push(format!("{:.1}", o.trip_us as f64 / 1e3));
+    let usage = |pair: (u32, u32)| format!("{} of {}", pair.0, pair.1);
+    let rows = view.others.iter().map(|other| {
+        let paused = other.paused_until_us.filter(|until| *until > now_us);
+        let mut row = vec![other.name.clone(), usage(other.in_flight), usage(other.per_s)];
+        row.extend([other.sent, other.ran, other.not_run, other.may_have_run].map(|count| count.to_string()));
+        row.extend(
+            [other.barred, other.too_late, other.over_budget, other.backed_off]
+                .map(|count| count.to_string()),
+        );
+        row.push(format!("{:.1}", other.trip_us as f64 / 1e3));
         row.push(paused.map_or("-".into(), |until| format!("{:.1} s", (until - now_us) as f64 / 1e6)));
-        row.extend([of(o.taken_in_flight), o.taken.to_string(), o.refused.to_string()]);
+        row.extend([usage(other.taken_in_flight), other.taken.to_string(), other.refused.to_string()]);
         row
     });
     let head = [
@@ -215,14 +221,14 @@
     text
 }
 
-/// The tier as this proxy sees it.
+/// Renders the tier as observed by this proxy.
 pub fn render_peers(view: &MembershipView, now_us: u64) -> String {
     let meaning = match view.shape.as_str() {
         "most" => "more than half of the told tier lives",
         "small" => "few were ever met, nobody is missing",
         _ => "half or more of those that were met are lost: this side may be the smaller one",
     };
-    let t = &view.totals;
+    let totals = &view.totals;
     let mut text = format!(
         "peers: {} of {} live ({} suspect), {} dead, {} left, {} never met; {}: {meaning}\n\
          unchanged for {}, last answered {} ago, awake for {}, own waits stretched {} times\n\
@@ -241,13 +247,13 @@
         seconds(view.answered_us),
         seconds(view.awake_us),
         view.health,
-        t.told,
-        t.older,
-        seconds(t.older_than_us),
-        seconds(t.oldest_us),
-        t.arrivals_per_s.iter().map(|(class, rate)| format!(" {class} {rate:.1}")).collect::<String>(),
-        t.held,
-        t.given_up_per_s,
+        totals.told,
+        totals.older,
+        seconds(totals.older_than_us),
+        seconds(totals.oldest_us),
+        totals.arrivals_per_s.iter().map(|(class, rate)| format!(" {class} {rate:.1}")).collect::<String>(),
+        totals.held,
+        totals.given_up_per_s,
         view.sent,
         view.sent_bytes,
         view.unsent,
@@ -263,24 +269,24 @@
         view.refuted,
         view.stalls,
     );
-    let or = |text: &str| if text.is_empty() { "-".to_string() } else { text.to_string() };
-    let rows = view.peers.iter().map(|p| {
-        let mark = match (p.own, p.contested) {
+    let or_dash = |text: &str| if text.is_empty() { "-".to_string() } else { text.to_string() };
+    let rows = view.peers.iter().map(|peer| {
+        let mark = match (peer.own, peer.contested) {
             (_, true) => "claimed twice",
             (true, false) => "this one",
             _ => "",
         };
         vec![
-            p.place.to_string(),
-            p.address.clone(),
-            or(&p.name),
-            or(&p.zone),
-            p.state.clone(),
-            seconds(now_us.saturating_sub(p.since_us)),
-            p.boot.clone().unwrap_or("-".into()),
-            p.incarnation.to_string(),
-            p.heard_us.map_or("-".into(), seconds),
-            p.record_age_us.map_or("-".into(), seconds),
+            peer.place.to_string(),
+            peer.address.clone(),
+            or_dash(&peer.name),
+            or_dash(&peer.zone),
+            peer.state.clone(),
+            seconds(now_us.saturating_sub(peer.since_us)),
+            peer.boot.clone().unwrap_or("-".into()),
+            peer.incarnation.to_string(),
+            peer.heard_us.map_or("-".into(), seconds),
+            peer.record_age_us.map_or("-".into(), seconds),
             mark.into(),
         ]
     });
@@ -290,7 +296,7 @@
     text
 }
 
-/// This proxy's allocation.
+/// Renders this proxy's allocation.
 pub fn render_shares(view: &AllocationView) -> String {
     let mut text = format!(
         "shares: {}; {} of {} live, this is the {}. of them\n\
@@ -309,9 +315,9 @@
         view.listed,
     );
     let head = ["of", "whole", "own now", "in use", "goes by"];
-    let row = |s: &SoftQuantityView| {
-        let numbers = [s.whole, s.own, s.used].map(|n| format!("{n:.1}"));
-        [s.name.clone()].into_iter().chain(numbers).chain([s.by.clone()]).collect::<Vec<_>>()
+    let row = |quantity: &SoftQuantityView| {
+        let numbers = [quantity.whole, quantity.own, quantity.used].map(|n| format!("{n:.1}"));
+        [quantity.name.clone()].into_iter().chain(numbers).chain([quantity.by.clone()]).collect::<Vec<_>>()
     };
     text += &table::render(&head, view.soft.iter().map(row));
     if view.lent.is_empty() {
@@ -319,15 +325,15 @@
     }
     let head = ["taken from", "whole/s", "even", "own now", "needs", "lent", "borrowed", "lease left"];
     let row = |l: &LeaseQuantityView| {
-        let left = l.lease_left_us.map_or("-".into(), |us| format!("{:.1} s", us as f64 / 1e6));
+        let remaining = l.lease_left_us.map_or("-".into(), |us| format!("{:.1} s", us as f64 / 1e6));
         let numbers = [l.whole, l.even, l.usable, l.need, l.given, l.taken].map(|n| n.to_string());
-        [l.from.clone()].into_iter().chain(numbers).chain([left]).collect::<Vec<_>>()
+        [l.from.clone()].into_iter().chain(numbers).chain([remaining]).collect::<Vec<_>>()
     };
     text += &table::render(&head, view.lent.iter().map(row));
     text
 }
 
-/// The zones as all proxies together find them.
+/// Renders the zones as assessed by all proxies together.
 pub fn render_zones(view: &ZonesView) -> String {
     let by = view.by.map_or("nobody yet".into(), |by| format!("place {by}"));
     let mut text = format!(
@@ -342,16 +348,16 @@
         .for_each(|zones| text += &format!("not ready: cut off from {zones}, which most see\n"));
     view.blind.iter().for_each(|(place, zone)| text += &format!("place {place} is blind to {zone}\n"));
     let head = ["zone", "find it lost", "needs/s", "can/s", "trust", "stays near", "takes"];
-    let row = |z: &ZoneRow| {
-        let near: Vec<String> = z.near.iter().map(|n| format!("{n:.2}")).collect();
+    let row = |zone: &ZoneRow| {
+        let near: Vec<String> = zone.near.iter().map(|fraction| format!("{fraction:.2}")).collect();
         vec![
-            if z.lost { format!("{} (lost)", z.name) } else { z.name.clone() },
-            format!("{} of {}", z.against, z.voices),
-            format!("{:.1}", z.needs),
-            z.can.map_or("-".into(), |can| format!("{can:.1}")),
-            format!("{:.2}", z.trust),
+            if zone.lost { format!("{} (lost)", zone.name) } else { zone.name.clone() },
+            format!("{} of {}", zone.against, zone.voices),
+            format!("{:.1}", zone.needs),
+            zone.can.map_or("-".into(), |capacity| format!("{capacity:.1}")),
+            format!("{:.2}", zone.trust),
             near.join(" "),
-            format!("{:.2}", z.to),
+            format!("{:.2}", zone.to),
         ]
     };
     text += &table::render(&head, view.zones.iter().map(row));
