--- a/crates/gaugesaddle/src/federation/gateway.rs
+++ b/crates/gaugesaddle/src/federation/gateway.rs
@@ -95,9 +95,7 @@
             HopRejection::Invalid(text) => (StatusCode::BAD_REQUEST, text),
             HopRejection::NotReady => (StatusCode::SERVICE_UNAVAILABLE, "not ready"),
             HopRejection::OverBudget => (StatusCode::SERVICE_UNAVAILABLE, "the region's budget is used up"),
-            HopRejection::DeadlinePassed => {
-                (StatusCode::SERVICE_UNAVAILABLE, "the request's deadline has passed")
-            }
+            HopRejection::DeadlinePassed => (StatusCode::SERVICE_UNAVAILABLE, "its deadline has passed"),
         };
         let mut response = text_response(status, text);
         let headers = response.headers_mut();
@@ -223,14 +221,10 @@
         return Err(HopRejection::Invalid("expected exactly one Region-Path header"));
     };
     let via = Via::parse(text, sender_name);
-    let via = via.map_err(|_| {
-        HopRejection::Invalid(
-            "Region-Path: expected the visited regions, the sender last, and the remaining hops",
-        )
-    })?;
-    via.check_entry(&regions.settings.name).map_err(|_| {
-        HopRejection::Invalid("Region-Path: the request has already passed through this region")
-    })?;
+    let via =
+        via.map_err(|_| HopRejection::Invalid("Region-Path: expected a path that ends in the sender"))?;
+    via.check_entry(&regions.settings.name)
+        .map_err(|_| HopRejection::Invalid("Region-Path: routing loop"))?;
     Ok(via)
 }
 
--- a/crates/gaugesaddle/src/operations/admin.rs
+++ b/crates/gaugesaddle/src/operations/admin.rs
@@ -148,9 +148,7 @@
                 });
                 OK
             }
-            Ok(CommandOutcome::UnknownBackend) => {
-                (StatusCode::NOT_FOUND, "unknown backend: no list has contained it")
-            }
+            Ok(CommandOutcome::UnknownBackend) => (StatusCode::NOT_FOUND, "no list contained that backend"),
             Ok(CommandOutcome::LimitReached) => {
                 (StatusCode::INSUFFICIENT_STORAGE, "too many backends are excluded")
             }
--- a/crates/gaugesaddle/src/operations/hot_restart.rs
+++ b/crates/gaugesaddle/src/operations/hot_restart.rs
@@ -165,9 +165,7 @@
             while let Some(message) = reader.next_message() {
                 match message {
                     Ok(message) => self.receive(message, commands),
-                    Err(e) => {
-                        return tracing::warn!("hot restart: invalid message from the other process: {e}")
-                    }
+                    Err(e) => return tracing::warn!("hot restart: bad message from the other process: {e}"),
                 }
             }
             tokio::select! {
