--- a/crates/gaugesaddle/src/configuration.rs
+++ b/crates/gaugesaddle/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Configuration of the proxy: what the platform sets, and the operator's own file.
+//! Configuration of the proxy: the platform's file and the operator's file.
 
 pub mod invalid_key;
 pub mod operator;
--- a/crates/gaugesaddle/src/configuration/invalid_key.rs
+++ b/crates/gaugesaddle/src/configuration/invalid_key.rs
@@ -1,17 +1,17 @@
-//! The finding of a check of the operator's file.
+//! Errors found by the checks of the operator's file.
 
 /// A key of the operator's file whose value is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: {finding}")]
 pub struct InvalidKey {
-    /// The key, as a path with dots.
+    /// The key as a dotted path.
     pub key: String,
-    /// What was expected, and what was found.
+    /// The expected and the found value.
     pub finding: String,
 }
 
 impl InvalidKey {
-    /// A finding at a key.
+    /// Creates an error for a key, given as a dotted path.
     pub fn new(key: impl Into<String>, finding: impl Into<String>) -> InvalidKey {
         InvalidKey { key: key.into(), finding: finding.into() }
     }
--- a/crates/gaugesaddle/src/configuration/operator.rs
+++ b/crates/gaugesaddle/src/configuration/operator.rs
@@ -1,7 +1,7 @@
-//! The operator's own file (TOML): what the platform does not configure. Without it every default applies.
+//! The operator's file (TOML), with the settings that the platform does not configure. Without it all defaults apply.
 //!
 //! `deploy/gaugesaddle.toml` lists every key with its unit, range, default and reason; a test compares it with this type.
-//! Each optional part of the proxy has a section of its own.
+//! Each optional part of the proxy has its own section.
 
 use crate::configuration::InvalidKey;
 use crate::federation::settings::RegionSection;
@@ -14,36 +14,37 @@
 
 /// Maximum size of the file.
 const MAX_FILE_BYTES: u64 = 1 << 20;
-/// Maximum length of a Unix socket's path (`sun_path`, less its terminator).
+/// Maximum length of a Unix socket's path, below the 108 bytes of `sun_path`.
 const MAX_SOCKET_PATH_BYTES: usize = 100;
 
 /// The contents of the file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct OperatorConfig {
-    /// What is logged.
+    /// Logging.
     pub log: Log,
-    /// Where the state of the running proxy can be read.
+    /// The socket on which the state of the running proxy is published.
     pub state: State,
     /// Detection of retry storms.
     pub storm: Storm,
     /// Concurrency limits of backends.
     pub limits: Limits,
-    /// Other regions as last resort.
+    /// Spillover to other regions as a last resort.
     pub region: RegionSection,
     /// The other proxies of the tier.
     pub peers: PeersSection,
     /// Allocation by demand.
     pub shares: AllocationSection,
-    /// Zone failover that all proxies decide together.
+    /// Zone failover, decided by all proxies together.
     pub failover: FailoverSection,
 }
 
-/// `[limits]`, of all proxies together for one backend. A change requires a restart.
+/// The section `[limits]`: limits of requests in flight to one backend from all proxies together. A change requires a
+/// restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Whether they are learned; otherwise each is a constant of four.
+    /// Whether the limits are adapted to observed latencies; otherwise each is a constant of four.
     pub learned: bool,
     /// Minimum number of requests in flight.
     #[serde(deserialize_with = "requests_in_flight")]
@@ -55,13 +56,14 @@
 
 impl Default for Limits {
     fn default() -> Limits {
-        // One, or nothing would be learned; a thousand exceed the capacity of every machine that was tested.
+        // With less than one request in flight no latency would be observed; a thousand exceed the capacity of every tested
+        // machine.
         Limits { learned: false, least_per_backend: 1, most_per_backend: 1000 }
     }
 }
 
 impl Limits {
-    /// For the balancer.
+    /// Converts the section to the limits of the balancer.
     pub fn bounds(self) -> gaugesaddle_balancer::LimitBounds {
         gaugesaddle_balancer::LimitBounds {
             learned: self.learned,
@@ -71,13 +73,13 @@
     }
 }
 
-/// `[storm]`. A change requires a restart.
+/// The section `[storm]`: retry storms. A change requires a restart.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Storm {
     /// Whether retry storms are detected and damped.
     pub enabled: bool,
-    /// Longest `Retry-After`, in seconds.
+    /// Maximum `Retry-After`, in seconds.
     #[serde(deserialize_with = "retry_after")]
     pub longest_retry_after_s: u64,
     /// Maximum number of sources (accounts or addresses) that are tracked.
@@ -87,16 +89,17 @@
 
 impl Default for Storm {
     fn default() -> Storm {
-        // Half a minute spreads some thousand clients of one proxy; 4096 sources take less than a megabyte by estimate.
+        // 30 s spread the retries of several thousand clients of one proxy; 4096 sources use an estimated memory of less
+        // than one megabyte.
         Storm { enabled: false, longest_retry_after_s: 30, sources: 4096 }
     }
 }
 
-/// `[log]`. A change requires a restart.
+/// The section `[log]`. A change requires a restart.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Log {
-    /// The lowest level that is written to standard error.
+    /// The least severe level that is written to standard error.
     pub level: Level,
 }
 
@@ -112,13 +115,13 @@
 pub enum Level {
     /// Failures.
     Error,
-    /// What may lead to failures.
+    /// Conditions that may lead to failures.
     Warn,
-    /// Changes, and counters at most once a second each.
+    /// Changes of state, and each counter at most once a second.
     Info,
-    /// Single connections.
+    /// Events of single connections.
     Debug,
-    /// Everything.
+    /// All events.
     Trace,
 }
 
@@ -134,21 +137,21 @@
     }
 }
 
-/// `[state]`. Changes apply at SIGHUP.
+/// The section `[state]`. Changes apply at SIGHUP.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct State {
-    /// The Unix socket of `gaugesaddle state`; none: it is off.
+    /// Path of the Unix socket that `gaugesaddle state` reads; without one the state is not published.
     #[serde(deserialize_with = "socket_path")]
     pub socket: Option<PathBuf>,
-    /// Clients that are served at once; more wait in the system's queue.
+    /// Maximum number of clients that are served concurrently; more wait in the socket's backlog.
     #[serde(deserialize_with = "connections")]
     pub connections: usize,
 }
 
 impl Default for State {
     fn default() -> State {
-        // A tool and a scraper together; each uses a descriptor that requests could use.
+        // Enough for a tool and a scraper at the same time; each uses a file descriptor that is not available to requests.
         State { socket: None, connections: 4 }
     }
 }
@@ -186,47 +189,47 @@
     integer(from, 1_000_000).map(|n| n as usize)
 }
 
-/// Why the operator's file cannot be used.
+/// An error of the operator's file.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{}: expected a readable file: {source}", file.display())]
     Read {
         /// The file.
         file: PathBuf,
-        /// The error of the system.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// It is too large.
+    /// The file is too large.
     #[error("{}: expected a file of up to {MAX_FILE_BYTES} bytes, got {bytes}", file.display())]
     Large {
         /// The file.
         file: PathBuf,
-        /// Its size.
+        /// Its size in bytes.
         bytes: u64,
     },
-    /// A key or the syntax.
-    #[error("{}: {flaw}", file.display())]
+    /// The syntax or the value of a key is invalid.
+    #[error("{}: {error}", file.display())]
     Invalid {
         /// The file.
         file: PathBuf,
-        /// What is wrong, and where.
-        flaw: Flaw,
+        /// The error, with its line and key where they are known.
+        error: InvalidContents,
     },
 }
 
-/// What is wrong with the contents of the file, and where.
+/// An error in the contents of the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Flaw {
-    /// The line, from 1, where it is known.
+pub struct InvalidContents {
+    /// The line, counted from 1; `None` if it is unknown.
     pub line: Option<usize>,
-    /// The key, as a path with dots, where it is known.
+    /// The key as a dotted path; empty if it is unknown.
     pub key: String,
-    /// What was expected, and what was found.
+    /// The expected and the found value.
     pub finding: String,
 }
 
-impl std::fmt::Display for Flaw {
+impl std::fmt::Display for InvalidContents {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         if let Some(line) = self.line {
             write!(f, "line {line}: ")?;
@@ -238,19 +241,19 @@
     }
 }
 
-impl From<InvalidKey> for Flaw {
-    fn from(InvalidKey { key, finding }: InvalidKey) -> Flaw {
-        Flaw { line: None, key, finding }
+impl From<InvalidKey> for InvalidContents {
+    fn from(InvalidKey { key, finding }: InvalidKey) -> InvalidContents {
+        InvalidContents { line: None, key, finding }
     }
 }
 
 /// Reads and checks the file.
 ///
 /// # Errors
-/// It cannot be read, or is invalid; see [`Flaw`].
+/// Returns an error if the file cannot be read or is invalid; see [`InvalidContents`].
 pub fn load(file: &Path) -> Result<OperatorConfig, OperatorError> {
     let unreadable = |source| OperatorError::Read { file: file.into(), source };
-    let invalid = |flaw| OperatorError::Invalid { file: file.into(), flaw };
+    let invalid = |error| OperatorError::Invalid { file: file.into(), error };
     let bytes = std::fs::metadata(file).map_err(unreadable)?.len();
     if bytes > MAX_FILE_BYTES {
         return Err(OperatorError::Large { file: file.into(), bytes });
@@ -258,17 +261,17 @@
     let text = std::fs::read(file).map_err(unreadable)?;
     let text = String::from_utf8(text).map_err(|e| {
         let line = line_at(e.as_bytes(), e.utf8_error().valid_up_to());
-        invalid(Flaw { line: Some(line), key: String::new(), finding: "expected UTF-8".into() })
+        invalid(InvalidContents { line: Some(line), key: String::new(), finding: "expected UTF-8".into() })
     })?;
     parse(&text).map_err(invalid)
 }
 
-/// The line, from 1, of an offset in bytes.
+/// Returns the line, counted from 1, at an offset in bytes.
 fn line_at(text: &[u8], offset: usize) -> usize {
     1 + text[..offset].iter().filter(|byte| **byte == b'\n').count()
 }
 
-fn parse(text: &str) -> Result<OperatorConfig, Flaw> {
+fn parse(text: &str) -> Result<OperatorConfig, InvalidContents> {
     let config = deserialize(text)?;
     let Limits { least_per_backend: min, most_per_backend: max, .. } = config.limits;
     if min > max {
@@ -282,15 +285,15 @@
     Ok(config)
 }
 
-fn deserialize(text: &str) -> Result<OperatorConfig, Flaw> {
+fn deserialize(text: &str) -> Result<OperatorConfig, InvalidContents> {
     toml::from_str(text).map_err(|e: toml::de::Error| {
         let line = e.span().map(|span| line_at(text.as_bytes(), span.start.min(text.len())));
         let key = line.map(|line| key_at(text, line)).unwrap_or_default();
-        Flaw { line, key, finding: e.message().trim_end().to_string() }
+        InvalidContents { line, key, finding: e.message().trim_end().to_string() }
     })
 }
 
-/// The key that a line sets, with its section: the parser's error has only the offset.
+/// Returns the key that a line sets, with its section, since an error of the parser has only an offset.
 fn key_at(text: &str, line: usize) -> String {
     let mut section = "";
     let mut key = "";
@@ -308,9 +311,9 @@
     parts.collect::<Vec<_>>().join(".")
 }
 
-/// The keys and sections that differ and require a restart.
+/// Returns the keys and sections that differ and require a restart.
 pub fn keys_requiring_restart(running: &OperatorConfig, newer: &OperatorConfig) -> Vec<&'static str> {
-    // The switch and the exercise apply at once.
+    // The switch and the exercise percentage apply without a restart.
     let mut region = newer.region.clone();
     (region.switch, region.exercise_percent) = (running.region.switch, running.region.exercise_percent);
     let differences = [
--- a/crates/gaugesaddle/src/configuration/operator/tests.rs
+++ b/crates/gaugesaddle/src/configuration/operator/tests.rs
@@ -1,48 +1,48 @@
 use super::*;
 
-fn flaw(text: &str) -> String {
-    parse(text).expect_err("unsound").to_string()
+fn parse_error(text: &str) -> String {
+    parse(text).expect_err("the text is invalid").to_string()
 }
 
 #[test]
-fn an_error_names_line_key_and_what_was_expected() {
-    let told = flaw("[log]\nlevel = \"info\"\n\n[state]\n# how many\nconnections = 65\n");
-    assert_eq!(told, "line 6: state.connections: expected a whole number from 1 to 64, got 65");
-    let told = flaw("[state]\nsocket = \"state.sock\"\n");
-    assert!(told.starts_with("line 2: state.socket: expected an absolute path"), "{told}");
-    let told = flaw("[state]\nsokket = \"/x\"\n");
-    assert!(told.starts_with("line 2: state.sokket: unknown field `sokket`"), "{told}");
-    assert!(told.contains("expected `socket` or `connections`"), "{told}");
-    let told = flaw("[stat]\n");
-    assert!(told.contains("unknown field `stat`"), "{told}");
-    let told = flaw("[log]\nlevel = \"loud\"\n");
-    assert!(told.starts_with("line 2: log.level: unknown variant `loud`"), "{told}");
-    let told = flaw("[log]\nlevel = = 3\n");
-    assert!(told.starts_with("line 2: "), "{told}");
-    let told = flaw("[limits]\nleast_per_backend = 9\nmost_per_backend = 4\n");
+fn an_error_names_the_line_the_key_and_the_expected_value() {
+    let message = parse_error("[log]\nlevel = \"info\"\n\n[state]\n# how many\nconnections = 65\n");
+    assert_eq!(message, "line 6: state.connections: expected a whole number from 1 to 64, got 65");
+    let message = parse_error("[state]\nsocket = \"state.sock\"\n");
+    assert!(message.starts_with("line 2: state.socket: expected an absolute path"), "{message}");
+    let message = parse_error("[state]\nsokket = \"/x\"\n");
+    assert!(message.starts_with("line 2: state.sokket: unknown field `sokket`"), "{message}");
+    assert!(message.contains("expected `socket` or `connections`"), "{message}");
+    let message = parse_error("[stat]\n");
+    assert!(message.contains("unknown field `stat`"), "{message}");
+    let message = parse_error("[log]\nlevel = \"loud\"\n");
+    assert!(message.starts_with("line 2: log.level: unknown variant `loud`"), "{message}");
+    let message = parse_error("[log]\nlevel = = 3\n");
+    assert!(message.starts_with("line 2: "), "{message}");
+    let message = parse_error("[limits]\nleast_per_backend = 9\nmost_per_backend = 4\n");
     let expected = "limits.most_per_backend: expected no less than limits.least_per_backend (9), got 4";
-    assert_eq!(told, expected);
-    let told = flaw("[limits]\nleast_per_backend = 0\n");
-    assert!(told.ends_with("expected a whole number from 1 to 10000, got 0"), "{told}");
-    let told = flaw("[state]\nconnections = -1\n");
-    assert!(told.ends_with("got -1"), "{told}");
+    assert_eq!(message, expected);
+    let message = parse_error("[limits]\nleast_per_backend = 0\n");
+    assert!(message.ends_with("expected a whole number from 1 to 10000, got 0"), "{message}");
+    let message = parse_error("[state]\nconnections = -1\n");
+    assert!(message.ends_with("got -1"), "{message}");
 }
 
-/// A section that is sound but for one line.
-fn region(changed: &str, to: &str) -> String {
-    let sound =
+/// A valid section `[region]` in which the first occurrence of `from` is replaced by `to`.
+fn region(from: &str, to: &str) -> String {
+    let valid =
         "[region]\nenabled = true\nname = \"north\"\ncertificate = \"/c\"\nkey = \"/k\"\ntrust = \"/t\"\n\
                  listen = \"127.0.0.1:7443\"\nhops = 1\n[region.rule]\nenter_ms = 500\n\
                  [[region.other]]\nname = \"south\"\naddresses = [\"127.0.0.1:7444\"]\nround_trip_ms = 40\n\
                  send = { per_s = 10, in_flight = 5 }\ntake = { per_s = 10, in_flight = 5 }\n\
                  [[region.other]]\nname = \"west\"\naddresses = [\"127.0.0.1:7445\"]\nround_trip_ms = 40\n\
                  send = { per_s = 10, in_flight = 5 }\ntake = { per_s = 10, in_flight = 5 }\n";
-    assert!(changed.is_empty() || sound.contains(changed), "{changed}");
-    sound.replacen(changed, to, 1)
+    assert!(from.is_empty() || valid.contains(from), "the section does not contain {from}");
+    valid.replacen(from, to, 1)
 }
 
 #[test]
-fn each_flaw_of_the_regions_is_told_by_its_key() {
+fn each_invalid_region_setting_is_reported_with_its_key() {
     assert!(parse(&region("", "")).is_ok());
     for (line, to, expected) in [
         ("name = \"north\"", "name = \"North\"", "region.name: expected up to 32 lower-case"),
@@ -72,13 +72,13 @@
         ("key = \"/k\"", "key = \"k\"", "region.key: expected an absolute path"),
         ("key = \"/k\"", "keys = \"/k\"", "line 5: region.keys: unknown field `keys`"),
     ] {
-        let told = flaw(&region(line, to));
-        assert!(told.starts_with(expected), "{told}\nfor {expected}");
+        let message = parse_error(&region(line, to));
+        assert!(message.starts_with(expected), "{message}\nfor {expected}");
     }
 }
 
 #[test]
-fn each_flaw_of_the_peers_is_told_by_its_key() {
+fn each_invalid_setting_of_peers_shares_and_failover_is_reported_with_its_key() {
     let list = |own: &str, rest: &str| {
         format!("[peers]\nenabled = true\nlisten = \"{own}\"\naddresses = [\"127.0.0.1:7946\", \"127.0.0.2:7946\"]\n{rest}")
     };
@@ -102,23 +102,23 @@
         ("[failover]\ntarget_percent = 101\n".into(), "failover.target_percent: expected 10 to 100, got 101"),
         ("[peers]\nenabled = true\naddresses = [\"127.0.0.1:1\"]\n".into(), "peers.listen: missing"),
     ] {
-        let told = flaw(&text);
-        assert!(told.starts_with(expected), "{told}\nfor {expected}");
+        let message = parse_error(&text);
+        assert!(message.starts_with(expected), "{message}\nfor {expected}");
     }
 }
 
 #[test]
-fn the_file_that_is_shipped_says_the_defaults_and_every_key() {
+fn the_shipped_file_contains_the_defaults_and_every_key() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/gaugesaddle.toml");
-    assert_eq!(load(&path).expect("sound"), OperatorConfig::default(), "as shipped it changes nothing");
+    assert_eq!(load(&path).expect("valid"), OperatorConfig::default(), "the file must contain the defaults");
     let text = std::fs::read_to_string(path).unwrap();
-    // With every commented key switched on it must still be read: no key is told that doesn't exist.
-    let on = |l: &str| match l.strip_prefix("#") {
+    // The file must also be valid with every commented key enabled, so that it lists no unknown key.
+    let uncommented = |l: &str| match l.strip_prefix("#") {
         Some(key) if !key.starts_with(' ') && (key.contains('=') || key.starts_with('[')) => key.to_string(),
         _ => l.to_string(),
     };
-    let all: Vec<String> = text.lines().map(on).collect();
-    let all = parse(&all.join("\n")).expect("every key is known");
+    let all: Vec<String> = text.lines().map(uncommented).collect();
+    let all = parse(&all.join("\n")).expect("all keys must be known");
     assert!(all.state.socket.is_some());
     assert_eq!(all.region.other.len(), 1);
     assert_eq!(all.peers.addresses.len(), 3);
@@ -168,12 +168,12 @@
 }
 
 #[test]
-fn an_empty_file_changes_nothing_and_foreign_bytes_are_told() {
+fn an_empty_file_yields_the_defaults_and_invalid_utf8_is_reported() {
     assert_eq!(parse("").unwrap(), OperatorConfig::default());
     let file = std::env::temp_dir().join(format!("gaugesaddle-operator-{}", std::process::id()));
     std::fs::write(&file, b"[log]\n\xff\xfe").unwrap();
-    let told = load(&file).expect_err("no text").to_string();
+    let message = load(&file).expect_err("the file is not UTF-8").to_string();
     std::fs::remove_file(&file).unwrap();
-    assert!(told.ends_with("line 2: expected UTF-8"), "{told}");
+    assert!(message.ends_with("line 2: expected UTF-8"), "{message}");
     assert!(load(Path::new("/nowhere/at/all")).is_err());
 }
--- a/crates/gaugesaddle/src/configuration/platform.rs
+++ b/crates/gaugesaddle/src/configuration/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration: the JSON file that `$BALANCER_CONFIG` names.
+//! The platform's configuration: the JSON file at the path in `$BALANCER_CONFIG`.
 
 use crate::discovery::list::{self, List, ListError, ListLimits};
 use crate::membership::Platform;
@@ -11,10 +11,10 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why the platform's configuration cannot be used.
+/// An error of the platform's configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformError {
-    /// The environment names no configuration.
+    /// `$BALANCER_CONFIG` is not set.
     #[error("BALANCER_CONFIG: missing, expected a file name")]
     NoConfig,
     /// The file cannot be read.
@@ -22,80 +22,81 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// The error of the system.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The file is larger than any that could be used.
-    #[error("BALANCER_CONFIG: expected at most {MAX_FILE_BYTES} bytes, {} has more", path.display())]
+    /// The file is larger than the maximum.
+    #[error("BALANCER_CONFIG: expected a file of at most {MAX_FILE_BYTES} bytes, {} has more", path.display())]
     TooLarge {
         /// The file.
         path: PathBuf,
     },
-    /// The file is no JSON.
+    /// The file is not valid JSON.
     #[error("BALANCER_CONFIG: expected JSON in {}: {source}", path.display())]
     Json {
         /// The file.
         path: PathBuf,
-        /// Where and what.
+        /// The error of the JSON parser, with its position.
         source: serde_json::Error,
     },
-    /// The value of a key.
+    /// The value of a key is invalid.
     #[error(transparent)]
     Key(#[from] KeyError),
-    /// The list of backends in it.
+    /// The list of backends in the file is invalid.
     #[error("{0}")]
     Known(#[source] ListError),
-    /// A setting that the balancer does not accept.
+    /// The balancer rejects a setting.
     #[error("settings: {0}")]
     Balancer(#[from] gaugesaddle_balancer::ConfigError),
 }
 
 /// The configuration of a proxy as the platform sets it.
 pub struct PlatformConfig {
-    /// The proxy's name, for its state; the file may leave it out.
+    /// The proxy's name, for the published state; empty if the file has none.
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    /// Address of the admin interface; older deployments have none.
+    /// Address of the admin interface, which older deployments do not have.
     pub admin: Option<SocketAddr>,
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Maximum number of file descriptors of the process.
     pub sockets: usize,
-    /// Bytes of memory that it may use.
+    /// Maximum memory of the process, in bytes.
     pub memory: usize,
-    /// The list of backends as this proxy last had it.
+    /// The last list of backends that this proxy received.
     pub known: Option<List>,
-    /// Limits of a list of backends.
+    /// Size limits of a list of backends.
     pub list_limits: ListLimits,
     pub balancer: gaugesaddle_balancer::Config,
     pub names: Names,
     /// Maximum number of open requests; more are rejected before they reach the balancer.
     pub open_cap: usize,
-    /// A backend closes a connection that has been idle for this long, at the latest.
+    /// Idle time after which a backend closes a connection at the latest.
     pub conn_idle: Micros,
-    /// A connection that is not up after this time counts as failed.
+    /// Timeout of establishing a connection to a backend.
     pub dial_timeout: Micros,
-    /// Sends to a backend that drains or has departed must stop within this time.
+    /// Time within which sends to a draining or departed backend must stop.
     pub drain_grace: Micros,
-    /// The longest `Retry-After` that clients follow, where the settings have it.
+    /// Maximum `Retry-After` that clients follow, where the settings have it.
     pub max_retry_after: Option<Micros>,
-    /// The longest time that a client waits.
+    /// Maximum time that a client waits for a response: the longest deadline of all classes.
     pub longest: Micros,
-    /// The tier of proxies; `None` where the settings allow no messages between them.
+    /// The tier of proxies; `None` if the settings do not allow messages between them.
     pub peers: Option<Platform>,
-    /// The document as it was read.
+    /// The document without the list of backends.
     pub document: Value,
 }
 
-/// The keys that differ and require a restart. `known` is in neither document: the proxy's own list is newer.
+/// Returns the keys that differ and require a restart. Neither document contains `known`, since the running proxy's list is
+/// newer. A change of `discovery` requires no restart.
 pub fn keys_requiring_restart(running: &Value, newer: &Value) -> Vec<String> {
     let mut keys = Vec::new();
     differences(String::new(), running, newer, &mut keys);
-    keys.retain(|k| k != "discovery");
+    keys.retain(|key| key != "discovery");
     keys
 }
 
-/// The paths at which two documents differ.
+/// Appends the paths at which two documents differ.
 fn differences(path: String, old: &Value, new: &Value, found: &mut Vec<String>) {
     let (Value::Object(old), Value::Object(new)) = (old, new) else {
         return if old != new {
@@ -110,11 +111,11 @@
     }
 }
 
-/// Maximum size of the file: the longest list that any memory allows, and settings beside it.
+/// Maximum size of the file: the longest list of backends that any memory limit allows, and the settings.
 const MAX_FILE_BYTES: u64 = 5 << 20;
-/// The time within which sends to a departing backend must stop where the settings have none: the strictest one known.
+/// Default time within which sends to a draining or departed backend must stop: the strictest known value.
 const DRAIN_GRACE: Micros = Micros(500_000);
-/// Fewer descriptors would not suffice for clients, backends and discovery.
+/// Minimum number of file descriptors for clients, backends and discovery.
 const MIN_SOCKETS: u32 = 64;
 
 /// Reads the file that `$BALANCER_CONFIG` names.
@@ -132,7 +133,8 @@
     if text.len() as u64 > MAX_FILE_BYTES {
         return Err(PlatformError::TooLarge { path });
     }
-    // The list is read by itself, and the rest as a document: whole, a long list would take ten times its length.
+    // The list of backends is parsed separately: as a part of the document, a long list would use ten times its length in
+    // memory.
     let json = |source| PlatformError::Json { path: path.clone(), source };
     let mut parts: BTreeMap<String, &RawValue> = serde_json::from_slice(&text).map_err(json)?;
     let known = parts.remove("known").map(RawValue::get).filter(|text| *text != "null");
@@ -143,7 +145,7 @@
     parse(Value::Object(document), known)
 }
 
-/// Reads the file again for a proxy that was started with the document `running`. Another proxy's file is rejected.
+/// Reloads the file for a proxy that was started with the document `running`. A file with another proxy's name is rejected.
 ///
 /// # Errors
 /// See [`PlatformError`].
@@ -167,7 +169,7 @@
     key.value().is_some_and(|v| !v.is_null())
 }
 
-/// The key, or `$BALANCER_ADMIN` where there is none.
+/// Reads the address at the key, or from `$BALANCER_ADMIN` if the key is not set.
 fn admin(key: &Key) -> Result<Option<SocketAddr>, KeyError> {
     if is_set(key) {
         return address(key).map(Some);
@@ -177,7 +179,7 @@
     address(&Key::root(&document).get("BALANCER_ADMIN")).map(Some)
 }
 
-/// The other proxies, where the settings allow messages between them.
+/// Reads the settings of the tier; `None` if the settings do not allow messages between proxies.
 fn peers(root: &Key, limits: &Key) -> Result<Option<Platform>, KeyError> {
     if limits.get("peers").value().and_then(Value::as_bool) != Some(true) {
         return Ok(None);
@@ -196,7 +198,7 @@
     }))
 }
 
-/// `known`: the text of that key.
+/// Parses the document; `known` is the JSON text of the list of backends, which the document does not contain.
 fn parse(document: Value, known: Option<&str>) -> Result<PlatformConfig, PlatformError> {
     let root = Key::root(&document);
     let (seed, settings) = (root.get("seed"), root.get("settings"));
@@ -205,7 +207,7 @@
     let known = known.map(|text| list::read(text.as_bytes(), "known", list_limits)).transpose();
     let known = known.map_err(PlatformError::Known)?;
     let sockets = root.get("limits").get("sockets");
-    let enough = Some(sockets.count()?).filter(|n| *n >= MIN_SOCKETS);
+    let socket_count = Some(sockets.count()?).filter(|count| *count >= MIN_SOCKETS);
     let (balancer, names) = settings::read(&settings)?;
     balancer.validate()?;
     let limits = settings.get("limits");
@@ -214,14 +216,14 @@
         longest = longest.max(class.get("deadline_us").micros()?);
     }
     let peers = peers(&root, &limits)?;
-    let hex = u64::from_str_radix(seed.text()?, 16).ok();
+    let seed_value = u64::from_str_radix(seed.text()?, 16).ok();
     Ok(PlatformConfig {
         name: root.get("name").value().and_then(Value::as_str).unwrap_or_default().into(),
         listen: address(&root.get("listen"))?,
         discovery: address(&root.get("discovery"))?,
         admin: admin(&root.get("admin"))?,
-        seed: seed.require(hex, "up to 16 hex digits")?,
-        sockets: sockets.require(enough, "at least 64")? as usize,
+        seed: seed.require(seed_value, "up to 16 hex digits")?,
+        sockets: sockets.require(socket_count, "at least 64")? as usize,
         memory,
         known,
         list_limits,
