--- a/crates/gaugesaddle/src/membership/error.rs
+++ b/crates/gaugesaddle/src/membership/error.rs
@@ -19,7 +19,7 @@
     #[error("peers.listen: missing, expected the address of the datagram socket")]
     NoListenAddress,
     /// The list of members does not contain this proxy.
-    #[error("peers.addresses: expected a list that contains this proxy's own address")]
+    #[error("peers.addresses: expected a list with this proxy's own address")]
     NotListed,
     /// A key is required unless the listen address is a loopback address.
     #[error("peers.key: missing, expected a key file because peers.listen is not a loopback address")]
