--- a/crates/gaugesaddle/src/application.rs
+++ b/crates/gaugesaddle/src/application.rs
@@ -85,7 +85,7 @@
     }
     proxy.server.clone().run(listener, stop).await;
     if let Some(regions) = proxy.regions {
-        regions.drained(proxy.server.rules.longest).await;
+        regions.drained(proxy.server.rules.max_patience).await;
     }
     Ok(())
 }
--- a/crates/gaugesaddle/src/application/startup.rs
+++ b/crates/gaugesaddle/src/application/startup.rs
@@ -98,8 +98,8 @@
     let (sender, inputs) = mpsc::unbounded_channel();
     let common = Common { clock, registry: registry.clone(), inputs: sender };
     let server = server(&mut config, &common);
-    let follow = Rc::new(Notify::new());
-    let discovery = discovery_watch(&config, &common, follow.clone());
+    let updates_requested = Rc::new(Notify::new());
+    let discovery = discovery_watch(&config, &common, updates_requested.clone());
     let (remote_commands, commands) = mpsc::unbounded_channel();
     let listening = Rc::new(Notify::new());
     if let Some((excluded, connection)) = predecessor {
@@ -121,7 +121,7 @@
         regions.as_ref(),
         &mut extensions,
     )?;
-    spawn_driver(&config, &operator, &common, follow, extensions, inputs)?;
+    spawn_driver(&config, &operator, &common, updates_requested, extensions, inputs)?;
     let (discovery_address, addresses) = watch::channel(config.discovery);
     tokio::task::spawn_local(discovery.run(addresses));
     let (state, state_settings) = watch::channel(operator.state.clone());
@@ -180,27 +180,27 @@
     let rules = RequestRules {
         names: std::mem::take(&mut config.names),
         classes: config.balancer.classes.clone(),
-        longest: config.longest,
+        max_patience: config.longest,
     };
     let body_bytes = config.memory / BODY_MEMORY_DIVISOR;
     let (registry, inputs) = (common.registry.clone(), common.inputs.clone());
     Rc::new(Server::new(common.clock, rules, config.balancer.tick, body_bytes, inputs, registry))
 }
 
-fn discovery_watch(config: &PlatformConfig, common: &Common, follow: Rc<Notify>) -> Watch {
+fn discovery_watch(config: &PlatformConfig, common: &Common, updates_requested: Rc<Notify>) -> Watch {
     let index = config.known.as_ref().map(|known| known.index);
     let subscription = match config.balancer.discovery {
         Discovery::Push => Subscription::pushed(config.drain_grace, index),
         Discovery::Subscribe(within) => {
             let schedule = CallSchedule::new(config.balancer.proxies, duration(within), config.seed);
-            Subscription::polled(schedule.among(common.registry.live_proxies.clone()), index)
+            Subscription::polled(schedule.with_live_proxies(common.registry.live_proxies.clone()), index)
         }
     };
     Watch {
         subscription,
         clock: common.clock,
         limits: config.list_limits,
-        follow,
+        updates_requested,
         inputs: common.inputs.clone(),
     }
 }
@@ -303,7 +303,7 @@
 }
 
 fn spawn_driver(
-    config: &PlatformConfig, operator: &OperatorConfig, common: &Common, follow: Rc<Notify>,
+    config: &PlatformConfig, operator: &OperatorConfig, common: &Common, updates_requested: Rc<Notify>,
     extensions: Vec<Box<dyn Extension>>, inputs: mpsc::UnboundedReceiver<Input>,
 ) -> Result<(), Error> {
     let Common { clock, registry, .. } = common;
@@ -318,7 +318,7 @@
         max_backends: config.list_limits.entries,
         upstreams: Rc::new(Http1(Rc::new(pool))),
         inputs: common.inputs.clone(),
-        follow,
+        updates_requested,
         registry: registry.clone(),
     })?;
     let driver = tokio::task::spawn_local(driver.run(inputs));
--- a/crates/gaugesaddle/src/clock.rs
+++ b/crates/gaugesaddle/src/clock.rs
@@ -9,23 +9,23 @@
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
-    unix: u64,
+    start_unix_us: u64,
 }
 
 impl Clock {
     pub fn new() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix: unix.as_micros() as u64 }
+        Clock { start: Instant::now(), start_unix_us: unix.as_micros() as u64 }
     }
 
     pub fn now(&self) -> Time {
-        Time(self.unix) + Micros(self.start.elapsed().as_micros() as u64)
+        Time(self.start_unix_us) + Micros(self.start.elapsed().as_micros() as u64)
     }
 
     /// The instant of a time; of one more than an hour ahead, an hour from now.
     pub fn instant(&self, at: Time) -> Instant {
         const HOUR: u64 = 3_600_000_000;
-        let since = at.0.min(self.now().0 + HOUR) - self.unix.min(at.0);
+        let since = at.0.min(self.now().0 + HOUR) - self.start_unix_us.min(at.0);
         self.start + Duration::from_micros(since)
     }
 }
--- a/crates/gaugesaddle/src/discovery/call_schedule.rs
+++ b/crates/gaugesaddle/src/discovery/call_schedule.rs
@@ -59,14 +59,14 @@
     }
 
     /// Uses this number of live proxies, as soon as it is not 0.
-    pub fn among(self, live: Rc<Cell<u32>>) -> CallSchedule {
+    pub fn with_live_proxies(self, live: Rc<Cell<u32>>) -> CallSchedule {
         CallSchedule { live, ..self }
     }
 
     fn min_gap(&self) -> Duration {
         let proxies = match self.live.get() {
             0 => self.configured,
-            living => living,
+            count => count,
         };
         let min_gap = (GAP_PER_PROXY * proxies).min(self.max_gap);
         if min_gap < MIN_GAP {
@@ -77,32 +77,32 @@
     }
 
     /// Before the first call: all proxies may have started at the same moment.
-    pub fn first(&mut self) -> Duration {
-        (self.min_gap() * 2).min(MAX_FIRST_DELAY).mul_f64(self.unit())
+    pub fn first_delay(&mut self) -> Duration {
+        (self.min_gap() * 2).min(MAX_FIRST_DELAY).mul_f64(self.random_unit())
     }
 
     /// After an answered call.
-    pub fn answered(&mut self) -> Duration {
+    pub fn delay_after_answer(&mut self) -> Duration {
         self.gap = match self.min_gap() {
             Duration::ZERO => Duration::ZERO,
             min_gap => self.gap.mul_f64(ANSWERED_FACTOR).max(min_gap),
         };
-        self.gap.mul_f64(1.0 - SPREAD + 2.0 * SPREAD * self.unit())
+        self.gap.mul_f64(1.0 - SPREAD + 2.0 * SPREAD * self.random_unit())
     }
 
     /// After a failed one, besides the balancer's own wait. Of many, the delay after the next answer grows, so that others are
     /// answered, too; this one was not.
-    pub fn failed(&mut self) -> Duration {
+    pub fn delay_after_failure(&mut self) -> Duration {
         let min_gap = self.min_gap();
         if min_gap == Duration::ZERO {
             return Duration::ZERO;
         }
         self.gap = self.gap.max(min_gap).mul_f64(FAILED_FACTOR).min(self.max_gap);
-        RETRY_DELAY.mul_f64(0.5 + self.unit())
+        RETRY_DELAY.mul_f64(0.5 + self.random_unit())
     }
 
     /// A random number, uniform in 0 to 1.
-    pub fn unit(&mut self) -> f64 {
+    pub fn random_unit(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / 4_294_967_296.0
     }
 }
--- a/crates/gaugesaddle/src/discovery/subscription.rs
+++ b/crates/gaugesaddle/src/discovery/subscription.rs
@@ -55,20 +55,20 @@
     /// How long discovery may delay an answer while nothing has changed.
     pub wait: Micros,
     /// How late an answer may be before the subscription counts as broken.
-    pub answer: Micros,
+    pub lateness: Micros,
 }
 
 impl Times {
     /// For an agent on the same machine, by the time within which sends to a departing backend must stop.
     pub fn pushed(grace: Micros) -> Times {
         let time = |fraction: f64, max: Micros| grace.times(fraction).clamp(MIN_TIME, max);
-        let (wait, answer) = (time(WAIT_FRACTION, MAX_WAIT), time(ANSWER_FRACTION, MAX_ANSWER));
-        Times { wait, answer }
+        let (wait, lateness) = (time(WAIT_FRACTION, MAX_WAIT), time(ANSWER_FRACTION, MAX_ANSWER));
+        Times { wait, lateness }
     }
 
     /// For one service of all proxies.
     pub fn polled() -> Times {
-        Times { wait: POLLED_WAIT, answer: ANSWER_TIMEOUT }
+        Times { wait: POLLED_WAIT, lateness: ANSWER_TIMEOUT }
     }
 }
 
@@ -127,13 +127,13 @@
         /// No call has been sent yet.
         is_first: bool,
         /// The last call timed out, or its connection broke.
-        is_doubtful: bool,
+        last_call_lost: bool,
     },
 }
 
 struct PendingCall {
     call: Call,
-    began: Time,
+    sent_at: Time,
 }
 
 /// One proxy's subscription to the list of backends.
@@ -182,7 +182,7 @@
             is_requested: false,
             is_lost: false,
             is_first: true,
-            is_doubtful: false,
+            last_call_lost: false,
         };
         Subscription::new(Times::polled(), mode, version)
     }
@@ -217,7 +217,7 @@
         if let Mode::Polled { schedule, is_requested, is_first, .. } = &mut self.mode {
             *is_requested = true;
             if std::mem::take(is_first) {
-                self.not_before = self.not_before.max(now + micros(schedule.first()));
+                self.not_before = self.not_before.max(now + micros(schedule.first_delay()));
             }
         }
     }
@@ -232,7 +232,7 @@
 
     /// Discovery has another address: pending calls and versions of the old one mean nothing there. A request stands.
     pub fn change_address(&mut self, now: Time) {
-        self.abandoned.extend(self.pending.drain(..).map(|o| o.call.number));
+        self.abandoned.extend(self.pending.drain(..).map(|p| p.call.number));
         (self.version, self.unanswered, self.unusable) = (None, 0, 0);
         // After a failure at the old address the balancer has not requested updates again yet: the call is sent all the same.
         if let Mode::Polled { is_requested, is_first, .. } = &mut self.mode {
@@ -245,21 +245,21 @@
     pub fn answered(
         &mut self, now: Time, number: u64, index: u64, full: bool, has_changes: bool,
     ) -> AnswerStatus {
-        let Some(at) = self.pending.iter().position(|o| o.call.number == number) else {
+        let Some(at) = self.pending.iter().position(|p| p.call.number == number) else {
             return AnswerStatus::Abandoned;
         };
-        let out = self.pending.remove(at);
-        self.abandoned.extend(self.pending.drain(..).map(|o| o.call.number));
+        let ended = self.pending.remove(at);
+        self.abandoned.extend(self.pending.drain(..).map(|p| p.call.number));
         (self.unanswered, self.unusable) = (0, 0);
-        let is_out_of_sync = !full && out.call.after.is_none_or(|after| index < after);
-        let early = now < out.began + out.call.wait;
+        let is_out_of_sync = !full && ended.call.after.is_none_or(|after| index < after);
+        let early = now < ended.sent_at + ended.call.wait;
         self.not_before = match &mut self.mode {
             // An agent that answers at once, whatever delay is allowed, must not be called in a loop.
-            Mode::Pushed if early && (is_out_of_sync || !has_changes) => out.began + self.times.answer,
-            Mode::Pushed => out.began + MIN_TIME,
-            Mode::Polled { schedule, is_doubtful, .. } => {
-                *is_doubtful = false;
-                now + micros(schedule.answered())
+            Mode::Pushed if early && (is_out_of_sync || !has_changes) => ended.sent_at + self.times.lateness,
+            Mode::Pushed => ended.sent_at + MIN_TIME,
+            Mode::Polled { schedule, last_call_lost, .. } => {
+                *last_call_lost = false;
+                now + micros(schedule.delay_after_answer())
             }
         };
         self.version = Some(index).filter(|_| !is_out_of_sync);
@@ -271,25 +271,25 @@
     }
 
     /// A call failed.
-    pub fn failed(&mut self, now: Time, number: u64, why: Failure) {
-        let Some(at) = self.pending.iter().position(|o| o.call.number == number) else { return };
-        let out = self.pending.remove(at);
+    pub fn failed(&mut self, now: Time, number: u64, failure: Failure) {
+        let Some(at) = self.pending.iter().position(|p| p.call.number == number) else { return };
+        let ended = self.pending.remove(at);
         self.unanswered = self.unanswered.saturating_add(1);
         match &mut self.mode {
             Mode::Pushed => {
                 // A restarted agent may count versions anew; the full list costs it nothing.
                 self.version = None;
-                self.unusable = if why == Failure::Unusable { self.unusable + 1 } else { 0 };
-                let backoff = self.times.answer.times(f64::from(self.unusable.clamp(1, 8) - 1).exp2());
+                self.unusable = if failure == Failure::Unusable { self.unusable + 1 } else { 0 };
+                let backoff = self.times.lateness.times(f64::from(self.unusable.clamp(1, 8) - 1).exp2());
                 self.not_before =
-                    self.not_before.max(out.began + backoff.min(MAX_BACKOFF.max(self.times.answer)));
+                    self.not_before.max(ended.sent_at + backoff.min(MAX_BACKOFF.max(self.times.lateness)));
             }
-            Mode::Polled { schedule, is_requested, is_lost, is_doubtful, .. } => {
-                (*is_requested, *is_lost, *is_doubtful) = (false, true, why != Failure::Unusable);
-                let gap = micros(schedule.failed());
+            Mode::Polled { schedule, is_requested, is_lost, last_call_lost, .. } => {
+                (*is_requested, *is_lost, *last_call_lost) = (false, true, failure != Failure::Unusable);
+                let gap = micros(schedule.delay_after_failure());
                 // The proxy counts as informed soon of what a call that timed out has missed; an overloaded service rejects.
                 self.not_before =
-                    now + if why == Failure::TimedOut { gap.min(MAX_GAP_AFTER_TIMEOUT) } else { gap };
+                    now + if failure == Failure::TimedOut { gap.min(MAX_GAP_AFTER_TIMEOUT) } else { gap };
             }
         }
     }
@@ -307,7 +307,7 @@
         }
         match &mut self.mode {
             Mode::Pushed => {
-                let newest = self.pending.last().map_or(Time(0), |newest| self.late(newest));
+                let newest = self.pending.last().map_or(Time(0), |newest| self.late_at(newest));
                 let due = self.not_before.max(newest);
                 if now < due {
                     return Step::Wait(due);
@@ -327,9 +327,9 @@
                     _ => self.call(now, None, Micros(0)),
                 }
             }
-            Mode::Polled { schedule, is_requested, is_doubtful, .. } => {
-                if let Some(only) = self.pending.first() {
-                    return Step::Wait(self.times_out_at(only));
+            Mode::Polled { schedule, is_requested, last_call_lost, .. } => {
+                if let Some(pending) = self.pending.first() {
+                    return Step::Wait(self.times_out_at(pending));
                 }
                 if !*is_requested {
                     return Step::Wait(Time(u64::MAX));
@@ -337,10 +337,10 @@
                 if now < self.not_before {
                     return Step::Wait(self.not_before);
                 }
-                let wait = if *is_doubtful {
+                let wait = if *last_call_lost {
                     SHORT_WAIT
                 } else {
-                    self.times.wait.times(1.0 - POLLED_SPREAD * schedule.unit())
+                    self.times.wait.times(1.0 - POLLED_SPREAD * schedule.random_unit())
                 };
                 self.call(now, self.version, wait)
             }
@@ -348,22 +348,22 @@
     }
 
     /// When an answer is late.
-    fn late(&self, pending: &PendingCall) -> Time {
-        pending.began + pending.call.wait + self.times.answer
+    fn late_at(&self, pending: &PendingCall) -> Time {
+        pending.sent_at + pending.call.wait + self.times.lateness
     }
 
     /// When no answer is expected any more.
     fn times_out_at(&self, pending: &PendingCall) -> Time {
         match self.mode {
-            Mode::Pushed => pending.began + CALL_TIMEOUT,
-            Mode::Polled { .. } => self.late(pending),
+            Mode::Pushed => pending.sent_at + CALL_TIMEOUT,
+            Mode::Polled { .. } => self.late_at(pending),
         }
     }
 
     fn call(&mut self, now: Time, after: Option<u64>, wait: Micros) -> Step {
         self.last_number += 1;
         let call = Call { number: self.last_number, after, wait };
-        self.pending.push(PendingCall { call, began: now });
+        self.pending.push(PendingCall { call, sent_at: now });
         Step::Call(call)
     }
 }
--- a/crates/gaugesaddle/src/discovery/watch.rs
+++ b/crates/gaugesaddle/src/discovery/watch.rs
@@ -20,12 +20,12 @@
 /// A connection to discovery; dropping it closes it.
 struct DiscoveryConnection {
     sender: SendRequest<Empty<Bytes>>,
-    driving: JoinHandle<()>,
+    driver: JoinHandle<()>,
 }
 
 impl Drop for DiscoveryConnection {
     fn drop(&mut self) {
-        self.driving.abort();
+        self.driver.abort();
     }
 }
 
@@ -50,26 +50,27 @@
     let stream = TcpStream::connect(to).await.map_err(CallError::Connect)?;
     let _ = stream.set_nodelay(true);
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-    let driving = tokio::task::spawn_local(async move {
+    let driver = tokio::task::spawn_local(async move {
         if let Err(e) = connection.await {
             tracing::debug!("discovery connection: {e}");
         }
     });
-    Ok(DiscoveryConnection { sender, driving })
+    Ok(DiscoveryConnection { sender, driver })
 }
 
 async fn request_list(
-    connection: &mut DiscoveryConnection, host: SocketAddr, path: &str, room: ListLimits,
+    connection: &mut DiscoveryConnection, host: SocketAddr, path: &str, list_limits: ListLimits,
 ) -> Result<List, CallError> {
     connection.sender.ready().await?;
     let request = Request::get(path).header(hyper::header::HOST, host.to_string()).body(Empty::new())?;
     let answer = connection.sender.send_request(request).await?;
     let status = answer.status();
-    let body = Limited::new(answer.into_body(), room.bytes).collect().await.map_err(CallError::Body)?;
+    let body =
+        Limited::new(answer.into_body(), list_limits.bytes).collect().await.map_err(CallError::Body)?;
     if status != StatusCode::OK {
         return Err(CallError::Status(status));
     }
-    Ok(read(&body.to_bytes(), "", room)?)
+    Ok(read(&body.to_bytes(), "", list_limits)?)
 }
 
 /// The watch on the list of backends.
@@ -79,12 +80,12 @@
     pub clock: Clock,
     pub limits: ListLimits,
     /// Notified when the balancer requests updates.
-    pub follow: Rc<Notify>,
+    pub updates_requested: Rc<Notify>,
     pub inputs: mpsc::UnboundedSender<Input>,
 }
 
 /// A call that has ended, with the connection if that is reusable.
-type Done = (u64, Result<(DiscoveryConnection, List), CallError>);
+type CallEnd = (u64, Result<(DiscoveryConnection, List), CallError>);
 
 impl Watch {
     /// Watches at the newest address until the program ends. Another address abandons the pending calls, their connections, the
@@ -92,32 +93,32 @@
     pub async fn run(mut self, mut addresses: watch::Receiver<SocketAddr>) {
         let mut address = *addresses.borrow_and_update();
         let mut connection: Option<DiscoveryConnection> = None;
-        let mut calls: JoinSet<Done> = JoinSet::new();
-        let mut out: HashMap<u64, AbortHandle> = HashMap::new();
+        let mut calls: JoinSet<CallEnd> = JoinSet::new();
+        let mut pending: HashMap<u64, AbortHandle> = HashMap::new();
         let mut unanswered_since: Option<Time> = None;
         loop {
             let now = self.clock.now();
             match self.subscription.step(now) {
-                Step::Call(request_list) => {
-                    let open = connection.take().filter(|l| !l.sender.is_closed());
-                    let number = request_list.number;
-                    let room = self.limits;
-                    let call = async move { (number, call(open, address, request_list, room).await) };
-                    out.insert(number, calls.spawn_local(call));
+                Step::Call(next_call) => {
+                    let open = connection.take().filter(|c| !c.sender.is_closed());
+                    let number = next_call.number;
+                    let list_limits = self.limits;
+                    let call = async move { (number, call(open, address, next_call, list_limits).await) };
+                    pending.insert(number, calls.spawn_local(call));
                 }
-                Step::Abandon(number) => out.remove(&number).iter().for_each(AbortHandle::abort),
+                Step::Abandon(number) => pending.remove(&number).iter().for_each(AbortHandle::abort),
                 Step::Wait(until) => {
                     let sleep = tokio::time::sleep_until(self.clock.instant(until));
                     tokio::select! {
-                        Some(done) = calls.join_next(), if !calls.is_empty() => {
+                        Some(completed) = calls.join_next(), if !calls.is_empty() => {
                             // An abandoned one has no result.
-                            if let Ok((number, result)) = done {
-                                out.remove(&number);
-                                connection = self.ended(number, result).or(connection);
+                            if let Ok((number, result)) = completed {
+                                pending.remove(&number);
+                                connection = self.finish_call(number, result).or(connection);
                             }
                         }
-                        () = self.follow.notified() => self.subscription.request_updates(self.clock.now()),
-                        told = addresses.changed() => match told {
+                        () = self.updates_requested.notified() => self.subscription.request_updates(self.clock.now()),
+                        change = addresses.changed() => match change {
                             Ok(()) => {
                                 (address, connection) = (*addresses.borrow_and_update(), None);
                                 self.subscription.change_address(self.clock.now());
@@ -151,7 +152,7 @@
     }
 
     /// Applies the result of a call; returns its connection if that is reusable.
-    fn ended(
+    fn finish_call(
         &mut self, number: u64, result: Result<(DiscoveryConnection, List), CallError>,
     ) -> Option<DiscoveryConnection> {
         let now = self.clock.now();
@@ -182,16 +183,16 @@
                 }
                 Some(connection)
             }
-            Err(why) => {
-                let failure = match why {
+            Err(error) => {
+                let failure = match error {
                     CallError::Connect(_) | CallError::Http(_) | CallError::Request(_) => Failure::Broken,
                     CallError::Body(_) | CallError::Status(_) | CallError::List(_) => Failure::Unusable,
                 };
                 // The present list stays in force. Each unusable answer is logged: the backoff after them grows.
                 if self.subscription.unanswered() == 0 || failure == Failure::Unusable {
-                    tracing::warn!("discovery: {why}");
+                    tracing::warn!("discovery: {error}");
                 } else {
-                    tracing::debug!("discovery: {why}");
+                    tracing::debug!("discovery: {error}");
                 }
                 self.subscription.failed(now, number, failure);
                 None
@@ -201,7 +202,7 @@
 }
 
 async fn call(
-    open: Option<DiscoveryConnection>, address: SocketAddr, call: Call, room: ListLimits,
+    open: Option<DiscoveryConnection>, address: SocketAddr, call: Call, list_limits: ListLimits,
 ) -> Result<(DiscoveryConnection, List), CallError> {
     let mut connection = match open {
         Some(open) => open,
@@ -211,6 +212,6 @@
         Some(index) => format!("/api/targets?after={index}&wait_ms={}", call.wait.0 / 1000),
         None => "/api/targets".into(),
     };
-    let list = request_list(&mut connection, address, &path, room).await?;
+    let list = request_list(&mut connection, address, &path, list_limits).await?;
     Ok((connection, list))
 }
--- a/crates/gaugesaddle/src/serving/client_socket.rs
+++ b/crates/gaugesaddle/src/serving/client_socket.rs
@@ -90,11 +90,11 @@
             let n = ready!(self.poll_fill(cx, buf.initialize_unfilled()))?;
             buf.advance(n);
         }
-        let mut given = self.message.borrow_mut();
+        let mut message = self.message.borrow_mut();
         let new = &buf.filled()[before..];
-        let free = MAX_HEAD_BYTES.saturating_sub(given.start.len());
-        given.start.extend_from_slice(&new[..new.len().min(free)]);
-        given.bytes += new.len();
+        let free = MAX_HEAD_BYTES.saturating_sub(message.start.len());
+        message.start.extend_from_slice(&new[..new.len().min(free)]);
+        message.bytes += new.len();
         Poll::Ready(Ok(()))
     }
 
@@ -110,15 +110,15 @@
             return Poll::Ready(());
         }
         let stream = self.stream.clone();
-        let mut behind = self.end_watch.borrow_mut();
-        let behind = behind.get_or_insert_with(|| {
+        let mut watch = self.end_watch.borrow_mut();
+        let watch = watch.get_or_insert_with(|| {
             Box::pin(async move {
                 while stream.ready(Interest::READABLE).await.is_ok_and(|r| !r.is_read_closed()) {
                     tokio::time::sleep(END_POLL_INTERVAL).await;
                 }
             })
         });
-        ready!(behind.as_mut().poll(cx));
+        ready!(watch.as_mut().poll(cx));
         self.ended.set(true);
         Poll::Ready(())
     }
@@ -136,25 +136,28 @@
     /// The present message, whose body has that length, is answered, and a head follows. Returns whether some of that was
     /// received already; after a message without a stated length, only what hyper has not read is known to follow.
     pub fn begin_next_message(&self, length: Option<u64>) -> bool {
-        let mut given = self.message.borrow_mut();
-        let end = given.end(length).unwrap_or(given.bytes);
-        let seen = end.min(given.start.len());
-        given.start.drain(..seen);
-        given.bytes = given.bytes.saturating_sub(end);
-        given.bytes > 0 || !self.read_ahead.borrow().is_empty()
+        let mut message = self.message.borrow_mut();
+        let end = message.end(length).unwrap_or(message.bytes);
+        let recorded = end.min(message.start.len());
+        message.start.drain(..recorded);
+        message.bytes = message.bytes.saturating_sub(end);
+        message.bytes > 0 || !self.read_ahead.borrow().is_empty()
     }
 
     /// Whether the head that was received frames its body by `Transfer-Encoding` alone: hyper removes `Content-Length` beside
     /// it, so its head does not show that both were present. Also false where it is not known: a head that was received
     /// together with the end of a message without a stated length.
     pub fn is_only_chunked(&self, method: &str) -> bool {
-        let given = self.message.borrow();
-        let text = given.start.trim_ascii_start();
+        let message = self.message.borrow();
+        let text = message.start.trim_ascii_start();
         let Some(end) = head_end(text) else { return false };
         let head = text[..end].to_ascii_lowercase();
-        let named = |name: &str| head.split(|b| *b == b'\n').any(|line| line.starts_with(name.as_bytes()));
+        let has_field =
+            |name: &str| head.split(|b| *b == b'\n').any(|line| line.starts_with(name.as_bytes()));
         let is_this_request = text.starts_with(method.as_bytes());
-        is_this_request && named("transfer-encoding:") && !head.windows(14).any(|w| w == b"content-length")
+        is_this_request
+            && has_field("transfer-encoding:")
+            && !head.windows(14).any(|w| w == b"content-length")
     }
 
     /// Ends the sending and discards up to `max` bytes that are still received, until the client ends as well or sends nothing
--- a/crates/gaugesaddle/src/serving/driver.rs
+++ b/crates/gaugesaddle/src/serving/driver.rs
@@ -44,7 +44,7 @@
     /// Receives the ends of attempts.
     pub inputs: mpsc::UnboundedSender<Input>,
     /// Notified when the balancer requests updates of the list.
-    pub follow: Rc<Notify>,
+    pub updates_requested: Rc<Notify>,
     pub registry: Rc<Registry>,
     /// Those that are enabled.
     pub extensions: Vec<Box<dyn Extension>>,
@@ -72,7 +72,7 @@
     /// The balancer runs once a tick.
     next_tick: Time,
     inputs: mpsc::UnboundedSender<Input>,
-    follow: Rc<Notify>,
+    updates_requested: Rc<Notify>,
     registry: Rc<Registry>,
     backend_set: BackendSet,
     extensions: Vec<Box<dyn Extension>>,
@@ -102,7 +102,7 @@
             actions: Vec::new(),
             next_tick: Time(0),
             inputs: parts.inputs,
-            follow: parts.follow,
+            updates_requested: parts.updates_requested,
             registry: parts.registry,
             backend_set: BackendSet::default(),
             extensions: parts.extensions,
@@ -276,7 +276,7 @@
                 self.mark_ended(request);
             }
             Action::SetTimer { token, after } => self.timers.push(Reverse((now + after, token))),
-            Action::SubscribeBackends => self.follow.notify_one(),
+            Action::SubscribeBackends => self.updates_requested.notify_one(),
             Action::Log(text) => tracing::info!("{text}"),
         }
     }
--- a/crates/gaugesaddle/src/serving/driver/tests.rs
+++ b/crates/gaugesaddle/src/serving/driver/tests.rs
@@ -14,9 +14,9 @@
 
 /// The module may ask for a copy in the very tick in which the answer came: that attempt is the second.
 #[tokio::test]
-async fn an_attempt_after_the_answer_ends_under_its_own_number() {
+async fn attempt_dispatched_after_the_answer_ends_under_its_own_number() {
     let clock = Clock::new();
-    let (inputs, _taken) = mpsc::unbounded_channel();
+    let (inputs, _inputs_receiver) = mpsc::unbounded_channel();
     let bounds = [Bounds { connections: 8, idle_connections: 1, upstream_sockets: 8, body_bytes: 8 }; 2];
     let registry = Rc::new(Registry::new("n1", &["read".into()], bounds, clock.now()));
     let pool = Rc::new(Pool::new(clock, Micros(1_000_000), Micros(1_000_000), registry.clone()));
@@ -28,7 +28,7 @@
         max_backends: 8,
         upstreams: Rc::new(Http1(pool)),
         inputs,
-        follow: Rc::default(),
+        updates_requested: Rc::default(),
         registry,
         extensions: Vec::new(),
     };
@@ -38,13 +38,13 @@
     let call = Rc::new(Call { head: hyper::Request::new(()), body, is_awaited: Cell::new(true) });
     let deadline = clock.now() + Micros(1_000_000);
     let (class, tenant, work_hint, repeat) = (ClassId(0), None, None, false);
-    let came = clock.now();
+    let received_at = clock.now();
     let (key, source) = (None, 0);
     let arrived = NewRequest {
         id,
         class,
         tenant,
-        received_at: came,
+        received_at,
         deadline,
         patience_after_body: None,
         via: None,
@@ -56,14 +56,14 @@
         reply,
     };
     driver.handle_input(Input::Arrived(arrived));
-    let sent = clock.now();
+    let sent_at = clock.now();
     let task = tokio::spawn(std::future::pending::<()>()).abort_handle();
     let open = driver.requests.get_mut(&id).expect("open");
-    open.attempts.insert(AttemptNo(0), Attempt { sent_at: sent, task, row: None });
+    open.attempts.insert(AttemptNo(0), Attempt { sent_at, task, row: None });
     open.attempt_count = 1;
-    let ended =
+    let result =
         AttemptResult { outcome: Outcome::Ok, answer: Some(Response::new(Payload::Buffered(Bytes::new()))) };
-    driver.handle_input(Input::AttemptEnded(id, AttemptNo(0), ended));
+    driver.handle_input(Input::AttemptEnded(id, AttemptNo(0), result));
     assert!(matches!(answer.try_recv(), Ok(Answer::Served(_))), "at once");
     driver.dispatch(clock.now(), id, BackendId(7));
     let Some(Event::AttemptEnded(end)) = driver.events.last() else { panic!("an outcome") };
--- a/crates/gaugesaddle/src/serving/overload.rs
+++ b/crates/gaugesaddle/src/serving/overload.rs
@@ -8,27 +8,27 @@
 use std::rc::Rc;
 
 pub struct OverloadWatch {
-    storm: OverloadController,
+    controller: OverloadController,
     registry: Rc<Registry>,
     /// Connections that it knows of.
-    connects: u64,
+    seen_connections: u64,
 }
 
 impl OverloadWatch {
-    pub fn new(storm: OverloadController, registry: Rc<Registry>) -> OverloadWatch {
-        OverloadWatch { storm, registry, connects: 0 }
+    pub fn new(controller: OverloadController, registry: Rc<Registry>) -> OverloadWatch {
+        OverloadWatch { controller, registry, seen_connections: 0 }
     }
 }
 
 impl Extension for OverloadWatch {
     /// Looks for a storm and tells the module. Without requests there is none to see: no wake-up is spent on it.
     fn poll(&mut self, now: Time, _: &Balancer, events: &mut Vec<Event>) {
-        let storm = &mut self.storm;
-        let connects = self.registry.accepted_connections.get();
-        (self.connects..connects).for_each(|_| storm.connected());
-        self.connects = connects;
-        let Some(observation) = storm.observe(now) else { return };
-        let (state, figures) = (storm.state(), storm.figures());
+        let controller = &mut self.controller;
+        let accepted = self.registry.accepted_connections.get();
+        (self.seen_connections..accepted).for_each(|_| controller.connected());
+        self.seen_connections = accepted;
+        let Some(observation) = controller.observe(now) else { return };
+        let (state, figures) = (controller.state(), controller.figures());
         if let Some(previous) = observation.previous {
             tracing::info!("{} after {}: {figures}", state.name(), previous.name());
             self.registry.storm.set(state);
@@ -36,39 +36,40 @@
         if let Some(pressure) = observation.pressure {
             events.push(Event::StormLimits(pressure));
         }
-        let mut seen = self.registry.storm_view.borrow_mut();
-        let old = seen.take();
+        let mut view = self.registry.storm_view.borrow_mut();
+        let old = view.take();
         let began = observation.previous == Some(StormPhase::Rising) && state == StormPhase::Storm;
-        *seen = Some(StormState {
+        *view = Some(StormState {
             state: state.name().into(),
             since_us: old.as_ref().filter(|_| observation.previous.is_none()).map_or(now.0, |o| o.since_us),
             storms: old.map_or(0, |o| o.storms) + u64::from(began),
             per_s: figures.per_s,
             usual_per_s: figures.usual_per_s,
             repeats: figures.repeats,
-            let_in_per_s: storm.admitted_per_s(),
+            let_in_per_s: controller.admitted_per_s(),
         });
     }
 
-    fn on_arrival(&mut self, now: Time, new: &NewRequest, told: &mut Arrival) {
-        (told.repeat, told.retried_early) = self.storm.arrived(now, new.repeat, new.key, new.source);
+    fn on_arrival(&mut self, now: Time, new: &NewRequest, arrival: &mut Arrival) {
+        (arrival.repeat, arrival.retried_early) =
+            self.controller.arrived(now, new.repeat, new.key, new.source);
     }
 
-    fn on_attempt_start(&mut self, first: bool) {
-        self.storm.sent(first);
+    fn on_attempt_start(&mut self, is_first: bool) {
+        self.controller.sent(is_first);
     }
 
     fn on_request_end(&mut self, _: ClassId, end: RequestEnd) {
         match end {
-            RequestEnd::InTime => self.storm.served(true),
-            RequestEnd::Late => self.storm.served(false),
-            RequestEnd::FailedByBalancer | RequestEnd::FailedUnanswered => self.storm.failed(),
+            RequestEnd::InTime => self.controller.served(true),
+            RequestEnd::Late => self.controller.served(false),
+            RequestEnd::FailedByBalancer | RequestEnd::FailedUnanswered => self.controller.failed(),
             _ => {}
         }
     }
 
-    fn adjust_rejection(&mut self, now: Time, source: u64, out_of_turn: bool, refusal: &mut Rejection) {
-        refusal.retry_after_s = self.storm.refused(now, source, refusal.retry_after_s);
-        refusal.by_client = out_of_turn && self.storm.state().is_damping();
+    fn adjust_rejection(&mut self, now: Time, source: u64, retried_early: bool, rejection: &mut Rejection) {
+        rejection.retry_after_s = self.controller.refused(now, source, rejection.retry_after_s);
+        rejection.by_client = retried_early && self.controller.state().is_damping();
     }
 }
--- a/crates/gaugesaddle/src/serving/request_rules.rs
+++ b/crates/gaugesaddle/src/serving/request_rules.rs
@@ -48,7 +48,7 @@
     pub names: Names,
     pub classes: Vec<Class>,
     /// The longest time that a client waits; more counts as this.
-    pub longest: Micros,
+    pub max_patience: Micros,
 }
 
 /// Rejects a body that is framed in two ways at once, since a reader that uses the other one would find another request in
@@ -78,13 +78,13 @@
     /// The response to an invalid request.
     pub fn read(&self, head: &Parts, length: Option<u64>) -> Result<RequestAttributes, InvalidRequest> {
         let headers = &head.headers;
-        text(headers, &HOST)?.ok_or("expected Host")?;
-        let name = text(headers, &CLASS_HEADER)?.ok_or("expected X-Service-Class")?;
+        unique_value(headers, &HOST)?.ok_or("expected Host")?;
+        let name = unique_value(headers, &CLASS_HEADER)?.ok_or("expected X-Service-Class")?;
         let class = self.names.class(name).ok_or("X-Service-Class: unknown class")?;
         if head.uri.path().split('/').nth(1) != Some(name) {
             return Err("expected the class as the first part of the path".into());
         }
-        let key = text(headers, &IDEMPOTENCY_HEADER)?;
+        let key = unique_value(headers, &IDEMPOTENCY_HEADER)?;
         let fits = match self.classes[class.0].effect {
             Effect::Free => head.method == Method::GET && length == Some(0),
             Effect::Keyed(..) => head.method == Method::POST && key.is_some_and(|k| !k.is_empty()),
@@ -93,31 +93,31 @@
         if !fits {
             return Err("the method, the body or Idempotency-Key does not fit the class".into());
         }
-        let id = text(headers, &CORRELATION_HEADER)?.ok_or("expected X-Correlation-Id")?;
+        let id = unique_value(headers, &CORRELATION_HEADER)?.ok_or("expected X-Correlation-Id")?;
         if id.is_empty() || id.len() > MAX_ID_BYTES || !id.bytes().all(|b| b.is_ascii_graphic()) {
             return Err("X-Correlation-Id: expected up to 128 visible characters".into());
         }
-        let tenant = match text(headers, &TENANT_HEADER)? {
+        let tenant = match unique_value(headers, &TENANT_HEADER)? {
             _ if !self.names.has_tenants() => None,
             Some(name) => Some(self.names.tenant(name).ok_or("X-Account: unknown tenant")?),
             None => return Err("expected X-Account".into()),
         };
-        let remaining_ms = number(headers, &REMAINING_TIME)?.ok_or("expected X-Time-Left-Ms")?;
+        let remaining_ms = unique_number(headers, &REMAINING_TIME)?.ok_or("expected X-Time-Left-Ms")?;
         Ok(RequestAttributes {
             id: HeaderValue::from_str(id).map_err(|_| "X-Correlation-Id: not readable")?,
             class,
             tenant,
-            remaining: Micros(remaining_ms.saturating_mul(1000)).min(self.longest),
-            work_hint: number(headers, &WORK_HINT_HEADER)?.map(Micros),
-            repeat: text(headers, &RETRY_HEADER)? == Some("1"),
+            remaining: Micros(remaining_ms.saturating_mul(1000)).min(self.max_patience),
+            work_hint: unique_number(headers, &WORK_HINT_HEADER)?.map(Micros),
+            repeat: unique_value(headers, &RETRY_HEADER)? == Some("1"),
             key: key.map(stable_id),
-            source: text(headers, &TENANT_HEADER)?.map(stable_id),
+            source: unique_value(headers, &TENANT_HEADER)?.map(stable_id),
         })
     }
 }
 
 /// The value of a header that must not be repeated: one reader would use the first and another the second.
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, &'static str> {
+fn unique_value<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, &'static str> {
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
         (None, _) => Ok(None),
@@ -126,8 +126,8 @@
     }
 }
 
-fn number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, &'static str> {
-    let Some(value) = text(headers, name)? else { return Ok(None) };
+fn unique_number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, &'static str> {
+    let Some(value) = unique_value(headers, name)? else { return Ok(None) };
     let digits = Some(value).filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
     digits
         .and_then(|v| v.parse().ok())
--- a/crates/gaugesaddle/src/serving/server.rs
+++ b/crates/gaugesaddle/src/serving/server.rs
@@ -109,11 +109,11 @@
             }
         }
         // What the system has accepted meanwhile is served, too.
-        for stream in queued(listener) {
+        for stream in drain_backlog(listener) {
             self.clone().spawn_connection(stream);
         }
-        let last = Instant::now() + duration(IDLE_CLOSE_DELAY) + duration(self.rules.longest);
-        while !self.connections.borrow().is_empty() && Instant::now() < last {
+        let close_by = Instant::now() + duration(IDLE_CLOSE_DELAY) + duration(self.rules.max_patience);
+        while !self.connections.borrow().is_empty() && Instant::now() < close_by {
             self.close_unwanted(self.clock.now());
             tokio::select! {
                 _ = sweep.tick() => self.close_timed_out(),
@@ -130,7 +130,7 @@
 
 /// Ends the listening; returns the connections that the system has accepted. The system itself is asked, since what the
 /// runtime knows of the listener may be out of date.
-fn queued(listener: TcpListener) -> Vec<TcpStream> {
+fn drain_backlog(listener: TcpListener) -> Vec<TcpStream> {
     let Ok(listener) = listener.into_std() else { return Vec::new() };
     let accepted = std::iter::from_fn(|| listener.accept().ok());
     accepted
--- a/crates/gaugesaddle/src/serving/upstream.rs
+++ b/crates/gaugesaddle/src/serving/upstream.rs
@@ -125,12 +125,12 @@
 
     /// Closes the connections that have been idle for too long, or that the other side has closed.
     async fn sweep(&self, upstream: &BackendProcess) {
-        let mut kept = std::mem::take(&mut *upstream.idle.borrow_mut());
+        let mut candidates = std::mem::take(&mut *upstream.idle.borrow_mut());
         let oldest = Time(self.clock.now().0.saturating_sub(self.idle_limit.0));
-        kept.retain(|(since, _)| *since > oldest);
+        candidates.retain(|(since, _)| *since > oldest);
         // While two processes share the descriptors the limit is lower.
-        while self.sockets.get() > self.registry.bounds().upstream_sockets && kept.pop().is_some() {}
-        for (since, mut connection) in kept {
+        while self.sockets.get() > self.registry.bounds().upstream_sockets && candidates.pop().is_some() {}
+        for (since, mut connection) in candidates {
             if connection.is_reusable().await && upstream.open.get() {
                 upstream.idle.borrow_mut().push((since, connection));
             }
@@ -141,10 +141,10 @@
     fn add_idle(&self, upstream: &Rc<BackendProcess>, connection: PooledConnection) {
         let now = self.clock.now();
         upstream.idle.borrow_mut().push((now, connection));
-        let mut aside = self.idle_order.borrow_mut();
-        aside.push_back((now, Rc::downgrade(upstream)));
-        if aside.len() > IDLE_ORDER_ENTRIES_PER_SOCKET * self.registry.bounds().upstream_sockets {
-            aside.retain(|(since, process)| {
+        let mut order = self.idle_order.borrow_mut();
+        order.push_back((now, Rc::downgrade(upstream)));
+        if order.len() > IDLE_ORDER_ENTRIES_PER_SOCKET * self.registry.bounds().upstream_sockets {
+            order.retain(|(since, process)| {
                 process.upgrade().is_some_and(|n| n.idle.borrow().iter().any(|l| l.0 == *since))
             });
         }
@@ -152,8 +152,8 @@
 
     /// Closes the connection that has been idle longest.
     fn close_idlest(&self) -> bool {
-        let mut aside = self.idle_order.borrow_mut();
-        while let Some((since, process)) = aside.pop_front() {
+        let mut order = self.idle_order.borrow_mut();
+        while let Some((since, process)) = order.pop_front() {
             let Some(process) = process.upgrade() else { continue };
             let mut idle = process.idle.borrow_mut();
             if let Some(at) = idle.iter().position(|l| l.0 == since) {
@@ -183,7 +183,7 @@
         if self.is_full() {
             return Err(Outcome::NeverSent); // this proxy's lack of sockets says nothing about the backend
         }
-        let slot = CountedPermit::acquire(&self.sockets);
+        let permit = CountedPermit::acquire(&self.sockets);
         let dialled = tokio::time::timeout(duration(self.dial_timeout), TcpStream::connect(to)).await;
         let stream = match dialled {
             Ok(Ok(stream)) => stream,
@@ -191,7 +191,7 @@
             Ok(Err(_)) | Err(_) => return Err(Outcome::ConnectFailed),
         };
         let _ = stream.set_nodelay(true);
-        PooledConnection::open(stream, MAX_HEAD_BYTES, slot).await.map_err(|_| Outcome::ConnectFailed)
+        PooledConnection::open(stream, MAX_HEAD_BYTES, permit).await.map_err(|_| Outcome::ConnectFailed)
     }
 
     /// Sends one attempt. It ends by itself or is dropped, which closes its connection.
@@ -223,22 +223,22 @@
             };
             let request = request(&call, upload, remaining_ms);
             return match connection.with_sender(async |sender| exchange(sender, request).await).await {
-                Ok(Exchanged::Complete(ended)) => {
+                Ok(Exchanged::Complete(result)) => {
                     self.return_to_pool(upstream, connection).await;
-                    ended
+                    result
                 }
                 Ok(Exchanged::Streaming(head, first, body)) => {
                     let (to, chunks) = mpsc::channel(BUFFERED_CHUNKS);
                     let mut answer = response_of(head, Payload::Streaming(first.clone(), chunks));
-                    let held = first.len() as u64;
+                    let buffered_bytes = first.len() as u64;
                     if let Some(rest) = body.size_hint().exact() {
-                        answer.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(held + rest));
+                        answer.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(buffered_bytes + rest));
                     }
                     tokio::task::spawn_local(self.clone().relay_response(
                         upstream.clone(),
                         connection,
                         body,
-                        held,
+                        buffered_bytes,
                         to,
                     ));
                     AttemptResult { outcome: Outcome::Ok, answer: Some(answer) }
@@ -342,10 +342,10 @@
         }
     }
     let body = Payload::Buffered(buffered.freeze());
-    let unseen = || head.headers.get(&UNPROCESSED).is_some_and(|v| v.as_bytes() == b"1");
+    let not_run = || head.headers.get(&UNPROCESSED).is_some_and(|v| v.as_bytes() == b"1");
     Ok(Exchanged::Complete(match head.status {
         StatusCode::OK if !framed => Outcome::Reset.into(),
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unseen() => Outcome::Full.into(),
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run() => Outcome::Full.into(),
         // The request is at fault and would be anywhere: its client gets this answer, and it does not count against the
         // backend. But 429 would guarantee to the client that nothing was executed.
         status if status.is_client_error() && status != StatusCode::TOO_MANY_REQUESTS => {
--- a/crates/gaugesaddle/src/serving/upstream/tests.rs
+++ b/crates/gaugesaddle/src/serving/upstream/tests.rs
@@ -9,17 +9,17 @@
 use std::task::Poll;
 use std::time::Duration;
 
-fn take_request(stream: &mut TcpStream) {
-    let mut seen = Vec::new();
-    while !seen.ends_with(b"\r\n\r\n") {
+fn read_request(stream: &mut TcpStream) {
+    let mut received = Vec::new();
+    while !received.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
         stream.read_exact(&mut byte).expect("a request");
-        seen.push(byte[0]);
+        received.push(byte[0]);
     }
 }
 
 /// A backend at that address, and the pool of its connections.
-fn node(address: SocketAddr) -> (Rc<Pool>, Rc<BackendProcess>) {
+fn backend_at(address: SocketAddr) -> (Rc<Pool>, Rc<BackendProcess>) {
     let clock = Clock::new();
     let second = Micros(1_000_000);
     let bounds = [crate::operations::registry::Bounds {
@@ -32,9 +32,9 @@
     let pool = Rc::new(Pool::new(clock, second, second.times(30.0), registry));
     let backend = Backend { state: BackendState::Ready, ..Backend::default() };
     let (name, zone, kind) = ("n".into(), "z".into(), "k".into());
-    let node =
+    let process =
         Rc::new(BackendProcess::new(ListedBackend { backend, address, name, zone, kind }, pool.clone()));
-    (pool, node)
+    (pool, process)
 }
 
 fn call() -> Rc<Call> {
@@ -45,38 +45,38 @@
 /// What comes late behind an answer must not become the next one, also where the runtime has not seen it:
 /// here it has had no time to look between the two attempts.
 #[tokio::test]
-async fn a_late_surplus_does_not_become_the_next_answer() {
+async fn surplus_bytes_after_an_answer_are_not_read_as_the_next_answer() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
-    let (next, turn) = std::sync::mpsc::channel();
-    let (done, surplus) = std::sync::mpsc::channel();
+    let (allow_surplus, first_answer_read) = std::sync::mpsc::channel();
+    let (surplus_done, surplus_sent) = std::sync::mpsc::channel();
     let backend = std::thread::spawn(move || {
         let answer = |body| format!("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n{body}");
         let mut first = listener.accept().expect("a connection").0;
-        take_request(&mut first);
+        read_request(&mut first);
         first.write_all(answer("1").as_bytes()).expect("written");
-        turn.recv().expect("the answer was read");
+        first_answer_read.recv().expect("the answer was read");
         first.write_all(answer("x").as_bytes()).expect("written");
-        done.send(()).expect("waited for");
+        surplus_done.send(()).expect("waited for");
         let mut second = listener.accept().expect("another connection").0;
-        take_request(&mut second);
+        read_request(&mut second);
         second.write_all(answer("2").as_bytes()).expect("written");
         first.read(&mut [0]).unwrap_or(0) // closed with the surplus unread, it is reset
     });
-    let (pool, upstream) = node(address);
+    let (pool, upstream) = backend_at(address);
     let call = call();
-    let body = |ended: AttemptResult| match ended.answer.map(Response::into_body) {
+    let body = |result: AttemptResult| match result.answer.map(Response::into_body) {
         Some(Payload::Buffered(bytes)) => Some(bytes),
         _ => None,
     };
     let deadline = pool.clock.now() + Micros(30_000_000);
-    let span = SendWindow { send_before: deadline, deadline };
+    let window = SendWindow { send_before: deadline, deadline };
     // Local tasks, as in the proxy: woken ones run on for a while before the runtime looks at its sockets.
     let attempts = async move {
-        let one = body(pool.attempt(&upstream, call.clone(), span).await);
-        next.send(()).expect("waited for");
-        surplus.recv().expect("written");
-        (one, body(pool.attempt(&upstream, call.clone(), span).await))
+        let one = body(pool.attempt(&upstream, call.clone(), window).await);
+        allow_surplus.send(()).expect("waited for");
+        surplus_sent.recv().expect("written");
+        (one, body(pool.attempt(&upstream, call.clone(), window).await))
     };
     let local = tokio::task::LocalSet::new();
     let bodies = local.run_until(async { tokio::task::spawn_local(attempts).await.expect("no panic") });
@@ -88,35 +88,35 @@
 /// with the choice: nothing is written, and the attempt counts as never sent. Nobody calls it off here: the gate alone
 /// keeps it.
 #[tokio::test]
-async fn nothing_is_written_once_the_gate_is_shut() {
-    for (what, during) in
+async fn nothing_is_written_after_the_send_gate_closes() {
+    for (cause, while_connecting) in
         [("client", false), ("client", true), ("backend", true), ("time", false), ("time", true)]
     {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let (pool, upstream) = node(listener.local_addr().expect("its address"));
+        let (pool, upstream) = backend_at(listener.local_addr().expect("its address"));
         let call = call();
-        let soon = pool.clock.now() + Micros(if what == "time" { 20_000 } else { 30_000_000 });
-        let span = SendWindow { send_before: soon, deadline: soon + Micros(30_000_000) };
-        let shut = || match what {
+        let send_before = pool.clock.now() + Micros(if cause == "time" { 20_000 } else { 30_000_000 });
+        let window = SendWindow { send_before, deadline: send_before + Micros(30_000_000) };
+        let close_gate = || match cause {
             "client" => call.is_awaited.set(false),
             "backend" => upstream.close(),
             _ => std::thread::sleep(Duration::from_millis(25)),
         };
-        if !during {
-            shut();
+        if !while_connecting {
+            close_gate();
         }
-        let mut attempt = Box::pin(pool.attempt(&upstream, call.clone(), span));
+        let mut attempt = Box::pin(pool.attempt(&upstream, call.clone(), window));
         // One look of the runtime's: the connect is out.
-        let out = poll_fn(|cx| Poll::Ready(attempt.as_mut().poll(cx).is_pending())).await;
-        assert!(out, "{what} {during}");
-        if during {
-            shut();
+        let is_connecting = poll_fn(|cx| Poll::Ready(attempt.as_mut().poll(cx).is_pending())).await;
+        assert!(is_connecting, "{cause} {while_connecting}");
+        if while_connecting {
+            close_gate();
         }
-        let ended = tokio::time::timeout(Duration::from_secs(5), attempt).await.expect("it was sent");
-        assert_eq!(ended.outcome, Outcome::NeverSent, "{what} {during}");
+        let result = tokio::time::timeout(Duration::from_secs(5), attempt).await.expect("it was sent");
+        assert_eq!(result.outcome, Outcome::NeverSent, "{cause} {while_connecting}");
         let mut stream = listener.accept().expect("a connection").0;
-        let mut seen = Vec::new();
-        let _ = stream.read_to_end(&mut seen);
-        assert_eq!(seen, b"", "{what} {during}");
+        let mut received = Vec::new();
+        let _ = stream.read_to_end(&mut received);
+        assert_eq!(received, b"", "{cause} {while_connecting}");
     }
 }
