--- a/crates/gaugesaddle/src/application.rs
+++ b/crates/gaugesaddle/src/application.rs
@@ -15,24 +15,24 @@
 use std::time::Duration;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// How often a process that replaces another checks whether it can serve.
+/// Interval at which a successor process checks whether it can serve.
 const SUCCESSOR_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Serves until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// The configuration is invalid, or the system refuses something that the proxy requires.
+/// The configuration is invalid, or a system call that the proxy requires fails.
 pub fn run(file: Option<PathBuf>, operator: OperatorConfig) -> Result<(), Error> {
     let level = std::env::var("GAUGESADDLE_LOG").ok().and_then(|level| level.parse().ok());
     let level: tracing::Level = level.unwrap_or(operator.log.level.into());
     tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_ansi(false).init();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(Error::system("runtime"))?;
+    let runtime = runtime.map_err(Error::system("create the async runtime"))?;
     tokio::task::LocalSet::new().block_on(&runtime, serve(file, operator))
 }
 
-/// The signals that the proxy handles. Until its handler is installed each of them ends the process, so they are installed
-/// before anything slow.
+/// The signals that the proxy handles. A signal without a handler ends the process, so the handlers are installed
+/// before any slow operation.
 struct Signals {
     hangup: Signal,
     terminate: Signal,
@@ -43,14 +43,14 @@
     fn install() -> Result<Signals, Error> {
         let install = |kind, name| signal(kind).map_err(Error::system(name));
         Ok(Signals {
-            hangup: install(SignalKind::hangup(), "SIGHUP")?,
-            terminate: install(SignalKind::terminate(), "SIGTERM")?,
-            interrupt: install(SignalKind::interrupt(), "SIGINT")?,
+            hangup: install(SignalKind::hangup(), "install the SIGHUP handler")?,
+            terminate: install(SignalKind::terminate(), "install the SIGTERM handler")?,
+            interrupt: install(SignalKind::interrupt(), "install the SIGINT handler")?,
         })
     }
 }
 
-/// Waits for the signal to stop; returns whether another process succeeds this one.
+/// Waits for SIGTERM or SIGINT; returns whether another process replaces this one.
 async fn stop_requested(
     mut terminate: Signal, mut interrupt: Signal, hot_restart: Rc<HotRestart>, tier: Option<Rc<Tier>>,
 ) -> bool {
@@ -70,7 +70,7 @@
     let proxy = startup::start(file, operator, hangup).await?;
     let stop = stop_requested(terminate, interrupt, proxy.hot_restart.clone(), proxy.tier.clone());
     tokio::pin!(stop);
-    // Clients of the process before this one would wait here for backends that it does not know yet.
+    // A successor listens only once it has backends: before that, clients of its predecessor would have to wait.
     while proxy.is_successor && !proxy.registry.serving.get() {
         tokio::select! {
             _ = &mut stop => return Ok(()),
--- a/crates/gaugesaddle/src/application/listeners.rs
+++ b/crates/gaugesaddle/src/application/listeners.rs
@@ -5,14 +5,14 @@
 use std::net::SocketAddr;
 use tokio::net::TcpListener;
 
-/// Connections that the system may hold ready for the proxy to accept.
+/// Maximum number of connections in the system's accept queue.
 const BACKLOG: i32 = 1024;
 
 /// An address cannot be listened on.
 #[derive(Debug, thiserror::Error)]
 #[error("{key}: expected a free address, got {address}: {source}")]
 pub struct ListenError {
-    /// The key that set the address.
+    /// The configuration key of the address.
     pub key: &'static str,
     /// The address.
     pub address: SocketAddr,
@@ -27,16 +27,16 @@
     }
 }
 
-/// Whether further processes of this proxy may bind the same address.
+/// Whether other processes of this proxy may bind the same address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PortSharing {
-    /// This process alone.
+    /// Only this process may.
     Exclusive,
-    /// Further processes, too: the system distributes new connections among those that listen.
+    /// Other processes may, too (`SO_REUSEPORT`): the system distributes new connections among those that listen.
     Shared,
 }
 
-/// A socket that holds its address; nobody can connect before [`BoundSocket::listen`].
+/// A bound socket. Clients cannot connect before [`BoundSocket::listen`].
 pub struct BoundSocket {
     key: &'static str,
     address: SocketAddr,
@@ -47,7 +47,7 @@
     /// Binds the address that `key` sets.
     ///
     /// # Errors
-    /// The system refuses.
+    /// The socket cannot be created or bound.
     pub fn bind(
         key: &'static str, address: SocketAddr, sharing: PortSharing,
     ) -> Result<BoundSocket, ListenError> {
@@ -60,10 +60,10 @@
         Ok(BoundSocket { key, address, socket })
     }
 
-    /// Accepts connections from now on.
+    /// Starts to listen for connections.
     ///
     /// # Errors
-    /// The system refuses.
+    /// The system call fails.
     pub fn listen(self) -> Result<TcpListener, ListenError> {
         let failed = ListenError::at(self.key, self.address);
         self.socket.listen(BACKLOG).map_err(&failed)?;
--- a/crates/gaugesaddle/src/application/reload.rs
+++ b/crates/gaugesaddle/src/application/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: both configuration files are read again, and what a running proxy can change takes effect.
+//! Reload at SIGHUP: reads both configuration files again and applies the settings that can change without a restart.
 
 use crate::configuration::operator::{self, OperatorConfig};
 use crate::configuration::platform::{self, PlatformConfig};
@@ -9,11 +9,11 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
-/// What a running proxy changes at SIGHUP.
+/// The configuration at the start, and the channels and components that receive changed settings.
 pub struct Reload {
     /// The platform's document as it was at the start.
     pub document: serde_json::Value,
-    /// The operator's file, and what it contained at the start.
+    /// The operator's file, and its settings at the start.
     pub file: Option<PathBuf>,
     pub operator: OperatorConfig,
     pub discovery: watch::Sender<SocketAddr>,
@@ -22,8 +22,8 @@
 }
 
 impl Reload {
-    /// Reads both files at each SIGHUP. If one of them is invalid nothing changes; the proxy continues with the list of
-    /// backends that it has.
+    /// Reads both files at each SIGHUP. If one of them is invalid nothing changes. The proxy keeps its list of
+    /// backends.
     pub async fn run(self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
             let operator = self.file.as_deref().map_or(Ok(OperatorConfig::default()), operator::load);
@@ -44,7 +44,7 @@
             [] => String::new(),
             keys => format!("; not taken up before a restart: {}", keys.join(", ")),
         };
-        tracing::info!("configuration read again, discovery at {}{ignored}", newer.discovery);
+        tracing::info!("configuration reloaded, discovery at {}{ignored}", newer.discovery);
         replace_if_changed(&self.discovery, newer.discovery);
         if let Some(regions) = &self.regions {
             regions.apply_settings(&operator.region);
--- a/crates/gaugesaddle/src/application/startup.rs
+++ b/crates/gaugesaddle/src/application/startup.rs
@@ -34,33 +34,33 @@
 
 /// Descriptors reserved for the listener, discovery, signals, standard streams and the runtime.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Descriptors of the admin interface and of the connection to another process, which clients do not get.
+/// Descriptors of the admin interface and of the connection to another process, which are not available to clients.
 const ADMIN_DESCRIPTORS: usize = admin::MAX_CALLERS + 3;
-/// While two processes of this proxy run, each may use this fraction (one in so many) of its descriptors.
+/// Number of processes of this proxy during a hot restart; each may use its descriptors divided by this number.
 const PROCESSES_AT_RESTART: usize = 2;
-/// The bodies of open requests may use this fraction (one in so many) of the memory.
+/// Divisor of the configured memory that gives the limit on the bodies of open requests.
 const BODY_MEMORY_DIVISOR: usize = 4;
 
 type Inputs = mpsc::UnboundedSender<Input>;
 
-/// A proxy that serves once its socket listens.
+/// A proxy whose tasks run; it serves once its socket listens.
 pub struct Proxy {
     pub socket: BoundSocket,
     pub registry: Rc<Registry>,
     pub server: Rc<Server>,
     pub hot_restart: Rc<HotRestart>,
     pub remote_commands: RemoteCommands,
-    /// To be notified when the socket listens.
+    /// The caller notifies this when the socket listens.
     pub listening: Rc<Notify>,
-    /// It replaces another process.
+    /// Whether this process replaces another one.
     pub is_successor: bool,
-    /// Another process may replace it.
+    /// Whether another process may replace this one.
     pub has_hot_restarts: bool,
     pub tier: Option<Rc<Tier>>,
     pub regions: Option<Rc<Regions>>,
 }
 
-/// What most parts need.
+/// Dependencies of most components.
 struct Common {
     clock: Clock,
     registry: Rc<Registry>,
@@ -70,10 +70,10 @@
 /// Builds a proxy and spawns its tasks.
 ///
 /// # Errors
-/// The configuration is invalid, or the system refuses something that the proxy requires.
+/// The configuration is invalid, or a system call that the proxy requires fails.
 pub async fn start(file: Option<PathBuf>, operator: OperatorConfig, hangup: Signal) -> Result<Proxy, Error> {
     let mut config = platform::load()?;
-    // Only where the platform's operators can ask a process whether it is ready do they start one beside another.
+    // Operators start a second process beside a running one only if its admin interface reports when it is ready.
     let has_hot_restarts = config.admin.is_some();
     let sharing = if has_hot_restarts { PortSharing::Shared } else { PortSharing::Exclusive };
     let socket = BoundSocket::bind("listen", config.listen, sharing)?;
@@ -88,7 +88,7 @@
     let is_successor = predecessor.is_some();
     let state_socket = operator.state.socket.as_deref().map(|path| {
         if is_successor {
-            // The predecessor answers there; its successor replaces its socket.
+            // The predecessor still listens at this path; the successor replaces its socket.
             state_socket::replace(path)
         } else {
             state_socket::bind(path)
@@ -150,8 +150,9 @@
     })
 }
 
-/// Descriptors and memory of one of so many processes. Clients and backends share what the rest leaves; other callers use
-/// some of the clients' descriptors.
+/// Limits of descriptors and memory for one of `processes` processes. Clients and backends get half each of the
+/// descriptors that are not reserved; the admin interface, the state socket, other regions and other proxies use some
+/// of the clients' half.
 fn descriptor_bounds(config: &PlatformConfig, operator: &OperatorConfig, processes: usize) -> Bounds {
     let descriptors = config.sockets / processes;
     let state_callers = operator.state.socket.as_ref().map_or(0, |_| operator.state.connections + 1);
@@ -167,7 +168,8 @@
     }
 }
 
-/// Where a process and its successor meet: in the folder that the platform keeps for both.
+/// Path of the socket on which a process and its successor communicate, in the directory that the platform keeps for
+/// both.
 fn handover_path(config: &PlatformConfig) -> Option<PathBuf> {
     config.admin?;
     let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
@@ -205,7 +207,8 @@
     }
 }
 
-/// Takes over from the process before this one: its exclusions, before any list, so that no excluded backend is used.
+/// Takes over from the predecessor process. Its exclusions are applied before any list, so that no excluded backend is
+/// used.
 fn inherit(
     common: &Common, hot_restart: &Rc<HotRestart>, excluded: Vec<String>, connection: Connection,
     listening: &Rc<Notify>, commands: &RemoteCommands,
@@ -223,7 +226,7 @@
     tokio::task::spawn_local(following);
 }
 
-/// The detection of retry storms, where it is on.
+/// Builds the retry storm detection, if it is enabled.
 fn overload(
     config: &PlatformConfig, operator: &OperatorConfig, common: &Common,
 ) -> Result<Option<Box<dyn Extension>>, Error> {
@@ -238,7 +241,7 @@
     Ok(Some(Box::new(OverloadWatch::new(controller, common.registry.clone()))))
 }
 
-/// Other regions, where there are any.
+/// Builds the federation with other regions, if it is enabled.
 fn federation(
     config: &PlatformConfig, operator: &OperatorConfig, common: &Common, server: &Rc<Server>,
     sharing: PortSharing, extensions: &mut Vec<Box<dyn Extension>>,
@@ -264,7 +267,7 @@
     Ok(Some(regions))
 }
 
-/// The tier of proxies, where it is on, with what depends on it.
+/// Builds the membership of the proxy tier, if it is enabled, and the extensions that depend on it.
 fn membership(
     config: &mut PlatformConfig, operator: &OperatorConfig, common: &Common, server: &Rc<Server>,
     is_successor: bool, regions: Option<&Rc<Regions>>, extensions: &mut Vec<Box<dyn Extension>>,
@@ -276,7 +279,7 @@
     let (name, zone, position) = (config.name.clone(), names.zone().into(), config.balancer.position);
     let local = LocalProxy { name, zone, position };
     let tier = Tier::new(&operator.peers, config.peers.take(), local, names.classes(), common.clock)?;
-    // The process before this one represents the member as long as it holds the address.
+    // The predecessor acts as this member for as long as it has the address bound.
     let socket = if is_successor {
         None
     } else {
@@ -295,7 +298,7 @@
         let (tier, registry) = (tier.clone(), registry.clone());
         match ZoneWatch::new(operator.failover, tier, registry, names.zones(), classes, config.seed) {
             Some(watch) => extensions.push(Box::new(watch)),
-            None => tracing::error!("failover: {} zones, expected up to 8: off", names.zones().len()),
+            None => tracing::error!("failover is off: got {} zones, expected at most 8", names.zones().len()),
         }
     }
     tokio::task::spawn_local(tier.clone().run(socket));
@@ -324,16 +327,16 @@
     let driver = tokio::task::spawn_local(driver.run(inputs));
     let registry = registry.clone();
     tokio::task::spawn_local(async move {
-        // Without its driver the proxy fails all requests; it reports that it is not ready.
+        // Without the driver all requests fail, so the proxy reports that it is not ready.
         if let Err(e) = driver.await {
-            tracing::error!("the driver ended: {e}");
+            tracing::error!("the driver task failed, the proxy is no longer ready: {e}");
         }
         registry.serving.set(false);
     });
     Ok(())
 }
 
-/// Applies here what the operators commanded at the other process.
+/// Applies the maintenance commands that operators gave to the other process.
 async fn apply_remote_commands(
     mut commands: mpsc::UnboundedReceiver<(String, MaintenanceCommand)>, inputs: Inputs,
 ) {
@@ -342,6 +345,6 @@
         let origin = CommandOrigin::OtherProcess;
         let _ = inputs.send(Input::Maintain { name: name.as_str().into(), command, origin, reply });
         let outcome = outcome.await;
-        tracing::info!(backend = %name, ?command, ?outcome, "maintenance, from the other process");
+        tracing::info!(backend = %name, ?command, ?outcome, "maintenance command received from the other process");
     }
 }
--- a/crates/gaugesaddle/src/cli.rs
+++ b/crates/gaugesaddle/src/cli.rs
@@ -10,12 +10,12 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// A load-balancing HTTP/1.1 proxy. Without a command it serves; the platform tells it how in the JSON file that
+/// A load-balancing HTTP/1.1 proxy. Without a command it serves requests, configured by the platform's JSON file that
 /// BALANCER_CONFIG names.
 #[derive(Debug, Parser)]
 #[command(name = "gaugesaddle", version)]
 struct Arguments {
-    /// The operator's file (TOML); without one every default holds.
+    /// The operator's configuration file (TOML); without one the defaults apply.
     #[arg(long, value_name = "FILE", env = "GAUGESADDLE_CONFIG", global = true)]
     config: Option<PathBuf>,
     #[command(subcommand)]
@@ -24,41 +24,41 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Check an operator's file: exit 0 if a proxy would take it, 1 if not.
+    /// Check an operator's configuration file: exits with 0 if it is valid, with 1 if not.
     Check {
         /// The file.
         file: PathBuf,
     },
-    /// Serve as the data plane of a router fleet, as the boot file says that GAUGESADDLE_BOOT names.
+    /// Serve as the data plane of a router fleet, configured by the boot file that GAUGESADDLE_BOOT names.
     Edge {
-        /// A figure of the choice of backends, for measurements, as KEY=VALUE; may be given again.
+        /// A parameter of backend selection, for measurements, as KEY=VALUE; may be repeated.
         #[arg(long = "set", value_name = "KEY=VALUE")]
         settings: Vec<String>,
     },
-    /// Print the state of a running proxy: its requests, backends, connections and reasons.
+    /// Print the state of a running proxy: its requests, backends, connections and event counters.
     State {
-        /// Only that part.
+        /// Print only this section.
         part: Option<StateSection>,
-        /// Its socket; by default `state.socket` of the operator's file.
+        /// The proxy's state socket; by default `state.socket` of the operator's file.
         #[arg(long, value_name = "PATH")]
         socket: Option<PathBuf>,
-        /// As one JSON document.
+        /// Print one JSON document.
         #[arg(long)]
         json: bool,
     },
 }
 
-/// A section of the state. Its names are operators' commands.
+/// A section of the state. The names of its values are part of the command line.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum StateSection {
     /// Other regions.
     Regions,
     /// The other proxies of the tier.
     Peers,
-    /// This proxy's part of what all of them may do.
+    /// This proxy's allocation among the proxies of the tier.
     #[value(name = "shares")]
     Allocation,
-    /// Zones as all proxies together find them.
+    /// The state of zones as the proxies of the tier evaluate it together.
     Zones,
 }
 
@@ -102,21 +102,27 @@
             let now = state.time_us;
             match part {
                 Some(StateSection::Regions) => {
-                    let view =
-                        state.region.as_ref().ok_or(Error::Usage("this proxy has no other regions"))?;
+                    let view = state.region.as_ref().ok_or(Error::Usage(
+                        "the state has no section `regions`: federation is disabled on this proxy",
+                    ))?;
                     print(json, view, || state_text::render_regions(view, now));
                 }
                 Some(StateSection::Peers) => {
-                    let view =
-                        state.peers.as_ref().ok_or(Error::Usage("this proxy knows no other proxies"))?;
+                    let view = state.peers.as_ref().ok_or(Error::Usage(
+                        "the state has no section `peers`: membership is disabled on this proxy",
+                    ))?;
                     print(json, view, || state_text::render_peers(view, now));
                 }
                 Some(StateSection::Allocation) => {
-                    let view = state.shares.as_ref().ok_or(Error::Usage("this proxy goes by even parts"))?;
+                    let view = state.shares.as_ref().ok_or(Error::Usage(
+                        "the state has no section `shares`: allocation by demand is disabled on this proxy",
+                    ))?;
                     print(json, view, || state_text::render_shares(view));
                 }
                 Some(StateSection::Zones) => {
-                    let view = state.zones.as_ref().ok_or(Error::Usage("this proxy judges zones alone"))?;
+                    let view = state.zones.as_ref().ok_or(Error::Usage(
+                        "the state has no section `zones`: zone failover is disabled on this proxy",
+                    ))?;
                     print(json, view, || state_text::render_zones(view));
                 }
                 None => print(json, &state, || state_text::render(&state)),
--- a/crates/gaugesaddle/src/clock.rs
+++ b/crates/gaugesaddle/src/clock.rs
@@ -1,10 +1,10 @@
-//! Time for the module: Unix microseconds, which backends' start times share.
+//! The balancer's clock: Unix time in microseconds, like the start times of backends.
 
 use gaugesaddle_balancer::{Micros, Time};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The system's clock is read once and carried on by the monotonic one, so that a correction of the former
+/// Reads the system clock once and advances that time by the monotonic clock, so that a correction of the system clock
 /// moves no deadline.
 #[derive(Clone, Copy)]
 pub struct Clock {
@@ -22,7 +22,7 @@
         Time(self.start_unix_us) + Micros(self.start.elapsed().as_micros() as u64)
     }
 
-    /// The instant of a time; of one more than an hour ahead, an hour from now.
+    /// Converts a time to an instant. A time more than an hour ahead becomes an hour from now.
     pub fn instant(&self, at: Time) -> Instant {
         const HOUR: u64 = 3_600_000_000;
         let since = at.0.min(self.now().0 + HOUR) - self.start_unix_us.min(at.0);
@@ -30,7 +30,7 @@
     }
 }
 
-/// A span for the runtime's timers.
+/// Converts a span to a [`Duration`] for the runtime's timers.
 pub fn duration(span: Micros) -> Duration {
     Duration::from_micros(span.0)
 }
--- a/crates/gaugesaddle/src/discovery/backend_set.rs
+++ b/crates/gaugesaddle/src/discovery/backend_set.rs
@@ -1,34 +1,34 @@
-//! The list of backends as discovery tells it, and as it stands with the operators' exclusions.
+//! The list of backends as received from discovery, and with the operators' exclusions applied.
 
 use gaugesaddle_balancer::settings;
 use gaugesaddle_balancer::{Backend, BackendId, BackendState, Time};
 use gaugesaddle_maintenance::{CommandOutcome, Maintenance, MaintenanceCommand};
 use std::collections::HashMap;
 
-/// Which process of this proxy the operators gave a command to.
+/// The process of this proxy that received an operator's command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandOrigin {
-    /// This one.
+    /// This process.
     ThisProcess,
-    /// The other one, during a hot restart: a list has named the backend there.
+    /// The other process of a hot restart, whose list has contained the backend.
     OtherProcess,
 }
 
-/// The backends of the present list.
+/// The backends of the current list.
 #[derive(Default)]
 pub struct BackendSet {
     maintenance: Maintenance,
-    /// Entries as discovery told them.
+    /// Entries as received from discovery.
     listed: HashMap<BackendId, Backend>,
 }
 
 impl BackendSet {
-    /// A full list follows.
+    /// Removes all entries, before a full list is applied.
     pub fn clear(&mut self) {
         self.listed.clear();
     }
 
-    /// Takes an entry of the list; returns it as the balancer is to see it.
+    /// Applies an entry of the list; returns it with exclusions applied, for the balancer.
     pub fn update(&mut self, entry: &Backend) -> Backend {
         self.maintenance.observe(entry);
         if entry.state == BackendState::Departed {
@@ -39,13 +39,13 @@
         self.view(entry)
     }
 
-    /// An entry as the balancer is to see it.
+    /// Returns an entry with exclusions applied, for the balancer.
     pub fn view(&self, entry: &Backend) -> Backend {
         self.maintenance.view(entry)
     }
 
-    /// Applies a command of the operators; returns its outcome and the entry that changed by it. An exclusion from the other
-    /// process holds here before the backend is listed here.
+    /// Applies an operator's command; returns its outcome and the entry that it changed. An exclusion from the other
+    /// process takes effect even before this process has the backend in its list.
     pub fn apply(
         &mut self, now: Time, name: &str, command: MaintenanceCommand, origin: CommandOrigin,
     ) -> (CommandOutcome, Option<Backend>) {
--- a/crates/gaugesaddle/src/discovery/call_schedule/tests.rs
+++ b/crates/gaugesaddle/src/discovery/call_schedule/tests.rs
@@ -1,4 +1,4 @@
-//! Gaps of many proxies together: the service is used no less, and nobody is left without an answer.
+//! Delays of many proxies together: the service is used no less, and no proxy remains without an answer.
 
 use super::*;
 
@@ -25,24 +25,24 @@
     let (shortest, longest) = range(&mut schedule);
     assert!(
         shortest >= ms(500) && longest <= ms(1500) && longest > ms(1000),
-        "as told: {shortest:?} to {longest:?}"
+        "for the configured number of proxies: {shortest:?} to {longest:?}"
     );
     live.set(33);
     (0..9).for_each(|_| _ = schedule.delay_after_answer());
     let (shortest, longest) = range(&mut schedule);
     assert!(
         shortest >= ms(165) && longest <= ms(495) && longest > ms(330),
-        "a third: {shortest:?} to {longest:?}"
+        "for a third of the proxies: {shortest:?} to {longest:?}"
     );
     live.set(3);
     (0..40).for_each(|_| _ = schedule.delay_after_answer());
-    assert!(schedule.delay_after_answer() < ms(1), "few leave no gap");
+    assert!(schedule.delay_after_answer() < ms(1), "expected no delay for few proxies");
     live.set(200);
-    assert!(schedule.delay_after_answer() >= ms(1000), "at once where there are more");
+    assert!(schedule.delay_after_answer() >= ms(1000), "expected the longer delay at once for more proxies");
 }
 
-/// A service that answers 30 calls a second in turn, a quarter of a second behind at most; each list that changes
-/// is asked for by all. What is turned away costs it nothing, and yet is what the others wait behind.
+/// Simulates a service that answers 30 calls a second in order and rejects calls that would wait for over a quarter of
+/// a second. Rejections cost the service nothing. Returns the numbers of rejected and of answered calls.
 fn simulate_calls(with_delays: bool) -> (usize, usize) {
     const PROXIES: usize = 100;
     let mut schedules: Vec<CallSchedule> = (0..PROXIES)
@@ -96,7 +96,7 @@
     let range = (Duration::from_millis(500), Duration::from_millis(1500));
     assert!(
         delays.iter().all(|t| (range.0..=range.1).contains(t)),
-        "one that failed comes again soon: {delays:?}"
+        "expected retries after 0.5 to 1.5 s: {delays:?}"
     );
     let max_delay = MAX_GAP.mul_f64(ANSWERED_FACTOR);
     let gap = schedule.delay_after_answer();
@@ -111,7 +111,8 @@
     assert!(first_delays.len() > 40, "{} of 100 slots of 20 ms", first_delays.len());
 }
 
-/// Whatever the settings allow between two calls, the gap, a refusal and the next try fit into the 6 s.
+/// For any permitted settings the delay, a rejection and the retry fit into the 6 s after which a proxy counts as
+/// informed.
 #[test]
 fn delay_and_retry_fit_into_the_informed_time() {
     for (proxies, within) in [(1, 1), (30, 10), (100, 10), (350, 10), (1_000, 60), (10_000, 600)] {
@@ -127,16 +128,16 @@
     }
 }
 
-/// One service that works through a call of each proxy in `all`, turns calls away that would wait for over 2 s, which
-/// costs it some of its time too, and holds a watch open until the list changes. Returns how many of all changes a proxy
-/// knew only after 5.9 s, in a thousand.
+/// Simulates one service that needs `total_s` seconds to answer one call of each proxy, rejects calls that would wait
+/// for over 2 s, which costs it some time too, and keeps a call pending until the list changes. Returns how many
+/// changes in a thousand reached a proxy only after 5.9 s or never.
 fn permille_late(proxies: usize, total_s: f64, seed: u64) -> usize {
     const CHANGES: [f64; 8] = [1.8, 3.7, 4.6, 11.0, 12.0, 14.7, 20.0, 26.0];
     const END: f64 = 34.0;
     let call_time_s = total_s / proxies as f64;
     let mut schedules: Vec<CallSchedule> =
         (0..proxies).map(|i| CallSchedule::new(proxies as u32, INFORMED_AFTER, seed + i as u64)).collect();
-    // Each proxy's next call, the version that it holds, and whether its watch is open.
+    // Each proxy's next call, its version, and whether its call is pending.
     let mut next: Vec<f64> = schedules.iter_mut().map(|p| p.first_delay().as_secs_f64()).collect();
     let (mut versions, mut open) = (vec![0; proxies], vec![false; proxies]);
     let (mut free, mut version, mut late) = (0.0f64, 0, 0);
@@ -162,7 +163,7 @@
                 continue;
             }
             free = free.max(now) + call_time_s;
-            // What it is told stands when its turn has come.
+            // The answer has the version at the time at which the service processes the call.
             let then = CHANGES.iter().filter(|at| **at <= free).count();
             if then > versions[i] {
                 let missed = CHANGES[versions[i]..then].iter().filter(|at| free - **at > 5.9).count();
@@ -177,10 +178,14 @@
     (late + never) * 1_000 / (proxies * CHANGES.len())
 }
 
-/// Where a call of each takes the service 4 s, few changes are known late, for any number of proxies that leave gaps.
+/// Few changes reach a proxy late, for any number of proxies with delays, even if the service needs 4 s for a call of
+/// each.
 #[test]
 fn no_proxy_is_rejected_repeatedly() {
     let late = |n, total_s| (0..4).map(|seed| permille_late(n, total_s, 1_000 * seed)).sum::<usize>() / 4;
     let figures: Vec<(usize, usize)> = [32, 100, 350].map(|n| (late(n, 3.0), late(n, 4.0))).into();
-    assert!(figures.iter().all(|f| f.0 <= 5 && f.1 <= 40), "in a thousand, at 3 s and at 4 s: {figures:?}");
+    assert!(
+        figures.iter().all(|f| f.0 <= 5 && f.1 <= 40),
+        "late changes in a thousand, at 3 s and at 4 s: {figures:?}"
+    );
 }
--- a/crates/gaugesaddle/src/discovery/list.rs
+++ b/crates/gaugesaddle/src/discovery/list.rs
@@ -6,16 +6,16 @@
 use serde_json::value::RawValue;
 use serde_json::{json, Value};
 
-/// An answer of the discovery service.
+/// A list in an answer of the discovery service.
 #[derive(Clone)]
 pub struct List {
     pub index: u64,
-    /// Whether it is the full list; otherwise changes.
+    /// Whether it is the full list; otherwise it contains the changes.
     pub full: bool,
     pub targets: Vec<ListedBackend>,
 }
 
-/// Limits of a list, by the configured memory.
+/// Limits of a list, which depend on the configured memory.
 #[derive(Clone, Copy, Debug)]
 pub struct ListLimits {
     /// Maximum size in bytes.
@@ -25,18 +25,20 @@
 }
 
 impl ListLimits {
-    /// An entry has some 150 bytes, 300 where it is indented, and a backend in use takes some 4 KB (in the balancer, the
-    /// driver and the registry); a quarter of the memory may be used for that, and no less than the largest fleets need.
+    /// The limits for `memory` bytes. An entry has some 150 bytes, 300 if the document is indented, and a backend in
+    /// use takes some 4 KB (in the balancer, the driver and the registry); a quarter of the memory may be used for
+    /// that. The minima are what the largest fleets need.
     pub fn of(memory: usize) -> ListLimits {
         ListLimits { bytes: (memory / 16).clamp(1 << 20, 4 << 20), entries: (memory / (16 << 10)).max(2_048) }
     }
 }
 
-/// Parses a list that is at `path` in its document. One invalid entry rejects the list, since a partial list would drop
-/// backends. Only one entry at a time is held as a parsed document.
+/// Parses a list that is at `path` in the configuration document, or an answer (`path` is empty). One invalid entry
+/// rejects the list, since a partial list would drop backends. Entries are parsed one at a time, to limit the memory
+/// for parsed documents.
 ///
 /// # Errors
-/// The first invalid value, by its path.
+/// The first invalid value, with its path.
 pub fn read(text: &[u8], path: &str, limits: ListLimits) -> Result<List, ListError> {
     #[derive(serde::Deserialize)]
     struct Document<'a> {
@@ -68,7 +70,7 @@
     Ok(List { index: index.require(version, "a version")?, full: root.get("snapshot").flag()?, targets })
 }
 
-/// Why a list is invalid.
+/// The error of an invalid list.
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
     #[error("expected JSON: {0}")]
@@ -77,7 +79,7 @@
     Key(#[from] KeyError),
 }
 
-/// An entry of a list.
+/// Parses an entry of a list.
 fn target(entry: &Key) -> Result<ListedBackend, KeyError> {
     let (status, since) = (entry.get("status"), entry.get("since_ms"));
     let state = match status.text()? {
--- a/crates/gaugesaddle/src/discovery/subscription.rs
+++ b/crates/gaugesaddle/src/discovery/subscription.rs
@@ -1,72 +1,77 @@
 //! When discovery is called, and how long a call may remain unanswered. No I/O, no clock.
 //!
-//! A proxy counts as informed of a change whether or not it has called, so every wait here is a fraction of the time within
-//! which the proxy must stop sending to a departing backend:
+//! A proxy counts as informed of a change whether or not it has called, so every wait here is a fraction of the time
+//! within which the proxy must stop sending to a departing backend:
 //!
-//! - **Pushed** lists come from an agent on the same machine that answers at once and at no cost. The proxy counts as informed
-//!   of what the agent has from that moment, also where the agent was unresponsive and has just recovered. A call that it has
-//!   not answered shortly after its wait may never be answered (an unresponsive agent loses it), so the next one is sent beside
-//!   it, on a connection of its own, and then one after another until one is answered. The first answer makes all others
-//!   unnecessary.
-//! - **Polled** lists come from one service for all proxies, where each call is work: one call at a time, delays by
-//!   [`CallSchedule`], and none before the balancer requests it. Whatever else applies after a call that failed, was rejected
-//!   or timed out, the proxy counts as informed of a change 6 s after discovery had it and was reachable: so after a time-out or
-//!   a broken connection the next call waits only briefly, and times out early enough for another one.
+//! - **Pushed** lists come from an agent on the same machine that answers at once and at no cost. The proxy counts as
+//!   informed of a change from the moment at which the agent has it, even if the agent was unresponsive and has just
+//!   recovered. A call that is not answered shortly after its wait may never be answered (an unresponsive agent loses
+//!   it), so another call is sent concurrently on a new connection, and then one after another until one is answered. The
+//!   first answer makes all others unnecessary.
+//! - **Polled** lists come from one service for all proxies, to which each call is work: at most one call is pending,
+//!   [`CallSchedule`] sets the delays between calls, and none is sent before the balancer requests updates. The proxy
+//!   counts as informed of a change 6 s after discovery had it and was reachable, even if its call failed, was rejected
+//!   or timed out: so after a time-out or a broken connection the next call waits only briefly, and times out early
+//!   enough for another one.
 
 use crate::discovery::call_schedule::CallSchedule;
 use gaugesaddle_balancer::{Micros, Time};
 
-/// How long the agent may delay its answer, as a fraction of a drain's grace period: also how long an unresponsive agent can
-/// remain unnoticed.
+/// Maximum delay of the agent's answer, as a fraction of a drain's grace period. An unresponsive agent can remain
+/// undetected for as long.
 const WAIT_FRACTION: f64 = 0.4;
-/// A due answer is awaited for this long before another call is sent beside it, which is also the interval of calls to an
-/// unresponsive agent. Together: the proxy has a list 0.8 of the grace period after an agent has recovered unnoticed, and
-/// the remainder is for the balancer's tick and a busy processor.
+/// Time, as a fraction of the grace period, after which a due answer is late and another call is sent; also the
+/// interval of calls to an unresponsive agent. With [`WAIT_FRACTION`] the proxy has a list within 0.8 of the grace
+/// period after an agent has recovered undetected; the remainder is for the balancer's tick and a busy processor.
 const ANSWER_FRACTION: f64 = 0.2;
-/// Minimum of these times, whatever the grace period is: the agent is on the same machine.
+/// Minimum of both times, for any grace period: the agent is on the same machine.
 const MIN_TIME: Micros = Micros(10_000);
-/// Maximum of these times: a proxy counts as informed 6 s after its call became unresponsive, which must be replaced by then.
+/// Maximum of the first time: a proxy counts as informed 6 s after its call was lost, and another call must have been
+/// answered by then.
 const MAX_WAIT: Micros = Micros(2_500_000);
+/// Maximum of the second time, for the same reason.
 const MAX_ANSWER: Micros = Micros(1_000_000);
-/// Where all proxies call one service, each call costs it work.
+/// Wait of a polled call: long, since all proxies call one service and each call costs it work.
 const POLLED_WAIT: Micros = Micros(20_000_000);
-/// Fraction by which waits are spread. If all ended together after the service was unresponsive, all proxies would call at
-/// once, and each must have its answer within some 2 s of the end of its wait. The service may take 8 s for a call of each.
+/// Fraction by which polled waits are spread. If all waits ended together after the service was unresponsive, all
+/// proxies would call at once, and each must have its answer within some 2 s of the end of its wait, while the service
+/// may take 8 s to answer one call of each.
 const POLLED_SPREAD: f64 = 0.4;
-/// An answer that is this late after its wait never arrives. The proxy counts as informed 2 s after the wait, so the next
-/// call has to be answered about then.
+/// A polled call times out when its answer is this late after its wait. The proxy counts as informed 2 s after the
+/// wait, so the next call has to be answered about then.
 const ANSWER_TIMEOUT: Micros = Micros(1_000_000);
 /// Maximum delay after a call that timed out: with [`ANSWER_TIMEOUT`] over half a second remains of those 2 s.
 const MAX_GAP_AFTER_TIMEOUT: Micros = Micros(300_000);
-/// How long a polled service may delay its answer after a time-out or a broken connection. Not 0: a service that is behind
-/// would be called twice for one list.
+/// Wait of a polled call after a time-out or a broken connection. Not 0: a service that is behind would be called twice
+/// for one list.
 const SHORT_WAIT: Micros = Micros(2_000_000);
-/// The oldest call to a pushed agent is kept for this long: a slow agent's answer is used all the same.
+/// Time-out of the oldest call to an agent: within this time the answer of a slow agent is still used.
 const CALL_TIMEOUT: Micros = Micros(5_000_000);
-/// Maximum backoff after unusable answers, each twice the one before: a list that is too long or malformed remains so for a
-/// while, and reading it takes time that requests need.
+/// Maximum of the exponential backoff after unusable answers: a list that is too long or malformed remains so for a
+/// while, and parsing it takes processor time that requests need.
 const MAX_BACKOFF: Micros = Micros(1_000_000);
 /// Maximum number of pending calls, each with a connection and a buffer for a list.
 const MAX_PENDING: usize = 4;
 
-/// The times of a subscription.
+/// The time limits of a subscription.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Times {
     /// How long discovery may delay an answer while nothing has changed.
     pub wait: Micros,
-    /// How late an answer may be before the subscription counts as broken.
+    /// How late an answer may be before the call counts as unanswered.
     pub lateness: Micros,
 }
 
 impl Times {
-    /// For an agent on the same machine, by the time within which sends to a departing backend must stop.
+    /// For an agent on the same machine. `grace` is the time within which the proxy must stop sending to a departing
+    /// backend.
     pub fn pushed(grace: Micros) -> Times {
         let time = |fraction: f64, max: Micros| grace.times(fraction).clamp(MIN_TIME, max);
         let (wait, lateness) = (time(WAIT_FRACTION, MAX_WAIT), time(ANSWER_FRACTION, MAX_ANSWER));
         Times { wait, lateness }
     }
 
-    /// For one service of all proxies.
+    /// For one service that all proxies call.
     pub fn polled() -> Times {
         Times { wait: POLLED_WAIT, lateness: ANSWER_TIMEOUT }
     }
@@ -75,7 +80,7 @@
 /// A call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// Identifies its end.
+    /// Identifies the call when it ends.
     pub number: u64,
     /// Requests the changes after this version; `None`: the full list.
     pub after: Option<u64>,
@@ -83,36 +88,36 @@
     pub wait: Micros,
 }
 
-/// What the caller does next.
+/// The next step of the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Sends this call.
     Call(Call),
     /// Abandons this call: it timed out, or another was answered first.
     Abandon(u64),
-    /// Waits until then, or until something happens.
+    /// Waits until this time or until the next event.
     Wait(Time),
 }
 
-/// Why a call brought no list.
+/// Why a call returned no list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// No answer in time.
     TimedOut,
     /// The connection was refused or reset.
     Broken,
-    /// The answer is no valid list.
+    /// The answer is not a valid list.
     Unusable,
 }
 
-/// What an answered call means.
+/// Whether the answer of a call applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerStatus {
-    /// It applies.
+    /// The answer applies.
     Valid,
     /// Changes of another version than the requested one: discovery has restarted, and the full list is requested.
     OutOfSync,
-    /// The call was abandoned before.
+    /// The call was abandoned before its answer.
     Abandoned,
 }
 
@@ -146,7 +151,7 @@
 ///                 |   ^
 ///  late or failed |   | first answer: every other call is abandoned
 ///                 v   |
-///               Broken -+  pushed: a call every `answer`, each on a new connection, MAX_PENDING at a time
+///               Broken -+  pushed: a call every `lateness`, each on a new connection, MAX_PENDING at a time
 ///                 ^     |  polled: Lost is reported, a delay, then one call when the balancer requests it
 ///                 +-----+
 ///   another address: from any state to the start, without a version
@@ -154,28 +159,28 @@
 pub struct Subscription {
     times: Times,
     mode: Mode,
-    /// The version of the newest list.
+    /// The version of the latest list.
     version: Option<u64>,
     /// Oldest first.
     pending: Vec<PendingCall>,
     /// Calls that the caller is to abandon.
     abandoned: Vec<u64>,
     last_number: u64,
-    /// No call is sent before.
+    /// No call is sent before this time.
     not_before: Time,
-    /// Calls without an answer since the last answer.
+    /// Number of calls that failed or became late since the last answer.
     unanswered: u32,
     /// Consecutive unusable answers.
     unusable: u32,
 }
 
 impl Subscription {
-    /// To an agent on the same machine; `version`: that of the list that the proxy has.
+    /// A subscription to an agent on the same machine. `version` is that of the proxy's current list.
     pub fn pushed(grace: Micros, version: Option<u64>) -> Subscription {
         Subscription::new(Times::pushed(grace), Mode::Pushed, version)
     }
 
-    /// To one service of all proxies; `version`: that of the list that the proxy has.
+    /// A subscription to one service that all proxies call. `version` is that of the proxy's current list.
     pub fn polled(schedule: CallSchedule, version: Option<u64>) -> Subscription {
         let mode = Mode::Polled {
             schedule,
@@ -202,7 +207,7 @@
         }
     }
 
-    /// Number of calls without an answer since the last answer.
+    /// Number of calls that failed or became late since the last answer.
     pub fn unanswered(&self) -> u32 {
         self.unanswered
     }
@@ -212,7 +217,7 @@
         matches!(self.mode, Mode::Pushed)
     }
 
-    /// The balancer requests updates.
+    /// Records that the balancer requests updates.
     pub fn request_updates(&mut self, now: Time) {
         if let Mode::Polled { schedule, is_requested, is_first, .. } = &mut self.mode {
             *is_requested = true;
@@ -230,18 +235,20 @@
         }
     }
 
-    /// Discovery has another address: pending calls and versions of the old one mean nothing there. A request stands.
+    /// Handles a change of discovery's address: abandons pending calls and drops the version, which are valid only at
+    /// the old address. A request for updates remains in force.
     pub fn change_address(&mut self, now: Time) {
         self.abandoned.extend(self.pending.drain(..).map(|p| p.call.number));
         (self.version, self.unanswered, self.unusable) = (None, 0, 0);
-        // After a failure at the old address the balancer has not requested updates again yet: the call is sent all the same.
+        // After a failure at the old address the balancer may not have requested updates again yet; the call is sent
+        // nevertheless.
         if let Mode::Polled { is_requested, is_first, .. } = &mut self.mode {
             *is_requested |= !*is_first;
         }
         self.not_before = now;
     }
 
-    /// A call was answered with a list. `has_changes`: it is the full list, or has entries.
+    /// Handles a call's answer that contains a list. `has_changes`: it is the full list, or has entries.
     pub fn answered(
         &mut self, now: Time, number: u64, index: u64, full: bool, has_changes: bool,
     ) -> AnswerStatus {
@@ -270,14 +277,14 @@
         }
     }
 
-    /// A call failed.
+    /// Handles the failure of a call.
     pub fn failed(&mut self, now: Time, number: u64, failure: Failure) {
         let Some(at) = self.pending.iter().position(|p| p.call.number == number) else { return };
         let ended = self.pending.remove(at);
         self.unanswered = self.unanswered.saturating_add(1);
         match &mut self.mode {
             Mode::Pushed => {
-                // A restarted agent may count versions anew; the full list costs it nothing.
+                // A restarted agent may number versions from the start again; the full list costs it nothing.
                 self.version = None;
                 self.unusable = if failure == Failure::Unusable { self.unusable + 1 } else { 0 };
                 let backoff = self.times.lateness.times(f64::from(self.unusable.clamp(1, 8) - 1).exp2());
@@ -287,19 +294,20 @@
             Mode::Polled { schedule, is_requested, is_lost, last_call_lost, .. } => {
                 (*is_requested, *is_lost, *last_call_lost) = (false, true, failure != Failure::Unusable);
                 let gap = micros(schedule.delay_after_failure());
-                // The proxy counts as informed soon of what a call that timed out has missed; an overloaded service rejects.
+                // The proxy soon counts as informed of the changes that a timed-out call has missed, so this delay is
+                // short. An overloaded service rejects calls rather than let them time out.
                 self.not_before =
                     now + if failure == Failure::TimedOut { gap.min(MAX_GAP_AFTER_TIMEOUT) } else { gap };
             }
         }
     }
 
-    /// What the caller does now.
+    /// Returns the caller's next step.
     pub fn step(&mut self, now: Time) -> Step {
         if let Some(number) = self.abandoned.pop() {
             return Step::Abandon(number);
         }
-        // Only the oldest can have timed out: the others began later, with no longer wait.
+        // Only the oldest call can have timed out: the others were sent later, and their waits are no longer.
         if let Some(oldest) = self.pending.first().filter(|oldest| now >= self.times_out_at(oldest)) {
             let number = oldest.call.number;
             self.failed(now, number, Failure::TimedOut);
@@ -315,12 +323,12 @@
                 if !self.pending.is_empty() {
                     self.unanswered = self.unanswered.saturating_add(1);
                 }
-                // The oldest is kept; of the others the one that has waited longest is abandoned.
+                // The oldest call is kept; of the others the one that was sent first is abandoned.
                 if self.pending.len() >= MAX_PENDING {
                     let number = self.pending.remove(1).call.number;
                     self.abandoned.push(number);
                 }
-                // No delay is allowed while the agent is unresponsive: it is to answer as soon as it has recovered.
+                // While the agent is unresponsive calls have no wait, so that it answers as soon as it has recovered.
                 match (self.version, self.unanswered) {
                     (Some(version), 0) => self.call(now, Some(version), self.times.wait),
                     (Some(version), 1) => self.call(now, Some(version), Micros(0)),
@@ -347,12 +355,12 @@
         }
     }
 
-    /// When an answer is late.
+    /// The time from which a call's answer is late.
     fn late_at(&self, pending: &PendingCall) -> Time {
         pending.sent_at + pending.call.wait + self.times.lateness
     }
 
-    /// When no answer is expected any more.
+    /// The time at which a call times out.
     fn times_out_at(&self, pending: &PendingCall) -> Time {
         match self.mode {
             Mode::Pushed => pending.sent_at + CALL_TIMEOUT,
--- a/crates/gaugesaddle/src/discovery/subscription/tests.rs
+++ b/crates/gaugesaddle/src/discovery/subscription/tests.rs
@@ -1,5 +1,5 @@
-//! Silence, refusals, resets, slow answers and moves in any order, in virtual time: what the agent has is known to the
-//! proxy within the stated part of the grace, and no call is made without need.
+//! Unresponsive, refusing, resetting and slow agents and changes of the address in any order, in virtual time: the
+//! proxy has the agent's list within the stated fraction of the grace period, and sends no needless calls.
 
 use super::*;
 use proptest::prelude::*;
@@ -8,18 +8,18 @@
 const GRACE: Micros = Micros(500_000);
 const MS: u64 = 1_000;
 
-/// What the agent does from some moment on.
+/// The behaviour of the agent from some moment on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Behaviour {
     Answering,
-    /// Swallows what is out and what comes.
+    /// Loses pending calls and new ones.
     Unresponsive,
     Refusing,
-    /// Breaks what is out; speaks again at once.
+    /// Resets the connections of pending calls; answers again at once.
     Resetting,
-    /// The answers of one that is short of processor time.
+    /// Answers with this delay in ms, for lack of processor time.
     Slow(u64),
-    /// SIGHUP: another address, with versions of its own.
+    /// Another address (SIGHUP), with independent versions.
     AddressChanged,
 }
 
@@ -34,19 +34,19 @@
     ]
 }
 
-/// A call that is out at the agent.
+/// A call that the agent has not answered yet.
 struct PendingAtAgent {
     call: Call,
     received_at: u64,
     lost: bool,
 }
 
-/// An agent and a proxy's watch on it, millisecond by millisecond.
+/// An agent and a proxy's subscription to it, in steps of a millisecond.
 struct Fixture {
     subscription: Subscription,
     behaviour: Behaviour,
     version: u64,
-    /// When the version became available.
+    /// The time from which the agent has the version.
     version_since: u64,
     received_version: u64,
     calls: Vec<PendingAtAgent>,
@@ -82,7 +82,7 @@
         } else {
             behaviour
         };
-        // The agent has it at its return, whatever became of it meanwhile.
+        // The agent has a new version from this moment on, also if it was unresponsive before.
         (self.version, self.version_since) = (self.version + 1, now);
     }
 
@@ -130,16 +130,17 @@
                 }
                 Step::Abandon(number) => self.calls.retain(|c| c.call.number != number),
                 Step::Wait(until) => {
-                    assert!(until > Time(now * MS), "a wait that is over");
+                    assert!(until > Time(now * MS), "expected a wait that ends after {now} ms");
                     break;
                 }
             }
         }
-        assert!(self.calls.len() <= MAX_PENDING, "{} calls are out", self.calls.len());
+        assert!(self.calls.len() <= MAX_PENDING, "{} pending calls", self.calls.len());
     }
 }
 
-/// A silence that begins with a call and ends unseen, and the call after it: what the page of the drains states.
+/// Maximum time after which the proxy has the agent's version, in ms: the wait of a call that the agent lost, the time
+/// until it is late, and the minimum interval of calls.
 const MAX_INFORMED_DELAY_MS: u64 = 200 + 100 + 10;
 
 proptest! {
@@ -160,17 +161,17 @@
                 {
                     prop_assert_eq!(
                         fixture.received_version, fixture.version,
-                        "at {} ms, told at {}", now, fixture.version_since
+                        "at {} ms, available since {} ms", now, fixture.version_since
                     );
                 }
                 now += 1;
             }
         }
-        // No more than one call in the least time between two, and one beside it.
+        // At most one call per minimum interval (10 ms), and one concurrent call.
         prop_assert!(fixture.call_count as u64 <= now / 10 + 2, "{} calls in {now} ms", fixture.call_count);
     }
 
-    /// An agent that is slower than a call's answer may be is heard all the same.
+    /// An answer that is later than the call's time limit is still used.
     #[test]
     fn answer_of_a_slow_agent_is_accepted(delay_ms in 100u64..4_500) {
         let mut fixture = Fixture::new(Subscription::pushed(GRACE, None));
@@ -179,16 +180,17 @@
         prop_assert_eq!(fixture.received_version, fixture.version, "answers delayed by {} ms", delay_ms);
     }
 
-    /// Whatever grace is told, its parts leave room for the module's turn.
+    /// The waits leave a fifth of any grace period for the balancer's tick.
     #[test]
     fn sum_of_the_waits_stays_below_the_grace_period(grace in 50_000u64..60_000_000) {
         let times = Times::pushed(Micros(grace));
         prop_assert!(times.wait.0 + 2 * times.lateness.0 <= grace * 8 / 10);
-        // A silent watch is known to be broken, and another answered, before it counts as told.
+        // A lost call is detected, and another one answered, before the proxy counts as informed.
         prop_assert!(times.wait.0 + 2 * times.lateness.0 < 6_000_000 - 500_000);
     }
 
-    /// Where all proxies ask one service: one call at a time, and after a silence another before that counts as told.
+    /// Where all proxies call one service, one call is pending at a time, and after a lost call the next one
+    /// is sent before the proxy counts as informed.
     #[test]
     fn polled_service_has_one_call_at_a_time_and_is_called_again_in_time(
         proxies in 1u32..400, seed in 0u64..1_000, unresponsive_at in 0u64..60_000,
@@ -206,23 +208,23 @@
             fixture.advance_1_ms(now);
             prop_assert!(fixture.calls.len() <= 1);
             if fixture.subscription.take_lost() {
-                requested_at = Some(now + 150); // the module's longest wait after its first loss
+                requested_at = Some(now + 150); // the balancer's longest delay after its first lost subscription
             }
             if requested_at == Some(now) {
                 fixture.subscription.request_updates(Time(now * MS));
             }
             if let Some(over) = wait_ends_at {
                 if fixture.call_count > previous_calls {
-                    prop_assert!(now >= over && now <= over + 2_000, "called at {now}, the wait was over at {over}");
+                    prop_assert!(now >= over && now <= over + 2_000, "called at {now} ms, the wait ended at {over} ms");
                     break;
                 }
-                prop_assert!(now < over + 2_000, "no call, the wait was over at {over}");
+                prop_assert!(now < over + 2_000, "no call at {now} ms, the wait ended at {over} ms");
             }
         }
     }
 }
 
-/// An agent that answers at once though it is to wait, with nothing, is not called without end.
+/// An agent that answers at once without changes, although the call allows a wait, must not be called in a loop.
 #[test]
 fn agent_that_answers_early_is_called_at_a_limited_rate() {
     let mut subscription = Subscription::pushed(GRACE, Some(3));
@@ -233,25 +235,26 @@
             subscription.answered(Time(now * MS), call.number, 3, false, false);
         }
     }
-    assert_eq!(calls, 10, "one each fifth of the grace");
+    assert_eq!(calls, 10, "calls in 1 s, expected one per fifth of the grace period");
 }
 
-/// A version that is behind the one asked for is of another count: its changes are not for the list held.
+/// A version older than the requested one comes from a restarted discovery: its changes do not apply to the proxy's
+/// list, and the full list is requested.
 #[test]
 fn changes_of_an_older_version_are_rejected() {
     let mut subscription = Subscription::pushed(GRACE, Some(41));
-    let Step::Call(call) = subscription.step(Time(0)) else { panic!("a call") };
+    let Step::Call(call) = subscription.step(Time(0)) else { panic!("expected a call") };
     assert_eq!(call.after, Some(41));
     assert_eq!(subscription.answered(Time(1), call.number, 5, false, true), AnswerStatus::OutOfSync);
-    let Step::Wait(until) = subscription.step(Time(1)) else { panic!("a pause") };
-    let Step::Call(call) = subscription.step(until) else { panic!("a call") };
-    assert_eq!((call.after, call.wait), (None, Micros(0)), "the whole list");
+    let Step::Wait(until) = subscription.step(Time(1)) else { panic!("expected a wait") };
+    let Step::Call(call) = subscription.step(until) else { panic!("expected a call") };
+    assert_eq!((call.after, call.wait), (None, Micros(0)), "expected a request for the full list");
     assert_eq!(subscription.answered(until, call.number, 5, true, true), AnswerStatus::Valid);
-    let Step::Call(call) = subscription.step(until + Micros(MS * 100)) else { panic!("a call") };
+    let Step::Call(call) = subscription.step(until + Micros(MS * 100)) else { panic!("expected a call") };
     assert_eq!(call.after, Some(5));
 }
 
-/// The first answer is taken, from whichever call; what the others bring is none.
+/// The first answer of any pending call applies; answers of the other calls are ignored.
 #[test]
 fn first_answer_abandons_all_other_calls() {
     let mut subscription = Subscription::pushed(GRACE, Some(1));
@@ -261,7 +264,7 @@
         match subscription.step(Time(now)) {
             Step::Call(call) => calls.push(call),
             Step::Wait(until) => now = until.0,
-            Step::Abandon(number) => panic!("dropped {number}"),
+            Step::Abandon(number) => panic!("call {number} was abandoned before an answer"),
         }
     }
     assert!(subscription.unanswered() > 0);
--- a/crates/gaugesaddle/src/discovery/watch.rs
+++ b/crates/gaugesaddle/src/discovery/watch.rs
@@ -29,18 +29,18 @@
     }
 }
 
-/// Why a call to discovery brought no list.
+/// Why a call to discovery returned no list.
 #[derive(Debug, thiserror::Error)]
 enum CallError {
     #[error("connect: {0}")]
     Connect(std::io::Error),
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    #[error("the request: {0}")]
+    #[error("building the request: {0}")]
     Request(#[from] hyper::http::Error),
     #[error("the list: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    #[error("status {0}")]
+    #[error("expected status 200, got {0}")]
     Status(StatusCode),
     #[error(transparent)]
     List(#[from] ListError),
@@ -75,7 +75,7 @@
 
 /// The watch on the list of backends.
 pub struct Watch {
-    /// When discovery is called.
+    /// Decides when discovery is called.
     pub subscription: Subscription,
     pub clock: Clock,
     pub limits: ListLimits,
@@ -84,12 +84,12 @@
     pub inputs: mpsc::UnboundedSender<Input>,
 }
 
-/// A call that has ended, with the connection if that is reusable.
+/// The number and result of a call that has ended, with its connection if it succeeded.
 type CallEnd = (u64, Result<(DiscoveryConnection, List), CallError>);
 
 impl Watch {
-    /// Watches at the newest address until the program ends. Another address abandons the pending calls, their connections, the
-    /// delays and the version, which only the old service knows.
+    /// Watches the list at the latest address until the program ends. A change of the address drops the pending calls,
+    /// their connections, the delays and the version, which are valid only at the old address.
     pub async fn run(mut self, mut addresses: watch::Receiver<SocketAddr>) {
         let mut address = *addresses.borrow_and_update();
         let mut connection: Option<DiscoveryConnection> = None;
@@ -111,7 +111,7 @@
                     let sleep = tokio::time::sleep_until(self.clock.instant(until));
                     tokio::select! {
                         Some(completed) = calls.join_next(), if !calls.is_empty() => {
-                            // An abandoned one has no result.
+                            // An abandoned call has no result.
                             if let Ok((number, result)) = completed {
                                 pending.remove(&number);
                                 connection = self.finish_call(number, result).or(connection);
@@ -133,16 +133,16 @@
                 let lost = Input::List { update: ListUpdate::Lost, index: None, targets: Vec::new() };
                 let _ = self.inputs.send(lost);
             }
-            // Logged when it begins and when it is over, not for each call.
+            // The beginning and the end of an outage are logged, not each call.
             match (self.subscription.unanswered(), unanswered_since) {
                 (1.., None) => {
                     unanswered_since = Some(now);
-                    tracing::warn!("discovery: no list, called anew until there is one");
+                    tracing::warn!("discovery: a call returned no list, retrying until one does");
                 }
                 (0, Some(since)) => {
                     unanswered_since = None;
                     tracing::info!(
-                        "discovery: tells a list again after {:.2} s",
+                        "discovery: answers again after {:.2} s",
                         (self.clock.now() - since).secs()
                     );
                 }
@@ -163,16 +163,16 @@
                     AnswerStatus::Abandoned => return None,
                     AnswerStatus::OutOfSync => {
                         tracing::warn!(
-                            "discovery: version {} is behind, the whole list is asked for",
+                            "discovery: version {} is older than the current one, requesting the full list",
                             list.index
                         );
                     }
                     AnswerStatus::Valid => {
                         tracing::debug!(
                             index = list.index,
-                            whole = list.full,
-                            lines = list.targets.len(),
-                            "list"
+                            full = list.full,
+                            entries = list.targets.len(),
+                            "received a list"
                         );
                         let update = if list.full { ListUpdate::Full } else { ListUpdate::Changes };
                         if has_changes || !self.subscription.is_pushed() {
@@ -188,7 +188,8 @@
                     CallError::Connect(_) | CallError::Http(_) | CallError::Request(_) => Failure::Broken,
                     CallError::Body(_) | CallError::Status(_) | CallError::List(_) => Failure::Unusable,
                 };
-                // The present list stays in force. Each unusable answer is logged: the backoff after them grows.
+                // The current list remains in force. Each unusable answer is logged, at a rate that the growing backoff
+                // limits.
                 if self.subscription.unanswered() == 0 || failure == Failure::Unusable {
                     tracing::warn!("discovery: {error}");
                 } else {
--- a/crates/gaugesaddle/src/main.rs
+++ b/crates/gaugesaddle/src/main.rs
@@ -1,4 +1,4 @@
-//! The proxy and its commands; all of it is the library's.
+//! Entry point of the proxy and its commands, which the library implements.
 
 fn main() -> std::process::ExitCode {
     gaugesaddle::cli::main()
--- a/crates/gaugesaddle/src/serving/body.rs
+++ b/crates/gaugesaddle/src/serving/body.rs
@@ -1,5 +1,5 @@
-//! Bodies of any length within a fixed memory. What fits is buffered, so that it can be sent again, or be found incomplete
-//! before a byte of it is forwarded; what does not is streamed in chunks, once.
+//! Bodies of any length within a fixed amount of memory. A body that fits is buffered, so that it can be sent again, or
+//! rejected as incomplete before a byte of it is forwarded. A longer one is streamed in chunks, once.
 
 use bytes::Bytes;
 use gaugesaddle_http_connection::RequestProgress;
@@ -25,24 +25,25 @@
 pub enum CallBody {
     /// The full body, for any number of attempts.
     Buffered(Bytes),
-    /// What was received, and what is to come: for the first attempt that has a connection.
+    /// The received part and the rest, for the first attempt that has a connection.
     Streaming(RefCell<Option<Streaming>>),
 }
 
-/// A request's body that is streamed.
+/// A streamed body of a request.
 pub struct Streaming {
-    /// What was received so far.
+    /// The chunks received so far.
     pub first: VecDeque<Bytes>,
-    /// Where the rest comes from.
+    /// The source of the rest.
     pub rest: Incoming,
-    /// Bytes in `first`, and later all that were transferred.
+    /// Number of bytes received so far, at first those in `first`.
     pub transferred: u64,
     /// Called when the last byte was received.
     pub on_complete: Option<Box<dyn FnOnce()>>,
 }
 
 impl Streaming {
-    /// Its last byte is handed over: from now on it may be executed, and its client's patience counts.
+    /// Records that the last byte was passed on: from now on the request may be executed, and its client's patience
+    /// counts.
     fn complete(&mut self, progress: &RequestProgress) {
         progress.body_complete.set(true);
         if let Some(on_complete) = self.on_complete.take() {
@@ -71,7 +72,7 @@
                 progress.client_aborted.set(true);
                 return Poll::Ready(Some(Err(BodyError::TooLong)));
             }
-            // Nobody polls again once the stated length was received.
+            // Hyper does not poll again once the stated length was received.
             if self.rest.is_end_stream() {
                 self.complete(progress);
             }
@@ -83,15 +84,15 @@
 /// Why a body cannot be streamed to its end.
 #[derive(Debug, thiserror::Error)]
 pub enum BodyError {
-    /// Its sender broke off.
-    #[error("its sender broke off")]
+    /// Its sender stopped before its end.
+    #[error("the body is incomplete: its sender stopped before its end")]
     Broken,
     /// It exceeds [`MAX_BODY_BYTES`].
-    #[error("longer than {MAX_BODY_BYTES} bytes")]
+    #[error("the body is longer than {MAX_BODY_BYTES} bytes")]
     TooLong,
 }
 
-/// A request's body on its way to a backend.
+/// The body of a request as it is sent to a backend.
 pub enum RequestBody {
     Buffered(Option<Bytes>),
     Streaming(Streaming, Rc<RequestProgress>),
@@ -151,7 +152,7 @@
     }
 }
 
-/// A chunk of an answer that is streamed.
+/// A chunk of a streamed answer.
 pub enum Chunk {
     Data(Bytes),
     /// The answer is complete.
@@ -161,15 +162,16 @@
 /// The body of a backend's answer.
 pub enum Payload {
     Buffered(Bytes),
-    /// What was received, and where the rest comes from. It broke off where that ends without [`Chunk::End`].
+    /// The received part and the source of the rest. If that source ends without [`Chunk::End`], the answer is
+    /// incomplete.
     Streaming(Bytes, mpsc::Receiver<Chunk>),
 }
 
-/// An answer on its way to a client.
+/// The body of an answer as it is sent to a client.
 pub struct ResponseBody {
     first: Option<Bytes>,
     rest: Option<mpsc::Receiver<Chunk>>,
-    /// Called when nothing more goes to the client.
+    /// Called when the body is dropped: nothing more is sent to the client.
     done: Option<Box<dyn FnOnce()>>,
 }
 
@@ -178,7 +180,7 @@
         ResponseBody { first: Some(bytes).filter(|b| !b.is_empty()), rest: None, done: None }
     }
 
-    /// `done` is called when it ends or is dropped; for a buffered answer at once.
+    /// `done` is called when a streamed body is dropped; for a buffered one it is called at once.
     pub fn new(payload: Payload, done: impl FnOnce() + 'static) -> ResponseBody {
         match payload {
             Payload::Buffered(bytes) => {
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Whether more is to come than is buffered.
+    /// Whether chunks may follow the buffered part.
     pub fn is_streaming(&self) -> bool {
         self.rest.is_some()
     }
@@ -220,7 +222,7 @@
                 self.rest = None;
                 None
             }
-            // The client must be able to detect that it is incomplete.
+            // The client must be able to detect that the answer is incomplete.
             None => Some(Err(BodyError::Broken)),
         })
     }
--- a/crates/gaugesaddle/src/serving/client_connection.rs
+++ b/crates/gaugesaddle/src/serving/client_connection.rs
@@ -1,31 +1,31 @@
-//! The state of a client connection: what it is doing, when it has timed out, and when it gives way to others.
+//! The state of a client connection: its phase, its time-outs and its rank for eviction.
 
 use crate::operations::event_counters::Reason;
 use gaugesaddle_balancer::{Micros, Time};
 use std::cell::Cell;
 use tokio::sync::Notify;
 
-/// Time from the connect to the head of the first request: clients that never send one, or never complete it, use a
-/// connection that others need.
+/// Maximum time from the connect to the head of the first request: clients that never send one, or never complete it,
+/// use a connection that others need.
 const FIRST_HEAD_TIMEOUT: Micros = Micros(2_200_000);
-/// Maximum time without progress of a body, however fast it came before.
+/// Maximum time for a body from the arrival of its head, to which [`MICROS_PER_BODY_BYTE`] adds for each received byte.
 pub(super) const BODY_TIMEOUT: Micros = Micros(2_000_000);
-/// The same for the first request of a connection, from the connect: a client that never completes it is owed an answer
+/// The same for the first request of a connection, from the connect: a client that never completes it must be answered
 /// within 3 s.
 const FIRST_BODY_TIMEOUT: Micros = Micros(2_700_000);
-/// Each byte of a body that was received extends its time by this much: 32 kB per second, half the rate of slow clients.
+/// Extension of a body's time for each received byte: 32 kB per second, half the rate of slow clients.
 pub(super) const MICROS_PER_BODY_BYTE: f64 = 1e6 / 32e3;
-/// A connection that is idle between requests is closed after this time: many are kept and never used again.
+/// A connection that is idle between requests is closed after this time: many are kept open and never used again.
 const IDLE_TIMEOUT: Micros = Micros(5_000_000);
 /// A connection that was used once and has been idle for this long is likely never used again: it is evicted first.
 const SINGLE_USE_IDLE: Micros = Micros(250_000);
-/// A connection is evicted before its first request only after this time: what its client sent right after the connect
-/// has arrived by then.
+/// A connection is evicted before its first request only after this time: bytes that its client sent right after the
+/// connect have arrived by then.
 const MIN_EVICTION_AGE: Micros = Micros(20_000);
-/// A connection that was requested to close and has not done so is cut after this time: its client does not read.
+/// A connection that is still open this long after it was requested to close is cut: its client does not read.
 const CLOSE_TIMEOUT: Micros = Micros(2_000_000);
 
-/// What a client connection is doing.
+/// The phase of a client connection.
 ///
 /// ```text
 ///          a head              a full request
@@ -41,26 +41,27 @@
 ///      the answer is sent               and was the last     its client has closed, or timed out, or is evicted
 /// ```
 ///
-/// When it is requested to close with something under way (a partial head, or bytes unread by the system), a connection that
-/// was used before waits for that request and closes with its answer.
+/// If part of a request has arrived when a connection that was used before is requested to close (a partial head, or
+/// unread bytes in the socket), the connection waits for that request and closes with its answer. A connection that was
+/// never used does so for unread bytes only.
 #[derive(Clone, Copy)]
 pub(super) enum Phase {
-    /// Waiting for the head of a request since then.
+    /// Waiting for the head of a request since this time.
     Idle(Time),
-    /// Reading a request's body since then.
+    /// Reading a request's body since this time.
     Reading(Time),
-    /// A full request is owed an answer.
+    /// A complete request has had no answer yet.
     InService,
-    /// The last answer was sent then: it lingers until its client has read that.
+    /// The last answer was sent at this time; the connection lingers until its client has read it.
     Closing(Time),
 }
 
-/// The order in which connections are evicted: first where a close does least harm.
+/// The order in which connections are evicted: those whose close does least harm come first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionRank {
-    /// Used once, a while ago: its client will hardly use it again.
+    /// Used once, a while ago: its client will probably not use it again.
     UsedOnce,
-    /// Nothing was received: its client may yet send a request, which would be lost.
+    /// Nothing was received: its client may still send a request, which would be lost.
     NeverUsed,
     /// Used several times: a close costs its client a connect.
     UsedOften,
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Requests it to close, unless that was done a moment ago. The first reason stands.
+    /// Requests it to close, unless that was done less than [`CLOSE_TIMEOUT`] ago. The first reason is kept.
     pub(super) fn request_close(&self, now: Time, reason: Reason) {
         let earlier = self.close_requested.get();
         if earlier.is_none_or(|(at, _)| now - at >= CLOSE_TIMEOUT) {
@@ -145,7 +146,8 @@
         (now - since >= timeout).then_some(reason)
     }
 
-    /// When more of a body is due whose head was received at `received_at`, and `bytes` of which have been received.
+    /// The time by which more of a body is due whose head was received at `received_at` and of which `bytes` have been
+    /// received.
     pub(super) fn body_due(&self, received_at: Time, bytes: u64) -> Time {
         let timeout = received_at + BODY_TIMEOUT;
         let start = if self.is_used() { timeout } else { timeout.min(self.opened_at + FIRST_BODY_TIMEOUT) };
--- a/crates/gaugesaddle/src/serving/client_socket.rs
+++ b/crates/gaugesaddle/src/serving/client_socket.rs
@@ -1,8 +1,9 @@
-//! A client's socket: what hyper reads of it, and what was received beyond that.
+//! A client's socket: the bytes that hyper reads from it, and those received beyond that.
 //!
-//! Hyper reads a socket only where it can use the bytes. While a request is in service it reads what follows once, and does not
-//! notice the end after that: a client that sent one further byte and disconnected was served all the same. And it returns a
-//! request's head only as it has interpreted it. Both are recorded here, below hyper.
+//! Hyper reads a socket only when it can use the bytes. While a request is in service it reads the bytes that follow
+//! once, and does not detect the end of the connection after that: a client that sent one further byte and disconnected
+//! was still served. It also exposes a request's head only as it has parsed it. So this layer below hyper detects the
+//! end and records the head.
 
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
@@ -18,19 +19,21 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Bytes of a message that are recorded, to find its head.
+/// Maximum number of bytes of a message that are recorded, to find its head.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Bytes behind a request in service that are read ahead: many usual requests. More remains with the system, which is then
-/// polled for the end.
+/// Maximum number of bytes read ahead while a request is in service: many usual requests. Further bytes remain in the
+/// socket, which is then polled for the end of the connection.
 const MAX_READ_AHEAD_BYTES: usize = 16 << 10;
-/// Interval of that: several times in the 0.1 s after which nothing may begin for a client that has disconnected.
+/// Interval of these polls: several times in the 0.1 s after which no attempt may begin for a client that has
+/// disconnected.
 const END_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What hyper has read since the present message began.
+/// The bytes that hyper has read since the current message began.
 #[derive(Default)]
 struct MessageBytes {
     /// The first of these bytes.
     start: Vec<u8>,
+    /// The number of all of them.
     bytes: usize,
 }
 
@@ -38,11 +41,11 @@
 pub struct ClientSocket {
     stream: Rc<TcpStream>,
     message: RefCell<MessageBytes>,
-    /// Read from the system, and not yet by hyper.
+    /// Bytes that were read from the socket, and not yet by hyper.
     read_ahead: RefCell<VecDeque<u8>>,
     /// Whether the client has closed it, or it failed.
     ended: Cell<bool>,
-    /// Waits for the end behind unread bytes.
+    /// Polls for the end of the connection while the socket has unread bytes.
     end_watch: RefCell<Option<Pin<Box<dyn Future<Output = ()>>>>>,
 }
 
@@ -62,7 +65,7 @@
         self.ended.get()
     }
 
-    /// Reads what the system has.
+    /// Reads the bytes that the socket has.
     fn poll_fill(&self, cx: &mut Context, buf: &mut [u8]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.stream.poll_read_ready(cx))?;
@@ -98,7 +101,8 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Completes when the client disconnects, whatever it sent before. To be polled only while a request is in service.
+    /// Completes when the client disconnects, even if it sent further bytes before. To be polled only while a request
+    /// is in service.
     pub fn poll_disconnected(&self, cx: &mut Context) -> Poll<()> {
         let mut chunk = [0; 4 << 10];
         while !self.ended.get() && self.read_ahead.borrow().len() < MAX_READ_AHEAD_BYTES {
@@ -123,18 +127,20 @@
         Poll::Ready(())
     }
 
-    /// Whether bytes of a message without an answer were received. The system itself is asked: the runtime may not know yet.
+    /// Whether bytes of a message without an answer were received. Peeks at the socket itself, since the
+    /// runtime's readiness may be out of date.
     pub fn has_received(&self) -> bool {
         self.message.borrow().bytes > 0 || !self.read_ahead.borrow().is_empty() || self.has_unread()
     }
 
-    /// Whether the system has unread bytes.
+    /// Whether the socket has unread bytes.
     pub fn has_unread(&self) -> bool {
         matches!(SockRef::from(&*self.stream).peek(&mut [MaybeUninit::uninit()]), Ok(1..))
     }
 
-    /// The present message, whose body has that length, is answered, and a head follows. Returns whether some of that was
-    /// received already; after a message without a stated length, only what hyper has not read is known to follow.
+    /// Ends the current message, whose body has that length and which is answered. Returns whether part of the next
+    /// message was already received; after a message without a stated length, only bytes that hyper has not read are
+    /// known to belong to the next one.
     pub fn begin_next_message(&self, length: Option<u64>) -> bool {
         let mut message = self.message.borrow_mut();
         let end = message.end(length).unwrap_or(message.bytes);
@@ -144,9 +150,9 @@
         message.bytes > 0 || !self.read_ahead.borrow().is_empty()
     }
 
-    /// Whether the head that was received frames its body by `Transfer-Encoding` alone: hyper removes `Content-Length` beside
-    /// it, so its head does not show that both were present. Also false where it is not known: a head that was received
-    /// together with the end of a message without a stated length.
+    /// Whether the received head frames its body by `Transfer-Encoding` alone: hyper removes a `Content-Length` beside
+    /// it, so its parsed head does not show that both were present. Also false if that is unknown, for a head that was
+    /// received together with the end of a message without a stated length.
     pub fn is_only_chunked(&self, method: &str) -> bool {
         let message = self.message.borrow();
         let text = message.start.trim_ascii_start();
@@ -160,8 +166,9 @@
             && !head.windows(14).any(|w| w == b"content-length")
     }
 
-    /// Ends the sending and discards up to `max` bytes that are still received, until the client ends as well or sends nothing
-    /// for `quiet`: closed over unread bytes the connection would be reset, and the last answer could be lost.
+    /// Shuts down the sending side and discards up to `max` bytes that are still received, until the client closes its
+    /// side or sends nothing for `quiet`. A close with unread bytes would reset the connection, and the last answer
+    /// could be lost.
     pub async fn linger(&self, max: usize, quiet: Duration) {
         if SockRef::from(&*self.stream).shutdown(Shutdown::Write).is_err() {
             return;
@@ -183,7 +190,7 @@
 }
 
 impl MessageBytes {
-    /// Length of the present message with its head, where it is stated and the head was recorded.
+    /// Length of the current message with its head, if it is stated and the head was recorded.
     fn end(&self, length: Option<u64>) -> Option<usize> {
         let before = self.start.len() - self.start.trim_ascii_start().len();
         let head = before + head_end(&self.start[before..])? + 4;
@@ -200,7 +207,7 @@
     }
 }
 
-/// Writes once the system accepts something.
+/// Writes once the socket is writable.
 fn poll_write(
     stream: &TcpStream, cx: &mut Context, write: impl Fn() -> io::Result<usize>,
 ) -> Poll<io::Result<usize>> {
--- a/crates/gaugesaddle/src/serving/driver.rs
+++ b/crates/gaugesaddle/src/serving/driver.rs
@@ -1,5 +1,6 @@
-//! The only owner of the balancer, the open requests and their attempts. It turns what happens into the balancer's events and
-//! executes its actions; which backend, whether to retry, whether to serve at all is the balancer's decision.
+//! The driver is the only owner of the balancer, the open requests and their attempts. It translates inputs into events
+//! of the balancer and executes the balancer's actions. The balancer decides whether a request is served, by which
+//! backend, and whether it is retried.
 //!
 //! `open_request` holds the state of one request and its attempts, `requests` follows requests from arrival to answer,
 //! `dispatch` sends attempts, `listing` applies lists and operators' commands.
@@ -31,14 +32,14 @@
 const MIN_LOGGED_ARRIVALS: f64 = 0.1;
 const NEVER: Time = Time(u64::MAX);
 
-/// What a driver is made of.
+/// The parameters and dependencies of a driver.
 pub struct DriverParts {
     pub clock: Clock,
     pub config: Config,
     pub seed: u64,
     /// Maximum number of open requests.
     pub open_cap: usize,
-    /// Maximum number of backends; the rest of a list is left out, which is logged.
+    /// Maximum number of backends; further entries of a list are ignored, which is logged.
     pub max_backends: usize,
     pub upstreams: Rc<dyn Upstreams>,
     /// Receives the ends of attempts.
@@ -46,11 +47,11 @@
     /// Notified when the balancer requests updates of the list.
     pub updates_requested: Rc<Notify>,
     pub registry: Rc<Registry>,
-    /// Those that are enabled.
+    /// The enabled extensions.
     pub extensions: Vec<Box<dyn Extension>>,
 }
 
-/// See the module.
+/// The driver; see the module's documentation.
 pub struct Driver {
     clock: Clock,
     config: Config,
@@ -69,7 +70,7 @@
     timers: BinaryHeap<Reverse<(Time, TimerToken)>>,
     events: Vec<Event>,
     actions: Vec<Action>,
-    /// The balancer runs once a tick.
+    /// The earliest time of the balancer's next run: it runs at most once a tick.
     next_tick: Time,
     inputs: mpsc::UnboundedSender<Input>,
     updates_requested: Rc<Notify>,
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Does what is due by time.
+    /// Does what is due at `now`.
     fn advance(&mut self, now: Time) {
         for extension in &mut self.extensions {
             extension.poll(now, &self.balancer, &mut self.events);
@@ -149,8 +150,8 @@
         self.expire(now);
         if now >= self.next_tick {
             self.run_balancer(now);
-            // Only now: a late wake-up brings deadlines and the balancer's tick at the same moment, and a request with
-            // less than a tick remaining gets its answer from the timer after its deadline.
+            // After the balancer's run: at a late wake-up deadlines and the balancer's tick are due at the same moment,
+            // and a request with less than a tick remaining gets its answer from the timer after its deadline.
             self.close_overdue(now);
         }
     }
@@ -170,7 +171,7 @@
         }
     }
 
-    /// When something is next due by time alone.
+    /// The time at which something is due even without an input.
     fn wake_at(&self) -> Time {
         let timer = self.timers.peek().map_or(NEVER, |Reverse((at, _))| *at);
         let balancer = if self.events.is_empty() { timer } else { self.next_tick };
@@ -180,7 +181,8 @@
         balancer.min(overdue).max(self.next_tick).min(deadline).min(extensions)
     }
 
-    /// Handles what cannot wait for the balancer's tick: a good answer goes to its client at once.
+    /// Handles an input. Everything that cannot wait for the balancer's tick is done at once: a successful answer is
+    /// relayed to its client.
     fn handle_input(&mut self, input: Input) {
         match input {
             Input::Arrived(request) => self.add_request(request),
@@ -194,7 +196,7 @@
         }
     }
 
-    /// The balancer's tick: it handles all events since the last one.
+    /// Runs the balancer's tick, which handles all events since the last one.
     fn run_balancer(&mut self, now: Time) {
         while let Some(Reverse((_, token))) = self.timers.peek().filter(|timer| timer.0 .0 <= now).copied() {
             self.timers.pop();
@@ -203,11 +205,11 @@
         if self.events.is_empty() {
             return;
         }
-        // Ticks are on a grid: counted from the previous one, every late wake-up would delay all that follow.
+        // Ticks are on a grid: if they counted from the previous tick, each late wake-up would delay all later ticks.
         self.next_tick = Time(now.0 - now.0 % self.config.tick.0) + self.config.tick;
         for mut event in std::mem::take(&mut self.events) {
             if let Event::Request(arrival) = &mut event {
-                // Counted from the tick: the wait for it must not move the deadline that the balancer assumes.
+                // Counted from the tick: the wait for the tick must not move the deadline that the balancer assumes.
                 let request = self.requests.get(&arrival.request);
                 arrival.remaining = request.map_or(Micros(0), |request| request.deadline - now);
             }
@@ -224,17 +226,17 @@
         self.remove_ended();
     }
 
-    /// After a panic of the balancer its state cannot be trusted: it restarts from the list, and all open requests fail. The
-    /// panic itself was reported by the hook.
+    /// Replaces the balancer after a panic, since its state cannot be trusted: the new one starts from the list of
+    /// backends, and all open requests fail. The panic hook has reported the panic itself.
     fn restart(&mut self) {
         tracing::error!(
-            "the decision module panicked; it starts anew, {} requests fail",
+            "the balancer panicked; it is restarted, and {} open requests fail",
             self.requests.len()
         );
         self.seed = self.seed.wrapping_add(1);
         match Balancer::new(self.config.clone(), self.seed) {
             Ok(balancer) => self.balancer = balancer,
-            Err(e) => tracing::error!("the module refused its configuration: {e}"),
+            Err(e) => tracing::error!("restarting the balancer: it rejected its configuration: {e}"),
         }
         for (_, mut request) in self.requests.drain() {
             for (_, attempt) in request.attempts.drain() {
@@ -253,7 +255,7 @@
         self.events.push(Event::Members { update: ListUpdate::Cached, backends });
     }
 
-    /// A backend as the list would have it now.
+    /// The entry that a list would have for a backend now.
     fn listed_entry(&self, upstream: &Rc<dyn Upstream>) -> Backend {
         let state = if upstream.is_open() { BackendState::Ready } else { BackendState::Draining };
         Backend { state, ..self.backend_set.view(&upstream.target().backend) }
--- a/crates/gaugesaddle/src/serving/driver/dispatch.rs
+++ b/crates/gaugesaddle/src/serving/driver/dispatch.rs
@@ -11,7 +11,7 @@
 };
 use gaugesaddle_federation::{client_answer, ClientAnswer};
 
-/// What a further attempt of the class may do; of an unknown class, the strictest.
+/// The effect of a further attempt of a class, and the strictest one for an unknown class.
 fn class_effect(config: &Config, class: ClassId) -> Effect {
     config.classes.get(class.0).map_or(Effect::Unsafe, |class| class.effect)
 }
@@ -23,14 +23,14 @@
         let attempt = r.next_attempt();
         let is_due = r.reply.is_some() && r.deadline > now;
         let Some(upstream) = self.backends.get(&backend).filter(|_| is_due).cloned() else {
-            // Answered meanwhile, or the backend has departed.
+            // The request was answered or has timed out meanwhile, or the backend has departed.
             let (outcome, latency, answered) = (Outcome::NeverSent, Micros(0), r.reply.is_none());
             let end = AttemptEnd { request, attempt, outcome, latency, answered };
             self.events.push(Event::AttemptEnded(end));
             return;
         };
         if self.upstreams.is_full() && self.upstreams.close_idlest() {
-            tracing::debug!("sockets are short: closed an idle connection");
+            tracing::debug!("all upstream sockets were in use: closed the longest idle connection");
         }
         let effect = class_effect(&self.config, r.class);
         let (call, window) = (r.call.clone(), r.send_window(effect, self.config.tick));
--- a/crates/gaugesaddle/src/serving/driver/listing.rs
+++ b/crates/gaugesaddle/src/serving/driver/listing.rs
@@ -8,13 +8,13 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Whether an upstream is to the process that the list has now.
+/// Whether an upstream belongs to the process that the list has now.
 fn is_same_process(upstream: &Rc<dyn Upstream>, listed: &ListedBackend) -> bool {
     let known = upstream.target();
     known.address == listed.address && known.backend.booted == listed.backend.booted
 }
 
-/// New requests go to an upstream only where its backend is ready.
+/// Allows new requests to an upstream only if its backend is ready.
 fn set_open(upstream: &Rc<dyn Upstream>, state: BackendState) {
     if state == BackendState::Ready {
         upstream.open();
@@ -39,7 +39,7 @@
         let mut excess = 0;
         for target in targets {
             let id = target.backend.id;
-            // Changes that name ever new backends must not exhaust the memory.
+            // Updates that keep adding backends must not exhaust the memory.
             if self.backends.len() >= self.max_backends && !self.backends.contains_key(&id) {
                 excess += 1;
                 continue;
@@ -49,7 +49,7 @@
         }
         if excess > 0 {
             let max = self.max_backends;
-            tracing::error!("{excess} backends beyond the {max} that are held are left out");
+            tracing::error!("ignored {excess} backends of the list: expected at most {max}");
         }
         previous.values().for_each(|upstream| upstream.close());
         self.update_serving();
@@ -58,15 +58,15 @@
         self.events.push(Event::Members { update, backends: entries });
     }
 
-    /// Applies one entry of the list; `known` is the upstream that it had so far. Returns the entry as the balancer is to see
-    /// it.
+    /// Applies one entry of the list; `known` is the upstream that the backend had so far. Returns the entry with
+    /// exclusions applied, for the balancer.
     fn apply_entry(&mut self, target: ListedBackend, known: Option<Rc<dyn Upstream>>) -> Backend {
         let entry = self.backend_set.update(&target.backend);
         tracing::debug!(server = %target.name, state = ?entry.state, "listed");
         let upstream = match known {
             Some(upstream) if is_same_process(&upstream, &target) => upstream,
             Some(upstream) => {
-                // A restarted process shares no connection with the one before it.
+                // A restarted process shares no connection with its predecessor.
                 upstream.close();
                 self.upstreams.create(target.clone())
             }
@@ -79,7 +79,7 @@
         entry
     }
 
-    /// Applies a command of the operators; from here on nothing new goes to an excluded backend. See
+    /// Applies an operator's command; no new request is sent to an excluded backend from now on. See
     /// [`BackendSet::apply`](crate::discovery::backend_set::BackendSet::apply).
     pub(super) fn maintain(
         &mut self, name: &str, command: MaintenanceCommand, origin: CommandOrigin,
--- a/crates/gaugesaddle/src/serving/driver/open_request.rs
+++ b/crates/gaugesaddle/src/serving/driver/open_request.rs
@@ -13,12 +13,12 @@
 pub(super) struct Attempt {
     pub(super) sent_at: Time,
     pub(super) task: AbortHandle,
-    /// Where its outcome is counted.
+    /// The row of the registry that counts its outcome.
     pub(super) row: Option<Rc<BackendRow>>,
 }
 
 impl Attempt {
-    /// Counts its one outcome and stops its task; returns when it was sent.
+    /// Counts its only outcome and stops its task; returns when it was sent.
     pub(super) fn finish(self, outcome: Outcome, now: Time) -> Time {
         self.task.abort();
         if let Some(row) = self.row {
@@ -28,7 +28,8 @@
     }
 }
 
-/// Reports the result of an attempt however its task ends. After a panic it may have been executed.
+/// Reports the result of an attempt however its task ends. After a panic that is a reset, since the attempt may have
+/// been executed.
 pub(super) struct AttemptReporter {
     inputs: mpsc::UnboundedSender<Input>,
     request: RequestId,
@@ -61,7 +62,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct Source {
     pub(super) hash: u64,
-    /// It did not wait for the retry time that it was given.
+    /// Whether it retried before the delay that it was given.
     pub(super) retried_early: bool,
 }
 
@@ -70,32 +71,32 @@
 /// ```text
 ///              answered, or the client disconnects           the last attempt ends
 ///  reply: Some ---------------------------------> reply: None -------------------> ended
-///    |  attempts come and go                        no attempt is sent any more
-///    +--> is_forwarded: one attempt, to another region; the balancer does not know the request any more
+///    |  attempts start and end                      no attempt is sent any more
+///    +--> is_forwarded: one attempt, to another region; the balancer does not track the request any more
 /// ```
 pub(super) struct OpenRequest {
     pub(super) class: ClassId,
-    /// An answer until then is in time.
+    /// An answer until this time meets the latency objective.
     pub(super) objective_at: Time,
     pub(super) deadline: Time,
     pub(super) patience_after_body: Option<Micros>,
     pub(super) source: Source,
     pub(super) call: Rc<Call>,
-    /// The regions that it came through.
+    /// The regions that it was forwarded through.
     pub(super) via: Option<Via>,
-    /// It was forwarded to another region.
+    /// Whether it was forwarded to another region.
     pub(super) is_forwarded: bool,
     /// `None`: it has had its final answer, or its client has disconnected.
     pub(super) reply: Option<oneshot::Sender<Answer>>,
     pub(super) attempts: HashMap<AttemptNo, Attempt>,
     /// Number of attempts so far.
     pub(super) attempt_count: u32,
-    /// When the first attempt was sent that has ended and may have been executed.
+    /// The earliest send time of the attempts that have ended and may have been executed.
     pub(super) may_have_run: Option<Time>,
 }
 
 impl OpenRequest {
-    /// Counts an attempt's one outcome and stops its task; returns when it was sent.
+    /// Counts an attempt's only outcome and stops its task; returns when it was sent.
     pub(super) fn finish_attempt(&mut self, attempt: Attempt, outcome: Outcome, now: Time) -> Time {
         let sent_at = attempt.finish(outcome, now);
         if !outcome.never_ran() {
@@ -104,8 +105,9 @@
         sent_at
     }
 
-    /// When a further attempt may be sent: while its client waits, and one that repeats what may have been executed while the
-    /// backends know its key. The balancer checks that when it decides; the connection is established after that.
+    /// The window of a further attempt: while its client waits, and for a retry of a keyed request that may have been
+    /// executed only while the backends store its key. The balancer checks this when it decides, but the connection is
+    /// established after that.
     pub(super) fn send_window(&self, effect: Effect, tick: Micros) -> SendWindow {
         let first_sent = self.attempts.values().map(|a| a.sent_at).chain(self.may_have_run).min();
         let send_before = match (effect, first_sent) {
@@ -117,7 +119,7 @@
         SendWindow { send_before, deadline: self.deadline }
     }
 
-    /// Takes the reply channel: the request has its final answer, or requires none any more.
+    /// Takes the reply channel: the request has its final answer, or needs none any more.
     pub(super) fn take_reply(&mut self) -> Option<oneshot::Sender<Answer>> {
         self.call.is_awaited.set(false);
         self.reply.take()
--- a/crates/gaugesaddle/src/serving/driver/requests.rs
+++ b/crates/gaugesaddle/src/serving/driver/requests.rs
@@ -9,7 +9,7 @@
 };
 use std::collections::HashMap;
 
-/// Ticks after a deadline in which the balancer may still answer: its timers are a tick late at most.
+/// Ticks after a deadline in which the balancer may still answer: its timers are at most a tick late.
 const GRACE_TICKS: u64 = 2;
 
 impl Driver {
@@ -59,7 +59,7 @@
         self.requests.insert(new.id, request);
     }
 
-    /// The last byte of a request was received: from now on its client's patience counts.
+    /// Handles the arrival of a request's last byte: from now on its client's patience counts.
     pub(super) fn complete_body(&mut self, request: RequestId) {
         let now = self.clock.now();
         let Some(r) = self.requests.get_mut(&request) else { return };
@@ -70,14 +70,14 @@
         self.deadlines.insert((r.deadline, request));
     }
 
-    /// A client has disconnected.
+    /// Handles the disconnect of a client.
     pub(super) fn disconnect(&mut self, request: RequestId) {
         let now = self.clock.now();
         let Some(r) = self.requests.get_mut(&request).filter(|r| r.reply.is_some()) else { return };
         r.take_reply();
         let class = r.class;
         if r.is_forwarded {
-            // Its task is dropped, which cancels the request at the other region.
+            // Its task is aborted, which cancels the request at the other region.
             r.attempts.drain().for_each(|(_, attempt)| _ = attempt.finish(Outcome::Cancelled, now));
         } else {
             self.events.push(Event::ClientDisconnected { request });
@@ -90,7 +90,7 @@
         let now = self.clock.now();
         let AttemptResult { outcome, answer } = result;
         let Some(r) = self.requests.get_mut(&request) else { return };
-        // One outcome an attempt: what it reports after it was cancelled does not count.
+        // An attempt has one outcome: a result after its cancellation is ignored.
         let Some(finished) = r.attempts.remove(&attempt) else { return };
         let sent_at = r.finish_attempt(finished, outcome, now);
         let is_forwarded = r.is_forwarded;
@@ -121,8 +121,9 @@
         }
     }
 
-    /// Removes ended requests once the balancer knows of their ends. Until then it may request a further attempt, which must
-    /// end under its own number: under another the balancer would count its slot as used for ever.
+    /// Removes ended requests once the balancer has handled their ends. Until then the balancer may request a further
+    /// attempt, which must end under its own number: under another one the balancer would count its slot as used for
+    /// ever.
     pub(super) fn remove_ended(&mut self) {
         for request in self.ended.drain(..) {
             if self.requests.get(&request).is_some_and(OpenRequest::is_ended) {
@@ -155,7 +156,7 @@
     }
 
     fn rejection(&mut self, now: Time, source: Source, over_open_cap: bool) -> Rejection {
-        // Rounded up: not every client reads decimals.
+        // Rounded up to whole seconds: not every client parses decimals.
         let retry_after_s = self.balancer.retry_after().0.div_ceil(1_000_000);
         let mut rejection = Rejection { retry_after_s, over_open_cap, by_client: false };
         for extension in &mut self.extensions {
@@ -172,7 +173,7 @@
         }
     }
 
-    /// Ends attempts at their request's deadline as timed out; the balancer still owes the answer.
+    /// Ends attempts at their request's deadline as timed out. The balancer still has to answer the request.
     pub(super) fn expire(&mut self, now: Time) {
         while let Some((deadline, request)) = self.deadlines.first().filter(|d| d.0 <= now).copied() {
             self.deadlines.pop_first();
@@ -197,8 +198,8 @@
         }
     }
 
-    /// The safety net: fails requests that the balancer has not answered in its tick after the deadline. It never rejects
-    /// them, for only the balancer knows what may have been executed.
+    /// A safety net: fails requests that the balancer has not answered in its tick after the deadline. It never rejects
+    /// them, since only the balancer tracks whether a request may have been executed.
     pub(super) fn close_overdue(&mut self, now: Time) {
         while let Some((_, request)) = self.overdue.front().filter(|(until, _)| *until <= now).copied() {
             self.overdue.pop_front();
--- a/crates/gaugesaddle/src/serving/driver/tests.rs
+++ b/crates/gaugesaddle/src/serving/driver/tests.rs
@@ -1,4 +1,4 @@
-//! Requests and attempts whose ends cross the module's words.
+//! Requests and attempts that end while the balancer's actions for them are under way.
 
 use super::open_request::Attempt;
 use super::*;
@@ -12,7 +12,8 @@
 use std::cell::Cell;
 use tokio::sync::oneshot;
 
-/// The module may ask for a copy in the very tick in which the answer came: that attempt is the second.
+/// The balancer may request a further attempt in the tick in which the answer arrived: that attempt must end under its
+/// own number.
 #[tokio::test]
 async fn attempt_dispatched_after_the_answer_ends_under_its_own_number() {
     let clock = Clock::new();
@@ -32,7 +33,7 @@
         registry,
         extensions: Vec::new(),
     };
-    let mut driver = Driver::new(parts).expect("sound");
+    let mut driver = Driver::new(parts).expect("a valid configuration");
     let (id, (reply, mut answer)) = (RequestId(1), oneshot::channel());
     let body = CallBody::Buffered(Bytes::new());
     let call = Rc::new(Call { head: hyper::Request::new(()), body, is_awaited: Cell::new(true) });
@@ -58,15 +59,17 @@
     driver.handle_input(Input::Arrived(arrived));
     let sent_at = clock.now();
     let task = tokio::spawn(std::future::pending::<()>()).abort_handle();
-    let open = driver.requests.get_mut(&id).expect("open");
+    let open = driver.requests.get_mut(&id).expect("the request is open");
     open.attempts.insert(AttemptNo(0), Attempt { sent_at, task, row: None });
     open.attempt_count = 1;
     let result =
         AttemptResult { outcome: Outcome::Ok, answer: Some(Response::new(Payload::Buffered(Bytes::new()))) };
     driver.handle_input(Input::AttemptEnded(id, AttemptNo(0), result));
-    assert!(matches!(answer.try_recv(), Ok(Answer::Served(_))), "at once");
+    assert!(matches!(answer.try_recv(), Ok(Answer::Served(_))), "expected the answer to be relayed at once");
     driver.dispatch(clock.now(), id, BackendId(7));
-    let Some(Event::AttemptEnded(end)) = driver.events.last() else { panic!("an outcome") };
+    let Some(Event::AttemptEnded(end)) = driver.events.last() else {
+        panic!("expected the end of an attempt")
+    };
     let expected = (AttemptNo(1), Outcome::NeverSent, true);
     assert_eq!((end.attempt, end.outcome, end.answered), expected);
     driver.remove_ended();
--- a/crates/gaugesaddle/src/serving/exchange.rs
+++ b/crates/gaugesaddle/src/serving/exchange.rs
@@ -1,6 +1,7 @@
-//! The types that pass between the server of clients, the driver, upstreams and discovery. Each of them knows these types and
-//! none of the others: a server submits a [`NewRequest`] and waits for its [`Answer`]; an [`Upstream`] sends attempts to one
-//! backend; discovery reports [`ListedBackend`]s. Only the driver calls the balancer.
+//! The types that pass between the client-facing server, the driver, upstreams and discovery. Each of these components
+//! depends on the types and not on the other components: the server submits a [`NewRequest`] and waits for its
+//! [`Answer`]; an [`Upstream`] sends attempts to one backend; discovery reports [`ListedBackend`]s. Only the driver
+//! calls the balancer.
 
 use crate::clock::Clock;
 use crate::discovery::backend_set::CommandOrigin;
@@ -21,7 +22,7 @@
 
 /// A body up to this size is buffered before it is forwarded, in either direction.
 pub const BODY_BYTES: usize = gaugesaddle_http_connection::BUFFERED_BODY_BYTES;
-/// The header with the time that the sender will wait, in whole milliseconds.
+/// The header with the time for which the sender will wait, in whole milliseconds.
 pub const REMAINING_TIME: HeaderName = HeaderName::from_static("x-time-left-ms");
 
 /// An entry of the list of backends.
@@ -29,30 +30,30 @@
 pub struct ListedBackend {
     pub backend: Backend,
     pub address: SocketAddr,
-    /// The names of the backend, its zone and its kind, which the balancer knows by numbers.
+    /// The names of the backend, its zone and its kind, which the balancer identifies by numbers.
     pub name: Rc<str>,
     pub zone: Rc<str>,
     pub kind: Rc<str>,
 }
 
-/// What goes to a backend: the same in every attempt but for the remaining time.
+/// A request as it is sent to a backend: the same in every attempt except for the remaining time.
 pub struct Call {
     pub head: Request<()>,
     pub body: CallBody,
-    /// Whether its client waits for an answer and has had none.
+    /// Whether its client still waits for an answer.
     pub is_awaited: Cell<bool>,
 }
 
 /// When an attempt may be sent, and when it must have ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SendWindow {
-    /// Its first byte is sent before that or never: until then backends recognise a retry, and its client waits.
+    /// Its first byte is sent before this time or never: until then backends recognise a retry, and its client waits.
     pub send_before: Time,
     pub deadline: Time,
 }
 
-/// Decides whether an attempt may be sent now. It is checked right before the first byte is written: since the balancer
-/// decided, a connection may have had to be established.
+/// Decides whether an attempt may be sent now. It is checked right before the first byte is written, since establishing
+/// a connection may have taken time after the balancer's decision.
 ///
 /// ```text
 ///  dispatched ----> connecting ----> first byte ----> in flight
@@ -60,7 +61,7 @@
 ///                       +--> never sent: the backend departs, the client has disconnected or is served, or the window is over
 /// ```
 pub struct SendGate {
-    /// New requests may go to the backend.
+    /// Whether new requests may be sent to the backend.
     pub open: Rc<Cell<bool>>,
     pub call: Rc<Call>,
     pub window: SendWindow,
@@ -92,7 +93,7 @@
     pub retry_after_s: u64,
     /// Too many requests are open: it reached neither the balancer nor a backend.
     pub over_open_cap: bool,
-    /// The client is the cause: it did not wait for the delay that it was given.
+    /// The client is the cause: it retried before the delay that it was given.
     pub by_client: bool,
 }
 
@@ -112,21 +113,21 @@
     pub received_at: Time,
     /// When it must be answered.
     pub deadline: Time,
-    /// How long its client waits from its last byte on, where that is still to come.
+    /// How long its client waits after the last byte of its body, if that was not received yet.
     pub patience_after_body: Option<Micros>,
     pub work_hint: Option<Micros>,
     pub repeat: bool,
-    /// The hash of its idempotency key, where it has one.
+    /// The hash of its idempotency key, if it has one.
     pub key: Option<u64>,
-    /// The hash of its account, or of its client's address where there are no accounts.
+    /// The hash of its account, or of its client's address if it has no account.
     pub source: u64,
-    /// The regions that it came through, where another region has forwarded it.
+    /// The regions that it was forwarded through, if another region has forwarded it.
     pub via: Option<gaugesaddle_federation::Via>,
     pub call: Rc<Call>,
     pub reply: oneshot::Sender<Answer>,
 }
 
-/// What the driver handles.
+/// An input of the driver.
 pub enum Input {
     /// A request has arrived.
     Arrived(NewRequest),
@@ -151,7 +152,7 @@
     },
 }
 
-/// A future on the one thread of the proxy.
+/// A future that runs on the proxy's only thread.
 pub type LocalFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
 /// One process of a backend, with the connections to it. A restarted process has a new upstream, so that no old connection is
@@ -167,18 +168,19 @@
     fn close(&self);
     /// Closes idle connections that are not usable any more.
     fn sweep(self: Rc<Self>) -> LocalFuture<()>;
-    /// Sends one attempt; it has one outcome. Dropped, it stops at once and closes its connection; whether it was executed is
-    /// unknown then. What may have been executed is never sent a second time.
+    /// Sends one attempt, which has one outcome. If the future is dropped, the attempt stops at once and its connection
+    /// is closed; whether it was executed is then unknown. A request that may have been executed is never sent a second
+    /// time by this call.
     fn attempt(self: Rc<Self>, call: Rc<Call>, window: SendWindow) -> LocalFuture<AttemptResult>;
 }
 
 /// Creates upstreams, and limits their connections.
 pub trait Upstreams {
-    /// An upstream for an entry of the list.
+    /// Creates an upstream for an entry of the list.
     fn create(&self, target: ListedBackend) -> Rc<dyn Upstream>;
     /// Whether all sockets are in use: an idle one has to be closed before another is opened.
     fn is_full(&self) -> bool;
-    /// Closes the connection that has been idle longest, of all upstreams; returns whether there was one.
+    /// Closes the longest idle connection of all upstreams; returns whether there was one.
     fn close_idlest(&self) -> bool;
     /// Number of open sockets.
     fn sockets(&self) -> usize;
--- a/crates/gaugesaddle/src/serving/extension.rs
+++ b/crates/gaugesaddle/src/serving/extension.rs
@@ -1,18 +1,18 @@
-//! The interface between the driver and an optional part of the proxy: what it observes, and what it may change. Each one
-//! implements only what it needs. One that is disabled is not in the driver's list, so it costs a request nothing but the
-//! iteration over an empty list.
+//! The interface between the driver and an optional part of the proxy: the events that it observes, and the values that
+//! it may change. Each extension implements only the methods that it needs. A disabled extension is not in the driver's
+//! list; with an empty list a request costs only the iteration over it.
 
 use crate::operations::registry::RequestEnd;
 use crate::serving::exchange::{AttemptResult, Call, LocalFuture, NewRequest, Rejection};
 use gaugesaddle_balancer::{Arrival, Balancer, ClassId, Event, ListUpdate, Outcome, Time};
 use std::rc::Rc;
 
-/// A request that the balancer hands over: no backend of the list will serve it.
+/// A request that the balancer hands over for forwarding, since no backend of the list will serve it.
 pub struct ForwardedRequest<'a> {
     pub class: ClassId,
     pub call: &'a Rc<Call>,
     pub deadline: Time,
-    /// The regions that it came through.
+    /// The regions that it was forwarded through.
     pub via: Option<&'a gaugesaddle_federation::Via>,
 }
 
@@ -24,7 +24,7 @@
     fn on_list(&mut self, _now: Time, _update: ListUpdate) {}
     /// A request has arrived; `arrival` is what the balancer will get, and may be changed.
     fn on_arrival(&mut self, _now: Time, _new: &NewRequest, _arrival: &mut Arrival) {}
-    /// An attempt is sent to a backend; whether it is the request's first.
+    /// An attempt is sent to a backend. `is_first`: it is the request's first attempt.
     fn on_attempt_start(&mut self, _is_first: bool) {}
     /// An attempt at a listed backend has ended.
     fn on_attempt_end(&mut self, _outcome: Outcome) {}
@@ -36,11 +36,12 @@
         &mut self, _now: Time, _source: u64, _retried_early: bool, _rejection: &mut Rejection,
     ) {
     }
-    /// Forwards a request elsewhere, with one result like an attempt's; `None` where it is not accepted.
+    /// Forwards a request to another region, with one result like an attempt's; `None` if this extension does not
+    /// accept it.
     fn forward(&mut self, _now: Time, _request: ForwardedRequest) -> Option<LocalFuture<AttemptResult>> {
         None
     }
-    /// When it must be polled at the latest.
+    /// The latest time of its next poll.
     fn wake_at(&self) -> Time {
         Time(u64::MAX)
     }
--- a/crates/gaugesaddle/src/serving/overload.rs
+++ b/crates/gaugesaddle/src/serving/overload.rs
@@ -1,4 +1,5 @@
-//! The watch for storms, in the running proxy: what `gaugesaddle_overload` decides, told to the module and to clients.
+//! Retry storm detection in the running proxy: passes the decisions of `gaugesaddle_overload` on to the balancer and to
+//! clients.
 
 use crate::operations::registry::{Registry, RequestEnd, StormState};
 use crate::serving::exchange::{NewRequest, Rejection};
@@ -10,7 +11,7 @@
 pub struct OverloadWatch {
     controller: OverloadController,
     registry: Rc<Registry>,
-    /// Connections that it knows of.
+    /// Number of accepted connections that were reported to the controller.
     seen_connections: u64,
 }
 
@@ -21,7 +22,8 @@
 }
 
 impl Extension for OverloadWatch {
-    /// Looks for a storm and tells the module. Without requests there is none to see: no wake-up is spent on it.
+    /// Observes the load and passes the limits of a storm to the balancer. It requests no wake-up: without requests
+    /// there is no storm to detect.
     fn poll(&mut self, now: Time, _: &Balancer, events: &mut Vec<Event>) {
         let controller = &mut self.controller;
         let accepted = self.registry.accepted_connections.get();
@@ -30,7 +32,7 @@
         let Some(observation) = controller.observe(now) else { return };
         let (state, figures) = (controller.state(), controller.figures());
         if let Some(previous) = observation.previous {
-            tracing::info!("{} after {}: {figures}", state.name(), previous.name());
+            tracing::info!("retry storm detection: {} after {}: {figures}", state.name(), previous.name());
             self.registry.storm.set(state);
         }
         if let Some(pressure) = observation.pressure {
--- a/crates/gaugesaddle/src/serving/request_rules.rs
+++ b/crates/gaugesaddle/src/serving/request_rules.rs
@@ -1,4 +1,4 @@
-//! What a request's head says, or why it is invalid.
+//! Validation and parsing of a request's head.
 
 use crate::operations::event_counters::Reason;
 use crate::serving::body::MAX_BODY_BYTES;
@@ -16,10 +16,10 @@
 const WORK_HINT_HEADER: HeaderName = HeaderName::from_static("x-weight-hint");
 pub const CORRELATION_HEADER: HeaderName = HeaderName::from_static("x-correlation-id");
 const IDEMPOTENCY_HEADER: HeaderName = HeaderName::from_static("idempotency-key");
-/// Maximum length of an id: ids are kept while their request is open.
+/// Maximum length of an id: ids are stored while their request is open.
 const MAX_ID_BYTES: usize = 128;
 
-/// The response to an invalid request. Its connection is closed: what follows on it cannot be trusted.
+/// The response to an invalid request. Its connection is closed, since the bytes that follow cannot be trusted.
 pub struct InvalidRequest(pub StatusCode, pub &'static str, pub Reason);
 
 impl From<&'static str> for InvalidRequest {
@@ -28,9 +28,9 @@
     }
 }
 
-/// What the balancer needs to know of a request.
+/// The attributes of a request that the balancer needs.
 pub struct RequestAttributes {
-    /// The client's id.
+    /// The correlation id, which the client has chosen.
     pub id: HeaderValue,
     pub class: ClassId,
     pub tenant: Option<TenantId>,
@@ -43,16 +43,16 @@
     pub source: Option<u64>,
 }
 
-/// What a valid request may be.
+/// The rules that a valid request follows.
 pub struct RequestRules {
     pub names: Names,
     pub classes: Vec<Class>,
-    /// The longest time that a client waits; more counts as this.
+    /// Maximum time for which a client waits; a longer one is reduced to this.
     pub max_patience: Micros,
 }
 
-/// Rejects a body that is framed in two ways at once, since a reader that uses the other one would find another request in
-/// it, and a body that is too long.
+/// Rejects a body that is framed both by `Content-Length` and `Transfer-Encoding`, since a recipient that uses the
+/// other one would find another request in it (request smuggling), and a body that is too long.
 ///
 /// # Errors
 /// The response to such a request.
@@ -72,7 +72,7 @@
 }
 
 impl RequestRules {
-    /// Reads a request's head.
+    /// Validates and parses a request's head.
     ///
     /// # Errors
     /// The response to an invalid request.
@@ -116,7 +116,7 @@
     }
 }
 
-/// The value of a header that must not be repeated: one reader would use the first and another the second.
+/// The value of a header that must not be repeated: one recipient would use the first value and another one the second.
 fn unique_value<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, &'static str> {
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
--- a/crates/gaugesaddle/src/serving/server.rs
+++ b/crates/gaugesaddle/src/serving/server.rs
@@ -1,7 +1,7 @@
-//! The server of clients: accepts connections, limits them, and ends them in order when the proxy stops.
+//! The client-facing server: accepts connections, limits their number, and closes them in order when the proxy stops.
 //!
-//! `connection_task` serves one connection, `handler` one request, `body_reader` reads its body, `eviction` decides which
-//! connections are closed for others.
+//! `connection_task` serves one connection, `handler` one request, `body_reader` reads its body, `eviction` decides
+//! which connections are closed so that others can be served.
 
 mod body_reader;
 mod connection_task;
@@ -28,33 +28,34 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{Instant, MissedTickBehavior};
 
-/// Idle connections are kept up to this fraction (one in so many) of the descriptors. Usual clients need a third of them at
-/// most for requests: idle connections take from the requests to come, so half of that third remains free for them.
-/// Clients that send further requests have few idle connections, for they reuse the same ones.
+/// Divisor of the number of descriptors that gives the maximum number of idle connections. Usual clients need at most a
+/// third of the descriptors for requests. Idle connections reduce the descriptors for later requests, so half of that
+/// third remains free for these. Clients that send further requests have few idle connections, since they reuse the
+/// same ones.
 pub const IDLE_FRACTION: usize = 6;
 /// Interval of the checks for connections that have timed out.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
-/// Delay after a failed accept, for want of descriptors for instance.
+/// Delay after a failed accept, for example for lack of descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What the handlers of all connections share.
+/// The state that the handlers of all connections share.
 pub struct Server {
     pub clock: Clock,
     pub rules: RequestRules,
     pub registry: Rc<Registry>,
     tick: Micros,
-    /// Bytes that the bodies of open requests may still use.
+    /// Number of bytes that the bodies of open requests may still use.
     free_body_bytes: Cell<usize>,
     inputs: mpsc::UnboundedSender<Input>,
     last_number: Cell<u64>,
     connections: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
-    /// The clients' own ids of the open requests.
+    /// The correlation ids of the open requests, which the clients have chosen.
     open_ids: RefCell<HashSet<HeaderValue>>,
     connection_closed: Notify,
 }
 
 impl Server {
-    /// `body_bytes`: what the bodies of open requests may use together.
+    /// `body_bytes`: the maximum number of bytes that the bodies of open requests may use together.
     pub fn new(
         clock: Clock, rules: RequestRules, tick: Micros, body_bytes: usize,
         inputs: mpsc::UnboundedSender<Input>, registry: Rc<Registry>,
@@ -73,8 +74,8 @@
         }
     }
 
-    /// Serves until `stop`, which returns whether another process succeeds this one; returns when all requests are
-    /// answered.
+    /// Serves until `stop`, which returns whether another process replaces this one; returns when all connections are
+    /// closed, or after the longest time for which a client waits.
     pub async fn run(self: Rc<Self>, listener: TcpListener, stop: impl Future<Output = bool>) {
         tokio::pin!(stop);
         let end = tokio::time::sleep(Duration::MAX);
@@ -108,13 +109,13 @@
                 },
             }
         }
-        // What the system has accepted meanwhile is served, too.
+        // Connections that the system has accepted meanwhile are served, too.
         for stream in drain_backlog(listener) {
             self.clone().spawn_connection(stream);
         }
         let close_by = Instant::now() + duration(IDLE_CLOSE_DELAY) + duration(self.rules.max_patience);
         while !self.connections.borrow().is_empty() && Instant::now() < close_by {
-            self.close_unwanted(self.clock.now());
+            self.close_idle_on_drain(self.clock.now());
             tokio::select! {
                 _ = sweep.tick() => self.close_timed_out(),
                 () = self.connection_closed.notified() => {}
@@ -128,8 +129,8 @@
     }
 }
 
-/// Ends the listening; returns the connections that the system has accepted. The system itself is asked, since what the
-/// runtime knows of the listener may be out of date.
+/// Closes the listener; returns the connections in its accept queue. They are accepted without the runtime, whose
+/// readiness of the listener may be out of date.
 fn drain_backlog(listener: TcpListener) -> Vec<TcpStream> {
     let Ok(listener) = listener.into_std() else { return Vec::new() };
     let accepted = std::iter::from_fn(|| listener.accept().ok());
--- a/crates/gaugesaddle/src/serving/server/body_reader.rs
+++ b/crates/gaugesaddle/src/serving/server/body_reader.rs
@@ -14,14 +14,14 @@
 use std::cell::RefCell;
 use std::collections::VecDeque;
 
-/// Bytes that a body uses of what all bodies may use; released on drop.
+/// Bytes that a body reserves from the limit of all bodies; released on drop.
 pub(super) struct BodyMemory<'a> {
     bytes: usize,
     server: &'a Server,
 }
 
 impl<'a> BodyMemory<'a> {
-    /// No bytes yet.
+    /// A reservation without bytes.
     pub(super) fn new(server: &'a Server) -> BodyMemory<'a> {
         BodyMemory { bytes: 0, server }
     }
@@ -46,10 +46,11 @@
 }
 
 impl Server {
-    /// Reads a body as far as it is buffered. A small one that finds no memory is rejected, a large one is streamed.
+    /// Reads a body as far as it is buffered. If there is no memory for it, a small body is rejected and a large one is
+    /// streamed.
     ///
     /// # Errors
-    /// It breaks off, stalls, is too long, or finds no memory.
+    /// The body is incomplete, stalls, is too long, or there is no memory for it.
     pub(super) async fn read_body(
         &self, mut body: Incoming, connection: &ClientConnection, received_at: Time,
         memory: &mut BodyMemory<'_>,
--- a/crates/gaugesaddle/src/serving/server/connection_task.rs
+++ b/crates/gaugesaddle/src/serving/server/connection_task.rs
@@ -16,29 +16,29 @@
 
 /// Maximum size of a request's head, many times that of a usual one.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// After the last answer on a connection, what the client still sends is discarded, up to this size and time, and until
-/// nothing was received for [`LINGER_QUIET`]: a close over unread bytes would reset the connection and could lose the end of
-/// the answer to a slow reader.
+/// After the last answer on a connection, bytes that the client still sends are discarded, up to this size and for
+/// [`LINGER_TIMEOUT`], until nothing was received for [`LINGER_QUIET`]: a close with unread bytes would reset the
+/// connection and could lose the end of the answer to a slow reader.
 const MAX_LINGER_BYTES: usize = 4 * crate::serving::exchange::BODY_BYTES;
 const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
 const LINGER_QUIET: Duration = Duration::from_millis(500);
 
-/// What a connection does when it is requested to close.
+/// The reaction of a connection to a request to close.
 enum CloseAction {
-    /// It ends at once.
+    /// It closes at once.
     CloseNow,
     /// It remains open: a request is being received, and its answer will be the last.
     AwaitRequest,
-    /// What is being answered is completed first.
+    /// It completes the current answer first.
     Graceful,
 }
 
 fn close_action(connection: &ClientConnection, socket: &ClientSocket, is_repeated: bool) -> CloseAction {
     let is_used = connection.is_used();
     match connection.phase.get() {
-        // Nothing is in service and no answer on its way.
+        // No request is in service, and no answer is being sent.
         Phase::Reading(_) => CloseAction::CloseNow,
-        // One that was never used is young: what is unread is likely its first request.
+        // A connection that was never used is young: its unread bytes are likely its first request.
         Phase::Idle(_) if !is_repeated && !is_used && socket.has_unread() => CloseAction::AwaitRequest,
         Phase::Idle(_) if is_repeated || !is_used => CloseAction::CloseNow,
         Phase::Idle(_) if socket.has_received() => CloseAction::AwaitRequest,
@@ -120,7 +120,7 @@
     }
 }
 
-/// A number for a client's address: the same within this process only.
+/// The hash of a client's address, which is stable within this process only.
 fn hash_of(value: &impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
     value.hash(&mut hasher);
--- a/crates/gaugesaddle/src/serving/server/eviction.rs
+++ b/crates/gaugesaddle/src/serving/server/eviction.rs
@@ -6,13 +6,14 @@
 use gaugesaddle_balancer::{Micros, Time};
 use std::rc::Rc;
 
-/// A partial request on a connection between requests is awaited for this long when the process ends: one that arrives later
-/// may find the process killed before its answer, while its client tries another proxy if the connection is closed.
+/// Maximum time for which a partial request on an otherwise idle connection is awaited when the process stops: the
+/// process may be killed before it has answered a later one, while a client whose connection is closed tries another
+/// proxy.
 const PARTIAL_HEAD_TIMEOUT: Micros = Micros(200_000);
 
 impl Server {
-    /// Closes idle connections while the proxy wants no clients.
-    pub(super) fn close_unwanted(&self, now: Time) {
+    /// Closes idle connections while the proxy drains or stops.
+    pub(super) fn close_idle_on_drain(&self, now: Time) {
         let lifecycle = self.registry.lifecycle();
         if !lifecycle.closes_idle_connections(now) {
             return;
@@ -33,7 +34,7 @@
     /// Closes connections that have timed out, and logs the counters that have changed.
     pub(super) fn close_timed_out(&self) {
         let now = self.clock.now();
-        self.close_unwanted(now);
+        self.close_idle_on_drain(now);
         for connection in self.connections.borrow().values() {
             if let Some(reason) = connection.timed_out(now) {
                 connection.request_close(now, reason);
@@ -55,8 +56,8 @@
         tracing::info!("{counters}; open {open} of {max}, asked on {used}, in service {in_service}");
     }
 
-    /// With all connections in use, closes one that is not in service: new clients must be served, however many others hold
-    /// connections without sending requests.
+    /// Closes a connection that is not in service when all connections are in use: new clients must be served, even if
+    /// many others have connections without sending requests.
     pub(super) fn evict_one(&self) {
         let now = self.clock.now();
         let connections = self.connections.borrow();
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Closes idle connections before all are in use: with all of their descriptors in idle connections, clients could send
-    /// no request, and no new connection would cause an eviction.
+    /// Closes surplus idle connections before all connections are in use: clients whose descriptors are all used by
+    /// idle connections could send no request, and no new connection would cause an eviction.
     pub(super) fn limit_idle(&self) {
         let connections = self.connections.borrow();
         let max = self.registry.bounds().idle_connections;
--- a/crates/gaugesaddle/src/serving/server/handler.rs
+++ b/crates/gaugesaddle/src/serving/server/handler.rs
@@ -22,12 +22,12 @@
 
 /// The path of the platform's readiness check.
 const READY_PATH: &str = "/-/ready";
-/// Maximum time for a body that is streamed, where its length implies no less.
+/// Maximum time for the upload of a streamed body, unless its length implies a shorter one.
 const MAX_UPLOAD: Micros = Micros(30_000_000);
-/// Ticks between the answer to a client and the end of its patience, for the way there and back.
+/// Ticks between the answer to a client and the end of its patience, for the network delay in both directions.
 const ANSWER_MARGIN_TICKS: u64 = 2;
 
-/// A request that the driver knows. Dropped before it is answered, its client has disconnected.
+/// A request that was submitted to the driver. If it is dropped before its answer, its client has disconnected.
 struct PendingAnswer<'a> {
     request: RequestId,
     id: HeaderValue,
@@ -40,7 +40,7 @@
     fn drop(&mut self) {
         self.server.open_ids.borrow_mut().remove(&self.id);
         if !self.is_answered {
-            // From this moment on, not from when the driver receives it.
+            // The client counts as disconnected from now on, not only when the driver receives the input.
             self.call.is_awaited.set(false);
             let _ = self.server.inputs.send(Input::ClientDisconnected(self.request));
         }
@@ -124,8 +124,9 @@
         self.open_ids.borrow().contains(id)
     }
 
-    /// Gives a request to the driver and waits for its one answer; dropped before that, its client has disconnected.
-    /// `source`: its source where the request has none; `via`: the regions that it came through.
+    /// Submits a request to the driver and waits for its only answer. If the future is dropped before that, the client
+    /// counts as disconnected. `source`: the source of a request without an account; `via`: the regions that it was
+    /// forwarded through.
     ///
     /// # Errors
     /// A request with the same id is open.
@@ -138,7 +139,7 @@
         let now = self.clock.now();
         let request = RequestId(self.next_number());
         let (reply, answer) = oneshot::channel();
-        // A client's patience counts from its last byte, which may be to come.
+        // A client's patience counts from its last byte, which may not have been received yet.
         let patience = Micros(attributes.remaining.0.saturating_sub(ANSWER_MARGIN_TICKS * self.tick.0));
         let mut call = Call { head: forwarded_head(head), body, is_awaited: Cell::new(true) };
         let (deadline, patience_after_body) = self.deadline(request, now, patience, &mut call.body);
@@ -165,7 +166,7 @@
         Ok(answer.unwrap_or(Answer::Failed))
     }
 
-    /// The deadline of a request, and its client's patience from its last byte where that is still to come.
+    /// The deadline of a request, and its client's patience after its last byte if that was not received yet.
     fn deadline(
         &self, request: RequestId, now: Time, patience: Micros, body: &mut CallBody,
     ) -> (Time, Option<Micros>) {
@@ -191,7 +192,7 @@
             if rejection.by_client { StatusCode::TOO_MANY_REQUESTS } else { StatusCode::SERVICE_UNAVAILABLE };
         let mut answer = text_response(status, "refused");
         answer.headers_mut().insert(RETRY_AFTER, HeaderValue::from(rejection.retry_after_s));
-        // In a retry storm connections are scarcer than connects: half of them remain for those that are served.
+        // In a retry storm open connections are scarcer than new ones: half of them remain for clients that are served.
         let is_half_used = self.connections.borrow().len() > self.registry.bounds().connections / 2;
         if self.registry.storm.get().is_damping() && is_half_used {
             connection.request_close(self.clock.now(), Reason::ClosedStorm);
@@ -200,7 +201,7 @@
     }
 }
 
-/// The head that goes to backends.
+/// The head that is sent to backends.
 fn forwarded_head(mut head: Parts) -> Request<()> {
     gaugesaddle_http_connection::strip_connection_headers(&mut head.headers);
     let mut request = Request::new(());
--- a/crates/gaugesaddle/src/serving/upstream.rs
+++ b/crates/gaugesaddle/src/serving/upstream.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 to backends: pooled connections, and one attempt to one outcome.
+//! HTTP/1.1 to backends: connection pooling, and attempts with one outcome each.
 
 use crate::clock::{duration, Clock};
 use crate::operations::registry::Registry;
@@ -29,10 +29,10 @@
 /// Maximum size of an answer's head.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
-/// Chunks of an answer, of one read each, that are buffered for a slow client; more would be a waste of memory.
+/// Number of chunks of an answer, of one read each, that are buffered for a slow client; more would waste memory.
 const BUFFERED_CHUNKS: usize = 1;
-/// Fraction of the backend's own limit after which an idle connection is closed from this side: a request written while the
-/// backend closes it would end as a reset.
+/// Fraction of the backends' own idle time-out after which the proxy closes an idle connection: a request that is
+/// written while the backend closes it would end as a reset.
 const IDLE_LIMIT_FRACTION: f64 = 0.75;
 
 /// One process of a backend with its idle connections. A restarted backend has another one, so that no connection to the old
@@ -91,7 +91,7 @@
     }
 }
 
-/// A connection that counts among the sockets.
+/// A connection that counts against the limit of upstream sockets.
 type PooledConnection = Connection<RequestBody, CountedPermit>;
 
 /// The connections to all backends.
@@ -100,13 +100,13 @@
     dial_timeout: Micros,
     idle_limit: Micros,
     sockets: Rc<Cell<usize>>,
-    /// Backends with idle connections, the longest idle first, so that it is found without a search. Entries of connections
-    /// that were used since are stale.
+    /// The idle connections of all backends, the longest idle first, so that it is found without a search. Entries of
+    /// connections that were used since are stale.
     idle_order: RefCell<VecDeque<(Time, Weak<BackendProcess>)>>,
     registry: Rc<Registry>,
 }
 
-/// Stale entries are removed when there are this many for each socket.
+/// Stale entries are removed when there are more than this many entries per socket.
 const IDLE_ORDER_ENTRIES_PER_SOCKET: usize = 8;
 
 impl Pool {
@@ -128,7 +128,7 @@
         let mut candidates = std::mem::take(&mut *upstream.idle.borrow_mut());
         let oldest = Time(self.clock.now().0.saturating_sub(self.idle_limit.0));
         candidates.retain(|(since, _)| *since > oldest);
-        // While two processes share the descriptors the limit is lower.
+        // The limit is lower while two processes share the descriptors.
         while self.sockets.get() > self.registry.bounds().upstream_sockets && candidates.pop().is_some() {}
         for (since, mut connection) in candidates {
             if connection.is_reusable().await && upstream.open.get() {
@@ -181,7 +181,7 @@
 
     async fn connect(&self, to: SocketAddr) -> Result<PooledConnection, Outcome> {
         if self.is_full() {
-            return Err(Outcome::NeverSent); // this proxy's lack of sockets says nothing about the backend
+            return Err(Outcome::NeverSent); // a lack of sockets at this proxy is not a failure of the backend
         }
         let permit = CountedPermit::acquire(&self.sockets);
         let dialled = tokio::time::timeout(duration(self.dial_timeout), TcpStream::connect(to)).await;
@@ -194,7 +194,7 @@
         PooledConnection::open(stream, MAX_HEAD_BYTES, permit).await.map_err(|_| Outcome::ConnectFailed)
     }
 
-    /// Sends one attempt. It ends by itself or is dropped, which closes its connection.
+    /// Sends one attempt. It runs to its outcome or is dropped, which closes its connection.
     async fn attempt(
         self: &Rc<Pool>, upstream: &Rc<BackendProcess>, call: Rc<Call>, window: SendWindow,
     ) -> AttemptResult {
@@ -211,7 +211,8 @@
                 Ok(connection) => connection,
                 Err(outcome) => return outcome.into(),
             };
-            // The socket checks it, too, but only after the body was taken, and a streamed one can be taken only once.
+            // The connection checks the gate, too, but only after the body was taken, and a streamed body can be taken
+            // only once.
             if !gate.may_send() {
                 return Outcome::NeverSent.into();
             }
@@ -243,16 +244,16 @@
                     ));
                     AttemptResult { outcome: Outcome::Ok, answer: Some(answer) }
                 }
-                // A pooled connection that closed, or received unexpected bytes, before a byte was written: the attempt has
-                // not begun.
                 Err(()) if connection.progress.client_aborted.get() => Outcome::NeverSent.into(),
                 Err(()) if connection.progress.refused.get() && !connection.progress.begun.get() => {
                     Outcome::NeverSent.into()
                 }
+                // The pooled connection closed, or received unexpected bytes, before a byte of the request was written: the
+                // attempt has not begun.
                 Err(()) if !fresh && !connection.progress.begun.get() && call.body.is_buffered() => continue,
                 Err(()) if !connection.progress.fully_sent.get() => Outcome::ConnectFailed.into(),
                 Err(()) if connection.progress.broken.get() => Outcome::Reset.into(),
-                // An unusable answer counts like an error.
+                // An unusable answer counts as an error.
                 Err(()) => Outcome::Error.into(),
             };
         }
@@ -267,13 +268,13 @@
         }
     }
 
-    /// Relays the rest of an answer. It ends early where the answer breaks off, is too long, or either side stalls, which the
-    /// client can detect.
+    /// Relays the rest of an answer. It stops early if the answer is incomplete or too long, or if either side stalls,
+    /// which the client can detect.
     async fn relay_response(
         self: Rc<Pool>, upstream: Rc<BackendProcess>, mut connection: PooledConnection, mut body: Incoming,
         mut transferred: u64, to: mpsc::Sender<Chunk>,
     ) {
-        // From here on the body is counted, and no longer its framing.
+        // From here on the length of the body is limited, no longer that of the bytes with their framing.
         connection.progress.max_response_bytes.set(usize::MAX);
         loop {
             let chunk = match tokio::time::timeout(STALL_TIMEOUT, connection.next_frame(&mut body)).await {
@@ -312,7 +313,7 @@
 /// The result of an exchange.
 enum Exchanged {
     Complete(AttemptResult),
-    /// A good answer of which more is to come.
+    /// A successful answer whose body is not complete yet.
     Streaming(hyper::http::response::Parts, Bytes, Incoming),
 }
 
@@ -322,15 +323,15 @@
 ) -> Result<Exchanged, ()> {
     let answer = sender.send_request(request).await.map_err(|_| ())?;
     let (head, mut body) = answer.into_parts();
-    // One that is announced as too long need not be read.
+    // An answer that is announced as too long need not be read.
     if body.size_hint().lower() > MAX_BODY_BYTES {
         return Err(());
     }
-    // Where only the end of the connection ends the body, a truncated answer looks complete: its backend must have announced
-    // that it ends so.
+    // If only the end of the connection ends the body, a truncated answer looks complete: the backend must have
+    // announced that it closes the connection.
     let framed = is_framed(&head.headers) || ends_with_connection(&head.headers);
-    // In full, if it is not too long for that, before a byte of it is forwarded: a truncated answer must not reach the client
-    // as a good one.
+    // An answer that is not too long is buffered in full before a byte of it is forwarded: a truncated answer must not
+    // reach the client as a successful one.
     let mut buffered = BytesMut::new();
     while let Some(frame) = body.frame().await {
         if let Ok(bytes) = frame.map_err(|_| ())?.into_data() {
@@ -346,8 +347,8 @@
     Ok(Exchanged::Complete(match head.status {
         StatusCode::OK if !framed => Outcome::Reset.into(),
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run() => Outcome::Full.into(),
-        // The request is at fault and would be anywhere: its client gets this answer, and it does not count against the
-        // backend. But 429 would guarantee to the client that nothing was executed.
+        // The request is at fault, at any backend: its client gets this answer, and it does not count against the
+        // backend. Not so 429, which would guarantee to the client that nothing was executed.
         status if status.is_client_error() && status != StatusCode::TOO_MANY_REQUESTS => {
             AttemptResult { outcome: Outcome::Cancelled, answer: Some(response_of(head, body)) }
         }
--- a/crates/gaugesaddle/src/serving/upstream/tests.rs
+++ b/crates/gaugesaddle/src/serving/upstream/tests.rs
@@ -1,4 +1,5 @@
-//! What one connection to a backend must not carry over from one attempt to the next.
+//! Attempts over pooled connections: surplus bytes of one attempt must not reach the next, and nothing is written once
+//! the send gate is closed.
 
 use super::*;
 use crate::serving::body::CallBody;
@@ -13,12 +14,12 @@
     let mut received = Vec::new();
     while !received.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
-        stream.read_exact(&mut byte).expect("a request");
+        stream.read_exact(&mut byte).expect("read a request");
         received.push(byte[0]);
     }
 }
 
-/// A backend at that address, and the pool of its connections.
+/// A backend at the address, and the pool of its connections.
 fn backend_at(address: SocketAddr) -> (Rc<Pool>, Rc<BackendProcess>) {
     let clock = Clock::new();
     let second = Micros(1_000_000);
@@ -42,26 +43,26 @@
     Rc::new(Call { head: Request::new(()), body, is_awaited: Cell::new(true) })
 }
 
-/// What comes late behind an answer must not become the next one, also where the runtime has not seen it:
-/// here it has had no time to look between the two attempts.
+/// Surplus bytes that arrive late after an answer must not be read as the next answer, even if the runtime has not
+/// polled the socket yet: here it has no time to do so between the two attempts.
 #[tokio::test]
 async fn surplus_bytes_after_an_answer_are_not_read_as_the_next_answer() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("its address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a free port");
+    let address = listener.local_addr().expect("the local address");
     let (allow_surplus, first_answer_read) = std::sync::mpsc::channel();
     let (surplus_done, surplus_sent) = std::sync::mpsc::channel();
     let backend = std::thread::spawn(move || {
         let answer = |body| format!("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n{body}");
-        let mut first = listener.accept().expect("a connection").0;
+        let mut first = listener.accept().expect("accept a connection").0;
         read_request(&mut first);
-        first.write_all(answer("1").as_bytes()).expect("written");
-        first_answer_read.recv().expect("the answer was read");
-        first.write_all(answer("x").as_bytes()).expect("written");
-        surplus_done.send(()).expect("waited for");
-        let mut second = listener.accept().expect("another connection").0;
+        first.write_all(answer("1").as_bytes()).expect("write an answer");
+        first_answer_read.recv().expect("the first answer was read");
+        first.write_all(answer("x").as_bytes()).expect("write an answer");
+        surplus_done.send(()).expect("the receiver waits");
+        let mut second = listener.accept().expect("accept another connection").0;
         read_request(&mut second);
-        second.write_all(answer("2").as_bytes()).expect("written");
-        first.read(&mut [0]).unwrap_or(0) // closed with the surplus unread, it is reset
+        second.write_all(answer("2").as_bytes()).expect("write an answer");
+        first.read(&mut [0]).unwrap_or(0) // a close with the surplus unread resets the connection
     });
     let (pool, upstream) = backend_at(address);
     let call = call();
@@ -71,29 +72,34 @@
     };
     let deadline = pool.clock.now() + Micros(30_000_000);
     let window = SendWindow { send_before: deadline, deadline };
-    // Local tasks, as in the proxy: woken ones run on for a while before the runtime looks at its sockets.
+    // Local tasks, as in the proxy: ready ones run for a while before the runtime polls its sockets.
     let attempts = async move {
         let one = body(pool.attempt(&upstream, call.clone(), window).await);
-        allow_surplus.send(()).expect("waited for");
-        surplus_sent.recv().expect("written");
+        allow_surplus.send(()).expect("the receiver waits");
+        surplus_sent.recv().expect("the surplus was sent");
         (one, body(pool.attempt(&upstream, call.clone(), window).await))
     };
     let local = tokio::task::LocalSet::new();
-    let bodies = local.run_until(async { tokio::task::spawn_local(attempts).await.expect("no panic") });
+    let bodies =
+        local.run_until(async { tokio::task::spawn_local(attempts).await.expect("the task does not panic") });
     assert_eq!(bodies.await, (Some(Bytes::from("1")), Some(Bytes::from("2"))));
-    assert_eq!(backend.join().expect("no panic"), 0, "not a byte of the second request on the first");
+    assert_eq!(
+        backend.join().expect("the task does not panic"),
+        0,
+        "expected no byte of the second request on the first connection"
+    );
 }
 
-/// While the connection of an attempt comes up its client leaves, its backend does, or its time ends, each in either order
-/// with the choice: nothing is written, and the attempt counts as never sent. Nobody calls it off here: the gate alone
-/// keeps it.
+/// The client disconnects, the backend departs or the send window ends, before an attempt starts or while it connects:
+/// nothing is written, and the attempt counts as never sent. The attempt is not cancelled here, so only the send gate
+/// prevents it.
 #[tokio::test]
 async fn nothing_is_written_after_the_send_gate_closes() {
     for (cause, while_connecting) in
         [("client", false), ("client", true), ("backend", true), ("time", false), ("time", true)]
     {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let (pool, upstream) = backend_at(listener.local_addr().expect("its address"));
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a free port");
+        let (pool, upstream) = backend_at(listener.local_addr().expect("the local address"));
         let call = call();
         let send_before = pool.clock.now() + Micros(if cause == "time" { 20_000 } else { 30_000_000 });
         let window = SendWindow { send_before, deadline: send_before + Micros(30_000_000) };
@@ -106,15 +112,17 @@
             close_gate();
         }
         let mut attempt = Box::pin(pool.attempt(&upstream, call.clone(), window));
-        // One look of the runtime's: the connect is out.
+        // One poll of the attempt starts to connect.
         let is_connecting = poll_fn(|cx| Poll::Ready(attempt.as_mut().poll(cx).is_pending())).await;
         assert!(is_connecting, "{cause} {while_connecting}");
         if while_connecting {
             close_gate();
         }
-        let result = tokio::time::timeout(Duration::from_secs(5), attempt).await.expect("it was sent");
+        let result = tokio::time::timeout(Duration::from_secs(5), attempt)
+            .await
+            .expect("the attempt ends without an answer");
         assert_eq!(result.outcome, Outcome::NeverSent, "{cause} {while_connecting}");
-        let mut stream = listener.accept().expect("a connection").0;
+        let mut stream = listener.accept().expect("accept a connection").0;
         let mut received = Vec::new();
         let _ = stream.read_to_end(&mut received);
         assert_eq!(received, b"", "{cause} {while_connecting}");
--- a/crates/gaugesaddle/src/table.rs
+++ b/crates/gaugesaddle/src/table.rs
@@ -1,6 +1,6 @@
-//! Tables for people: columns as wide as what stands in them, numbers to the right.
+//! Plain-text tables: each column is as wide as its widest cell, and columns of numbers are right-aligned.
 
-/// Renders a head and its rows, each line ended.
+/// Renders a header and its rows; each line ends with a line break.
 pub fn render(head: &[&str], rows: impl Iterator<Item = Vec<String>>) -> String {
     let head: Vec<String> = head.iter().map(std::string::ToString::to_string).collect();
     let all: Vec<Vec<String>> = std::iter::once(head).chain(rows).collect();
