--- a/crates/gaugesaddle-simulation/src/control/replica.rs
+++ b/crates/gaugesaddle-simulation/src/control/replica.rs
@@ -22,7 +22,7 @@
 impl ControlProcess {
     /// Opens the disk, if there is one, and creates the replica out of its records.
     pub(super) fn open_disk(&mut self, now: Millis, initial_voters: Option<Vec<ReplicaId>>) {
-        let drawn_id = ReplicaId { ip: self.ip, incarnation: self.random.next_u64() | 1 };
+        let random_id = ReplicaId { ip: self.ip, incarnation: self.random.next_u64() | 1 };
         let (hard_state, state) = if self.has_disk {
             let Ok(ring) = Ring::open(self.disk.clone()) else { return };
             let (hard_state, state) = disk_format::decode_slots(ring.slots()).unwrap_or((None, None));
@@ -31,10 +31,10 @@
             let is_first_start = hard_state.is_none();
             match initial_voters.filter(|voters| voters.contains(&initial_id) && is_first_start) {
                 Some(voters) => (new_hard_state(initial_id), State { voters, ..State::default() }),
-                None => (hard_state.unwrap_or(new_hard_state(drawn_id)), state.unwrap_or_default()),
+                None => (hard_state.unwrap_or(new_hard_state(random_id)), state.unwrap_or_default()),
             }
         } else {
-            (new_hard_state(drawn_id), State::default())
+            (new_hard_state(random_id), State::default())
         };
         let random = self.random.next_u64();
         let clock = self.clock(now);
--- a/crates/gaugesaddle-simulation/src/shape.rs
+++ b/crates/gaugesaddle-simulation/src/deployment.rs
@@ -7,7 +7,7 @@
 
 /// A deployment.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Shape {
+pub struct Deployment {
     /// Its name.
     pub name: String,
     /// Control machines with a disk.
@@ -26,12 +26,12 @@
     pub write_ms: u64,
 }
 
-impl Shape {
+impl Deployment {
     fn new(
         name: &str, machines_with_disk: u32, machines_without_disk: u32, max_lost_machines: u32,
         write_ms: u64,
-    ) -> Shape {
-        Shape {
+    ) -> Deployment {
+        Deployment {
             name: name.to_owned(),
             machines_with_disk,
             machines_without_disk,
@@ -42,19 +42,19 @@
     }
 
     /// The known deployments.
-    pub fn known() -> Vec<Shape> {
+    pub fn known() -> Vec<Deployment> {
         vec![
-            Shape::new("nilavu-air", 4, 4, 1, 1),
-            Shape::new("tidewater-gs", 4, 4, 1, 5),
-            Shape::new("nilavu-air-grown", 5, 5, 2, 1),
-            Shape::new("tidewater-gs-grown", 8, 0, 2, 5),
-            Shape::new("lavallee-grown", 8, 0, 2, 1),
-            Shape::new("three-zones", 3, 3, 1, 2),
+            Deployment::new("nilavu-air", 4, 4, 1, 1),
+            Deployment::new("tidewater-gs", 4, 4, 1, 5),
+            Deployment::new("nilavu-air-grown", 5, 5, 2, 1),
+            Deployment::new("tidewater-gs-grown", 8, 0, 2, 5),
+            Deployment::new("lavallee-grown", 8, 0, 2, 1),
+            Deployment::new("three-zones", 3, 3, 1, 2),
         ]
     }
 
     /// The known deployment of that name.
-    pub fn named(name: &str) -> Option<Shape> {
-        Shape::known().into_iter().find(|shape| shape.name == name)
+    pub fn named(name: &str) -> Option<Deployment> {
+        Deployment::known().into_iter().find(|deployment| deployment.name == name)
     }
 }
--- a/crates/gaugesaddle-simulation/src/disk.rs
+++ b/crates/gaugesaddle-simulation/src/disk.rs
@@ -58,7 +58,7 @@
     }
 
     /// Makes every sync fail until [`Disk::lose_power`].
-    pub fn begin_power_loss(&self) {
+    pub fn fail_syncs(&self) {
         self.0.borrow_mut().is_losing_power = true;
     }
 
--- a/crates/gaugesaddle-simulation/src/history.rs
+++ b/crates/gaugesaddle-simulation/src/history.rs
@@ -32,7 +32,7 @@
         other: ReplicaId,
     },
     /// Two configurations were committed at one log position.
-    TwoContents {
+    ConflictingCommits {
         /// The log position.
         position: LogPosition,
     },
@@ -61,7 +61,7 @@
         revision: u64,
     },
     /// Two changes were confirmed with the same base, or with the same revision.
-    TwoConfirmed {
+    ConflictingConfirmations {
         /// The base revision of the second.
         base: u64,
         /// The revision.
@@ -70,7 +70,7 @@
     /// A read returned an older revision than was confirmed, or read, before it began.
     StaleRead {
         /// The revision that it returned.
-        seen: u64,
+        returned: u64,
         /// The minimum revision.
         expected: u64,
     },
@@ -145,9 +145,9 @@
     /// No process leads.
     NoLeader,
     /// A voter is not among the running machines with a disk.
-    DeadVoter,
+    VoterNotRunning,
     /// A running machine with a disk is not a voter.
-    MissingVoter,
+    MachineNotVoter,
 }
 
 impl fmt::Display for Violation {
@@ -272,7 +272,7 @@
         let state = CommittedState { first_seen: now, revision, document };
         let first = self.committed.entry(position).or_insert_with(|| state.clone());
         if (first.revision, &first.document) != (state.revision, &state.document) {
-            self.record_violation(Violation::TwoContents { position });
+            self.record_violation(Violation::ConflictingCommits { position });
         }
     }
 
@@ -300,7 +300,7 @@
     }
 
     /// The newest revision that was confirmed before a time.
-    pub fn confirmed_before(&self, time: Millis) -> u64 {
+    pub fn newest_confirmed_before(&self, time: Millis) -> u64 {
         let is_confirmed = |change: &&ChangeRecord| matches!(change.ended, Some((at, ChangeOutcome::Confirmed)) if at < time);
         self.changes.iter().filter(is_confirmed).map(|change| change.revision).max().unwrap_or(0)
     }
@@ -351,14 +351,16 @@
                     let same_base = *first_by_base.entry(change.base).or_insert(change);
                     let same_revision = *first_by_revision.entry(revision).or_insert(change);
                     if !change.is_same_as(same_base) || !change.is_same_as(same_revision) {
-                        violations.push(Violation::TwoConfirmed { base: change.base, revision });
+                        violations.push(Violation::ConflictingConfirmations { base: change.base, revision });
                     }
                 }
                 ChangeOutcome::Rejected => {
                     let mut same = self.changes.iter().filter(|other| change.is_same_as(other));
                     if same.any(ChangeRecord::is_confirmed) {
                         violations.push(Violation::ConfirmedAndRejected { revision });
-                    } else if is_committed && !self.is_explained(document.as_ref(), &committed) {
+                    } else if is_committed
+                        && !self.may_result_from_other_change(document.as_ref(), &committed)
+                    {
                         violations.push(Violation::RejectedButCommitted { revision });
                     }
                 }
@@ -368,7 +370,9 @@
     }
 
     /// Whether a committed document may be that of another change which was not rejected.
-    fn is_explained(&self, document: Option<&Vec<u8>>, committed: &BTreeMap<u64, &Vec<u8>>) -> bool {
+    fn may_result_from_other_change(
+        &self, document: Option<&Vec<u8>>, committed: &BTreeMap<u64, &Vec<u8>>,
+    ) -> bool {
         let mut same_result =
             self.changes.iter().filter(|change| change.resulting_document(committed).as_ref() == document);
         same_result.any(|change| !matches!(change.ended, Some((_, ChangeOutcome::Rejected))))
@@ -380,9 +384,9 @@
         for (begun, result) in &results {
             let earlier_reads = results.iter().filter(|(_, earlier)| earlier.at < *begun);
             let read = earlier_reads.map(|(_, earlier)| earlier.revision).max().unwrap_or(0);
-            let expected = self.confirmed_before(*begun).max(read);
+            let expected = self.newest_confirmed_before(*begun).max(read);
             if result.revision < expected {
-                violations.push(Violation::StaleRead { seen: result.revision, expected });
+                violations.push(Violation::StaleRead { returned: result.revision, expected });
             }
         }
     }
--- a/crates/gaugesaddle-simulation/src/lib.rs
+++ b/crates/gaugesaddle-simulation/src/lib.rs
@@ -9,16 +9,16 @@
 //! - [`disk`]: disks with a write cache, which lose or tear what was not synced, fail and hang.
 //! - [`control`], [`proxy`], [`operator`], [`backend`]: the processes and people, which exchange [`packet`]s.
 //! - [`fault`], [`plan`]: the faults of a *day*, which is one run, drawn from a seed within the losses that a deployment
-//!   ([`Shape`]) must survive, or read from a file.
+//!   ([`Deployment`]) must survive, or read from a file.
 //! - [`world`]: plays a plan. It owns all of the above, and the only clock.
 //! - [`history`]: what was observed from outside, and the rules that it must satisfy.
 //! - [`shrink`]: a minimal set of faults that still violates a rule.
 //!
 //! ```rust
-//! use gaugesaddle_simulation::{play, Plan, Shape};
+//! use gaugesaddle_simulation::{simulate, Plan, Deployment};
 //!
-//! let shape = Shape::named("three-zones").expect("a known deployment");
-//! let outcome = play(&Plan::draw(1, shape));
+//! let deployment = Deployment::named("three-zones").expect("a known deployment");
+//! let outcome = simulate(&Plan::draw(1, deployment));
 //! assert!(outcome.violations.is_empty());
 //! assert!(outcome.confirmed_changes > 0);
 //! ```
@@ -36,6 +36,7 @@
 
 pub mod backend;
 pub mod control;
+pub mod deployment;
 pub mod disk;
 pub mod fault;
 pub mod history;
@@ -44,15 +45,14 @@
 pub mod packet;
 pub mod plan;
 pub mod proxy;
-pub mod shape;
 pub mod shrink;
 pub mod world;
 
+pub use deployment::Deployment;
 pub use fault::{Fault, PlannedFault};
 pub use history::Violation;
 pub use plan::Plan;
-pub use shape::Shape;
-pub use world::{play, Outcome};
+pub use world::{simulate, Outcome};
 
 /// Virtual time in milliseconds since the start of the day.
 pub type Millis = u64;
--- a/crates/gaugesaddle-simulation/src/main.rs
+++ b/crates/gaugesaddle-simulation/src/main.rs
@@ -2,7 +2,7 @@
 
 use clap::{Arg, ArgMatches, Command};
 use eyre::{eyre, Result, WrapErr};
-use gaugesaddle_simulation::{play, shrink::shrink, Outcome, Plan, Shape};
+use gaugesaddle_simulation::{shrink::shrink, simulate, Deployment, Outcome, Plan};
 use std::ops::{ControlFlow, Range};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -13,7 +13,7 @@
     Arg::new(name).long(name).default_value(default).value_parser(clap::value_parser!(u64)).help(help)
 }
 
-fn shape_option() -> Arg {
+fn deployment_option() -> Arg {
     Arg::new("shape").long("shape").help("A deployment's name; all known ones without it")
 }
 
@@ -28,7 +28,7 @@
                 .arg(number_option("from", "1", "The first seed"))
                 .arg(number_option("seeds", "100", "How many seeds of each deployment"))
                 .arg(number_option("jobs", "4", "Days at a time"))
-                .arg(shape_option()),
+                .arg(deployment_option()),
         )
         .subcommand(
             Command::new("replay").about("Play a day that was printed by hunt").arg(
@@ -63,12 +63,13 @@
     }
 }
 
-fn shapes(matches: &ArgMatches) -> Result<Vec<Shape>> {
+fn deployments(matches: &ArgMatches) -> Result<Vec<Deployment>> {
     match matches.get_one::<String>("shape") {
         Some(name) => {
-            Ok(vec![Shape::named(name).ok_or_else(|| eyre!("--shape {name}: expected a known deployment"))?])
+            Ok(vec![Deployment::named(name)
+                .ok_or_else(|| eyre!("--shape {name}: expected a known deployment"))?])
         }
-        None => Ok(Shape::known()),
+        None => Ok(Deployment::known()),
     }
 }
 
@@ -76,20 +77,20 @@
     matches.get_one::<u64>(name).copied().unwrap_or_default()
 }
 
-/// Sums over days.
+/// Totals over days.
 #[derive(Default)]
-struct Sums {
-    days: usize,
-    days_with_violation: usize,
+struct Totals {
+    runs: usize,
+    runs_with_violation: usize,
     confirmed_changes: usize,
     terms_with_leader: usize,
     injected_faults: usize,
 }
 
-impl Sums {
+impl Totals {
     fn add(&mut self, outcome: &Outcome) {
-        self.days += 1;
-        self.days_with_violation += usize::from(!outcome.violations.is_empty());
+        self.runs += 1;
+        self.runs_with_violation += usize::from(!outcome.violations.is_empty());
         self.confirmed_changes += outcome.confirmed_changes;
         self.terms_with_leader += outcome.terms_with_leader;
         self.injected_faults += outcome.injected_faults;
@@ -101,16 +102,16 @@
     let seeds = first_seed..first_seed + number(matches, "seeds");
     let threads = number(matches, "jobs").max(1);
     let mut verdict = Verdict::Clean;
-    for shape in shapes(matches)? {
-        let (sums, violating_plan) = play_seeds(&shape, seeds.clone(), threads)?;
+    for deployment in deployments(matches)? {
+        let (totals, violating_plan) = simulate_seeds(&deployment, seeds.clone(), threads)?;
         println!(
             "{}: {} days, {} with a broken rule; {} faults struck, {} orders confirmed, {} terms led",
-            shape.name,
-            sums.days,
-            sums.days_with_violation,
-            sums.injected_faults,
-            sums.confirmed_changes,
-            sums.terms_with_leader
+            deployment.name,
+            totals.runs,
+            totals.runs_with_violation,
+            totals.injected_faults,
+            totals.confirmed_changes,
+            totals.terms_with_leader
         );
         if let Some(plan) = violating_plan {
             verdict = Verdict::RuleViolated;
@@ -120,40 +121,42 @@
     Ok(verdict)
 }
 
-/// Plays the seeds of a deployment; returns sums and the first plan that was found to violate a rule.
-fn play_seeds(shape: &Shape, seeds: Range<u64>, threads: u64) -> Result<(Sums, Option<Plan>)> {
+/// Plays the seeds of a deployment; returns totals and the first plan that was found to violate a rule.
+fn simulate_seeds(
+    deployment: &Deployment, seeds: Range<u64>, threads: u64,
+) -> Result<(Totals, Option<Plan>)> {
     let next_seed = AtomicU64::new(seeds.start);
-    let sums = Mutex::new(Sums::default());
+    let totals = Mutex::new(Totals::default());
     let violating_plan = Mutex::new(None);
-    let play_next = || {
+    let simulate_next = || {
         let seed = next_seed.fetch_add(1, Ordering::Relaxed);
         if seed >= seeds.end {
             return ControlFlow::Break(());
         }
-        let plan = Plan::draw(seed, shape.clone());
-        let outcome = play(&plan);
-        if let Ok(mut sums) = sums.lock() {
-            sums.add(&outcome);
+        let plan = Plan::draw(seed, deployment.clone());
+        let outcome = simulate(&plan);
+        if let Ok(mut totals) = totals.lock() {
+            totals.add(&outcome);
         }
         if let (Some(violation), Ok(mut first)) = (outcome.violations.first(), violating_plan.lock()) {
-            eprintln!("{} seed {seed}: {violation}", shape.name);
+            eprintln!("{} seed {seed}: {violation}", deployment.name);
             first.get_or_insert(plan);
         }
         ControlFlow::Continue(())
     };
     std::thread::scope(|scope| {
         for _ in 0..threads {
-            scope.spawn(|| while play_next().is_continue() {});
+            scope.spawn(|| while simulate_next().is_continue() {});
         }
     });
-    let sums = sums.into_inner().map_err(|_| eyre!("a day ended by a panic"))?;
-    Ok((sums, violating_plan.into_inner().ok().flatten()))
+    let totals = totals.into_inner().map_err(|_| eyre!("a day ended by a panic"))?;
+    Ok((totals, violating_plan.into_inner().ok().flatten()))
 }
 
 fn print_shrunk(plan: &Plan) -> Result<()> {
     let smallest = shrink(plan);
     println!("{}", serde_json::to_string_pretty(&smallest)?);
-    for violation in play(&smallest).violations.iter().take(5) {
+    for violation in simulate(&smallest).violations.iter().take(5) {
         println!("{violation}");
     }
     Ok(())
@@ -163,7 +166,7 @@
     let file = matches.get_one::<PathBuf>("FILE").ok_or_else(|| eyre!("FILE: expected"))?;
     let text = std::fs::read_to_string(file).wrap_err_with(|| format!("{}", file.display()))?;
     let plan: Plan = serde_json::from_str(&text).wrap_err_with(|| format!("{}", file.display()))?;
-    let outcome = play(&plan);
+    let outcome = simulate(&plan);
     println!("{outcome:#?}");
     Ok(if outcome.violations.is_empty() { Verdict::Clean } else { Verdict::RuleViolated })
 }
--- a/crates/gaugesaddle-simulation/src/plan.rs
+++ b/crates/gaugesaddle-simulation/src/plan.rs
@@ -4,7 +4,7 @@
 //! this. Fields of a fault are drawn in the order in which they are written here.
 
 use crate::fault::{CrashAfterAcknowledgement, Fault, PartitionDirection, PlannedFault, Target};
-use crate::{Millis, Shape};
+use crate::{Deployment, Millis};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
@@ -15,7 +15,8 @@
     /// Seed of what the plan leaves open: delays, which process is called, torn writes.
     pub seed: u64,
     /// The deployment.
-    pub shape: Shape,
+    #[serde(rename = "shape")]
+    pub deployment: Deployment,
     /// The faults, by time.
     pub faults: Vec<PlannedFault>,
 }
@@ -205,7 +206,7 @@
 
 impl Plan {
     /// The plan of a seed.
-    pub fn draw(seed: u64, shape: Shape) -> Plan {
+    pub fn draw(seed: u64, deployment: Deployment) -> Plan {
         let mut random = PlanRandom(Pcg64Mcg::seed_from_u64(seed ^ PLAN_SEED_MASK));
         let count = MIN_FAULTS + random.below(MAX_FAULTS - MIN_FAULTS);
         let mut faults = Vec::new();
@@ -232,7 +233,7 @@
             faults.push(PlannedFault { at, fault });
         }
         faults.sort_by_key(|planned| planned.at);
-        Plan { seed, shape, faults }
+        Plan { seed, deployment, faults }
     }
 
     /// Time of the last fault, in ms.
--- a/crates/gaugesaddle-simulation/src/shrink.rs
+++ b/crates/gaugesaddle-simulation/src/shrink.rs
@@ -1,6 +1,6 @@
 //! Shrinking: a minimal set of faults that still violates a rule.
 
-use crate::{play, Plan};
+use crate::{simulate, Plan};
 
 /// Removes faults one by one, as long as the plan still violates a rule. The result is minimal in that no single fault
 /// can be removed from it.
@@ -10,7 +10,7 @@
     while index < smallest.faults.len() {
         let mut candidate = smallest.clone();
         candidate.faults.remove(index);
-        if play(&candidate).violations.is_empty() {
+        if simulate(&candidate).violations.is_empty() {
             index += 1;
         } else {
             smallest = candidate;
--- a/crates/gaugesaddle-simulation/src/world.rs
+++ b/crates/gaugesaddle-simulation/src/world.rs
@@ -20,7 +20,7 @@
 use crate::packet::Packet;
 use crate::plan::{Plan, BACKENDS};
 use crate::proxy::Proxy;
-use crate::{Millis, Shape};
+use crate::{Deployment, Millis};
 use gaugesaddle_consensus::Settings;
 use gaugesaddle_protocol::ReplicaId;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -32,14 +32,14 @@
 /// Machines and proxies start within this time.
 const START_SPREAD_MS: u64 = 300;
 /// When operators and backends are woken first.
-const FIRST_OPERATOR_WAKE_MS: Millis = 1000;
-const FIRST_BACKEND_WAKE_MS: Millis = 500;
+const FIRST_OPERATOR_TICK_MS: Millis = 1000;
+const FIRST_BACKEND_TICK_MS: Millis = 500;
 
 enum Event {
     Deliver { from: Node, to: Node, incarnation: u64, packet: Packet },
-    Wake { node: Node, incarnation: u64 },
+    Timer { node: Node, incarnation: u64 },
     CompleteWrite { ip: u32, incarnation: u64 },
-    InjectFault { fault: Fault, give_up_at: Millis },
+    InjectFault { fault: Fault, abandon_at: Millis },
     StartProcess { ip: u32 },
     StartProxy { number: u32 },
     EndProcess { ip: u32, machine: MachineDisposition },
@@ -63,7 +63,7 @@
     incarnation: u64,
     has_started: bool,
     frozen_until: Millis,
-    disk_factor: u64,
+    disk_slowdown: u64,
     disk_slow_until: Millis,
     disk_hangs_until: Millis,
     disk_full_until: Millis,
@@ -86,7 +86,7 @@
             incarnation: 0,
             has_started: false,
             frozen_until: 0,
-            disk_factor: 1,
+            disk_slowdown: 1,
             disk_slow_until: 0,
             disk_hangs_until: 0,
             disk_full_until: 0,
@@ -125,7 +125,7 @@
 
 /// What kind of acknowledgement a crash waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Acknowledged {
+enum AcknowledgementKind {
     Change,
     Departure,
 }
@@ -133,14 +133,14 @@
 /// A crash that waits for an acknowledgement.
 #[derive(Clone, Copy, Debug)]
 struct ArmedCrash {
-    trigger: Acknowledged,
+    trigger: AcknowledgementKind,
     delay: Millis,
     crash: CrashAfterAcknowledgement,
 }
 
 /// The wake-up of a node that is in effect; others in the queue are void.
 #[derive(Clone, Copy, Debug)]
-struct PlannedWake {
+struct PlannedTimer {
     incarnation: u64,
     at: Millis,
 }
@@ -169,10 +169,10 @@
     event_number: u64,
     events: BTreeMap<(Millis, u64), Event>,
     random: Pcg64Mcg,
-    shape: Shape,
+    deployment: Deployment,
     settings: Settings,
     network: Network,
-    wakes: BTreeMap<Node, PlannedWake>,
+    timers: BTreeMap<Node, PlannedTimer>,
     machines: BTreeMap<u32, Machine>,
     proxies: BTreeMap<u32, ProxyMachine>,
     operators: Vec<Operator>,
@@ -194,11 +194,11 @@
 }
 
 /// Plays a plan to its end.
-pub fn play(plan: &Plan) -> Outcome {
+pub fn simulate(plan: &Plan) -> Outcome {
     let mut world = World::new(plan);
     world.schedule_faults(plan);
     world.run_until(plan.end() + faults::MAX_DEFERRAL_MS);
-    world.end_day();
+    world.finish_run();
     Outcome {
         violations: world.history.violations(),
         confirmed_changes: world.history.confirmed_changes(),
@@ -211,9 +211,9 @@
 
 impl World {
     fn new(plan: &Plan) -> World {
-        let shape = plan.shape.clone();
+        let deployment = plan.deployment.clone();
         let defaults = Settings::default();
-        let min_voters = defaults.min_voters.max(2 * shape.max_lost_machines as usize + 1);
+        let min_voters = defaults.min_voters.max(2 * deployment.max_lost_machines as usize + 1);
         let operator = |n| Operator::new(n + 1, 2500 + Millis::from(n) * 170);
         let backend = |n| Backend::new(n, 500 + Millis::from(n) * 60);
         let mut world = World {
@@ -223,7 +223,7 @@
             random: Pcg64Mcg::seed_from_u64(plan.seed),
             settings: Settings { min_voters, ..defaults },
             network: Network::default(),
-            wakes: BTreeMap::new(),
+            timers: BTreeMap::new(),
             machines: BTreeMap::new(),
             proxies: BTreeMap::new(),
             operators: (0..OPERATORS).map(operator).collect(),
@@ -239,29 +239,29 @@
             injected_faults: 0,
             connected_checks: 0,
             unproven_checks: 0,
-            shape,
+            deployment,
         };
         world.schedule_starts();
         world
     }
 
     fn schedule_starts(&mut self) {
-        for number in 0..self.shape.machines_with_disk + self.shape.machines_without_disk {
-            let has_disk = number < self.shape.machines_with_disk;
+        for number in 0..self.deployment.machines_with_disk + self.deployment.machines_without_disk {
+            let has_disk = number < self.deployment.machines_with_disk;
             let ip = self.add_machine(has_disk);
             let at = self.random_below(START_SPREAD_MS);
             self.schedule(at, Event::StartProcess { ip });
         }
-        for number in 0..self.shape.proxies {
+        for number in 0..self.deployment.proxies {
             self.proxies.insert(number, ProxyMachine::default());
             let at = self.random_below(START_SPREAD_MS);
             self.schedule(at, Event::StartProxy { number });
         }
         for number in 0..OPERATORS {
-            self.schedule_wake(Node::Operator(number), 0, FIRST_OPERATOR_WAKE_MS);
+            self.schedule_timer(Node::Operator(number), 0, FIRST_OPERATOR_TICK_MS);
         }
         for number in 0..BACKENDS {
-            self.schedule_wake(Node::Backend(number), 0, FIRST_BACKEND_WAKE_MS);
+            self.schedule_timer(Node::Backend(number), 0, FIRST_BACKEND_TICK_MS);
         }
         self.schedule(checks::CHECK_INTERVAL_MS, Event::CheckRules);
     }
@@ -277,13 +277,13 @@
 
     /// Schedules the wake-up of a node, unless there is an earlier one. A node that is woken returns when it must be
     /// woken next.
-    fn schedule_wake(&mut self, node: Node, incarnation: u64, at: Millis) {
+    fn schedule_timer(&mut self, node: Node, incarnation: u64, at: Millis) {
         let at = at.max(self.now);
         let has_earlier =
-            self.wakes.get(&node).is_some_and(|wake| wake.incarnation == incarnation && wake.at <= at);
+            self.timers.get(&node).is_some_and(|timer| timer.incarnation == incarnation && timer.at <= at);
         if !has_earlier {
-            self.wakes.insert(node, PlannedWake { incarnation, at });
-            self.schedule(at, Event::Wake { node, incarnation });
+            self.timers.insert(node, PlannedTimer { incarnation, at });
+            self.schedule(at, Event::Timer { node, incarnation });
         }
     }
 
@@ -301,15 +301,15 @@
     }
 
     fn handle(&mut self, event: Event) {
-        if let Some(thaws_at) = self.frozen_until(&event) {
+        if let Some(resumes_at) = self.frozen_until(&event) {
             // What arrives meanwhile is queued in the sockets of the process.
-            return self.schedule(thaws_at, event);
+            return self.schedule(resumes_at, event);
         }
         match event {
             Event::Deliver { from, to, incarnation, packet } => self.deliver(from, to, incarnation, packet),
-            Event::Wake { node, incarnation } => self.wake(node, incarnation),
+            Event::Timer { node, incarnation } => self.run_timer(node, incarnation),
             Event::CompleteWrite { ip, incarnation } => self.complete_write(ip, incarnation),
-            Event::InjectFault { fault, give_up_at } => self.inject_or_defer(fault, give_up_at),
+            Event::InjectFault { fault, abandon_at } => self.inject_or_defer(fault, abandon_at),
             Event::StartProcess { ip } => self.start_process(ip),
             Event::StartProxy { number } => self.start_proxy(number),
             Event::EndProcess { ip, machine } => self.end_process(ip, machine),
@@ -322,7 +322,7 @@
     fn frozen_until(&self, event: &Event) -> Option<Millis> {
         let node = match event {
             Event::Deliver { to, .. } => *to,
-            Event::Wake { node, .. } => *node,
+            Event::Timer { node, .. } => *node,
             Event::CompleteWrite { ip, .. } => Node::Control(*ip),
             _ => return None,
         };
--- a/crates/gaugesaddle-simulation/src/world/checks.rs
+++ b/crates/gaugesaddle-simulation/src/world/checks.rs
@@ -33,7 +33,7 @@
     /// A connected proxy has confirmed changes in force and does not use departed backends.
     fn check_connected_proxies(&mut self) {
         let now = self.now;
-        let expected = self.history.confirmed_before(now - APPLY_DEADLINE_MS);
+        let expected = self.history.newest_confirmed_before(now - APPLY_DEADLINE_MS);
         for (number, machine) in &self.proxies {
             let number = *number;
             let Some(proxy) = &machine.proxy else { continue };
@@ -60,7 +60,7 @@
     /// No proxy, connected or not, uses keys of a configuration that was replaced before the deadline.
     fn check_revoked_keys(&mut self) {
         let now = self.now;
-        let expected = self.history.confirmed_before(now.saturating_sub(REVOCATION_DEADLINE_MS));
+        let expected = self.history.newest_confirmed_before(now.saturating_sub(REVOCATION_DEADLINE_MS));
         for (number, machine) in &self.proxies {
             let Some(proxy) = &machine.proxy else { continue };
             let revision = proxy.revision();
@@ -74,12 +74,12 @@
     }
 
     /// Ends all faults and checks that everything recovers.
-    pub(super) fn end_day(&mut self) {
+    pub(super) fn finish_run(&mut self) {
         self.end_faults();
         self.run_until(self.now + RECOVERY_MS);
-        let confirmed_before = self.history.confirmed_changes();
+        let previously_confirmed = self.history.confirmed_changes();
         self.run_until(self.now + RECOVERY_MS / 2);
-        if self.history.confirmed_changes() == confirmed_before {
+        if self.history.confirmed_changes() == previously_confirmed {
             self.record_recovery_failure(RecoveryFailure::NoChangeConfirmed);
         }
         self.operators.iter_mut().for_each(super::super::operator::Operator::stop);
@@ -126,7 +126,7 @@
 
     fn proxy_failures(&self) -> Vec<RecoveryFailure> {
         let mut failures = Vec::new();
-        let newest = self.history.confirmed_before(self.now);
+        let newest = self.history.newest_confirmed_before(self.now);
         let has_newest = |proxy: &Option<crate::proxy::Proxy>| {
             proxy.as_ref().is_some_and(|proxy| proxy.revision() >= newest)
         };
@@ -150,10 +150,10 @@
             .map(gaugesaddle_consensus::Replica::id)
             .collect();
         if !voters.iter().all(|voter| running.contains(voter)) {
-            failures.push(RecoveryFailure::DeadVoter);
+            failures.push(RecoveryFailure::VoterNotRunning);
         }
         if !running.iter().all(|id| voters.contains(id)) {
-            failures.push(RecoveryFailure::MissingVoter);
+            failures.push(RecoveryFailure::MachineNotVoter);
         }
         failures
     }
--- a/crates/gaugesaddle-simulation/src/world/delivery.rs
+++ b/crates/gaugesaddle-simulation/src/world/delivery.rs
@@ -1,6 +1,6 @@
 //! Packets between nodes, wake-ups, and the effects of control processes.
 
-use super::{Acknowledged, Event, World};
+use super::{AcknowledgementKind, Event, World};
 use crate::control::{ControlProcess, Effects};
 use crate::network::Node;
 use crate::packet::{Answer, Packet, RegistrationOutcome};
@@ -50,48 +50,50 @@
                 let operator = &mut self.operators[number as usize];
                 operator.receive(self.now, id, answer, &mut self.history);
                 let at = operator.deadline();
-                self.schedule_wake(to, 0, at);
+                self.schedule_timer(to, 0, at);
             }
             (Node::Backend(number), Packet::Answer { id, answer }) => {
                 let backend = &mut self.backends[number as usize];
                 backend.receive(self.now, id, &answer);
                 let at = backend.deadline();
-                self.schedule_wake(to, 0, at);
+                self.schedule_timer(to, 0, at);
             }
             _ => {}
         }
     }
 
-    pub(super) fn wake(&mut self, node: Node, incarnation: u64) {
-        let is_planned =
-            self.wakes.get(&node).is_some_and(|wake| wake.incarnation == incarnation && wake.at <= self.now);
+    pub(super) fn run_timer(&mut self, node: Node, incarnation: u64) {
+        let is_planned = self
+            .timers
+            .get(&node)
+            .is_some_and(|timer| timer.incarnation == incarnation && timer.at <= self.now);
         if incarnation != self.incarnation(node) || !is_planned {
             return;
         }
-        self.wakes.remove(&node);
+        self.timers.remove(&node);
         match node {
             Node::Control(ip) => self.step_process(ip, super::super::control::ControlProcess::tick),
-            Node::Proxy(number) => self.wake_proxy(number),
+            Node::Proxy(number) => self.tick_proxy(number),
             Node::Operator(number) => {
                 let operator = &mut self.operators[number as usize];
                 let call = operator.tick(self.now, &mut self.random, &mut self.history);
                 let deadline = operator.deadline();
-                self.finish_wake(node, call, deadline);
+                self.finish_timer(node, call, deadline);
             }
             Node::Backend(number) => {
                 let backend = &mut self.backends[number as usize];
                 let call = backend.tick(self.now);
                 let deadline = backend.deadline();
-                self.finish_wake(node, call, deadline);
+                self.finish_timer(node, call, deadline);
             }
         }
     }
 
-    fn finish_wake(&mut self, node: Node, call: Option<Packet>, deadline: Millis) {
+    fn finish_timer(&mut self, node: Node, call: Option<Packet>, deadline: Millis) {
         if let Some(packet) = call {
             self.call_any_machine(node, packet);
         }
-        self.schedule_wake(node, 0, deadline.max(self.now + 1));
+        self.schedule_timer(node, 0, deadline.max(self.now + 1));
     }
 
     /// Sends a call from outside to a control machine; the caller does not know which of them are running.
@@ -124,10 +126,10 @@
             machine.replica = Some(replica.id());
         }
         let deadline = process.deadline().max(now + 1);
-        let wake_at = process.poll_at(now).map_or(deadline, |poll_at| poll_at.min(deadline));
+        let timer_at = process.poll_at(now).map_or(deadline, |poll_at| poll_at.min(deadline));
         let incarnation = machine.incarnation;
         self.carry_out(ip, incarnation, effects);
-        self.schedule_wake(Node::Control(ip), incarnation, wake_at);
+        self.schedule_timer(Node::Control(ip), incarnation, timer_at);
     }
 
     fn carry_out(&mut self, ip: u32, incarnation: u64, effects: Effects) {
@@ -155,15 +157,15 @@
     fn trigger_armed_crash(&mut self, ip: u32, to: Node, packet: &Packet) {
         let Packet::Answer { answer, .. } = packet else { return };
         let acknowledged = match (to, answer) {
-            (Node::Operator(_), Answer::Change(ChangeReply::Applied)) => Acknowledged::Change,
+            (Node::Operator(_), Answer::Change(ChangeReply::Applied)) => AcknowledgementKind::Change,
             (Node::Backend(number), Answer::Registered(RegistrationOutcome::Acknowledged))
                 if !self.backends[number as usize].serves() =>
             {
-                Acknowledged::Departure
+                AcknowledgementKind::Departure
             }
             _ => return,
         };
-        if acknowledged == Acknowledged::Change {
+        if acknowledged == AcknowledgementKind::Change {
             self.last_acknowledger = Some(ip);
         }
         let first = self.armed_crashes.iter().position(|armed| armed.trigger == acknowledged);
--- a/crates/gaugesaddle-simulation/src/world/faults.rs
+++ b/crates/gaugesaddle-simulation/src/world/faults.rs
@@ -3,7 +3,7 @@
 use super::losses::{DiskRequirement, CATCH_UP_MS};
 use super::processes::Termination;
 use super::{
-    Acknowledged, AnswerLoss, ArmedCrash, Event, Machine, MachineDisposition, PreferredMachine, World,
+    AcknowledgementKind, AnswerLoss, ArmedCrash, Event, Machine, MachineDisposition, PreferredMachine, World,
 };
 use crate::backend::Departure;
 use crate::disk::Disk;
@@ -33,18 +33,18 @@
 impl World {
     pub(super) fn schedule_faults(&mut self, plan: &Plan) {
         for planned in &plan.faults {
-            let give_up_at = planned.at + MAX_DEFERRAL_MS;
-            self.schedule(planned.at, Event::InjectFault { fault: planned.fault, give_up_at });
+            let abandon_at = planned.at + MAX_DEFERRAL_MS;
+            self.schedule(planned.at, Event::InjectFault { fault: planned.fault, abandon_at });
         }
     }
 
-    /// Injects a fault, or tries again later until `give_up_at`.
-    pub(super) fn inject_or_defer(&mut self, fault: Fault, give_up_at: Millis) {
+    /// Injects a fault, or tries again later until `abandon_at`.
+    pub(super) fn inject_or_defer(&mut self, fault: Fault, abandon_at: Millis) {
         match self.inject(fault) {
             Injection::Done => self.injected_faults += 1,
-            Injection::Deferred if self.now + 300 < give_up_at => {
+            Injection::Deferred if self.now + 300 < abandon_at => {
                 let at = self.now + 200 + self.random_below(200);
-                self.schedule(at, Event::InjectFault { fault, give_up_at });
+                self.schedule(at, Event::InjectFault { fault, abandon_at });
             }
             Injection::Deferred => {}
         }
@@ -93,7 +93,7 @@
             }
             Fault::SlowDisk { target, factor, time } => {
                 self.inject_at_machine(target, DiskRequirement::WithDisk, time, |machine| {
-                    machine.disk_factor = factor;
+                    machine.disk_slowdown = factor;
                     machine.disk_slow_until = now + time;
                 })
             }
@@ -115,14 +115,14 @@
             | Fault::ChangeBurst { .. }
             | Fault::Depart { .. }
             | Fault::Crash { .. } => {
-                self.inject_outside(fault);
+                self.inject_external_fault(fault);
                 Injection::Done
             }
         }
     }
 
     /// Injects a fault outside the control machines, which is never deferred.
-    fn inject_outside(&mut self, fault: Fault) {
+    fn inject_external_fault(&mut self, fault: Fault) {
         let now = self.now;
         match fault {
             Fault::FreezeProxy { number, time } => {
@@ -142,7 +142,8 @@
                 self.preferred_machine = preferred.map(|ip| PreferredMachine { ip, until: now + time });
             }
             Fault::AfterAcknowledgement { of_departure, delay, crash } => {
-                let trigger = if of_departure { Acknowledged::Departure } else { Acknowledged::Change };
+                let trigger =
+                    if of_departure { AcknowledgementKind::Departure } else { AcknowledgementKind::Change };
                 self.armed_crashes.push(ArmedCrash { trigger, delay, crash });
             }
             Fault::LoseAnswers { percent, time } => {
@@ -154,7 +155,7 @@
             Fault::Depart { number, draining } => {
                 let departure = if draining { Departure::Drain } else { Departure::Deregister };
                 self.backends[number as usize].depart(now, departure);
-                self.schedule_wake(Node::Backend(number), 0, now);
+                self.schedule_timer(Node::Backend(number), 0, now);
             }
             Fault::Crash { number } => self.backends[number as usize].crash(),
             // Faults of control machines: `inject` handles them.
--- a/crates/gaugesaddle-simulation/src/world/losses.rs
+++ b/crates/gaugesaddle-simulation/src/world/losses.rs
@@ -42,7 +42,7 @@
         let others = self.machines.iter().filter(|(other, _)| **other != ip);
         let lost_others = others.filter(|(_, machine)| is_lost(machine)).count() as u32;
         let has_disk = self.machines.get(&ip).is_some_and(|machine| machine.has_disk);
-        let is_excessive = has_disk && lost_others + 1 > self.shape.max_lost_machines;
+        let is_excessive = has_disk && lost_others + 1 > self.deployment.max_lost_machines;
         if is_excessive && self.random_below(EXCESSIVE_ONE_IN) != 0 {
             return false;
         }
@@ -79,7 +79,7 @@
                 lost_disks += 1;
             }
         }
-        lost_voters.max(lost_disks) < self.shape.max_lost_machines
+        lost_voters.max(lost_disks) < self.deployment.max_lost_machines
     }
 
     fn update_voters(&mut self) {
--- a/crates/gaugesaddle-simulation/src/world/processes.rs
+++ b/crates/gaugesaddle-simulation/src/world/processes.rs
@@ -76,7 +76,7 @@
         machine.frozen_until = 0;
         match termination {
             Termination::PowerLoss => {
-                machine.disk.begin_power_loss();
+                machine.disk.fail_syncs();
                 // The active writes enter the cache; their sync fails.
                 let _ = process.append_active_writes();
                 machine.disk.lose_power(&mut self.random);
@@ -103,8 +103,8 @@
     /// When a write that starts now is durable.
     pub(super) fn write_completes_at(&self, ip: u32) -> Millis {
         let Some(machine) = self.machines.get(&ip) else { return self.now };
-        let factor = if self.now < machine.disk_slow_until { machine.disk_factor } else { 1 };
-        (self.now + self.shape.write_ms * factor).max(machine.disk_hangs_until)
+        let factor = if self.now < machine.disk_slow_until { machine.disk_slowdown } else { 1 };
+        (self.now + self.deployment.write_ms * factor).max(machine.disk_hangs_until)
     }
 
     pub(super) fn complete_write(&mut self, ip: u32, incarnation: u64) {
@@ -125,10 +125,10 @@
         machine.started = now;
         machine.revision = 0;
         machine.proxy = Some(Proxy::start(now, number, machine.incarnation, &seeds));
-        self.wake_proxy(number);
+        self.tick_proxy(number);
     }
 
-    pub(super) fn wake_proxy(&mut self, number: u32) {
+    pub(super) fn tick_proxy(&mut self, number: u32) {
         let now = self.now;
         let seeds = self.seeds();
         let proxy = self.proxies.get_mut(&number).and_then(|machine| machine.proxy.as_mut());
@@ -164,7 +164,7 @@
         if revision < previous {
             self.history.record_violation(Violation::RevisionRegressed { proxy: number, at: now });
         }
-        self.schedule_wake(Node::Proxy(number), incarnation, deadline);
+        self.schedule_timer(Node::Proxy(number), incarnation, deadline);
     }
 
     pub(super) fn schedule_start(&mut self, ip: u32, at: Millis) {
--- a/crates/gaugesaddle-simulation/tests/golden_day.rs
+++ b/crates/gaugesaddle-simulation/tests/golden_outcomes.rs
@@ -4,9 +4,9 @@
 //! `data/day.json` has every kind of fault. `data/outcomes.txt` is recorded anew only by a commit that changes what replicas
 //! do, and says so; a rename must leave it as it is.
 
-use gaugesaddle_simulation::{play, Outcome, Plan, Shape};
+use gaugesaddle_simulation::{simulate, Deployment, Outcome, Plan};
 
-const DAY: &str = include_str!("data/day.json");
+const STORED_PLAN: &str = include_str!("data/day.json");
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=4;
 
 fn counts(outcome: &Outcome) -> String {
@@ -23,19 +23,20 @@
 
 #[test]
 fn stored_plan_is_read_and_written_unchanged() {
-    let plan: Plan = serde_json::from_str(DAY).expect("a plan");
-    assert_eq!(serde_json::to_string_pretty(&plan).expect("JSON") + "\n", DAY);
+    let plan: Plan = serde_json::from_str(STORED_PLAN).expect("a plan");
+    assert_eq!(serde_json::to_string_pretty(&plan).expect("JSON") + "\n", STORED_PLAN);
 }
 
 #[test]
 fn outcomes_of_recorded_seeds_are_unchanged() {
-    let day: Plan = serde_json::from_str(DAY).expect("a plan");
-    let mut outcomes = format!("day.json: {}", counts(&play(&day)));
-    for shape in Shape::known() {
+    let stored_plan: Plan = serde_json::from_str(STORED_PLAN).expect("a plan");
+    let mut outcomes = format!("day.json: {}", counts(&simulate(&stored_plan)));
+    for deployment in Deployment::known() {
         for seed in SEEDS {
-            let plan = Plan::draw(seed, shape.clone());
+            let plan = Plan::draw(seed, deployment.clone());
             let planned = plan.faults.len();
-            outcomes += &format!("{} seed {seed}: planned {planned}, {}", shape.name, counts(&play(&plan)));
+            outcomes +=
+                &format!("{} seed {seed}: planned {planned}, {}", deployment.name, counts(&simulate(&plan)));
         }
     }
     assert_eq!(outcomes, include_str!("data/outcomes.txt"));
--- a/crates/gaugesaddle-simulation/tests/days.rs
+++ b/crates/gaugesaddle-simulation/tests/random_fault_plans.rs
@@ -2,16 +2,16 @@
 //! distributes an old configuration, a revoked key stays in use, an acknowledged departure is not known, or the fleet does
 //! not recover.
 
-use gaugesaddle_simulation::{play, Outcome, Plan, Shape};
+use gaugesaddle_simulation::{simulate, Deployment, Outcome, Plan};
 
 /// Seeds of each deployment; `gaugesaddle-simulation hunt` plays more.
 const SEEDS: u64 = 40;
 
 fn assert_no_violations(name: &str) {
-    let shape = Shape::named(name).expect("a known deployment");
+    let deployment = Deployment::named(name).expect("a known deployment");
     let (mut confirmed, mut faults, mut connected, mut unproven) = (0, 0, 0, 0);
     for seed in 1..=SEEDS {
-        let outcome = play(&Plan::draw(seed, shape.clone()));
+        let outcome = simulate(&Plan::draw(seed, deployment.clone()));
         assert!(outcome.violations.is_empty(), "{name}, seed {seed}: {}", outcome.violations[0]);
         confirmed += outcome.confirmed_changes;
         faults += outcome.injected_faults;
@@ -19,11 +19,11 @@
         unproven += outcome.unproven_checks;
     }
     // A day on which nothing happens would violate no rule either.
-    let days = SEEDS as usize;
-    assert!(confirmed > 20 * days, "{confirmed} changes confirmed in {days} days");
-    assert!(faults > 6 * days, "{faults} faults in {days} days");
-    assert!(connected > 200 * days, "{connected} checks of connected proxies in {days} days");
-    assert!(unproven > days, "{unproven} checks of proxies without a proof in {days} days");
+    let runs = SEEDS as usize;
+    assert!(confirmed > 20 * runs, "{confirmed} changes confirmed in {runs} runs");
+    assert!(faults > 6 * runs, "{faults} faults in {runs} runs");
+    assert!(connected > 200 * runs, "{connected} checks of connected proxies in {runs} runs");
+    assert!(unproven > runs, "{unproven} checks of proxies without a proof in {runs} runs");
 }
 
 #[test]
@@ -57,9 +57,9 @@
 }
 
 #[test]
-fn playing_a_plan_twice_gives_the_same_outcome() {
-    let plan = Plan::draw(7, Shape::named("nilavu-air").expect("a known deployment"));
-    let (one, two) = (play(&plan), play(&plan));
+fn simulating_a_plan_twice_gives_the_same_outcome() {
+    let plan = Plan::draw(7, Deployment::named("nilavu-air").expect("a known deployment"));
+    let (one, two) = (simulate(&plan), simulate(&plan));
     let counts =
         |outcome: &Outcome| (outcome.confirmed_changes, outcome.terms_with_leader, outcome.injected_faults);
     assert_eq!(counts(&one), counts(&two));
