--- a/crates/gaugesaddle-simulation/src/backend.rs
+++ b/crates/gaugesaddle-simulation/src/backend.rs
@@ -1,4 +1,4 @@
-//! A backend: heartbeats, and one of the ways to depart.
+//! A backend: sends heartbeats, and departs by draining, deregistering or crashing.
 
 use crate::packet::{Answer, Call, Packet, RegistrationOutcome};
 use crate::Millis;
@@ -6,17 +6,17 @@
 
 /// Interval between heartbeats.
 const HEARTBEAT_INTERVAL_MS: Millis = 1200;
-/// Time-out of a call.
+/// Timeout of a call.
 const CALL_TIMEOUT_MS: Millis = 1000;
-/// A drained backend sends heartbeats for this time after the acknowledgement of its drain.
+/// A draining backend sends heartbeats for this time after the acknowledgement of its drain.
 const DRAIN_PERIOD_MS: Millis = 6000;
 
 /// How a backend departs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Departure {
-    /// It reports `draining` and serves on for a while.
+    /// The backend reports `draining` and sends heartbeats for some time after the acknowledgement.
     Drain,
-    /// It deregisters at once.
+    /// The backend deregisters at once.
     Deregister,
 }
 
@@ -32,9 +32,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Serving,
-    /// Reports `draining`; with the time of the acknowledgement.
+    /// Reports `draining`; contains the time of the acknowledgement.
     Draining(Option<Millis>),
-    /// Deregisters; with the time of the acknowledgement.
+    /// Deregisters; contains the time of the acknowledgement.
     Deregistering(Option<Millis>),
     /// Makes no more calls.
     Crashed,
@@ -49,7 +49,7 @@
 
 /// A backend's process.
 pub struct Backend {
-    /// Its identity in the catalog.
+    /// Identity of the backend in the catalog.
     pub id: String,
     number: u32,
     stage: Stage,
@@ -60,7 +60,7 @@
 }
 
 impl Backend {
-    /// A backend that makes its first call at a time.
+    /// Creates a backend that makes its first call at `first_call_at`.
     pub fn new(number: u32, first_call_at: Millis) -> Backend {
         Backend {
             id: format!("backend-{number}"),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Departs, if it serves.
+    /// Starts the departure of a backend that serves.
     pub fn depart(&mut self, now: Millis, departure: Departure) {
         if self.stage == Stage::Serving {
             self.stage = match departure {
@@ -85,17 +85,17 @@
         }
     }
 
-    /// Stops without a further call.
+    /// Stops the backend without a further call.
     pub fn crash(&mut self) {
         self.stage = Stage::Crashed;
     }
 
-    /// Whether it serves and has not announced its departure.
+    /// Whether the backend serves and has not started to depart.
     pub fn serves(&self) -> bool {
         self.stage == Stage::Serving
     }
 
-    /// When its departure was acknowledged.
+    /// Time at which the departure was acknowledged.
     pub fn departure_acknowledged(&self) -> Option<Millis> {
         match self.stage {
             Stage::Draining(at) | Stage::Deregistering(at) => at,
@@ -108,10 +108,10 @@
         self.call.map_or(self.next_call_at, |call| call.deadline)
     }
 
-    /// Handles the passing of time; returns the call to make now.
+    /// Handles an expired deadline; returns the call to make now.
     pub fn tick(&mut self, now: Millis) -> Option<Packet> {
         if self.call.is_some_and(|call| now >= call.deadline) {
-            // Timed out: another process is called at once.
+            // The call timed out: the next one, to any process, is made at once.
             self.call = None;
             self.next_call_at = now;
         }
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Handles an answer; one to another call than that in flight is ignored.
+    /// Handles an answer; an answer to any call but the one in flight is ignored.
     pub fn receive(&mut self, now: Millis, call_id: u64, answer: &Answer) {
         if self.call.is_none_or(|call| call.id != call_id) {
             return;
--- a/crates/gaugesaddle-simulation/src/control.rs
+++ b/crates/gaugesaddle-simulation/src/control.rs
@@ -1,8 +1,8 @@
-//! A control process: a host of the shipped state machines over simulated links, disk and clock.
+//! A control process: runs the shipped state machines on simulated links, disk and clock.
 //!
 //! Its files: `calls` (calls of proxies, backends and operators), `peers` (messages of other control processes and
-//! the maintenance loop), `replica` (consensus and disk). Each step leaves its [`Effects`], which the world carries
-//! out. It mirrors `gaugesaddle-control`, with the same constants.
+//! the maintenance loop), `replica` (consensus and disk). Each step records its [`Effects`], which the world executes.
+//! The process mirrors `gaugesaddle-control`, with the same constants.
 
 mod calls;
 mod peers;
@@ -21,14 +21,14 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Reading of a process's clock at its start: the clocks of two processes never agree.
+/// Reading of a process's clock at its start, so that the clocks of processes with different start times disagree.
 const CLOCK_START_MS: Millis = 1_000_000;
-/// Interval between checks of the calls that wait for an acknowledgement.
+/// Interval between checks of the pending registrations.
 const POLL_INTERVAL_MS: Millis = 3;
 /// Duration of a backend's lease.
 const BACKEND_LEASE_MS: Millis = 4200;
 
-/// Where an answer goes, and until when it is waited for.
+/// The caller of a pending call, and the deadline of the answer.
 #[derive(Clone, Copy, Debug)]
 struct Waiter {
     caller: Node,
@@ -36,14 +36,14 @@
     deadline: Millis,
 }
 
-/// A proxy's call that waits for changes.
+/// A proxy's pull that waits for changes.
 #[derive(Debug)]
 struct PendingPull {
     waiter: Waiter,
     pull: Box<Pull>,
 }
 
-/// A backend's call that waits to be acknowledged.
+/// A backend's call whose acknowledgement is not decided yet.
 #[derive(Debug)]
 struct PendingRegistration {
     waiter: Waiter,
@@ -58,25 +58,25 @@
     state: Option<Box<State>>,
 }
 
-/// Effects of a step, to be carried out by the world.
+/// Effects of a step, which the world executes.
 #[derive(Debug, Default)]
 pub struct Effects {
     /// Packets to send.
     pub packets: Vec<(Node, Packet)>,
     /// The disk has started a write.
     pub write_started: bool,
-    /// Term and replica, where the replica leads.
+    /// Term and identity of the replica, if it leads.
     pub leadership: Option<(u64, ReplicaId)>,
-    /// Configurations that this process learned to be committed.
+    /// Configurations that this process found to be committed.
     pub committed: Vec<Configuration>,
-    /// Newest log position of each answer in which the process claimed to be fresh.
+    /// Newest log position of each answer in which the process reported itself fresh.
     pub fresh_answers: Vec<Option<LogPosition>>,
 }
 
 /// A control process.
 ///
-/// Its tables are bounded by the simulated fleet: an entry of a pending table leaves it with its answer or at its
-/// deadline.
+/// Its tables are bounded by the simulated fleet: an entry of a pending table is removed when it is answered or its
+/// deadline passes.
 pub struct ControlProcess {
     ip: u32,
     incarnation: u64,
@@ -84,9 +84,9 @@
     has_disk: bool,
     /// The consensus replica; `None` while the disk cannot be opened.
     pub replica: Option<Replica>,
-    /// This process's copy of the catalog.
+    /// The process's replica of the catalog.
     pub catalog_replica: CatalogReplica,
-    /// The configuration in force.
+    /// Distributes the configuration in force to proxies.
     pub distributor: Distributor,
     settings: Settings,
     ring: Option<Ring<Disk>>,
@@ -95,13 +95,13 @@
     /// Writes that the disk has started; they become durable together.
     active_writes: Vec<PendingWrite>,
     reopen_disk_at: Option<Millis>,
-    /// Machines that serve control, but for this one.
+    /// Addresses of the other control machines.
     known_peers: BTreeSet<u32>,
-    /// Newest incarnation seen of each peer.
+    /// Highest incarnation received from each peer.
     peer_incarnations: BTreeMap<u32, u64>,
-    /// Proposals and reads at the own replica, by their number.
+    /// Proposals and reads in progress at this process's replica, by number.
     pending: BTreeMap<u64, Waiter>,
-    /// Calls forwarded to the leader, by their number there.
+    /// Calls forwarded to the leader, by the id of the forwarded call.
     forwarded: BTreeMap<u64, Waiter>,
     next_number: u64,
     pending_pulls: Vec<PendingPull>,
@@ -109,32 +109,32 @@
     maintenance_at: Millis,
     random: Pcg64Mcg,
     effects: Effects,
-    /// Something has changed since pending pulls were checked last.
+    /// The configuration or the catalog has changed since the last check of the pending pulls.
     has_changes: bool,
 }
 
-/// How a process starts.
+/// Options for the start of a process.
 pub struct ProcessOptions {
-    /// Its machine.
+    /// Address of its machine.
     pub ip: u32,
-    /// Number of the process among those of its machine, from 1.
+    /// Incarnation of the process: 1 for the first on its machine, higher for each later one.
     pub incarnation: u64,
-    /// The machine's disk, unused where it has none.
+    /// The machine's disk; unused if `has_disk` is false.
     pub disk: Disk,
     /// Whether the machine has a disk.
     pub has_disk: bool,
     /// The initial voters, at the first start of the fleet.
     pub initial_voters: Option<Vec<ReplicaId>>,
-    /// Machines that serve control, from the boot file.
+    /// Addresses of control machines in the boot file.
     pub seeds: Vec<u32>,
     /// Timing and bounds of the replica.
     pub settings: Settings,
-    /// Source of all random draws of the process.
+    /// Source of all random numbers of the process.
     pub random: Pcg64Mcg,
 }
 
 impl ControlProcess {
-    /// A process that starts now.
+    /// Starts a process.
     pub fn start(now: Millis, mut options: ProcessOptions) -> ControlProcess {
         let origin = Origin(options.random.next_u64());
         let mut process = ControlProcess {
@@ -155,7 +155,7 @@
             peer_incarnations: BTreeMap::new(),
             pending: BTreeMap::new(),
             forwarded: BTreeMap::new(),
-            // Numbers are unique among all processes.
+            // Starts from the address and the incarnation, so that numbers are unique among all processes.
             next_number: u64::from(options.ip) << 40 | options.incarnation << 24,
             pending_pulls: Vec::new(),
             pending_registrations: Vec::new(),
@@ -168,7 +168,7 @@
         process
     }
 
-    /// The process's own clock.
+    /// Reading of the process's own clock.
     fn clock(&self, now: Millis) -> Millis {
         CLOCK_START_MS + now - self.started
     }
@@ -187,12 +187,12 @@
         deadlines.chain([self.maintenance_at]).min().unwrap_or(self.maintenance_at)
     }
 
-    /// When pending registrations are to be checked next, if there are any.
+    /// Time of the next check of the pending registrations, if there are any.
     pub fn poll_at(&self, now: Millis) -> Option<Millis> {
         (!self.pending_registrations.is_empty()).then_some(now + POLL_INTERVAL_MS)
     }
 
-    /// Handles the passing of time.
+    /// Handles expired deadlines.
     pub fn tick(&mut self, now: Millis) {
         if self.reopen_disk_at.is_some_and(|at| now >= at) {
             self.reopen_disk_at = None;
@@ -236,13 +236,13 @@
         self.effects.packets.push((waiter.caller, Packet::Answer { id: waiter.call_id, answer }));
     }
 
-    /// Whether its replica has confirmed a majority within its lease.
+    /// Whether the replica has every state that was committed one lease ago, see [`Replica::is_fresh`].
     pub fn is_fresh(&self, now: Millis) -> bool {
         let clock = self.clock(now);
         self.replica.as_ref().is_some_and(|replica| replica.is_fresh(clock))
     }
 
-    /// Whether it leads under a lease.
+    /// Whether the replica leads and has a lease, see [`Replica::has_lease`].
     pub fn has_lease(&self, now: Millis) -> bool {
         let clock = self.clock(now);
         self.replica.as_ref().is_some_and(|replica| replica.has_lease(clock))
--- a/crates/gaugesaddle-simulation/src/control/calls.rs
+++ b/crates/gaugesaddle-simulation/src/control/calls.rs
@@ -9,18 +9,18 @@
 use gaugesaddle_distribution::ReplicaStatus;
 use gaugesaddle_protocol::{ChangeReply, ConfigurationChange, PeerMessage, Pull, Registration};
 
-/// Time-out of a change or read.
+/// Timeout of a change or read.
 const ANSWER_TIMEOUT_MS: Millis = 900;
 /// Maximum time for which a pull waits for changes (long polling).
 const MAX_PULL_WAIT_MS: Millis = 2000;
 
-/// Who handles an operator's call.
+/// Where an operator's call is handled.
 enum Route {
-    /// This process: it leads, or the call was forwarded to it.
+    /// At this process: it leads, or the call was forwarded to it.
     Local,
-    /// The leader's machine.
+    /// At the leader, by the address of its machine.
     Leader(u32),
-    /// Nobody: no leader is known.
+    /// Nowhere: no leader is known.
     NoLeader,
 }
 
@@ -71,7 +71,7 @@
         let is_forwarded = matches!(caller, Node::Control(_));
         match self.leader() {
             None => Route::NoLeader,
-            // A call is forwarded once at most: the former leader finds out by itself that it does not lead.
+            // A call is forwarded at most once: if this process no longer leads, its replica rejects the call.
             Some(leader) if leader.ip == self.ip || is_forwarded => Route::Local,
             Some(leader) => Route::Leader(leader.ip),
         }
@@ -94,7 +94,7 @@
 
     fn propose(&mut self, now: Millis, waiter: Waiter, change: ConfigurationChange) {
         let committed = self.replica.as_ref().and_then(Replica::committed);
-        // Simulated documents have no services: the full document that results is not validated.
+        // Simulated documents have no services, so the resulting full document is not validated.
         let accept_any = |_: &[u8]| Ok(());
         match gaugesaddle_consensus::change::proposal(change, committed, accept_any) {
             Ok(proposal) => {
@@ -122,7 +122,8 @@
         self.next_number
     }
 
-    /// Answers the calls whose deadline has passed; callers of reads ignore an answer to a change, as they would none.
+    /// Answers the calls whose deadline has passed with an indeterminate change. The caller of a read ignores this
+    /// answer and times out.
     pub(super) fn expire_waiters(&mut self, now: Millis) {
         let mut expired = Vec::new();
         for waiters in [&mut self.pending, &mut self.forwarded] {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Answers the pending registrations and pulls that are due.
+    /// Answers the pending registrations that are decided and the pending pulls that are due or have changes.
     pub(super) fn answer_pending(&mut self, now: Millis) {
         let clock = self.clock(now);
         let fresh = self.is_fresh(now);
--- a/crates/gaugesaddle-simulation/src/control/peers.rs
+++ b/crates/gaugesaddle-simulation/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! Messages of the other control processes, and the maintenance loop.
+//! Messages between control processes, and the maintenance loop.
 
 use super::ControlProcess;
 use crate::network::Node;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Registers a peer's process when its first message arrives: the peer has a new connection, and needs a hello.
+    /// Registers a peer's process on its first message, and sends it a hello, since its connection is new.
     pub(super) fn register_peer(&mut self, now: Millis, ip: u32, sender: Sender) {
         if self.peer_incarnations.get(&ip).is_some_and(|known| *known >= sender.incarnation) {
             return;
@@ -67,7 +67,7 @@
     ) {
         let clock = self.clock(now);
         if !self.catalog_replica.record_contact(clock, ip, origin) {
-            // From a former process of that machine.
+            // The message is from a former process of that machine.
             return;
         }
         if let PeerMessage::Replica { from, to, message } = message {
--- a/crates/gaugesaddle-simulation/src/control/replica.rs
+++ b/crates/gaugesaddle-simulation/src/control/replica.rs
@@ -12,7 +12,7 @@
 };
 use rand_pcg::rand_core::RngCore;
 
-/// A disk that failed is reopened after this time.
+/// Delay after which a failed disk is reopened.
 const REOPEN_INTERVAL_MS: Millis = 300;
 
 fn new_hard_state(id: ReplicaId) -> HardState {
@@ -20,7 +20,7 @@
 }
 
 impl ControlProcess {
-    /// Opens the disk, if there is one, and creates the replica out of its records.
+    /// Opens the disk, if there is one, and creates the replica from its records.
     pub(super) fn open_disk(&mut self, now: Millis, initial_voters: Option<Vec<ReplicaId>>) {
         let random_id = ReplicaId { ip: self.ip, incarnation: self.random.next_u64() | 1 };
         let (hard_state, state) = if self.has_disk {
@@ -52,7 +52,7 @@
         self.execute(now, outputs);
     }
 
-    /// Gives the replica an input and executes its outputs.
+    /// Passes an input to the replica and executes its outputs.
     pub(super) fn step(&mut self, now: Millis, input: Input) {
         let clock = self.clock(now);
         let Some(replica) = &mut self.replica else {
@@ -66,7 +66,7 @@
         self.execute(now, outputs);
     }
 
-    /// Answers a request while there is no replica.
+    /// Answers a request that cannot be handled because there is no replica.
     fn reject(&mut self, input: &Input) {
         match input {
             Input::Propose(number, _) => self.answer_proposal(*number, ProposalResult::Indeterminate),
@@ -131,7 +131,7 @@
         self.start_write();
     }
 
-    /// Starts all queued writes, unless others are active.
+    /// Starts all queued writes, unless writes are active.
     fn start_write(&mut self) {
         if self.active_writes.is_empty() && !self.queued_writes.is_empty() {
             self.active_writes = self.queued_writes.drain(..).collect();
@@ -139,7 +139,7 @@
         }
     }
 
-    /// The disk completes the writes that it has started.
+    /// Completes the active writes.
     pub fn complete_write(&mut self, now: Millis) {
         let Some(write_id) = self.last_active_write() else { return };
         if self.append_active_writes().is_err() {
@@ -156,18 +156,18 @@
         self.active_writes.last().map(|write| write.write_id)
     }
 
-    /// Appends the active writes to the ring; also where the process ends before it learns of their completion.
+    /// Appends the active writes to the ring; also called when the process ends before their completion.
     ///
     /// # Errors
     ///
-    /// The disk is full or has no power.
+    /// The disk is full or is losing power.
     pub fn append_active_writes(&mut self) -> Result<(), LogError> {
         let newest_state = self.active_writes.iter().rev().find_map(|write| write.state.as_deref());
         let (Some(last), Some(ring)) = (self.active_writes.last(), &mut self.ring) else { return Ok(()) };
         ring.append(disk_format::encode_records(&last.hard_state, newest_state))
     }
 
-    /// Handles a failed disk.
+    /// Handles a failed disk: removes the replica and answers the pending calls with an indeterminate change.
     fn stop_replica(&mut self, now: Millis) {
         self.replica = None;
         self.ring = None;
--- a/crates/gaugesaddle-simulation/src/deployment.rs
+++ b/crates/gaugesaddle-simulation/src/deployment.rs
@@ -1,24 +1,24 @@
-//! Deployments: numbers of machines, and the losses that must be survived.
+//! Deployments: numbers of machines, and the losses that each must tolerate.
 
 use serde::{Deserialize, Serialize};
 
-/// Proxies of every known deployment.
+/// Number of proxies of every known deployment.
 const PROXIES: u32 = 3;
 
-/// A deployment.
+/// Machines of a deployment, and the losses that it must tolerate.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Deployment {
-    /// Its name.
+    /// Name of the deployment.
     pub name: String,
-    /// Control machines with a disk.
+    /// Number of control machines with a disk.
     #[serde(rename = "disks")]
     pub machines_with_disk: u32,
-    /// Control machines without a disk.
+    /// Number of control machines without a disk.
     #[serde(rename = "diskless")]
     pub machines_without_disk: u32,
-    /// Proxies.
+    /// Number of proxies.
     pub proxies: u32,
-    /// Machines with a disk that may be lost simultaneously.
+    /// Number of machines with a disk that may be lost simultaneously.
     #[serde(rename = "losses")]
     pub max_lost_machines: u32,
     /// Duration of a write and its sync, in ms.
--- a/crates/gaugesaddle-simulation/src/disk.rs
+++ b/crates/gaugesaddle-simulation/src/disk.rs
@@ -1,4 +1,4 @@
-//! A disk with a write cache, below the shipped ring: power loss drops or tears what was not synced.
+//! Simulated disk with a write cache, below the shipped ring: a power loss drops or tears unsynced writes.
 
 use gaugesaddle_log::{Store, SEGMENTS};
 use rand_pcg::rand_core::RngCore;
@@ -7,10 +7,10 @@
 use std::io;
 use std::rc::Rc;
 
-/// Bytes of a segment: room for some twenty states with the simulated documents.
+/// Bytes of a segment: space for about twenty states with the simulated documents.
 const SEGMENT_BYTES: usize = 64 << 10;
 
-/// A write in the cache.
+/// A write that is in the cache and not yet synced.
 #[derive(Clone, Debug)]
 struct CachedWrite {
     segment: usize,
@@ -20,23 +20,23 @@
 
 #[derive(Clone, Debug)]
 struct DiskContents {
-    /// Bytes of each segment.
+    /// Synced bytes of each segment.
     synced: Vec<Vec<u8>>,
     unsynced: Vec<CachedWrite>,
     is_full: bool,
-    /// Power is about to be lost: no sync completes any more.
+    /// A power loss has begun: every sync fails until it is complete.
     is_losing_power: bool,
 }
 
 impl DiskContents {
-    /// Writes the first `bytes` of a write to its segment.
+    /// Copies the first `bytes` bytes of a write to its segment.
     fn apply(&mut self, write: &CachedWrite, bytes: usize) {
         let target = &mut self.synced[write.segment][write.offset..write.offset + bytes];
         target.copy_from_slice(&write.bytes[..bytes]);
     }
 }
 
-/// A machine's disk; clones share it.
+/// A machine's disk; clones share its contents.
 #[derive(Clone, Debug)]
 pub struct Disk(Rc<RefCell<DiskContents>>);
 
@@ -52,7 +52,7 @@
 }
 
 impl Disk {
-    /// Makes every write fail, or none.
+    /// Sets whether every write fails for lack of space.
     pub fn set_full(&self, is_full: bool) {
         self.0.borrow_mut().is_full = is_full;
     }
@@ -62,7 +62,7 @@
         self.0.borrow_mut().is_losing_power = true;
     }
 
-    /// Power is lost: each write that was not synced is complete, missing or torn, at random.
+    /// Completes a power loss: each unsynced write is applied, dropped or torn, at random.
     pub fn lose_power(&self, random: &mut Pcg64Mcg) {
         let mut contents = self.0.borrow_mut();
         contents.is_losing_power = false;
@@ -95,7 +95,7 @@
     fn write(&mut self, segment: usize, offset: u64, bytes: &[u8]) -> io::Result<()> {
         let mut contents = self.0.borrow_mut();
         if contents.is_full {
-            return Err(io::Error::other("no space"));
+            return Err(io::Error::other("write failed: the simulated disk is full"));
         }
         contents.unsynced.push(CachedWrite { segment, offset: offset as usize, bytes: bytes.to_vec() });
         Ok(())
@@ -104,7 +104,7 @@
     fn sync(&mut self, _segment: usize) -> io::Result<()> {
         let mut contents = self.0.borrow_mut();
         if contents.is_losing_power {
-            return Err(io::Error::other("no power"));
+            return Err(io::Error::other("sync failed: the simulated machine is losing power"));
         }
         for write in std::mem::take(&mut contents.unsynced) {
             contents.apply(&write, write.bytes.len());
--- a/crates/gaugesaddle-simulation/src/fault.rs
+++ b/crates/gaugesaddle-simulation/src/fault.rs
@@ -1,14 +1,14 @@
 //! Faults and when they are injected.
 //!
-//! Plans are stored as JSON by `hunt`; `rename` keeps the names that stored plans have.
+//! Plans are stored as JSON by `hunt`; `rename` attributes preserve the names in stored plans.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 
-/// Which direction of a machine's links a partition stops.
+/// Direction of a machine's links that a partition affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PartitionDirection {
-    /// Both.
+    /// Both directions.
     Both,
     /// Messages to the machine.
     #[serde(rename = "Deaf")]
@@ -18,10 +18,10 @@
     Outbound,
 }
 
-/// The machine that a fault is injected at.
+/// The machine at which a fault is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Target {
-    /// The leader at that time.
+    /// The leader at the time of the fault.
     Leader,
     /// The machine that acknowledged the newest change.
     Acknowledged,
@@ -29,7 +29,7 @@
     Number(u32),
 }
 
-/// What follows right after an acknowledgement.
+/// Which machines crash right after an acknowledgement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CrashAfterAcknowledgement {
     /// All control machines lose power.
@@ -45,17 +45,17 @@
     WipeAcknowledgerAndPowerOffAll,
 }
 
-/// A fault. Times are in ms; `down` is the time until a process starts again, `time` that until a fault ends.
+/// A fault. Times are in ms; `down` is the time until a process starts again, `time` the duration of the fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fault {
-    /// A control process is killed; its disk keeps what was written.
+    /// A control process is killed; its disk retains all completed writes.
     Kill {
         /// Which machine.
         target: Target,
         /// Time until it starts again.
         down: Millis,
     },
-    /// A machine loses power; its disk keeps what was synced.
+    /// A machine loses power; its disk retains the synced writes.
     PowerOff {
         /// Which machine.
         target: Target,
@@ -76,22 +76,22 @@
         /// Time until it starts again.
         down: Millis,
     },
-    /// A machine is removed for good, and an empty one is added at another address.
+    /// A machine is removed permanently, and an empty one is added at another address.
     Replace {
         /// Which machine.
         target: Target,
-        /// The new machine starts first, and the old one shuts down gracefully.
+        /// The new machine starts before the old one is removed; otherwise the old one is removed first.
         planned: bool,
     },
-    /// All control processes end at once.
+    /// All control processes end simultaneously.
     KillAll {
-        /// Their machines lose power: writes that were not synced may be lost.
+        /// Their machines lose power: unsynced writes may be lost.
         #[serde(rename = "power")]
         power_loss: bool,
         /// Time until they start again.
         down: Millis,
     },
-    /// A control process is stopped; what arrives meanwhile is queued in its sockets.
+    /// A control process is suspended; packets that arrive meanwhile are queued in its sockets.
     Freeze {
         /// Which machine.
         target: Target,
@@ -103,10 +103,10 @@
     Partition {
         /// Which machine.
         target: Target,
-        /// Which direction of its links.
+        /// Affected direction of its links.
         #[serde(rename = "way")]
         direction: PartitionDirection,
-        /// It is partitioned from the proxies, too.
+        /// The machine is also partitioned from the proxies.
         #[serde(rename = "all")]
         includes_proxies: bool,
         /// Duration.
@@ -142,7 +142,7 @@
     SlowDisk {
         /// Which machine.
         target: Target,
-        /// Factor by which writes take longer.
+        /// Factor by which the duration of writes is multiplied.
         factor: u64,
         /// Duration.
         time: Millis,
@@ -161,7 +161,7 @@
         /// Duration.
         time: Millis,
     },
-    /// A proxy is stopped.
+    /// A proxy is suspended.
     FreezeProxy {
         /// Which one.
         number: u32,
@@ -175,7 +175,7 @@
         /// Time until it starts again.
         down: Millis,
     },
-    /// Operators and backends prefer this machine for their calls.
+    /// Operators and backends send most of their calls to this machine.
     #[serde(rename = "Lure")]
     AttractCalls {
         /// Which machine.
@@ -183,9 +183,9 @@
         /// Duration.
         time: Millis,
     },
-    /// Waits for the next acknowledgement, and crashes machines right after it.
+    /// Machines crash right after the next acknowledgement.
     AfterAcknowledgement {
-        /// That of a backend's departure; otherwise that of a change.
+        /// The acknowledgement is that of a backend's departure; otherwise that of a change.
         #[serde(rename = "of_end")]
         of_departure: bool,
         /// Delay after the acknowledgement.
@@ -215,7 +215,7 @@
     Depart {
         /// Which one.
         number: u32,
-        /// It drains; otherwise it deregisters at once.
+        /// The backend drains; otherwise it deregisters at once.
         draining: bool,
     },
     /// A backend stops without announcing it.
@@ -228,7 +228,7 @@
 /// A fault and when it is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlannedFault {
-    /// Time since the start of the day, in ms.
+    /// Time since the start of the run, in ms.
     pub at: Millis,
     /// The fault.
     pub fault: Fault,
--- a/crates/gaugesaddle-simulation/src/history.rs
+++ b/crates/gaugesaddle-simulation/src/history.rs
@@ -1,4 +1,4 @@
-//! The history of a day as seen from outside, and the rules that it must satisfy.
+//! The externally observed history of a run, and the rules that it must satisfy.
 
 use crate::Millis;
 use gaugesaddle_config::ConfigPatch;
@@ -10,28 +10,28 @@
 pub const APPLY_DEADLINE_MS: Millis = 2000;
 /// Deadline after the acknowledgement of a departure by which no connected proxy uses the backend.
 pub const DRAIN_DEADLINE_MS: Millis = 2000;
-/// A process that claims to be fresh has everything that was committed this long before: a follower's lease, plus the
+/// A process that reports itself fresh has everything that was committed this long before: a follower's lease, plus the
 /// rounding of clocks to milliseconds.
 pub const FOLLOWER_LEASE_MS: Millis = 605;
 
 /// Time after the acknowledgement of a revocation for which a key may be used in a fail-closed deployment.
 pub const REVOCATION_DEADLINE_MS: Millis = 5000;
-/// Time for which a proxy relies on a proof of freshness: shorter than the deadline, since clocks drift.
+/// Time for which a proxy relies on a proof of freshness: shorter than [`REVOCATION_DEADLINE_MS`], since clocks drift.
 pub const PROOF_VALIDITY_MS: Millis = 4500;
 
 /// A violated rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// Two replicas led one term.
+    /// Two replicas led in the same term.
     TwoLeaders {
         /// The term.
         term: u64,
-        /// Who led first.
-        one: ReplicaId,
-        /// Who led then.
-        other: ReplicaId,
+        /// The first leader.
+        first: ReplicaId,
+        /// The second leader.
+        second: ReplicaId,
     },
-    /// Two configurations were committed at one log position.
+    /// Two configurations were committed at the same log position.
     ConflictingCommits {
         /// The log position.
         position: LogPosition,
@@ -55,33 +55,33 @@
         /// The revision.
         revision: u64,
     },
-    /// One change was both confirmed and rejected.
+    /// A change was both confirmed and rejected.
     ConfirmedAndRejected {
         /// The revision.
         revision: u64,
     },
-    /// Two changes were confirmed with the same base, or with the same revision.
+    /// Two different changes were confirmed with the same base, or with the same revision.
     ConflictingConfirmations {
         /// The base revision of the second.
         base: u64,
         /// The revision.
         revision: u64,
     },
-    /// A read returned an older revision than was confirmed, or read, before it began.
+    /// A read returned a lower revision than one that was confirmed, or read, before it began.
     StaleRead {
-        /// The revision that it returned.
+        /// The returned revision.
         returned: u64,
         /// The minimum revision.
         expected: u64,
     },
-    /// A process claimed to be fresh without what was committed [`FOLLOWER_LEASE_MS`] before.
+    /// A process reported itself fresh but lacked a state committed more than [`FOLLOWER_LEASE_MS`] before.
     FreshButStale {
         /// Address of its machine.
         ip: u32,
         /// Time in ms.
         at: Millis,
     },
-    /// A connected proxy did not have a change in force in time.
+    /// A connected proxy did not have a confirmed change in force by the deadline.
     NotApplied {
         /// The proxy.
         proxy: u32,
@@ -99,7 +99,7 @@
         /// Time in ms.
         at: Millis,
     },
-    /// A proxy would use keys of a configuration that was replaced too long ago.
+    /// A proxy could use keys of a configuration that was replaced before the revocation deadline.
     RevokedKeysInUse {
         /// The proxy.
         proxy: u32,
@@ -126,14 +126,14 @@
         /// The backend.
         backend: String,
     },
-    /// The system did not recover in the time without faults at the end of the day.
+    /// The fleet did not recover in the time without faults at the end of the run.
     NoRecovery {
-        /// What is missing.
+        /// The condition that was not met.
         failure: RecoveryFailure,
     },
 }
 
-/// What did not recover.
+/// A condition of recovery that was not met.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecoveryFailure {
     /// No change was confirmed.
@@ -156,7 +156,7 @@
     }
 }
 
-/// How a change ended for its operator.
+/// Final outcome of a change for its operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
     /// Confirmed.
@@ -174,11 +174,11 @@
     pub base: u64,
     /// Its own revision.
     pub revision: u64,
-    /// Full document or patch.
+    /// The full document or patch.
     pub body: ChangeBody,
     /// Time of the first attempt.
     pub begun: Millis,
-    /// Time and outcome of its end.
+    /// Time and outcome of its end; `None` while it is in progress.
     pub ended: Option<(Millis, ChangeOutcome)>,
 }
 
@@ -192,7 +192,8 @@
         self.base == other.base && self.body == other.body
     }
 
-    /// The document that it results in, by the committed documents; `None` where its base was never committed.
+    /// The document that results from the change, given the committed documents by revision; `None` if its base was
+    /// never committed or the patch cannot be applied.
     fn resulting_document(&self, committed: &BTreeMap<u64, &Vec<u8>>) -> Option<Vec<u8>> {
         match &self.body {
             ChangeBody::Full(document) => Some(document.clone()),
@@ -223,20 +224,20 @@
     document: Vec<u8>,
 }
 
-/// Everything that was observed during a day.
+/// All observations of a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     /// Changes, by the time of their first attempt.
     pub changes: Vec<ChangeRecord>,
     reads: Vec<ReadRecord>,
-    /// The first leader seen of each term.
+    /// The first observed leader of each term.
     leaders: BTreeMap<u64, ReplicaId>,
     committed: BTreeMap<LogPosition, CommittedState>,
     violations: Vec<Violation>,
 }
 
 impl History {
-    /// Records a violation that was observed during the day.
+    /// Records a violation that was observed during the run.
     pub fn record_violation(&mut self, violation: Violation) {
         self.violations.push(violation);
     }
@@ -257,7 +258,7 @@
     pub fn record_leader(&mut self, term: u64, replica: ReplicaId) {
         let first = *self.leaders.entry(term).or_insert(replica);
         if first != replica {
-            self.record_violation(Violation::TwoLeaders { term, one: first, other: replica });
+            self.record_violation(Violation::TwoLeaders { term, first, second: replica });
         }
     }
 
@@ -266,7 +267,7 @@
         self.leaders.len()
     }
 
-    /// Records that a process learned a configuration to be committed.
+    /// Records a configuration that a process found to be committed.
     pub fn record_committed(&mut self, now: Millis, configuration: Configuration) {
         let Configuration { position, revision, document } = configuration;
         let state = CommittedState { first_seen: now, revision, document };
@@ -276,14 +277,14 @@
         }
     }
 
-    /// Checks an answer in which a process claims to be fresh, with its newest log position.
+    /// Checks an answer in which a process reports itself fresh; `position` is its newest log position.
     pub fn check_fresh_answer(&mut self, now: Millis, ip: u32, position: Option<LogPosition>) {
         if self.newest_committed_before(now) > position {
             self.record_violation(Violation::FreshButStale { ip, at: now });
         }
     }
 
-    /// Checks the first configuration of a proxy, in answer to a call made at `requested_at`.
+    /// Checks the first configuration of a proxy, which answers a call made at `requested_at`.
     pub fn check_first_configuration(
         &mut self, now: Millis, proxy: u32, requested_at: Millis, position: Option<LogPosition>,
     ) {
@@ -292,14 +293,14 @@
         }
     }
 
-    /// The newest log position that was committed more than [`FOLLOWER_LEASE_MS`] before a time.
+    /// The newest log position that was known to be committed more than [`FOLLOWER_LEASE_MS`] before a time.
     fn newest_committed_before(&self, time: Millis) -> Option<LogPosition> {
         let committed =
             self.committed.iter().filter(|(_, state)| state.first_seen + FOLLOWER_LEASE_MS < time);
         committed.map(|(position, _)| *position).max()
     }
 
-    /// The newest revision that was confirmed before a time.
+    /// The highest revision that was confirmed before a time.
     pub fn newest_confirmed_before(&self, time: Millis) -> u64 {
         let is_confirmed = |change: &&ChangeRecord| matches!(change.ended, Some((at, ChangeOutcome::Confirmed)) if at < time);
         self.changes.iter().filter(is_confirmed).map(|change| change.revision).max().unwrap_or(0)
@@ -310,7 +311,7 @@
         self.changes.iter().filter(|change| change.is_confirmed()).count()
     }
 
-    /// All violations: those recorded during the day, and those found in the history as a whole.
+    /// All violations: those recorded during the run, and those found in the complete history.
     pub fn violations(&self) -> Vec<Violation> {
         let mut violations = self.violations.clone();
         self.check_revisions(&mut violations);
@@ -369,7 +370,7 @@
         }
     }
 
-    /// Whether a committed document may be that of another change which was not rejected.
+    /// Whether a committed document may result from another change, which was not rejected.
     fn may_result_from_other_change(
         &self, document: Option<&Vec<u8>>, committed: &BTreeMap<u64, &Vec<u8>>,
     ) -> bool {
--- a/crates/gaugesaddle-simulation/src/main.rs
+++ b/crates/gaugesaddle-simulation/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `gaugesaddle-simulation`: plays many seeds, or one stored plan.
+//! The program `gaugesaddle-simulation`: simulates the plans of many seeds, or one stored plan.
 
 use clap::{Arg, ArgMatches, Command};
 use eyre::{eyre, Result, WrapErr};
@@ -14,33 +14,33 @@
 }
 
 fn deployment_option() -> Arg {
-    Arg::new("shape").long("shape").help("A deployment's name; all known ones without it")
+    Arg::new("shape").long("shape").help("Name of the deployment; by default, all known deployments")
 }
 
 fn command() -> Command {
     Command::new("gaugesaddle-simulation")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("Plays days of the control plane in virtual time and checks what was seen")
+        .about("Simulates the control plane in virtual time with injected faults and checks the observed history")
         .subcommand_required(true)
         .subcommand(
             Command::new("hunt")
-                .about("Play many seeds; a day that breaks a rule is shrunk and printed as JSON")
+                .about("Simulate many seeds; a plan that violates a rule is shrunk and printed as JSON")
                 .arg(number_option("from", "1", "The first seed"))
-                .arg(number_option("seeds", "100", "How many seeds of each deployment"))
-                .arg(number_option("jobs", "4", "Days at a time"))
+                .arg(number_option("seeds", "100", "Number of seeds per deployment"))
+                .arg(number_option("jobs", "4", "Number of concurrent runs"))
                 .arg(deployment_option()),
         )
         .subcommand(
-            Command::new("replay").about("Play a day that was printed by hunt").arg(
+            Command::new("replay").about("Simulate a plan that was printed by hunt").arg(
                 Arg::new("FILE")
                     .required(true)
                     .value_parser(clap::value_parser!(PathBuf))
-                    .help("The day, in JSON"),
+                    .help("Plan in JSON"),
             ),
         )
 }
 
-/// What the days showed.
+/// Whether a run violated a rule.
 enum Verdict {
     Clean,
     RuleViolated,
@@ -77,7 +77,7 @@
     matches.get_one::<u64>(name).copied().unwrap_or_default()
 }
 
-/// Totals over days.
+/// Totals over all runs of a deployment.
 #[derive(Default)]
 struct Totals {
     runs: usize,
@@ -105,7 +105,7 @@
     for deployment in deployments(matches)? {
         let (totals, violating_plan) = simulate_seeds(&deployment, seeds.clone(), threads)?;
         println!(
-            "{}: {} days, {} with a broken rule; {} faults struck, {} orders confirmed, {} terms led",
+            "{}: {} runs, {} with a violated rule; {} faults injected, {} changes confirmed, {} terms with a leader",
             deployment.name,
             totals.runs,
             totals.runs_with_violation,
@@ -121,7 +121,7 @@
     Ok(verdict)
 }
 
-/// Plays the seeds of a deployment; returns totals and the first plan that was found to violate a rule.
+/// Simulates the seeds of a deployment; returns the totals and the first plan found to violate a rule.
 fn simulate_seeds(
     deployment: &Deployment, seeds: Range<u64>, threads: u64,
 ) -> Result<(Totals, Option<Plan>)> {
@@ -149,7 +149,7 @@
             scope.spawn(|| while simulate_next().is_continue() {});
         }
     });
-    let totals = totals.into_inner().map_err(|_| eyre!("a day ended by a panic"))?;
+    let totals = totals.into_inner().map_err(|_| eyre!("a simulated run panicked"))?;
     Ok((totals, violating_plan.into_inner().ok().flatten()))
 }
 
@@ -163,9 +163,11 @@
 }
 
 fn replay(matches: &ArgMatches) -> Result<Verdict> {
-    let file = matches.get_one::<PathBuf>("FILE").ok_or_else(|| eyre!("FILE: expected"))?;
-    let text = std::fs::read_to_string(file).wrap_err_with(|| format!("{}", file.display()))?;
-    let plan: Plan = serde_json::from_str(&text).wrap_err_with(|| format!("{}", file.display()))?;
+    let file =
+        matches.get_one::<PathBuf>("FILE").ok_or_else(|| eyre!("FILE: expected the path of a plan"))?;
+    let text = std::fs::read_to_string(file).wrap_err_with(|| format!("reading plan {}", file.display()))?;
+    let plan: Plan =
+        serde_json::from_str(&text).wrap_err_with(|| format!("parsing plan {}", file.display()))?;
     let outcome = simulate(&plan);
     println!("{outcome:#?}");
     Ok(if outcome.violations.is_empty() { Verdict::Clean } else { Verdict::RuleViolated })
--- a/crates/gaugesaddle-simulation/src/network.rs
+++ b/crates/gaugesaddle-simulation/src/network.rs
@@ -1,4 +1,4 @@
-//! Links between machines: delays, and the faults that are in effect.
+//! Links between nodes: delays, and the link faults in effect.
 
 use crate::Millis;
 use rand_pcg::rand_core::RngCore;
@@ -8,7 +8,7 @@
 /// An end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Node {
-    /// A machine that serves control, by its address.
+    /// A control machine, by its address.
     Control(u32),
     /// A proxy's machine, by its number.
     Proxy(u32),
@@ -18,17 +18,17 @@
     Backend(u32),
 }
 
-/// Minimum delay of a message.
+/// Minimum delay of a message, in ms.
 const MIN_DELAY_MS: Millis = 1;
-/// Exclusive maximum of the random delay that is added.
+/// Exclusive maximum of the additional random delay, in ms.
 const DELAY_JITTER_MS: u64 = 4;
 
 /// A fault of a link.
 #[derive(Clone, Copy, Debug)]
 enum LinkFault {
-    /// No message passes.
+    /// All messages are lost.
     Partitioned,
-    /// Messages are delayed by so many milliseconds and keep their order.
+    /// Messages are delayed by this additional time and arrive in order.
     Delayed(Millis),
     /// This percentage of messages is lost.
     Lossy(u64),
@@ -40,11 +40,11 @@
     fault: LinkFault,
 }
 
-/// All links, each in one direction. Faults stay in the table, in effect or not, until [`Network::heal`].
+/// All links, each in one direction. Expired faults remain in the table until [`Network::heal`].
 #[derive(Debug, Default)]
 pub struct Network {
     faults: BTreeMap<(Node, Node), Vec<ActiveFault>>,
-    /// When the last message of a link arrives: links deliver in order.
+    /// Arrival time of the last message of each link: links deliver in order.
     last_arrival: BTreeMap<(Node, Node), Millis>,
 }
 
@@ -53,7 +53,7 @@
         self.faults.entry((from, to)).or_default().push(ActiveFault { until, fault });
     }
 
-    /// Stops all messages in one direction.
+    /// Loses all messages in one direction.
     pub fn partition(&mut self, from: Node, to: Node, until: Millis) {
         self.add_fault(from, to, until, LinkFault::Partitioned);
     }
@@ -78,12 +78,12 @@
         faults.filter(move |active| now < active.until).map(|active| active.fault)
     }
 
-    /// Whether a message that arrives now is delivered: a partition also stops messages that are under way.
+    /// Whether a message that arrives now is delivered: a partition also loses messages in flight.
     pub fn delivers(&self, now: Millis, from: Node, to: Node) -> bool {
         !self.faults_in_effect(now, from, to).any(|fault| matches!(fault, LinkFault::Partitioned))
     }
 
-    /// When a message sent now arrives; `None` where it is lost.
+    /// Returns the arrival time of a message sent now, or `None` if it is lost.
     pub fn send(&mut self, now: Millis, from: Node, to: Node, random: &mut Pcg64Mcg) -> Option<Millis> {
         let mut delay = MIN_DELAY_MS + random.next_u64() % DELAY_JITTER_MS;
         for fault in self.faults_in_effect(now, from, to) {
--- a/crates/gaugesaddle-simulation/src/operator.rs
+++ b/crates/gaugesaddle-simulation/src/operator.rs
@@ -7,19 +7,19 @@
 use rand_pcg::rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 
-/// Time-out of a call.
+/// Timeout of a call.
 const CALL_TIMEOUT_MS: Millis = 1000;
 /// Delay before a change is repeated.
 const RETRY_DELAY_MS: Millis = 60;
-/// Delay between two actions, unless there is a burst of changes.
+/// Delay between two actions outside of bursts.
 const NORMAL_INTERVAL_MS: Millis = 900;
 /// Attempts after which a change is abandoned.
 const MAX_ATTEMPTS: u32 = 30;
-/// Routes of a document, so that patches have something to leave out.
+/// Number of routes of a document: more than one, so that a patch omits some of them.
 const ROUTES: u64 = 12;
-/// One patch in this number removes its route.
+/// One in this number of patches removes its route.
 const REMOVAL_ONE_IN: u64 = 5;
-/// One action in this number is a read.
+/// One in this number of actions is a read.
 const READ_ONE_IN: u64 = 3;
 
 /// State of an operator.
@@ -48,29 +48,29 @@
     /// Index of its record in the history.
     record: usize,
     attempts: u32,
-    /// Time-out of the call, or time of the next attempt.
+    /// Timeout of the call, or time of the next attempt.
     deadline: Millis,
 }
 
-/// Changes that follow one another fast for a while.
+/// A shorter interval between actions until a time.
 #[derive(Clone, Copy, Debug)]
 struct Burst {
     interval: Millis,
     until: Millis,
 }
 
-/// An operator.
+/// An operator that makes changes and reads.
 pub struct Operator {
     number: u32,
     state: OperatorState,
-    /// The newest revision known to it.
+    /// Revision on which the next change is based.
     base: u64,
     next_call_id: u64,
     burst: Option<Burst>,
     is_stopped: bool,
 }
 
-/// A simulated configuration.
+/// Returns a simulated configuration document.
 fn document(revision: u64, author: u32, salt: u64) -> Vec<u8> {
     let route = |n: u64| {
         let weight = if n == salt % ROUTES { salt } else { 90 };
@@ -80,7 +80,7 @@
     format!("{{\"revision\":{revision},\"routes\":[{}]}}", routes.join(",")).into_bytes()
 }
 
-/// A simulated patch of one route. Some remove it, even where it does not exist, and are then rejected.
+/// Returns a simulated patch of one route. Some patches remove the route, and are rejected if it does not exist.
 fn patch(revision: u64, author: u32, salt: u64) -> Vec<u8> {
     let name = format!("r-{}", salt % ROUTES);
     let change = if salt % REMOVAL_ONE_IN == 0 {
@@ -92,7 +92,7 @@
 }
 
 impl Operator {
-    /// An operator who is idle until a time.
+    /// Creates an operator that is idle until a time.
     pub fn new(number: u32, idle_until: Millis) -> Operator {
         Operator {
             number,
@@ -109,7 +109,7 @@
         self.burst = Some(Burst { interval, until });
     }
 
-    /// Makes no further changes or reads.
+    /// Stops the operator: it starts no further change or read; one in progress continues.
     pub fn stop(&mut self) {
         self.is_stopped = true;
     }
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Handles the passing of time; returns the call to make now.
+    /// Handles an expired deadline; returns the call to make now.
     pub fn tick(&mut self, now: Millis, random: &mut Pcg64Mcg, history: &mut History) -> Option<Packet> {
         if now < self.deadline() {
             return None;
@@ -149,7 +149,7 @@
         &mut self, now: Millis, change: ChangeInProgress, history: &mut History,
     ) -> Option<Packet> {
         if change.call_id.is_some() {
-            // Timed out: the same change goes to another process after a delay.
+            // The call timed out: the same change is sent again after a delay, to any process.
             self.delay_retry(now, change);
             return None;
         }
@@ -183,7 +183,7 @@
     }
 
     fn start_change(&mut self, now: Millis, random: &mut Pcg64Mcg, history: &mut History) -> Packet {
-        // Two operators may choose the same revision, and now and then the same document.
+        // Two operators may choose the same revision, and occasionally the same document.
         let revision = self.base + 1 + random.next_u64() % 2;
         let author = if random.next_u64() % 8 == 0 { 0 } else { self.number };
         let salt = random.next_u64() % if author == 0 { 2 } else { 100 };
@@ -206,7 +206,7 @@
         Packet::Call { id: call_id, call: Call::Change(Box::new(change)) }
     }
 
-    /// Handles an answer; one to another call than that in flight is ignored.
+    /// Handles an answer; an answer to any call but the one in flight is ignored.
     pub fn receive(&mut self, now: Millis, answered_call: u64, answer: Answer, history: &mut History) {
         match (self.state.clone(), answer) {
             (OperatorState::Reading { call_id, record, .. }, Answer::Read(result))
--- a/crates/gaugesaddle-simulation/src/packet.rs
+++ b/crates/gaugesaddle-simulation/src/packet.rs
@@ -1,4 +1,4 @@
-//! What travels over the simulated links: messages between control processes, calls and their answers.
+//! Packets on the simulated links: messages between control processes, calls and their answers.
 
 use gaugesaddle_consensus::NotLeader;
 use gaugesaddle_protocol::{
@@ -16,49 +16,49 @@
     Read,
     /// A backend's heartbeat.
     Heartbeat(Box<Registration>),
-    /// A backend, by its id, deregisters.
+    /// A backend deregisters, by its id.
     Deregister(String),
 }
 
-/// Whether a registration may be acknowledged.
+/// Whether a registration is acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistrationOutcome {
-    /// It is replicated far enough.
+    /// The registration is replicated far enough.
     Acknowledged,
-    /// It may be lost, or is malformed: the backend should call another process.
+    /// The registration may be lost, or is malformed: the backend should call another process.
     NotAcknowledged,
 }
 
 /// The answer to a call.
 #[derive(Clone, Debug)]
 pub enum Answer {
-    /// To `Pull`.
+    /// Answer to [`Call::Pull`].
     Pull(Box<PullReply>),
-    /// To `Change`.
+    /// Answer to [`Call::Change`].
     Change(ChangeReply),
-    /// To `Read`.
+    /// Answer to [`Call::Read`].
     Read(Result<Option<Configuration>, NotLeader>),
-    /// To `Heartbeat` and `Deregister`.
+    /// Answer to [`Call::Heartbeat`] and [`Call::Deregister`].
     Registered(RegistrationOutcome),
 }
 
 /// Identifies the process that sent a message to a peer.
 #[derive(Clone, Copy, Debug)]
 pub struct Sender {
-    /// Number of the process among those of its machine, from 1.
+    /// Incarnation of the process: 1 for the first on its machine, higher for each later one.
     pub incarnation: u64,
-    /// Origin of its changes to the catalog.
+    /// Origin of the process's changes to the catalog.
     pub origin: Origin,
 }
 
-/// A packet.
+/// A packet between two nodes.
 #[derive(Clone, Debug)]
 pub enum Packet {
     /// Opens a connection between control processes.
     Hello {
         /// The sending process.
         sender: Sender,
-        /// Machines that it knows to serve control.
+        /// Addresses of the control machines known to the sender.
         members: Vec<u32>,
     },
     /// A message on such a connection.
@@ -70,7 +70,7 @@
     },
     /// A call.
     Call {
-        /// Its number, unique among all callers.
+        /// Number of the call, unique among all callers.
         id: u64,
         /// The call.
         call: Call,
--- a/crates/gaugesaddle-simulation/src/plan.rs
+++ b/crates/gaugesaddle-simulation/src/plan.rs
@@ -1,7 +1,7 @@
-//! Plans: the faults of a day, drawn from a seed.
+//! Plans: the faults of a run, drawn from a seed.
 //!
-//! The order and number of the draws of a seed must not change, since pages quote seeds; `tests/golden_day.rs` holds
-//! this. Fields of a fault are drawn in the order in which they are written here.
+//! The order and number of the random draws of a seed must not change, since documents refer to seeds;
+//! `tests/golden_outcomes.rs` checks this. Fields of a fault are drawn in the order in which they are written here.
 
 use crate::fault::{CrashAfterAcknowledgement, Fault, PartitionDirection, PlannedFault, Target};
 use crate::{Deployment, Millis};
@@ -9,15 +9,15 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
-/// A day: a deployment, its faults, and the seed of everything else.
+/// Input of a run: a deployment, its faults, and the seed of all other random choices.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Seed of what the plan leaves open: delays, which process is called, torn writes.
+    /// Seed of the random choices during the run: delays, the process that is called, torn writes.
     pub seed: u64,
     /// The deployment.
     #[serde(rename = "shape")]
     pub deployment: Deployment,
-    /// The faults, by time.
+    /// The faults, in order of time.
     pub faults: Vec<PlannedFault>,
 }
 
@@ -25,21 +25,21 @@
 const FIRST_FAULT_MS: Millis = 5000;
 /// Span of time in which faults are injected.
 const FAULT_SPAN_MS: Millis = 18_000;
-/// Exclusive maximum of the independent faults of a day.
+/// Exclusive maximum of the number of independent faults of a run.
 const MAX_FAULTS: u64 = 14;
-/// Minimum of the independent faults of a day.
+/// Minimum number of independent faults of a run.
 const MIN_FAULTS: u64 = 3;
-/// Backends of a day.
+/// Number of backends of a run.
 pub const BACKENDS: u32 = 8;
-/// Proxies that faults are drawn for.
+/// Number of proxies for which faults are drawn.
 const PROXIES: u64 = 3;
-/// Makes the plan's draws differ from those of the run, which has the same seed.
+/// XORed with the seed of a plan, so that the random numbers of plan and run, which share the seed, differ.
 const PLAN_SEED_MASK: u64 = 0x5eed;
 
-/// A fault and its delay after the first one of its scenario.
+/// A fault, and its delay after the start of its scenario.
 type ScenarioStep = (Millis, Fault);
 
-/// A pseudo-random source for a plan.
+/// Pseudo-random source of a plan.
 struct PlanRandom(Pcg64Mcg);
 
 impl PlanRandom {
@@ -47,12 +47,12 @@
         self.0.next_u64() % n.max(1)
     }
 
-    /// A duration from `min` to below `max`.
+    /// Returns a random duration from `min` to below `max`.
     fn between(&mut self, min: Millis, max: Millis) -> Millis {
         min + self.below(max - min)
     }
 
-    /// True once in `n` draws.
+    /// Returns true with a probability of one in `n`.
     fn one_in(&mut self, n: u64) -> bool {
         self.below(n) == 0
     }
@@ -128,7 +128,7 @@
         Fault::Depart { number, draining: self.one_in(2) }
     }
 
-    /// One of the worst known combinations of faults.
+    /// Returns one of the known worst-case combinations of faults.
     fn scenario(&mut self) -> Vec<ScenarioStep> {
         let target = self.target();
         match self.below(5) {
@@ -140,7 +140,8 @@
         }
     }
 
-    /// A machine that everybody calls is partitioned for long, and crashes before it is joined again.
+    /// A machine that attracts most calls is partitioned for a long time; shortly before the partition heals, a machine
+    /// loses power, a proxy is killed, or operators start a burst of changes.
     fn partition_with_calls(&mut self, target: Target) -> Vec<ScenarioStep> {
         let time = self.between(3000, 12_000);
         let last_fault = match self.below(3) {
@@ -158,7 +159,8 @@
         ]
     }
 
-    /// Two operators race, their answers are lost, and power fails at an acknowledgement.
+    /// Operators make concurrent changes while most of their answers are lost, machines crash right after an
+    /// acknowledgement, and the network is partitioned into halves.
     fn racing_operators(&mut self) -> Vec<ScenarioStep> {
         vec![
             (0, self.change_burst()),
@@ -168,7 +170,7 @@
         ]
     }
 
-    /// One disk or machine is lost after the other, each as soon as the deployment must survive it.
+    /// Disks and machines are lost one after the other, each as soon as the deployment must tolerate it.
     fn successive_losses(&mut self) -> Vec<ScenarioStep> {
         let mut steps = Vec::new();
         for step in 0..4 {
@@ -182,7 +184,7 @@
         steps
     }
 
-    /// A member misses many changes, and all processes restart.
+    /// A member falls behind during a burst of changes, and then all machines lose power and restart.
     fn lagging_member(&mut self, target: Target) -> Vec<ScenarioStep> {
         vec![
             (0, Fault::ChangeBurst { interval: 40, time: 6000 }),
@@ -192,7 +194,7 @@
         ]
     }
 
-    /// A backend departs while a proxy is frozen, and every process that knows of it loses power.
+    /// A backend departs while a proxy is frozen, and all control machines lose power right after the acknowledgement.
     fn departure_during_freeze(&mut self) -> Vec<ScenarioStep> {
         let time = self.between(1500, 3000);
         let crash = CrashAfterAcknowledgement::PowerOffAll;
@@ -205,7 +207,7 @@
 }
 
 impl Plan {
-    /// The plan of a seed.
+    /// Draws the plan of a seed.
     pub fn draw(seed: u64, deployment: Deployment) -> Plan {
         let mut random = PlanRandom(Pcg64Mcg::seed_from_u64(seed ^ PLAN_SEED_MASK));
         let count = MIN_FAULTS + random.below(MAX_FAULTS - MIN_FAULTS);
@@ -213,7 +215,7 @@
         for _ in 0..count {
             let at = FIRST_FAULT_MS + random.below(FAULT_SPAN_MS);
             faults.push(PlannedFault { at, fault: random.fault() });
-            // Faults in quick succession are the hardest to survive.
+            // Faults in quick succession are the hardest to tolerate.
             if random.one_in(3) {
                 let at = at + random.below(2500);
                 faults.push(PlannedFault { at, fault: random.fault() });
--- a/crates/gaugesaddle-simulation/src/proxy.rs
+++ b/crates/gaugesaddle-simulation/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy: the shipped [`Follower`] and the pulls that it makes.
+//! A proxy: runs the shipped [`Follower`] and makes its pulls.
 
 use crate::network::Node;
 use crate::packet::{Answer, Call, Packet};
@@ -8,9 +8,9 @@
 
 /// Time for which a pull waits for changes (long polling), in ms.
 const PULL_WAIT_MS: u32 = 350;
-/// Time-out of a call beyond that wait, with the time to open a connection.
+/// Timeout of a call in addition to that wait; includes the time to open a connection.
 const CALL_TIMEOUT_MS: Millis = 450;
-/// Time for the transfer of an answer, beyond the call's time-out, after which it is void.
+/// Time after a call's timeout within which its answer must be transferred completely; a later answer is invalid.
 const TRANSFER_TIMEOUT_MS: Millis = 4000;
 /// Delay before another process is called.
 const RETRY_DELAY_MS: Millis = 40;
@@ -29,16 +29,16 @@
     /// The shipped state machine.
     pub follower: Follower,
     call: Option<CallInFlight>,
-    /// When the next process is called.
+    /// Time of the next call to another process.
     next_call_at: Millis,
-    /// Wait of the next pull; 0 for the first one at a process, which answers at once.
+    /// Wait of the next pull; 0 for the first pull at a process, which is answered at once.
     pull_wait_ms: u32,
     next_call_id: u64,
     last_answer_requested_at: Millis,
 }
 
 impl Proxy {
-    /// A process that starts now, with its number among the proxies and that among the processes of its machine.
+    /// Starts a process: `number` is that of the proxy, `incarnation` that of the process on its machine.
     pub fn start(now: Millis, number: u32, incarnation: u64, seeds: &[u32]) -> Proxy {
         let registration = Registration {
             id: format!("proxy-{number}#{incarnation}"),
@@ -62,7 +62,7 @@
         self.call.map_or(self.next_call_at, |call| call.deadline)
     }
 
-    /// Handles the passing of time; returns the call to make now. `seeds` are those of the boot file.
+    /// Handles expired deadlines; returns the call to make now. `seeds` are those of the boot file.
     pub fn tick(&mut self, now: Millis, seeds: &[u32]) -> Option<(Node, Packet)> {
         if self.call.is_some_and(|call| now >= call.deadline) {
             self.switch_process(now);
@@ -94,7 +94,7 @@
         self.next_call_at = now + RETRY_DELAY_MS;
     }
 
-    /// Handles an answer; returns the next call, where it goes to the same process.
+    /// Handles an answer; returns the next call if it goes to the same process.
     pub fn receive(&mut self, now: Millis, call_id: u64, answer: Answer) -> Option<(Node, Packet)> {
         let call = self.call.filter(|call| call.id == call_id)?;
         let Answer::Pull(reply) = answer else { return None };
@@ -106,25 +106,25 @@
         None
     }
 
-    /// Applies a reply; whether the follower stays at the process that sent it.
+    /// Applies a reply; returns whether the follower continues with the process that sent it.
     fn apply(&mut self, now: Millis, call: CallInFlight, reply: PullReply) -> bool {
         self.last_answer_requested_at = call.sent_at;
         let valid_for_ms = call.deadline - call.sent_at + TRANSFER_TIMEOUT_MS;
         self.follower.apply(now, call.sent_at, valid_for_ms, reply).fresh
     }
 
-    /// When the call was made whose answer was received last.
+    /// Start time of the call whose answer was received last.
     pub fn last_answer_requested_at(&self) -> Millis {
         self.last_answer_requested_at
     }
 
-    /// Whether it would send a request to a backend.
+    /// Whether the proxy would send requests to a backend.
     pub fn uses(&self, backend_id: &str) -> bool {
         let entry = self.follower.catalog().get(backend_id);
         entry.is_some_and(|entry| entry.registration.lifecycle == Lifecycle::Ready)
     }
 
-    /// Revision of the configuration in force; 0 before the first one.
+    /// Revision of the configuration in force; 0 before the first configuration.
     pub fn revision(&self) -> u64 {
         self.follower.configuration().map_or(0, |configuration| configuration.revision)
     }
--- a/crates/gaugesaddle-simulation/src/world.rs
+++ b/crates/gaugesaddle-simulation/src/world.rs
@@ -1,8 +1,8 @@
-//! Plays a plan: machines, processes, people and links, driven by a queue of events in virtual time.
+//! Simulates a plan: machines, processes, operators and links, driven by a queue of events in virtual time.
 //!
-//! One random source draws everything that the plan leaves open, in the order of the events, so that a plan always gives
-//! the same day. Its files: `delivery` (packets and wake-ups), `processes` (machines and proxies), `faults` and
-//! `losses` (which faults are injected, and when they must wait), `checks` (rules with a deadline).
+//! One random source makes all random choices that the plan doesn't contain, in the order of the events, so that a plan
+//! always gives the same run. Its files: `delivery` (packets and timers), `processes` (machines and proxies), `faults`
+//! and `losses` (which faults are injected, and when they are deferred), `checks` (rules with a deadline).
 
 mod checks;
 mod delivery;
@@ -27,11 +27,11 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// Operators of a day.
+/// Number of operators of a run.
 const OPERATORS: u32 = 2;
-/// Machines and proxies start within this time.
+/// All machines and proxies start within this time.
 const START_SPREAD_MS: u64 = 300;
-/// When operators and backends are woken first.
+/// Time of the first tick of each operator and each backend.
 const FIRST_OPERATOR_TICK_MS: Millis = 1000;
 const FIRST_BACKEND_TICK_MS: Millis = 500;
 
@@ -47,7 +47,7 @@
     CheckRules,
 }
 
-/// What becomes of a machine whose process ends.
+/// Whether a machine is retained or removed when its process ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum MachineDisposition {
     Retained,
@@ -59,7 +59,7 @@
     process: Option<ControlProcess>,
     disk: Disk,
     has_disk: bool,
-    /// Changes with each start and end of a process, so that events for a former process are recognized.
+    /// Increases with each start and end of a process, so that events for a former process are discarded.
     incarnation: u64,
     has_started: bool,
     frozen_until: Millis,
@@ -67,13 +67,14 @@
     disk_slow_until: Millis,
     disk_hangs_until: Millis,
     disk_full_until: Millis,
-    /// It counts as lost until then.
+    /// The machine counts as lost until this time.
     lost_until: Millis,
-    /// Its disk was lost: it counts as such until this time at least, and until it votes again.
+    /// After the loss of the disk: the disk counts as lost until this time at least, and until the machine's replica
+    /// votes again.
     disk_lost_until: Option<Millis>,
-    /// Identity of the replica on its disk, as far as known.
+    /// Identity of the replica on the disk; `None` before the first replica and after the loss of the disk.
     replica: Option<ReplicaId>,
-    /// It has been removed and never starts again.
+    /// The machine has been removed and never starts again.
     is_removed: bool,
 }
 
@@ -109,28 +110,28 @@
     revision: u64,
 }
 
-/// Answers to operators are lost for a while.
+/// Answers to operators are lost with a probability until a time.
 #[derive(Clone, Copy, Debug, Default)]
 struct AnswerLoss {
     percent: u64,
     until: Millis,
 }
 
-/// Calls from outside prefer a machine for a while.
+/// Operators and backends prefer a machine for their calls until a time.
 #[derive(Clone, Copy, Debug)]
 struct PreferredMachine {
     ip: u32,
     until: Millis,
 }
 
-/// What kind of acknowledgement a crash waits for.
+/// Kind of acknowledgement that triggers a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AcknowledgementKind {
     Change,
     Departure,
 }
 
-/// A crash that waits for an acknowledgement.
+/// A crash that the next acknowledgement of a kind triggers.
 #[derive(Clone, Copy, Debug)]
 struct ArmedCrash {
     trigger: AcknowledgementKind,
@@ -138,14 +139,14 @@
     crash: CrashAfterAcknowledgement,
 }
 
-/// The wake-up of a node that is in effect; others in the queue are void.
+/// The valid timer of a node; other timer events of the node in the queue are ignored.
 #[derive(Clone, Copy, Debug)]
 struct PlannedTimer {
     incarnation: u64,
     at: Millis,
 }
 
-/// Result of a day.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// All violated rules.
@@ -156,16 +157,16 @@
     pub terms_with_leader: usize,
     /// Number of injected faults.
     pub injected_faults: usize,
-    /// Number of rule checks at times when all processes were connected.
+    /// Number of rule checks while all processes were connected.
     pub connected_checks: usize,
-    /// Number of checks of a proxy that had no valid proof of freshness, and so could not use keys.
+    /// Number of checks of a proxy without a valid proof of freshness, which therefore could not use keys.
     pub unproven_checks: usize,
 }
 
-/// State of a day. Its queue holds one wake-up per node, and one event per packet in flight.
+/// State of a run. Its queue contains one valid timer per node, and one event per packet in flight.
 struct World {
     now: Millis,
-    /// Number of the newest event: events at the same time happen in the order in which they were planned.
+    /// Number of the newest event: events with the same time are handled in the order in which they were scheduled.
     event_number: u64,
     events: BTreeMap<(Millis, u64), Event>,
     random: Pcg64Mcg,
@@ -178,14 +179,14 @@
     operators: Vec<Operator>,
     backends: Vec<Backend>,
     history: History,
-    /// When the last disturbance ends.
+    /// End of the last disturbance.
     disturbed_until: Millis,
     answer_loss: AnswerLoss,
-    /// Machine that acknowledged the newest change.
+    /// Machine that acknowledged a change last.
     last_acknowledger: Option<u32>,
     preferred_machine: Option<PreferredMachine>,
     armed_crashes: Vec<ArmedCrash>,
-    /// The voters when the membership was last known to be committed.
+    /// The voters of the membership that was last known to be committed.
     voters: Vec<ReplicaId>,
     next_ip: u32,
     injected_faults: usize,
@@ -193,7 +194,7 @@
     unproven_checks: usize,
 }
 
-/// Plays a plan to its end.
+/// Simulates a plan to its end.
 pub fn simulate(plan: &Plan) -> Outcome {
     let mut world = World::new(plan);
     world.schedule_faults(plan);
@@ -275,8 +276,7 @@
         self.events.insert((at.max(self.now), self.event_number), event);
     }
 
-    /// Schedules the wake-up of a node, unless there is an earlier one. A node that is woken returns when it must be
-    /// woken next.
+    /// Schedules the timer of a node, unless an earlier one is pending. Each tick of a node schedules the next timer.
     fn schedule_timer(&mut self, node: Node, incarnation: u64, at: Millis) {
         let at = at.max(self.now);
         let has_earlier =
@@ -302,7 +302,7 @@
 
     fn handle(&mut self, event: Event) {
         if let Some(resumes_at) = self.frozen_until(&event) {
-            // What arrives meanwhile is queued in the sockets of the process.
+            // The sockets of a suspended process queue packets until it resumes.
             return self.schedule(resumes_at, event);
         }
         match event {
@@ -318,7 +318,7 @@
         }
     }
 
-    /// When the process that an event is for continues, if it is frozen.
+    /// Time at which the process that an event is for resumes; `None` if the process is not frozen.
     fn frozen_until(&self, event: &Event) -> Option<Millis> {
         let node = match event {
             Event::Deliver { to, .. } => *to,
@@ -334,7 +334,7 @@
         (self.now < until).then_some(until)
     }
 
-    /// Address of the machine whose process leads under a lease.
+    /// Address of the machine whose replica leads and has a lease.
     fn leader(&self) -> Option<u32> {
         let leads = |machine: &Machine| machine.process.as_ref().is_some_and(|p| p.has_lease(self.now));
         self.machines.iter().find(|(_, machine)| leads(machine)).map(|(ip, _)| *ip)
--- a/crates/gaugesaddle-simulation/src/world/checks.rs
+++ b/crates/gaugesaddle-simulation/src/world/checks.rs
@@ -1,4 +1,4 @@
-//! Rules with a deadline, checked at intervals while a day runs, and recovery at its end.
+//! Rules with a deadline, checked at intervals during a run, and recovery at its end.
 
 use super::{AnswerLoss, Event, World};
 use crate::history::{
@@ -10,13 +10,13 @@
 
 /// Interval between checks.
 pub(super) const CHECK_INTERVAL_MS: Millis = 50;
-/// Processes count as connected this long after the last disturbance, and after a proxy's start.
+/// Time after the last disturbance, and after a proxy's start, from which processes count as connected.
 const RECONNECT_MS: Millis = 3000;
-/// Nothing is checked before this time: the cluster is being bootstrapped.
+/// Connected proxies are not checked before this time: the cluster is being bootstrapped.
 const FIRST_CHECK_MS: Millis = 5000;
-/// Time without faults at the end of a day.
+/// Time without faults at the end of a run.
 const RECOVERY_MS: Millis = 14_000;
-/// A day's last disturbance: all machines start again.
+/// Duration of the last disturbance of a run, in which the machines without a process start again.
 const FINAL_DISTURBANCE_MS: Millis = 2000;
 
 impl World {
@@ -30,7 +30,7 @@
         self.check_connected_proxies();
     }
 
-    /// A connected proxy has confirmed changes in force and does not use departed backends.
+    /// Checks that each connected proxy has the confirmed changes in force and uses no departed backend.
     fn check_connected_proxies(&mut self) {
         let now = self.now;
         let expected = self.history.newest_confirmed_before(now - APPLY_DEADLINE_MS);
@@ -57,7 +57,8 @@
         }
     }
 
-    /// No proxy, connected or not, uses keys of a configuration that was replaced before the deadline.
+    /// Checks that no proxy, connected or not, uses keys of a configuration whose replacement was confirmed longer than
+    /// [`REVOCATION_DEADLINE_MS`] ago.
     fn check_revoked_keys(&mut self) {
         let now = self.now;
         let expected = self.history.newest_confirmed_before(now.saturating_sub(REVOCATION_DEADLINE_MS));
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Ends all faults and checks that everything recovers.
+    /// Ends all faults and checks that the fleet recovers.
     pub(super) fn finish_run(&mut self) {
         self.end_faults();
         self.run_until(self.now + RECOVERY_MS);
@@ -116,7 +117,7 @@
         let leader = self.leader().and_then(|ip| self.machines.get(&ip)?.process.as_ref());
         match leader.and_then(|process| process.replica.as_ref()) {
             Some(replica) => failures.extend(self.voter_failures(replica.voters())),
-            // The other failures follow from this one.
+            // Without a leader, the other failures are consequences.
             None => failures = vec![RecoveryFailure::NoLeader],
         }
         for failure in failures {
--- a/crates/gaugesaddle-simulation/src/world/delivery.rs
+++ b/crates/gaugesaddle-simulation/src/world/delivery.rs
@@ -1,4 +1,4 @@
-//! Packets between nodes, wake-ups, and the effects of control processes.
+//! Packets between nodes, timers, and the effects of control processes.
 
 use super::{AcknowledgementKind, Event, World};
 use crate::control::{ControlProcess, Effects};
@@ -7,7 +7,7 @@
 use crate::Millis;
 use gaugesaddle_protocol::ChangeReply;
 
-/// While a machine is preferred, one call in this number goes to a random machine nevertheless.
+/// While a machine is preferred, one in this number of calls still goes to a random machine.
 const UNPREFERRED_ONE_IN: u64 = 3;
 
 impl World {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The incarnation of a node's process; operators and backends have only one.
+    /// The incarnation of a node's process; operators and backends have a single one, 0.
     pub(super) fn incarnation(&self, node: Node) -> u64 {
         match node {
             Node::Control(ip) => self.machines.get(&ip).map_or(0, |machine| machine.incarnation),
@@ -35,7 +35,7 @@
     }
 
     pub(super) fn deliver(&mut self, from: Node, to: Node, incarnation: u64, packet: Packet) {
-        // A connection ends with the process that it was opened to.
+        // A packet to a former process is lost: its connection was closed when that process ended.
         if !self.network.delivers(self.now, from, to) || incarnation != self.incarnation(to) {
             return;
         }
@@ -96,7 +96,7 @@
         self.schedule_timer(node, 0, deadline.max(self.now + 1));
     }
 
-    /// Sends a call from outside to a control machine; the caller does not know which of them are running.
+    /// Sends a call of an operator or backend to a control machine, regardless of which machines are running.
     fn call_any_machine(&mut self, from: Node, packet: Packet) {
         let ips: Vec<u32> = self
             .machines
@@ -107,7 +107,7 @@
         if ips.is_empty() {
             return;
         }
-        // Both are always drawn, so that the number of draws does not depend on the preference.
+        // Both random numbers are always drawn, so that the number of draws does not depend on the preference.
         let random_ip = ips[self.random_below(ips.len() as u64) as usize];
         let prefers = self.random_below(UNPREFERRED_ONE_IN) != 0;
         let preferred = self.preferred_machine.filter(|preferred| prefers && self.now < preferred.until);
@@ -115,7 +115,7 @@
         self.send(from, Node::Control(ip), packet);
     }
 
-    /// Runs a step of a control process and carries out its effects.
+    /// Runs a step of a control process and executes its effects.
     pub(super) fn step_process(&mut self, ip: u32, step: impl FnOnce(&mut ControlProcess, Millis)) {
         let now = self.now;
         let Some(machine) = self.machines.get_mut(&ip) else { return };
@@ -128,11 +128,11 @@
         let deadline = process.deadline().max(now + 1);
         let timer_at = process.poll_at(now).map_or(deadline, |poll_at| poll_at.min(deadline));
         let incarnation = machine.incarnation;
-        self.carry_out(ip, incarnation, effects);
+        self.execute_effects(ip, incarnation, effects);
         self.schedule_timer(Node::Control(ip), incarnation, timer_at);
     }
 
-    fn carry_out(&mut self, ip: u32, incarnation: u64, effects: Effects) {
+    fn execute_effects(&mut self, ip: u32, incarnation: u64, effects: Effects) {
         let now = self.now;
         if let Some((term, replica)) = effects.leadership {
             self.history.record_leader(term, replica);
@@ -153,7 +153,7 @@
         }
     }
 
-    /// If a process acknowledges something, schedules the crash that waits for it.
+    /// If the packet acknowledges a change or a departure, schedules the first crash armed for that kind.
     fn trigger_armed_crash(&mut self, ip: u32, to: Node, packet: &Packet) {
         let Packet::Answer { answer, .. } = packet else { return };
         let acknowledged = match (to, answer) {
--- a/crates/gaugesaddle-simulation/src/world/faults.rs
+++ b/crates/gaugesaddle-simulation/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Injects faults, as far as the deployment must survive them.
+//! Injects faults within the losses that the deployment must tolerate.
 
 use super::losses::{DiskRequirement, CATCH_UP_MS};
 use super::processes::Termination;
@@ -13,20 +13,21 @@
 use crate::Millis;
 use rand_pcg::rand_core::RngCore;
 
-/// Maximum time for which a fault is deferred because it exceeds the losses to be survived.
+/// Maximum time for which a fault is deferred because it exceeds the tolerated losses.
 pub(super) const MAX_DEFERRAL_MS: Millis = 9000;
 /// Duration of a graceful shutdown.
 const SHUTDOWN_MS: Millis = 400;
-/// Time between the end of a replaced machine and the start of its successor, or the other way round.
+/// Time between the end of a replaced machine and the start of its successor; in a planned replacement, between the
+/// start of the successor and the end of the replaced machine.
 const REPLACEMENT_MS: Millis = 1000;
-/// All machines start again within this time after they all ended.
+/// After all processes have ended, the starts of the machines are spread over this time.
 const RESTART_SPREAD_MS: Millis = 300;
 
 /// Whether a fault was injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Injection {
     Done,
-    /// The deployment need not survive it now.
+    /// The fault exceeds the losses that the deployment must tolerate now.
     Deferred,
 }
 
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Injects a fault, or tries again later until `abandon_at`.
+    /// Injects a fault, or defers it; a fault that is still deferred at `abandon_at` is abandoned.
     pub(super) fn inject_or_defer(&mut self, fault: Fault, abandon_at: Millis) {
         match self.inject(fault) {
             Injection::Done => self.injected_faults += 1,
@@ -158,7 +159,7 @@
                 self.schedule_timer(Node::Backend(number), 0, now);
             }
             Fault::Crash { number } => self.backends[number as usize].crash(),
-            // Faults of control machines: `inject` handles them.
+            // `inject` handles the faults of control machines.
             _ => {}
         }
     }
@@ -229,7 +230,7 @@
         })
     }
 
-    /// A machine loses power and its disk.
+    /// Ends a machine's process by a power loss and replaces its disk by an empty one.
     fn wipe(&mut self, ip: u32, down: Millis) {
         self.terminate(ip, Termination::PowerLoss);
         let until = self.now + down + CATCH_UP_MS;
@@ -250,7 +251,7 @@
         self.disturb(down + RESTART_SPREAD_MS);
     }
 
-    /// Crashes the machine that has just acknowledged something, or all of them.
+    /// Crashes the machine that has just sent an acknowledgement, or all machines.
     pub(super) fn crash_after_acknowledgement(&mut self, ip: u32, crash: CrashAfterAcknowledgement) {
         use CrashAfterAcknowledgement::{
             PowerOffAcknowledger, PowerOffAll, WipeAcknowledger, WipeAcknowledgerAndPowerOffAll,
@@ -292,10 +293,10 @@
 
     fn partition_halves(&mut self, until: Millis) {
         let ips: Vec<u32> = self.machines.keys().copied().collect();
-        let (one, other): (Vec<u32>, Vec<u32>) =
+        let (first_group, second_group): (Vec<u32>, Vec<u32>) =
             ips.into_iter().partition(|_| self.random.next_u64() % 2 == 0);
-        for a in &one {
-            for b in &other {
+        for a in &first_group {
+            for b in &second_group {
                 self.network.partition(Node::Control(*a), Node::Control(*b), until);
                 self.network.partition(Node::Control(*b), Node::Control(*a), until);
             }
--- a/crates/gaugesaddle-simulation/src/world/losses.rs
+++ b/crates/gaugesaddle-simulation/src/world/losses.rs
@@ -1,14 +1,14 @@
-//! Which losses a deployment must survive at a time.
+//! Whether a deployment must tolerate another loss at a time.
 
 use super::{Machine, World};
 use crate::fault::Target;
 use crate::Millis;
 use gaugesaddle_protocol::ReplicaId;
 
-/// A machine that is back, or new, counts as lost for this time.
+/// A machine counts as lost for this time after the end of its fault, or after it was added, while it catches up.
 pub(super) const CATCH_UP_MS: Millis = 4000;
-/// Of the faults that exceed the losses to be survived and lose no disk, one in this number is injected nevertheless:
-/// service may stop, but nothing may be lost.
+/// One in this number of faults that exceed the tolerated losses, but destroy no disk, is injected nevertheless: the
+/// service may become unavailable, but no confirmed change may be lost.
 const EXCESSIVE_ONE_IN: u64 = 4;
 
 /// Whether a fault needs a machine with a disk.
@@ -19,7 +19,8 @@
 }
 
 impl World {
-    /// The running machine that a target names, or else the first one.
+    /// Returns the machine that a target designates if it runs and meets the requirement, otherwise the first one that
+    /// does.
     pub(super) fn resolve(&self, target: Target, disk: DiskRequirement) -> Option<u32> {
         let is_candidate = |machine: &Machine| {
             let has_required_disk = machine.has_disk || disk == DiskRequirement::Any;
@@ -35,7 +36,8 @@
         named.filter(|ip| running.contains(ip)).or_else(|| running.first().copied())
     }
 
-    /// Counts a machine as lost for a duration, if the deployment must survive that now; whether it must.
+    /// Counts a machine as lost for a duration, unless the loss exceeds the tolerated ones; returns whether it was
+    /// counted. A fraction of the excessive losses is admitted, see [`EXCESSIVE_ONE_IN`].
     pub(super) fn try_lose_machine(&mut self, ip: u32, duration: Millis) -> bool {
         let now = self.now;
         let is_lost = |machine: &Machine| machine.has_disk && now < machine.lost_until;
@@ -58,10 +60,11 @@
         }
     }
 
-    /// Whether the deployment must survive the loss of another disk now.
+    /// Whether the deployment must tolerate the loss of another disk now.
     ///
-    /// It must if two numbers are below its limit, by the membership that was last known to be committed: the lost disks
-    /// that no voter has replaced yet, and the voters whose disk is lost.
+    /// It must if two numbers are below [`Deployment::max_lost_machines`](crate::Deployment::max_lost_machines): the
+    /// lost disks whose machines do not vote again yet, and the voters whose disk is lost. Voters are those of the
+    /// membership that was last known to be committed.
     pub(super) fn may_lose_disk(&mut self) -> bool {
         self.update_voters();
         let voters = self.voters.clone();
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Counts the processes as disturbed for a duration: rules with a deadline are not checked meanwhile.
+    /// Extends the disturbance to a duration from now: the rules for connected proxies are not checked meanwhile.
     pub(super) fn disturb(&mut self, duration: Millis) {
         self.disturbed_until = self.disturbed_until.max(self.now + duration);
     }
--- a/crates/gaugesaddle-simulation/src/world/processes.rs
+++ b/crates/gaugesaddle-simulation/src/world/processes.rs
@@ -1,4 +1,4 @@
-//! Control machines and proxies: start, disk, end.
+//! Start, disk writes and end of control processes, and steps of proxies.
 
 use super::{Event, Machine, MachineDisposition, World};
 use crate::control::{ControlProcess, ProcessOptions};
@@ -11,17 +11,17 @@
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Machines 1 to 3 are the initial voters and the seeds of the first start.
+/// Number of seeds: machines 1 to 3 are the initial voters and the seeds of the first start.
 const SEEDS: u32 = 3;
-/// The first process of a machine knows the initial voters if it starts within this time.
+/// The first process of a machine is given the initial voters if it starts within this time.
 const BOOTSTRAP_PERIOD_MS: Millis = 1000;
 
 /// How a process ends abruptly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Termination {
-    /// The process is killed: what it wrote stays in the file.
+    /// The process is killed: completed writes remain in the file.
     Killed,
-    /// The machine loses power: what was not synced may be lost.
+    /// The machine loses power: unsynced writes may be lost.
     PowerLoss,
 }
 
@@ -34,7 +34,7 @@
     }
 
     pub(super) fn start_process(&mut self, ip: u32) {
-        // Drawn even where the process does not start: the number of draws is part of a seed's day.
+        // Drawn even if the process does not start: the run of a seed depends on the number of draws.
         let random = Pcg64Mcg::seed_from_u64(self.random.next_u64());
         let initial_voters: Vec<ReplicaId> = (1..=SEEDS).map(|ip| ReplicaId { ip, incarnation: 0 }).collect();
         let seeds = self.seeds();
@@ -82,14 +82,15 @@
                 machine.disk.lose_power(&mut self.random);
             }
             Termination::Killed if write_reaches_file => {
-                // The active writes become durable though the process does not learn of it.
+                // The active writes become durable, but their completion is not reported to the process.
                 let _ = process.append_active_writes();
             }
             Termination::Killed => {}
         }
     }
 
-    /// Ends a process gracefully where its machine is removed, else abruptly: it has shut down already.
+    /// Ends a process. If its machine is removed, the process transfers leadership first; otherwise, the start of its
+    /// graceful shutdown has already done so.
     pub(super) fn end_process(&mut self, ip: u32, machine: MachineDisposition) {
         if machine == MachineDisposition::Removed {
             self.step_process(ip, super::super::control::ControlProcess::transfer_leadership);
@@ -100,7 +101,7 @@
         }
     }
 
-    /// When a write that starts now is durable.
+    /// Time at which a write that starts now becomes durable.
     pub(super) fn write_completes_at(&self, ip: u32) -> Millis {
         let Some(machine) = self.machines.get(&ip) else { return self.now };
         let factor = if self.now < machine.disk_slow_until { machine.disk_slowdown } else { 1 };
@@ -143,7 +144,7 @@
         self.finish_proxy_step(number, call);
     }
 
-    /// Sends the call that a step of a proxy returned, checks its configuration and schedules its next step.
+    /// Sends the call that a step of a proxy returned, checks the proxy's configuration and schedules the next step.
     fn finish_proxy_step(&mut self, number: u32, call: Option<(Node, Packet)>) {
         if let Some((to, packet)) = call {
             self.send(Node::Proxy(number), to, packet);
--- a/crates/gaugesaddle-simulation/tests/golden_outcomes.rs
+++ b/crates/gaugesaddle-simulation/tests/golden_outcomes.rs
@@ -1,8 +1,8 @@
-//! The failure: a renamed field makes stored plans unreadable, or a change of the order or number of random draws makes a
-//! seed give another day.
+//! Guards against a renamed field that makes stored plans unreadable, and against a change of the order or number of
+//! random draws, after which a seed gives another run.
 //!
-//! `data/day.json` has every kind of fault. `data/outcomes.txt` is recorded anew only by a commit that changes what replicas
-//! do, and says so; a rename must leave it as it is.
+//! `data/day.json` contains every kind of fault. `data/outcomes.txt` is recorded again only by a commit that changes
+//! the behaviour of replicas and says so; a rename must not change it.
 
 use gaugesaddle_simulation::{simulate, Deployment, Outcome, Plan};
 
@@ -23,13 +23,13 @@
 
 #[test]
 fn stored_plan_is_read_and_written_unchanged() {
-    let plan: Plan = serde_json::from_str(STORED_PLAN).expect("a plan");
-    assert_eq!(serde_json::to_string_pretty(&plan).expect("JSON") + "\n", STORED_PLAN);
+    let plan: Plan = serde_json::from_str(STORED_PLAN).expect("data/day.json contains a plan");
+    assert_eq!(serde_json::to_string_pretty(&plan).expect("the plan is serialized") + "\n", STORED_PLAN);
 }
 
 #[test]
 fn outcomes_of_recorded_seeds_are_unchanged() {
-    let stored_plan: Plan = serde_json::from_str(STORED_PLAN).expect("a plan");
+    let stored_plan: Plan = serde_json::from_str(STORED_PLAN).expect("data/day.json contains a plan");
     let mut outcomes = format!("day.json: {}", counts(&simulate(&stored_plan)));
     for deployment in Deployment::known() {
         for seed in SEEDS {
--- a/crates/gaugesaddle-simulation/tests/random_fault_plans.rs
+++ b/crates/gaugesaddle-simulation/tests/random_fault_plans.rs
@@ -1,10 +1,10 @@
-//! The failure: on some day of faults a confirmed change is lost, two are confirmed with one revision, a partitioned process
-//! distributes an old configuration, a revoked key stays in use, an acknowledged departure is not known, or the fleet does
-//! not recover.
+//! Guards against rule violations under random faults within the tolerated losses: a confirmed change is lost, two
+//! changes are confirmed with the same revision, a partitioned process distributes an old configuration, a revoked key
+//! stays in use, a backend is used after its acknowledged departure, or the fleet does not recover.
 
 use gaugesaddle_simulation::{simulate, Deployment, Outcome, Plan};
 
-/// Seeds of each deployment; `gaugesaddle-simulation hunt` plays more.
+/// Number of seeds per deployment; `gaugesaddle-simulation hunt` simulates more.
 const SEEDS: u64 = 40;
 
 fn assert_no_violations(name: &str) {
@@ -18,10 +18,10 @@
         connected += outcome.connected_checks;
         unproven += outcome.unproven_checks;
     }
-    // A day on which nothing happens would violate no rule either.
+    // A run without changes and faults would violate no rule either.
     let runs = SEEDS as usize;
     assert!(confirmed > 20 * runs, "{confirmed} changes confirmed in {runs} runs");
-    assert!(faults > 6 * runs, "{faults} faults in {runs} runs");
+    assert!(faults > 6 * runs, "{faults} faults injected in {runs} runs");
     assert!(connected > 200 * runs, "{connected} checks of connected proxies in {runs} runs");
     assert!(unproven > runs, "{unproven} checks of proxies without a proof in {runs} runs");
 }
@@ -63,6 +63,6 @@
     let counts =
         |outcome: &Outcome| (outcome.confirmed_changes, outcome.terms_with_leader, outcome.injected_faults);
     assert_eq!(counts(&one), counts(&two));
-    let text = serde_json::to_string(&plan).expect("it can be written");
-    assert_eq!(serde_json::from_str::<Plan>(&text).expect("and read"), plan);
+    let text = serde_json::to_string(&plan).expect("the plan is serialized");
+    assert_eq!(serde_json::from_str::<Plan>(&text).expect("the plan is deserialized"), plan);
 }
