--- a/crates/gaugesaddle-simulation/src/world.rs
+++ b/crates/gaugesaddle-simulation/src/world.rs
@@ -1,8 +1,8 @@
-//! Plays a plan: machines, processes, people and links, driven by a queue of events in virtual time.
+//! Simulates a plan: machines, processes, operators and links, driven by a queue of events in virtual time.
 //!
-//! One random source draws everything that the plan leaves open, in the order of the events, so that a plan always gives
-//! the same day. Its files: `delivery` (packets and wake-ups), `processes` (machines and proxies), `faults` and
-//! `losses` (which faults are injected, and when they must wait), `checks` (rules with a deadline).
+//! One random source makes all random choices that the plan doesn't contain, in the order of the events, so that a plan
+//! always gives the same run. Its files: `delivery` (packets and timers), `processes` (machines and proxies), `faults`
+//! and `losses` (which faults are injected, and when they are deferred), `checks` (rules with a deadline).
 
 mod checks;
 mod delivery;
@@ -20,26 +20,26 @@
 use crate::packet::Packet;
 use crate::plan::{Plan, BACKENDS};
 use crate::proxy::Proxy;
-use crate::{Millis, Shape};
+use crate::{Deployment, Millis};
 use gaugesaddle_consensus::Settings;
 use gaugesaddle_protocol::ReplicaId;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// Operators of a day.
+/// Number of operators of a run.
 const OPERATORS: u32 = 2;
-/// Machines and proxies start within this time.
+/// All machines and proxies start within this time.
 const START_SPREAD_MS: u64 = 300;
-/// When operators and backends are woken first.
-const FIRST_OPERATOR_WAKE_MS: Millis = 1000;
-const FIRST_BACKEND_WAKE_MS: Millis = 500;
+/// Time of the first tick of each operator and each backend.
+const FIRST_OPERATOR_TICK_MS: Millis = 1000;
+const FIRST_BACKEND_TICK_MS: Millis = 500;
 
 enum Event {
     Deliver { from: Node, to: Node, incarnation: u64, packet: Packet },
-    Wake { node: Node, incarnation: u64 },
+    Timer { node: Node, incarnation: u64 },
     CompleteWrite { ip: u32, incarnation: u64 },
-    InjectFault { fault: Fault, give_up_at: Millis },
+    InjectFault { fault: Fault, abandon_at: Millis },
     StartProcess { ip: u32 },
     StartProxy { number: u32 },
     EndProcess { ip: u32, machine: MachineDisposition },
@@ -47,7 +47,7 @@
     CheckRules,
 }
 
-/// What becomes of a machine whose process ends.
+/// Whether a machine is retained or removed when its process ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum MachineDisposition {
     Retained,
@@ -59,21 +59,22 @@
     process: Option<ControlProcess>,
     disk: Disk,
     has_disk: bool,
-    /// Changes with each start and end of a process, so that events for a former process are recognized.
+    /// Increases with each start and end of a process, so that events for a former process are discarded.
     incarnation: u64,
     has_started: bool,
     frozen_until: Millis,
-    disk_factor: u64,
+    disk_slowdown: u64,
     disk_slow_until: Millis,
     disk_hangs_until: Millis,
     disk_full_until: Millis,
-    /// It counts as lost until then.
+    /// The machine counts as lost until this time.
     lost_until: Millis,
-    /// Its disk was lost: it counts as such until this time at least, and until it votes again.
+    /// After the loss of the disk: the disk counts as lost until this time at least, and until the machine's replica
+    /// votes again.
     disk_lost_until: Option<Millis>,
-    /// Identity of the replica on its disk, as far as known.
+    /// Identity of the replica on the disk; `None` before the first replica and after the loss of the disk.
     replica: Option<ReplicaId>,
-    /// It has been removed and never starts again.
+    /// The machine has been removed and never starts again.
     is_removed: bool,
 }
 
@@ -86,7 +87,7 @@
             incarnation: 0,
             has_started: false,
             frozen_until: 0,
-            disk_factor: 1,
+            disk_slowdown: 1,
             disk_slow_until: 0,
             disk_hangs_until: 0,
             disk_full_until: 0,
@@ -109,43 +110,43 @@
     revision: u64,
 }
 
-/// Answers to operators are lost for a while.
+/// Answers to operators are lost with a probability until a time.
 #[derive(Clone, Copy, Debug, Default)]
 struct AnswerLoss {
     percent: u64,
     until: Millis,
 }
 
-/// Calls from outside prefer a machine for a while.
+/// Operators and backends prefer a machine for their calls until a time.
 #[derive(Clone, Copy, Debug)]
 struct PreferredMachine {
     ip: u32,
     until: Millis,
 }
 
-/// What kind of acknowledgement a crash waits for.
+/// Kind of acknowledgement that triggers a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Acknowledged {
+enum AcknowledgementKind {
     Change,
     Departure,
 }
 
-/// A crash that waits for an acknowledgement.
+/// A crash that the next acknowledgement of a kind triggers.
 #[derive(Clone, Copy, Debug)]
 struct ArmedCrash {
-    trigger: Acknowledged,
+    trigger: AcknowledgementKind,
     delay: Millis,
     crash: CrashAfterAcknowledgement,
 }
 
-/// The wake-up of a node that is in effect; others in the queue are void.
+/// The valid timer of a node; other timer events of the node in the queue are ignored.
 #[derive(Clone, Copy, Debug)]
-struct PlannedWake {
+struct PlannedTimer {
     incarnation: u64,
     at: Millis,
 }
 
-/// Result of a day.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// All violated rules.
@@ -156,36 +157,36 @@
     pub terms_with_leader: usize,
     /// Number of injected faults.
     pub injected_faults: usize,
-    /// Number of rule checks at times when all processes were connected.
+    /// Number of rule checks while all processes were connected.
     pub connected_checks: usize,
-    /// Number of checks of a proxy that had no valid proof of freshness, and so could not use keys.
+    /// Number of checks of a proxy without a valid proof of freshness, which therefore could not use keys.
     pub unproven_checks: usize,
 }
 
-/// State of a day. Its queue holds one wake-up per node, and one event per packet in flight.
+/// State of a run. Its queue contains one valid timer per node, and one event per packet in flight.
 struct World {
     now: Millis,
-    /// Number of the newest event: events at the same time happen in the order in which they were planned.
+    /// Number of the newest event: events with the same time are handled in the order in which they were scheduled.
     event_number: u64,
     events: BTreeMap<(Millis, u64), Event>,
     random: Pcg64Mcg,
-    shape: Shape,
+    deployment: Deployment,
     settings: Settings,
     network: Network,
-    wakes: BTreeMap<Node, PlannedWake>,
+    timers: BTreeMap<Node, PlannedTimer>,
     machines: BTreeMap<u32, Machine>,
     proxies: BTreeMap<u32, ProxyMachine>,
     operators: Vec<Operator>,
     backends: Vec<Backend>,
     history: History,
-    /// When the last disturbance ends.
+    /// End of the last disturbance.
     disturbed_until: Millis,
     answer_loss: AnswerLoss,
-    /// Machine that acknowledged the newest change.
+    /// Machine that acknowledged a change last.
     last_acknowledger: Option<u32>,
     preferred_machine: Option<PreferredMachine>,
     armed_crashes: Vec<ArmedCrash>,
-    /// The voters when the membership was last known to be committed.
+    /// The voters of the membership that was last known to be committed.
     voters: Vec<ReplicaId>,
     next_ip: u32,
     injected_faults: usize,
@@ -193,12 +194,12 @@
     unproven_checks: usize,
 }
 
-/// Plays a plan to its end.
-pub fn play(plan: &Plan) -> Outcome {
+/// Simulates a plan to its end.
+pub fn simulate(plan: &Plan) -> Outcome {
     let mut world = World::new(plan);
     world.schedule_faults(plan);
     world.run_until(plan.end() + faults::MAX_DEFERRAL_MS);
-    world.end_day();
+    world.finish_run();
     Outcome {
         violations: world.history.violations(),
         confirmed_changes: world.history.confirmed_changes(),
@@ -211,9 +212,9 @@
 
 impl World {
     fn new(plan: &Plan) -> World {
-        let shape = plan.shape.clone();
+        let deployment = plan.deployment.clone();
         let defaults = Settings::default();
-        let min_voters = defaults.min_voters.max(2 * shape.max_lost_machines as usize + 1);
+        let min_voters = defaults.min_voters.max(2 * deployment.max_lost_machines as usize + 1);
         let operator = |n| Operator::new(n + 1, 2500 + Millis::from(n) * 170);
         let backend = |n| Backend::new(n, 500 + Millis::from(n) * 60);
         let mut world = World {
@@ -223,7 +224,7 @@
             random: Pcg64Mcg::seed_from_u64(plan.seed),
             settings: Settings { min_voters, ..defaults },
             network: Network::default(),
-            wakes: BTreeMap::new(),
+            timers: BTreeMap::new(),
             machines: BTreeMap::new(),
             proxies: BTreeMap::new(),
             operators: (0..OPERATORS).map(operator).collect(),
@@ -239,29 +240,29 @@
             injected_faults: 0,
             connected_checks: 0,
             unproven_checks: 0,
-            shape,
+            deployment,
         };
         world.schedule_starts();
         world
     }
 
     fn schedule_starts(&mut self) {
-        for number in 0..self.shape.machines_with_disk + self.shape.machines_without_disk {
-            let has_disk = number < self.shape.machines_with_disk;
+        for number in 0..self.deployment.machines_with_disk + self.deployment.machines_without_disk {
+            let has_disk = number < self.deployment.machines_with_disk;
             let ip = self.add_machine(has_disk);
             let at = self.random_below(START_SPREAD_MS);
             self.schedule(at, Event::StartProcess { ip });
         }
-        for number in 0..self.shape.proxies {
+        for number in 0..self.deployment.proxies {
             self.proxies.insert(number, ProxyMachine::default());
             let at = self.random_below(START_SPREAD_MS);
             self.schedule(at, Event::StartProxy { number });
         }
         for number in 0..OPERATORS {
-            self.schedule_wake(Node::Operator(number), 0, FIRST_OPERATOR_WAKE_MS);
+            self.schedule_timer(Node::Operator(number), 0, FIRST_OPERATOR_TICK_MS);
         }
         for number in 0..BACKENDS {
-            self.schedule_wake(Node::Backend(number), 0, FIRST_BACKEND_WAKE_MS);
+            self.schedule_timer(Node::Backend(number), 0, FIRST_BACKEND_TICK_MS);
         }
         self.schedule(checks::CHECK_INTERVAL_MS, Event::CheckRules);
     }
@@ -275,15 +276,14 @@
         self.events.insert((at.max(self.now), self.event_number), event);
     }
 
-    /// Schedules the wake-up of a node, unless there is an earlier one. A node that is woken returns when it must be
-    /// woken next.
-    fn schedule_wake(&mut self, node: Node, incarnation: u64, at: Millis) {
+    /// Schedules the timer of a node, unless an earlier one is pending. Each tick of a node schedules the next timer.
+    fn schedule_timer(&mut self, node: Node, incarnation: u64, at: Millis) {
         let at = at.max(self.now);
         let has_earlier =
-            self.wakes.get(&node).is_some_and(|wake| wake.incarnation == incarnation && wake.at <= at);
+            self.timers.get(&node).is_some_and(|timer| timer.incarnation == incarnation && timer.at <= at);
         if !has_earlier {
-            self.wakes.insert(node, PlannedWake { incarnation, at });
-            self.schedule(at, Event::Wake { node, incarnation });
+            self.timers.insert(node, PlannedTimer { incarnation, at });
+            self.schedule(at, Event::Timer { node, incarnation });
         }
     }
 
@@ -301,15 +301,15 @@
     }
 
     fn handle(&mut self, event: Event) {
-        if let Some(thaws_at) = self.frozen_until(&event) {
-            // What arrives meanwhile is queued in the sockets of the process.
-            return self.schedule(thaws_at, event);
+        if let Some(resumes_at) = self.frozen_until(&event) {
+            // The sockets of a suspended process queue packets until it resumes.
+            return self.schedule(resumes_at, event);
         }
         match event {
             Event::Deliver { from, to, incarnation, packet } => self.deliver(from, to, incarnation, packet),
-            Event::Wake { node, incarnation } => self.wake(node, incarnation),
+            Event::Timer { node, incarnation } => self.run_timer(node, incarnation),
             Event::CompleteWrite { ip, incarnation } => self.complete_write(ip, incarnation),
-            Event::InjectFault { fault, give_up_at } => self.inject_or_defer(fault, give_up_at),
+            Event::InjectFault { fault, abandon_at } => self.inject_or_defer(fault, abandon_at),
             Event::StartProcess { ip } => self.start_process(ip),
             Event::StartProxy { number } => self.start_proxy(number),
             Event::EndProcess { ip, machine } => self.end_process(ip, machine),
@@ -318,11 +318,11 @@
         }
     }
 
-    /// When the process that an event is for continues, if it is frozen.
+    /// Time at which the process that an event is for resumes; `None` if the process is not frozen.
     fn frozen_until(&self, event: &Event) -> Option<Millis> {
         let node = match event {
             Event::Deliver { to, .. } => *to,
-            Event::Wake { node, .. } => *node,
+            Event::Timer { node, .. } => *node,
             Event::CompleteWrite { ip, .. } => Node::Control(*ip),
             _ => return None,
         };
@@ -334,7 +334,7 @@
         (self.now < until).then_some(until)
     }
 
-    /// Address of the machine whose process leads under a lease.
+    /// Address of the machine whose replica leads and has a lease.
     fn leader(&self) -> Option<u32> {
         let leads = |machine: &Machine| machine.process.as_ref().is_some_and(|p| p.has_lease(self.now));
         self.machines.iter().find(|(_, machine)| leads(machine)).map(|(ip, _)| *ip)
--- a/crates/gaugesaddle-simulation/src/world/delivery.rs
+++ b/crates/gaugesaddle-simulation/src/world/delivery.rs
@@ -1,13 +1,13 @@
-//! Packets between nodes, wake-ups, and the effects of control processes.
+//! Packets between nodes, timers, and the effects of control processes.
 
-use super::{Acknowledged, Event, World};
+use super::{AcknowledgementKind, Event, World};
 use crate::control::{ControlProcess, Effects};
 use crate::network::Node;
 use crate::packet::{Answer, Packet, RegistrationOutcome};
 use crate::Millis;
 use gaugesaddle_protocol::ChangeReply;
 
-/// While a machine is preferred, one call in this number goes to a random machine nevertheless.
+/// While a machine is preferred, one in this number of calls still goes to a random machine.
 const UNPREFERRED_ONE_IN: u64 = 3;
 
 impl World {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The incarnation of a node's process; operators and backends have only one.
+    /// The incarnation of a node's process; operators and backends have a single one, 0.
     pub(super) fn incarnation(&self, node: Node) -> u64 {
         match node {
             Node::Control(ip) => self.machines.get(&ip).map_or(0, |machine| machine.incarnation),
@@ -35,7 +35,7 @@
     }
 
     pub(super) fn deliver(&mut self, from: Node, to: Node, incarnation: u64, packet: Packet) {
-        // A connection ends with the process that it was opened to.
+        // A packet to a former process is lost: its connection was closed when that process ended.
         if !self.network.delivers(self.now, from, to) || incarnation != self.incarnation(to) {
             return;
         }
@@ -50,51 +50,53 @@
                 let operator = &mut self.operators[number as usize];
                 operator.receive(self.now, id, answer, &mut self.history);
                 let at = operator.deadline();
-                self.schedule_wake(to, 0, at);
+                self.schedule_timer(to, 0, at);
             }
             (Node::Backend(number), Packet::Answer { id, answer }) => {
                 let backend = &mut self.backends[number as usize];
                 backend.receive(self.now, id, &answer);
                 let at = backend.deadline();
-                self.schedule_wake(to, 0, at);
+                self.schedule_timer(to, 0, at);
             }
             _ => {}
         }
     }
 
-    pub(super) fn wake(&mut self, node: Node, incarnation: u64) {
-        let is_planned =
-            self.wakes.get(&node).is_some_and(|wake| wake.incarnation == incarnation && wake.at <= self.now);
+    pub(super) fn run_timer(&mut self, node: Node, incarnation: u64) {
+        let is_planned = self
+            .timers
+            .get(&node)
+            .is_some_and(|timer| timer.incarnation == incarnation && timer.at <= self.now);
         if incarnation != self.incarnation(node) || !is_planned {
             return;
         }
-        self.wakes.remove(&node);
+        self.timers.remove(&node);
         match node {
             Node::Control(ip) => self.step_process(ip, super::super::control::ControlProcess::tick),
-            Node::Proxy(number) => self.wake_proxy(number),
+            Node::Proxy(number) => self.tick_proxy(number),
             Node::Operator(number) => {
                 let operator = &mut self.operators[number as usize];
                 let call = operator.tick(self.now, &mut self.random, &mut self.history);
                 let deadline = operator.deadline();
-                self.finish_wake(node, call, deadline);
+                self.finish_timer(node, call, deadline);
             }
             Node::Backend(number) => {
                 let backend = &mut self.backends[number as usize];
                 let call = backend.tick(self.now);
                 let deadline = backend.deadline();
-                self.finish_wake(node, call, deadline);
+                self.finish_timer(node, call, deadline);
             }
         }
     }
 
-    fn finish_wake(&mut self, node: Node, call: Option<Packet>, deadline: Millis) {
+    fn finish_timer(&mut self, node: Node, call: Option<Packet>, deadline: Millis) {
         if let Some(packet) = call {
             self.call_any_machine(node, packet);
         }
-        self.schedule_wake(node, 0, deadline.max(self.now + 1));
+        self.schedule_timer(node, 0, deadline.max(self.now + 1));
     }
 
-    /// Sends a call from outside to a control machine; the caller does not know which of them are running.
+    /// Sends a call of an operator or backend to a control machine, regardless of which machines are running.
     fn call_any_machine(&mut self, from: Node, packet: Packet) {
         let ips: Vec<u32> = self
             .machines
@@ -105,7 +107,7 @@
         if ips.is_empty() {
             return;
         }
-        // Both are always drawn, so that the number of draws does not depend on the preference.
+        // Both random numbers are always drawn, so that the number of draws does not depend on the preference.
         let random_ip = ips[self.random_below(ips.len() as u64) as usize];
         let prefers = self.random_below(UNPREFERRED_ONE_IN) != 0;
         let preferred = self.preferred_machine.filter(|preferred| prefers && self.now < preferred.until);
@@ -113,7 +115,7 @@
         self.send(from, Node::Control(ip), packet);
     }
 
-    /// Runs a step of a control process and carries out its effects.
+    /// Runs a step of a control process and executes its effects.
     pub(super) fn step_process(&mut self, ip: u32, step: impl FnOnce(&mut ControlProcess, Millis)) {
         let now = self.now;
         let Some(machine) = self.machines.get_mut(&ip) else { return };
@@ -124,13 +126,13 @@
             machine.replica = Some(replica.id());
         }
         let deadline = process.deadline().max(now + 1);
-        let wake_at = process.poll_at(now).map_or(deadline, |poll_at| poll_at.min(deadline));
+        let timer_at = process.poll_at(now).map_or(deadline, |poll_at| poll_at.min(deadline));
         let incarnation = machine.incarnation;
-        self.carry_out(ip, incarnation, effects);
-        self.schedule_wake(Node::Control(ip), incarnation, wake_at);
+        self.execute_effects(ip, incarnation, effects);
+        self.schedule_timer(Node::Control(ip), incarnation, timer_at);
     }
 
-    fn carry_out(&mut self, ip: u32, incarnation: u64, effects: Effects) {
+    fn execute_effects(&mut self, ip: u32, incarnation: u64, effects: Effects) {
         let now = self.now;
         if let Some((term, replica)) = effects.leadership {
             self.history.record_leader(term, replica);
@@ -151,19 +153,19 @@
         }
     }
 
-    /// If a process acknowledges something, schedules the crash that waits for it.
+    /// If the packet acknowledges a change or a departure, schedules the first crash armed for that kind.
     fn trigger_armed_crash(&mut self, ip: u32, to: Node, packet: &Packet) {
         let Packet::Answer { answer, .. } = packet else { return };
         let acknowledged = match (to, answer) {
-            (Node::Operator(_), Answer::Change(ChangeReply::Applied)) => Acknowledged::Change,
+            (Node::Operator(_), Answer::Change(ChangeReply::Applied)) => AcknowledgementKind::Change,
             (Node::Backend(number), Answer::Registered(RegistrationOutcome::Acknowledged))
                 if !self.backends[number as usize].serves() =>
             {
-                Acknowledged::Departure
+                AcknowledgementKind::Departure
             }
             _ => return,
         };
-        if acknowledged == Acknowledged::Change {
+        if acknowledged == AcknowledgementKind::Change {
             self.last_acknowledger = Some(ip);
         }
         let first = self.armed_crashes.iter().position(|armed| armed.trigger == acknowledged);
