--- a/crates/gaugesaddle-allocation/src/allocator.rs
+++ b/crates/gaugesaddle-allocation/src/allocator.rs
@@ -61,14 +61,14 @@
 }
 
 /// A backend that is listed ready.
-pub type Listed = (BackendId, KindId, ZoneId);
+pub type ListedBackend = (BackendId, KindId, ZoneId);
 
 /// What an observation of the tier led to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Allocation {
     /// The live members are not known yet: what was reported last stands, with this weight.
     Provisional(f64),
-    /// To be reported to the balancer, with [`Allocator::uses`].
+    /// To be reported to the balancer, with [`Allocator::assignments`].
     ByDemand(Tier),
 }
 
@@ -78,9 +78,9 @@
     settings: AllocatorSettings,
     weight: Option<SmoothedValue>,
     members: Vec<Member>,
-    listed: Vec<Listed>,
-    uses: Vec<BackendAssignment>,
-    range: (f64, f64),
+    listed: Vec<ListedBackend>,
+    assignments: Vec<BackendAssignment>,
+    fraction_range: (f64, f64),
 }
 
 impl Allocator {
@@ -91,23 +91,23 @@
             weight: None,
             members: Vec::new(),
             listed: Vec::new(),
-            uses: Vec::new(),
-            range: (0.0, 0.0),
+            assignments: Vec::new(),
+            fraction_range: (0.0, 0.0),
         }
     }
 
     /// The backends that this proxy uses, as of the last [`Allocation::ByDemand`].
-    pub fn uses(&self) -> &[BackendAssignment] {
-        &self.uses
+    pub fn assignments(&self) -> &[BackendAssignment] {
+        &self.assignments
     }
 
     /// The sum of the fractions of the members before it, and its own, as of then: integers are divided by it.
-    pub fn range(&self) -> (f64, f64) {
-        self.range
+    pub fn fraction_range(&self) -> (f64, f64) {
+        self.fraction_range
     }
 
     /// Number of backends that were listed then.
-    pub fn listed(&self) -> usize {
+    pub fn listed_count(&self) -> usize {
         self.listed.len()
     }
 
@@ -120,13 +120,13 @@
     }
 
     /// Takes the present view of the tier and the listed backends.
-    pub fn observe(&mut self, now: Time, view: &TierView, listed: Vec<Listed>) -> Allocation {
+    pub fn observe(&mut self, now: Time, view: &TierView, listed: Vec<ListedBackend>) -> Allocation {
         if !self.knows_tier(view) {
             return Allocation::Provisional(self.weight.map_or(1.0, |weight| weight.value(now)));
         }
         let fractions = allocate_by_demand(&self.settings.limits, view.demands);
         let own = fractions[view.own];
-        self.range = (fractions[..view.own].iter().sum(), own);
+        self.fraction_range = (fractions[..view.own].iter().sum(), own);
         let AllocatorSettings { min_change, smoothing, .. } = self.settings;
         let weight = self.weight.get_or_insert(SmoothedValue::new(now, 1.0, min_change, smoothing));
         weight.set_target(now, own * fractions.len() as f64);
@@ -140,22 +140,23 @@
     }
 
     /// Assigns the backends anew where anything has changed.
-    fn reassign(&mut self, members: Vec<Member>, own: usize, listed: Vec<Listed>) {
+    fn reassign(&mut self, members: Vec<Member>, own: usize, listed: Vec<ListedBackend>) {
         if members == self.members && listed == self.listed {
             return;
         }
-        let key = |(id, kind, zone): &Listed| BackendKey { hash_key: mix(id.0), kind: kind.0, zone: zone.0 };
+        let key =
+            |(id, kind, zone): &ListedBackend| BackendKey { hash_key: mix(id.0), kind: kind.0, zone: zone.0 };
         let backends: Vec<BackendKey> = listed.iter().map(key).collect();
         let assignments = assign(&members, &backends, &self.settings.subset);
         let of_this_proxy = assignments.into_iter().nth(own).unwrap_or_default();
-        let uses = of_this_proxy.into_iter().map(|assignment| BackendAssignment {
+        let own_assignments = of_this_proxy.into_iter().map(|assignment| BackendAssignment {
             backend: listed[assignment.backend].0,
             weight: assignment.weight,
             fraction: assignment.fraction,
             preceding: assignment.preceding,
             users: assignment.users,
         });
-        self.uses = uses.collect();
+        self.assignments = own_assignments.collect();
         (self.members, self.listed) = (members, listed);
     }
 }
--- a/crates/gaugesaddle-allocation/src/allocator/tests.rs
+++ b/crates/gaugesaddle-allocation/src/allocator/tests.rs
@@ -2,7 +2,7 @@
 
 const S: u64 = 1_000_000;
 
-fn listed(count: u64) -> Vec<Listed> {
+fn listed(count: u64) -> Vec<ListedBackend> {
     (0..count).map(|n| (BackendId(n * 7 + 1), KindId(n % 2), ZoneId(n % 3))).collect()
 }
 
@@ -29,21 +29,21 @@
     let mut all = dealers(60);
     for (own, dealer) in all.iter_mut().enumerate() {
         assert_eq!(look(dealer, 0, S, own, &needs), Allocation::Provisional(1.0), "awake for a second only");
-        assert!(dealer.uses().is_empty());
+        assert!(dealer.assignments().is_empty());
         let Allocation::ByDemand(tier) = look(dealer, S, 3 * S, own, &needs) else { panic!("it knows") };
         assert_eq!((tier.proxies, tier.position), (60, own as u32));
     }
     for (id, _, _) in listed(60) {
-        let of = all.iter().flat_map(super::Allocator::uses).filter(|u| u.backend == id);
+        let of = all.iter().flat_map(super::Allocator::assignments).filter(|u| u.backend == id);
         assert!((of.map(|u| u.fraction).sum::<f64>() - 1.0).abs() < 1e-9);
     }
     let Allocation::ByDemand(tier) = look(&mut all[4], 60 * S, 60 * S, 4, &needs) else { panic!("it knows") };
     assert!((1.5..1.7).contains(&tier.weight), "0.1 and 0.9 of five in three: {tier:?}");
-    let (held, uses) = (tier.weight, all[4].uses().to_vec());
+    let (held, uses) = (tier.weight, all[4].assignments().to_vec());
     let Allocation::Provisional(weight) = look(&mut all[4], 61 * S, 0, 4, &needs[..5]) else {
         panic!("it slept")
     };
-    assert!((weight - held).abs() < 0.02 && all[4].uses() == uses);
+    assert!((weight - held).abs() < 0.02 && all[4].assignments() == uses);
 }
 
 #[test]
--- a/crates/gaugesaddle-allocation/src/lib.rs
+++ b/crates/gaugesaddle-allocation/src/lib.rs
@@ -44,7 +44,7 @@
 mod reservation;
 mod subset;
 
-pub use allocator::{Allocation, Allocator, AllocatorSettings, Listed, TierView, DISCOVERY_TIME};
+pub use allocator::{Allocation, Allocator, AllocatorSettings, ListedBackend, TierView, DISCOVERY_TIME};
 pub use demand::{allocate_by_demand, AllocationLimits, DemandEstimator, RateEstimator, SmoothedValue};
 pub use lease_manager::{LeaseManager, LeaseView, PeerMessage, MAX_QUANTITIES, MESSAGE_BYTES};
 pub use reservation::{Lease, LeaseId, LeaseMessage, Reservation, ReservationTerms, MAX_LEASES};
--- a/crates/gaugesaddle-allocation/tests/turns.rs
+++ b/crates/gaugesaddle-allocation/tests/turns.rs
@@ -53,7 +53,7 @@
         let Allocation::ByDemand(tier) = proxy.dealer.observe(Time(at), &seen, listed) else {
             panic!("it knows")
         };
-        for event in [Event::Tier(tier), Event::Assignments(proxy.dealer.uses().to_vec())] {
+        for event in [Event::Tier(tier), Event::Assignments(proxy.dealer.assignments().to_vec())] {
             proxy.module.handle(Time(at), event, &mut Vec::new());
         }
     }
@@ -64,7 +64,7 @@
     proxy.asked += 1;
     let gone = Event::ClientDisconnected { request: RequestId(proxy.asked) };
     proxy.module.handle(Time(at), gone, &mut Vec::new());
-    let used = |id: BackendId| proxy.dealer.uses().iter().any(|u| u.backend == id);
+    let used = |id: BackendId| proxy.dealer.assignments().iter().any(|u| u.backend == id);
     let limits = proxy.module.limits();
     limits.into_iter().filter(|l| used(l.backend)).map(|l| (l.backend, f64::from(l.slots))).collect()
 }
--- a/crates/gaugesaddle-overload/src/controller.rs
+++ b/crates/gaugesaddle-overload/src/controller.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// The longest delay that is advised, in whole seconds, from 1 to 600.
-    pub longest_s: u64,
+    pub max_delay_s: u64,
     /// Sources that are remembered at once, from 1 to 1,000,000.
     pub sources: usize,
 }
@@ -35,8 +35,8 @@
     /// # Errors
     /// The first setting out of its range.
     pub fn check(&self) -> Result<(), ConfigError> {
-        if !(1..=MAX_SCHEDULE_S as u64).contains(&self.longest_s) {
-            return Err(ConfigError { field: "longest_s", expected: "1 to 600" });
+        if !(1..=MAX_SCHEDULE_S as u64).contains(&self.max_delay_s) {
+            return Err(ConfigError { field: "max_delay_s", expected: "1 to 600" });
         }
         if !(1..=1_000_000).contains(&self.sources) {
             return Err(ConfigError { field: "sources", expected: "1 to 1000000" });
@@ -51,7 +51,7 @@
     /// The phase before it, if it changed.
     pub previous: Option<StormPhase>,
     /// For the balancer, if anything of it may have changed.
-    pub pressure: Option<StormLimits>,
+    pub limits: Option<StormLimits>,
 }
 
 /// Retry storms as one proxy sees them. See the first page.
@@ -81,7 +81,7 @@
         Ok(OverloadController {
             detector: StormDetector::default(),
             rate_limiter: RateLimiter::default(),
-            retry_schedule: RetrySchedule::new(settings.longest_s, seed),
+            retry_schedule: RetrySchedule::new(settings.max_delay_s, seed),
             accounting: RetryAccounting::new(settings.sources),
             counts: TrafficCounts::default(),
             admitted: 0,
@@ -93,8 +93,8 @@
     }
 
     /// The present phase.
-    pub fn state(&self) -> StormPhase {
-        self.detector.state()
+    pub fn phase(&self) -> StormPhase {
+        self.detector.phase()
     }
 
     /// The figures of the last observation.
@@ -104,22 +104,22 @@
 
     /// Requests a second that may be admitted; `None` without a limit.
     pub fn admitted_per_s(&self) -> Option<f64> {
-        self.rate_limiter.per_s().filter(|_| self.state().is_damping())
+        self.rate_limiter.per_s().filter(|_| self.phase().is_damping())
     }
 
     /// A client has connected.
-    pub fn connected(&mut self) {
+    pub fn record_connection(&mut self) {
         self.counts.connects = self.counts.connects.saturating_add(1);
     }
 
     /// A request has arrived, marked as a retry or not, with its idempotency key where it has one and its source. Returns
     /// whether it is a retry, and whether its source comes before its time.
-    pub fn arrived(&mut self, now: Time, marked: bool, key: Option<u64>, source: u64) -> (bool, bool) {
+    pub fn record_arrival(&mut self, now: Time, marked: bool, key: Option<u64>, source: u64) -> (bool, bool) {
         let known = key.is_some_and(|key| self.seen(now, key));
         let repeat = marked || known;
         self.counts.requests = self.counts.requests.saturating_add(1);
-        self.counts.repeats = self.counts.repeats.saturating_add(u32::from(repeat));
-        (repeat, self.accounting.record_return(now, source))
+        self.counts.retries = self.counts.retries.saturating_add(u32::from(repeat));
+        (repeat, self.accounting.record_request(now, source))
     }
 
     fn seen(&mut self, now: Time, key: u64) -> bool {
@@ -135,26 +135,26 @@
     }
 
     /// An attempt was sent: the first one of its request, or a retry.
-    pub fn sent(&mut self, first: bool) {
+    pub fn record_attempt(&mut self, first: bool) {
         self.counts.attempts = self.counts.attempts.saturating_add(1);
         self.admitted = self.admitted.saturating_add(u32::from(first));
     }
 
     /// A request was served.
-    pub fn served(&mut self, within_objective: bool) {
+    pub fn record_success(&mut self, within_objective: bool) {
         let count = if within_objective { &mut self.counts.within_objective } else { &mut self.counts.late };
         *count = count.saturating_add(1);
     }
 
     /// A request failed.
-    pub fn failed(&mut self) {
+    pub fn record_failure(&mut self) {
         self.counts.failed = self.counts.failed.saturating_add(1);
     }
 
     /// A request was refused. Returns after how many seconds its client may retry: `usual` where nothing is damped.
-    pub fn refused(&mut self, now: Time, source: u64, usual: u64) -> u64 {
+    pub fn record_refusal(&mut self, now: Time, source: u64, usual: u64) -> u64 {
         self.counts.refused = self.counts.refused.saturating_add(1);
-        if self.state() == StormPhase::Calm {
+        if self.phase() == StormPhase::Calm {
             return usual;
         }
         let bears = self.goodput_per_s.min(self.rate_limiter.per_s().unwrap_or(f64::MAX));
@@ -176,11 +176,11 @@
         self.observed_at = Some(now);
         let (counts, admitted) = (std::mem::take(&mut self.counts), std::mem::take(&mut self.admitted));
         let seconds = (now - last).secs();
-        let was = self.state();
+        let was = self.phase();
         self.goodput_per_s +=
             (f64::from(counts.within_objective) / seconds - self.goodput_per_s) * seconds.min(1.0);
         let previous = self.detector.observe(now, &counts).map(|_| was);
-        if !self.state().is_damping() || !was.is_damping() {
+        if !self.phase().is_damping() || !was.is_damping() {
             self.rate_limiter = RateLimiter::default();
         } else {
             // A refusal is no failure: the limiter itself brings it about.
@@ -191,12 +191,12 @@
                 counts.late + counts.failed,
             );
         }
-        let pressure = (self.state().is_damping() || was.is_damping()).then(|| self.pressure());
-        Some(Observation { previous, pressure })
+        let limits = (self.phase().is_damping() || was.is_damping()).then(|| self.storm_limits());
+        Some(Observation { previous, limits })
     }
 
-    fn pressure(&self) -> StormLimits {
-        let damped = self.state().is_damping();
+    fn storm_limits(&self) -> StormLimits {
+        let damped = self.phase().is_damping();
         let retry_ratio = if damped { STORM_RETRY_RATIO } else { RETRY_RATIO };
         StormLimits { admit_per_s: self.admitted_per_s(), hedging: !damped, retry_ratio }
     }
--- a/crates/gaugesaddle-overload/src/lib.rs
+++ b/crates/gaugesaddle-overload/src/lib.rs
@@ -12,13 +12,13 @@
 //! use gaugesaddle_balancer::Time;
 //! use gaugesaddle_overload::{OverloadController, Settings, StormPhase};
 //!
-//! let settings = Settings { longest_s: 30, sources: 1000 };
+//! let settings = Settings { max_delay_s: 30, sources: 1000 };
 //! let mut controller = OverloadController::new(settings, 7)?;
 //! let now = Time(1_000_000);
-//! let (is_retry, returns_early) = controller.arrived(now, false, Some(42), 1);
+//! let (is_retry, returns_early) = controller.record_arrival(now, false, Some(42), 1);
 //! assert!(!is_retry && !returns_early);
-//! assert_eq!(controller.state(), StormPhase::Calm);
-//! assert_eq!(controller.refused(now, 1, 2), 2, "without a storm the usual advice holds");
+//! assert_eq!(controller.phase(), StormPhase::Calm);
+//! assert_eq!(controller.record_refusal(now, 1, 2), 2, "without a storm the usual advice holds");
 //! # Ok::<(), gaugesaddle_balancer::ConfigError>(())
 //! ```
 //!
--- a/crates/gaugesaddle-overload/src/retry_accounting.rs
+++ b/crates/gaugesaddle-overload/src/retry_accounting.rs
@@ -67,7 +67,7 @@
     }
 
     /// A source sends a request. Returns whether it has lately come before its time.
-    pub fn record_return(&mut self, now: Time, source: u64) -> bool {
+    pub fn record_request(&mut self, now: Time, source: u64) -> bool {
         let Some(mut row) = self.rows.get(&source).copied() else { return false };
         if now + EARLY_TOLERANCE < row.retry_at {
             row.early = Some(now);
--- a/crates/gaugesaddle-overload/src/retry_accounting/tests.rs
+++ b/crates/gaugesaddle-overload/src/retry_accounting/tests.rs
@@ -7,13 +7,13 @@
 #[test]
 fn a_source_that_comes_early_is_known_until_it_has_kept_its_times() {
     let mut accounting = RetryAccounting::new(8);
-    assert!(!accounting.record_return(at(0), 1), "never seen");
+    assert!(!accounting.record_request(at(0), 1), "never seen");
     accounting.record_advice(1, at(3000));
     accounting.record_advice(2, at(3000));
-    assert!(accounting.record_return(at(500), 1), "early");
-    assert!(!accounting.record_return(at(2900), 2), "within the allowance");
-    assert!(accounting.record_return(at(20_000), 1), "remembered");
-    assert!(!accounting.record_return(at(31_000), 1), "forgiven");
+    assert!(accounting.record_request(at(500), 1), "early");
+    assert!(!accounting.record_request(at(2900), 2), "within the allowance");
+    assert!(accounting.record_request(at(20_000), 1), "remembered");
+    assert!(!accounting.record_request(at(31_000), 1), "forgiven");
 }
 
 #[test]
@@ -22,14 +22,14 @@
     for source in 1..=3 {
         accounting.record_advice(source, at(10_000));
     }
-    assert!(accounting.record_return(at(0), 1));
+    assert!(accounting.record_request(at(0), 1));
     accounting.record_advice(4, at(10_000));
     assert_eq!(accounting.len(), 3);
-    assert!(!accounting.record_return(at(1), 2), "forgotten");
+    assert!(!accounting.record_request(at(1), 2), "forgotten");
     assert!(
-        accounting.record_return(at(1), 1)
-            && accounting.record_return(at(1), 3)
-            && accounting.record_return(at(1), 4)
+        accounting.record_request(at(1), 1)
+            && accounting.record_request(at(1), 3)
+            && accounting.record_request(at(1), 4)
     );
     (0..10_000).for_each(|s| accounting.record_advice(s, at(0)));
     assert!(accounting.len() == 3 && accounting.order.len() == 3);
--- a/crates/gaugesaddle-overload/src/storm_detector.rs
+++ b/crates/gaugesaddle-overload/src/storm_detector.rs
@@ -76,7 +76,7 @@
     /// Requests.
     pub requests: u32,
     /// Retries among them.
-    pub repeats: u32,
+    pub retries: u32,
     /// New connections.
     pub connects: u32,
     /// Requests that were served within their latency objective.
@@ -99,13 +99,13 @@
     /// The usual rate, once it is known.
     pub usual_per_s: Option<f64>,
     /// Fraction of retries.
-    pub repeats: f64,
+    pub retry_fraction: f64,
     /// Fraction of ended requests that were not served.
-    pub unserved: f64,
+    pub unserved_fraction: f64,
     /// Connections per request.
-    pub connects: f64,
+    pub connects_per_request: f64,
     /// Attempts per request.
-    pub attempts: f64,
+    pub attempts_per_request: f64,
 }
 
 impl std::fmt::Display for TrafficFigures {
@@ -115,10 +115,10 @@
             f,
             "{:.0} requests/s (usual {usual}), {:.0}% again, {:.0}% not served, {:.2} connects and {:.2} attempts a request",
             self.per_s,
-            self.repeats * 100.0,
-            self.unserved * 100.0,
-            self.connects,
-            self.attempts
+            self.retry_fraction * 100.0,
+            self.unserved_fraction * 100.0,
+            self.connects_per_request,
+            self.attempts_per_request
         )
     }
 }
@@ -126,7 +126,7 @@
 /// The detector and its memory.
 #[derive(Clone, Debug)]
 pub struct StormDetector {
-    state: StormPhase,
+    phase: StormPhase,
     since: Time,
     /// When there was pressure last.
     last_pressure: Option<Time>,
@@ -139,7 +139,7 @@
 impl Default for StormDetector {
     fn default() -> StormDetector {
         StormDetector {
-            state: StormPhase::Calm,
+            phase: StormPhase::Calm,
             since: Time(0),
             last_pressure: None,
             at: None,
@@ -152,8 +152,8 @@
 
 impl StormDetector {
     /// The present state.
-    pub fn state(&self) -> StormPhase {
-        self.state
+    pub fn phase(&self) -> StormPhase {
+        self.phase
     }
 
     /// The figures of the last look.
@@ -180,10 +180,10 @@
         self.figures = TrafficFigures {
             per_s,
             usual_per_s: self.usual_per_s(),
-            repeats: part(counts.repeats, counts.requests),
-            unserved: part(counts.late + counts.refused + counts.failed, ended),
-            connects: part(counts.connects, counts.requests),
-            attempts: part(counts.attempts, counts.requests),
+            retry_fraction: part(counts.retries, counts.requests),
+            unserved_fraction: part(counts.late + counts.refused + counts.failed, ended),
+            connects_per_request: part(counts.connects, counts.requests),
+            attempts_per_request: part(counts.attempts, counts.requests),
         };
         let pressure = self.is_under_pressure(counts);
         if pressure {
@@ -192,7 +192,7 @@
         self.update_usual(per_s, seconds, pressure);
         let calm_for = self.last_pressure.map_or(Micros(u64::MAX), |at| now - at);
         let in_phase_for = now - self.since;
-        let next = match self.state {
+        let next = match self.phase {
             StormPhase::Calm if pressure => StormPhase::Rising,
             StormPhase::Rising if pressure && in_phase_for >= RISING_TIME => StormPhase::Storm,
             StormPhase::Rising if calm_for >= FADE_TIME && in_phase_for >= FADE_TIME => StormPhase::Calm,
@@ -203,10 +203,10 @@
             }
             same => same,
         };
-        if next == self.state {
+        if next == self.phase {
             return None;
         }
-        (self.state, self.since) = (next, now);
+        (self.phase, self.since) = (next, now);
         Some(next)
     }
 
@@ -216,13 +216,13 @@
         let f = &self.figures;
         let over = f.usual_per_s.is_some_and(|usual| f.per_s >= MIN_GROWTH_FACTOR * usual);
         f64::from(counts.requests) >= MIN_REQUESTS
-            && f.repeats >= MIN_REPEAT_FRACTION
-            && (over || f.unserved >= MIN_UNSERVED_FRACTION)
+            && f.retry_fraction >= MIN_REPEAT_FRACTION
+            && (over || f.unserved_fraction >= MIN_UNSERVED_FRACTION)
     }
 
     /// Traffic under pressure is not usual.
     fn update_usual(&mut self, per_s: f64, seconds: f64, pressure: bool) {
-        if pressure || self.state != StormPhase::Calm {
+        if pressure || self.phase != StormPhase::Calm {
             return;
         }
         let max_sources = self.usual_per_s().map_or(f64::MAX, |usual| BURST_CLIP * usual.max(1.0));
--- a/crates/gaugesaddle-overload/tests/properties.rs
+++ b/crates/gaugesaddle-overload/tests/properties.rs
@@ -11,10 +11,10 @@
 }
 
 /// A quarter of a second of traffic.
-fn quarter(asked: u32, repeats: u32, served: u32, refused: u32) -> TrafficCounts {
+fn quarter(asked: u32, retries: u32, served: u32, refused: u32) -> TrafficCounts {
     TrafficCounts {
         requests: asked,
-        repeats,
+        retries,
         within_objective: served,
         refused,
         connects: asked,
@@ -99,9 +99,9 @@
 
     #[test]
     fn no_phase_ends_before_its_minimum_time(quarters in prop::collection::vec((0u32..300, 0.0f64..1.0, 0.0f64..1.0), 1..400)) {
-        let seconds = quarters.into_iter().map(|(asked, repeats, refused)| {
+        let seconds = quarters.into_iter().map(|(asked, retries, refused)| {
             let refused = (f64::from(asked) * refused) as u32;
-            quarter(asked, (f64::from(asked) * repeats) as u32, asked - refused, refused)
+            quarter(asked, (f64::from(asked) * retries) as u32, asked - refused, refused)
         });
         let seen = states(seconds);
         for pair in seen.windows(2) {
@@ -125,7 +125,7 @@
                 accounting.record_advice(source, now + Micros(retry_at * 1000));
                 record_advice.insert(source);
             } else {
-                let returns_early = accounting.record_return(now, source);
+                let returns_early = accounting.record_request(now, source);
                 prop_assert!(!returns_early || record_advice.contains(&source));
             }
             prop_assert!(accounting.len() <= max_sources);
@@ -136,21 +136,21 @@
     fn the_admitted_rate_is_finite_and_nothing_panics(
         steps in prop::collection::vec((0u8..7, 0u64..600, any::<u64>()), 1..500),
     ) {
-        let mut storm = OverloadController::new(Settings { longest_s: 30, sources: 16 }, 3).unwrap();
+        let mut storm = OverloadController::new(Settings { max_delay_s: 30, sources: 16 }, 3).unwrap();
         let mut now = 0;
         for (what, gap, n) in steps {
             now += gap;
             match what {
-                0 => { storm.arrived(at(now), n % 2 == 0, Some(n % 50), n % 30); }
-                1 => storm.sent(n % 2 == 0),
-                2 => storm.served(n % 2 == 0),
-                3 => storm.failed(),
-                4 => storm.connected(),
-                5 => prop_assert!((1..=30).contains(&storm.refused(at(now), n % 30, 2))),
+                0 => { storm.record_arrival(at(now), n % 2 == 0, Some(n % 50), n % 30); }
+                1 => storm.record_attempt(n % 2 == 0),
+                2 => storm.record_success(n % 2 == 0),
+                3 => storm.record_failure(),
+                4 => storm.record_connection(),
+                5 => prop_assert!((1..=30).contains(&storm.record_refusal(at(now), n % 30, 2))),
                 _ => { storm.observe(at(now)); }
             }
             prop_assert!(storm.admitted_per_s().is_none_or(|r| r.is_finite() && r >= 1.0));
-            prop_assert!(storm.admitted_per_s().is_none() || storm.state().is_damping());
+            prop_assert!(storm.admitted_per_s().is_none() || storm.phase().is_damping());
         }
     }
 }
--- a/crates/gaugesaddle-proxy-simulation/src/world/proxies.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/world/proxies.rs
@@ -36,7 +36,7 @@
         };
         let (dealer, host) = (&mut self.proxies[proxy].allocator, &mut self.hosts[proxy]);
         if let Allocation::ByDemand(tier) = dealer.observe(Time(now), &seen, host.balancer.listed()) {
-            host.report([Event::Tier(tier), Event::Assignments(dealer.uses().to_vec())]);
+            host.report([Event::Tier(tier), Event::Assignments(dealer.assignments().to_vec())]);
             self.plan_tick(proxy);
         }
     }
--- a/crates/gaugesaddle/src/membership/allocation.rs
+++ b/crates/gaugesaddle/src/membership/allocation.rs
@@ -142,9 +142,9 @@
             Allocation::ByDemand(tier) => {
                 // Reported each time: a balancer that was restarted knows nothing of it.
                 events.push(Event::Tier(tier));
-                events.push(Event::Assignments(self.allocator.uses().to_vec()));
+                events.push(Event::Assignments(self.allocator.assignments().to_vec()));
                 self.registry.live_proxies.set(tier.proxies);
-                let (preceding, fraction) = self.allocator.range();
+                let (preceding, fraction) = self.allocator.fraction_range();
                 let even = EvenAllocation { proxies: tier.proxies, position: tier.position };
                 if let Some(regions) = &self.regions {
                     regions.reallocate(WeightedAllocation { preceding, fraction, even });
@@ -174,9 +174,9 @@
             need: tier.demands.get(tier.own).copied().flatten().unwrap_or(0.0),
             needs: tier.demands.iter().flatten().sum(),
             unknown: tier.demands.iter().filter(|demand| demand.is_none()).count(),
-            uses: self.allocator.uses().len(),
+            uses: self.allocator.assignments().len(),
             soft: self.soft_quantities(fraction, basis, balancer),
-            listed: self.allocator.listed(),
+            listed: self.allocator.listed_count(),
             lent: leases.map(|(from, lease)| lease_view(now, from, lease)).collect(),
         }
     }
@@ -193,7 +193,7 @@
         };
         let total = |own: f64| own / fraction.max(1e-6);
         // Before backends were assigned the balancer chooses its own.
-        let assigned = self.allocator.uses().len();
+        let assigned = self.allocator.assignments().len();
         let uses = if assigned > 0 { assigned as f64 } else { status.ready };
         vec![
             view("attempts out", total(status.pool), status.pool, status.in_flight as f64),
--- a/crates/gaugesaddle/src/serving/overload.rs
+++ b/crates/gaugesaddle/src/serving/overload.rs
@@ -25,15 +25,15 @@
     fn poll(&mut self, now: Time, _: &Balancer, events: &mut Vec<Event>) {
         let storm = &mut self.storm;
         let connects = self.registry.accepted_connections.get();
-        (self.connects..connects).for_each(|_| storm.connected());
+        (self.connects..connects).for_each(|_| storm.record_connection());
         self.connects = connects;
         let Some(observation) = storm.observe(now) else { return };
-        let (state, figures) = (storm.state(), storm.figures());
+        let (state, figures) = (storm.phase(), storm.figures());
         if let Some(previous) = observation.previous {
             tracing::info!("{} after {}: {figures}", state.name(), previous.name());
             self.registry.storm.set(state);
         }
-        if let Some(pressure) = observation.pressure {
+        if let Some(pressure) = observation.limits {
             events.push(Event::StormLimits(pressure));
         }
         let mut seen = self.registry.storm_view.borrow_mut();
@@ -45,30 +45,30 @@
             storms: old.map_or(0, |o| o.storms) + u64::from(began),
             per_s: figures.per_s,
             usual_per_s: figures.usual_per_s,
-            repeats: figures.repeats,
+            repeats: figures.retry_fraction,
             let_in_per_s: storm.admitted_per_s(),
         });
     }
 
     fn on_arrival(&mut self, now: Time, new: &NewRequest, told: &mut Arrival) {
-        (told.repeat, told.retried_early) = self.storm.arrived(now, new.repeat, new.key, new.source);
+        (told.repeat, told.retried_early) = self.storm.record_arrival(now, new.repeat, new.key, new.source);
     }
 
     fn on_attempt_start(&mut self, first: bool) {
-        self.storm.sent(first);
+        self.storm.record_attempt(first);
     }
 
     fn on_request_end(&mut self, _: ClassId, end: RequestEnd) {
         match end {
-            RequestEnd::InTime => self.storm.served(true),
-            RequestEnd::Late => self.storm.served(false),
-            RequestEnd::FailedByBalancer | RequestEnd::FailedUnanswered => self.storm.failed(),
+            RequestEnd::InTime => self.storm.record_success(true),
+            RequestEnd::Late => self.storm.record_success(false),
+            RequestEnd::FailedByBalancer | RequestEnd::FailedUnanswered => self.storm.record_failure(),
             _ => {}
         }
     }
 
     fn adjust_rejection(&mut self, now: Time, source: u64, out_of_turn: bool, refusal: &mut Rejection) {
-        refusal.retry_after_s = self.storm.refused(now, source, refusal.retry_after_s);
-        refusal.by_client = out_of_turn && self.storm.state().is_damping();
+        refusal.retry_after_s = self.storm.record_refusal(now, source, refusal.retry_after_s);
+        refusal.by_client = out_of_turn && self.storm.phase().is_damping();
     }
 }
