--- a/crates/gaugesaddle-allocation/src/allocator.rs
+++ b/crates/gaugesaddle-allocation/src/allocator.rs
@@ -3,28 +3,29 @@
 use crate::{allocate_by_demand, assign, AllocationLimits, BackendKey, Member, SmoothedValue, SubsetSize};
 use gaugesaddle_balancer::{mix, BackendAssignment, BackendId, KindId, Micros, Tier, Time, ZoneId};
 
-/// Until a proxy has been up for this long it does not know which others are live: the configured number of proxies stands,
-/// or what it knew last.
+/// Until a proxy has run for this long its view of the live members counts as incomplete: the configured number of proxies
+/// applies, or its last allocation.
 pub const DISCOVERY_TIME: Micros = Micros(2_000_000);
-/// A proxy that has just started knows nothing but the configured number, which may be ten times the live ones. It accepts its
-/// view once no other was discovered for this long: by then it has probed some thirty, each of which has had time to answer,
-/// and of 300 that start at once 95 in 100 are discovered within 0.11 s and the last within 0.56 s (`docs/design/peers.md`).
-/// Where about as many are live as configured it waits: no demand has been reported yet, and the balancer assumes equal
-/// fractions anyway.
+/// A proxy that has just started assumes the configured number of members, which may be ten times the number of live ones.
+/// It accepts its view before [`DISCOVERY_TIME`] once no further member was discovered for this long: by then it has probed
+/// some thirty members, each of which has had time to answer, and of 300 members that start at once 95 % are discovered within
+/// 0.11 s and the last one within 0.56 s (`docs/design/peers.md`). Where about as many members are live as configured, it
+/// waits for the full time: no demand has been reported yet, and the balancer assumes equal fractions anyway.
 const STABLE_TIME: Micros = Micros(300_000);
-/// The weight reported to the balancer moves in steps: a smaller change would make it choose its backends anew for nothing.
+/// The weight reported to the balancer is a multiple of this step: a smaller change would make the balancer choose its
+/// backends anew without benefit.
 const WEIGHT_STEP: f64 = 0.02;
-/// Minimum and maximum of that weight: beyond the limits of every tier that can be configured.
+/// Minimum and maximum of that weight, beyond the limits of every tier that can be configured.
 const WEIGHT_RANGE: (f64, f64) = (0.02, 100.0);
 
 /// How fractions are allocated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AllocatorSettings {
-    /// How demands become fractions.
+    /// Limits of the fractions that are computed from demands.
     pub limits: AllocationLimits,
-    /// A fraction whose target differs by less than this fraction of it stays.
+    /// A change of the target by less than this fraction of it is ignored.
     pub min_change: f64,
-    /// Time constant of a fraction on its way to its target: two thirds of the way take this long.
+    /// Time constant of the exponential approach to the target: about two thirds of a change are completed within it.
     pub smoothing: Micros,
     /// How many proxies use a backend.
     pub subset: SubsetSize,
@@ -32,8 +33,8 @@
 
 impl Default for AllocatorSettings {
     fn default() -> AllocatorSettings {
-        // A tenth is chance among some hundred requests; two seconds are several observations, and less than a change of
-        // load lasts.
+        // Among about a hundred requests a tenth is random variation. Two seconds span several observations, and are
+        // shorter than a change of load lasts.
         AllocatorSettings {
             limits: AllocationLimits::default(),
             min_change: 0.1,
@@ -43,14 +44,14 @@
     }
 }
 
-/// The tier as one proxy sees it: the live members, this one among them, in an order that all share.
+/// One proxy's view of the tier: the live members, this proxy included, in an order that all proxies share.
 #[derive(Clone, Copy, Debug)]
 pub struct TierView<'a> {
     /// Number of configured members.
     pub configured: usize,
-    /// Time since this process started.
+    /// Time since this process started or last resumed from a stall.
     pub uptime: Micros,
-    /// Time since a member became live or ceased to be.
+    /// Time since the set of live members last changed.
     pub unchanged_for: Micros,
     /// Position of this proxy among the live members.
     pub own: usize,
@@ -63,12 +64,12 @@
 /// A backend that is listed ready.
 pub type ListedBackend = (BackendId, KindId, ZoneId);
 
-/// What an observation of the tier led to.
+/// The result of an observation of the tier.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Allocation {
-    /// The live members are not known yet: what was reported last stands, with this weight.
+    /// The live members are not known yet: the tier that was reported last stays in effect, with this weight.
     Provisional(f64),
-    /// To be reported to the balancer, with [`Allocator::assignments`].
+    /// An allocation by demand, to be reported to the balancer together with [`Allocator::assignments`].
     ByDemand(Tier),
 }
 
@@ -84,7 +85,7 @@
 }
 
 impl Allocator {
-    /// One that has observed nothing yet.
+    /// An allocator without observations.
     pub fn new(settings: AllocatorSettings) -> Allocator {
         Allocator {
             settings,
@@ -101,17 +102,18 @@
         &self.assignments
     }
 
-    /// The sum of the fractions of the members before it, and its own, as of then: integers are divided by it.
+    /// The sum of the fractions of the preceding members, and this proxy's own fraction, as of the last
+    /// [`Allocation::ByDemand`]. Integer quantities are divided by it.
     pub fn fraction_range(&self) -> (f64, f64) {
         self.fraction_range
     }
 
-    /// Number of backends that were listed then.
+    /// Number of listed backends, as of the last [`Allocation::ByDemand`].
     pub fn listed_count(&self) -> usize {
         self.listed.len()
     }
 
-    fn knows_tier(&self, view: &TierView) -> bool {
+    fn is_view_settled(&self, view: &TierView) -> bool {
         let fewer = (view.indices.len() as f64) < (1.0 - self.settings.min_change) * view.configured as f64;
         let stable = view.uptime.min(view.unchanged_for) >= STABLE_TIME;
         let early = fewer && self.weight.is_none() && stable;
@@ -119,9 +121,9 @@
         consistent && (early || view.uptime >= DISCOVERY_TIME)
     }
 
-    /// Takes the present view of the tier and the listed backends.
+    /// Updates the allocation from the present view of the tier and the listed backends.
     pub fn observe(&mut self, now: Time, view: &TierView, listed: Vec<ListedBackend>) -> Allocation {
-        if !self.knows_tier(view) {
+        if !self.is_view_settled(view) {
             return Allocation::Provisional(self.weight.map_or(1.0, |weight| weight.value(now)));
         }
         let fractions = allocate_by_demand(&self.settings.limits, view.demands);
@@ -139,7 +141,7 @@
         Allocation::ByDemand(Tier { proxies: fractions.len() as u32, position: view.own as u32, weight })
     }
 
-    /// Assigns the backends anew where anything has changed.
+    /// Assigns the backends anew if the members or the listed backends have changed.
     fn reassign(&mut self, members: Vec<Member>, own: usize, listed: Vec<ListedBackend>) {
         if members == self.members && listed == self.listed {
             return;
--- a/crates/gaugesaddle-allocation/src/allocator/tests.rs
+++ b/crates/gaugesaddle-allocation/src/allocator/tests.rs
@@ -6,85 +6,95 @@
     (0..count).map(|n| (BackendId(n * 7 + 1), KindId(n % 2), ZoneId(n % 3))).collect()
 }
 
-fn dealers(count: usize) -> Vec<Allocator> {
+fn allocators(count: usize) -> Vec<Allocator> {
     vec![Allocator::new(AllocatorSettings::default()); count]
 }
 
-fn look(dealer: &mut Allocator, at: u64, awake: u64, own: usize, needs: &[Option<f64>]) -> Allocation {
-    let places: Vec<u16> = (0..needs.len() as u16).collect();
-    let seen = TierView {
+fn observe_tier(
+    allocator: &mut Allocator, at_us: u64, uptime: u64, own: usize, demands: &[Option<f64>],
+) -> Allocation {
+    let indices: Vec<u16> = (0..demands.len() as u16).collect();
+    let view = TierView {
         configured: 60,
-        uptime: Micros(awake),
+        uptime: Micros(uptime),
         unchanged_for: Micros(0),
         own,
-        indices: &places,
-        demands: needs,
+        indices: &indices,
+        demands,
     };
-    dealer.observe(Time(at), &seen, listed(60))
+    allocator.observe(Time(at_us), &view, listed(60))
 }
 
 #[test]
-fn all_take_the_whole_of_each_backend_and_one_that_wakes_keeps_what_it_had() {
-    let needs: Vec<Option<f64>> = (0..60).map(|n| Some(1.0 + f64::from(n % 5))).collect();
-    let mut all = dealers(60);
-    for (own, dealer) in all.iter_mut().enumerate() {
-        assert_eq!(look(dealer, 0, S, own, &needs), Allocation::Provisional(1.0), "awake for a second only");
-        assert!(dealer.assignments().is_empty());
-        let Allocation::ByDemand(tier) = look(dealer, S, 3 * S, own, &needs) else { panic!("it knows") };
+fn fractions_of_a_backend_sum_to_one_and_an_incomplete_view_keeps_the_last_allocation() {
+    let demands: Vec<Option<f64>> = (0..60).map(|n| Some(1.0 + f64::from(n % 5))).collect();
+    let mut all = allocators(60);
+    for (own, allocator) in all.iter_mut().enumerate() {
+        assert_eq!(
+            observe_tier(allocator, 0, S, own, &demands),
+            Allocation::Provisional(1.0),
+            "the process has run for a second only"
+        );
+        assert!(allocator.assignments().is_empty());
+        let Allocation::ByDemand(tier) = observe_tier(allocator, S, 3 * S, own, &demands) else {
+            panic!("expected an allocation by demand")
+        };
         assert_eq!((tier.proxies, tier.position), (60, own as u32));
     }
     for (id, _, _) in listed(60) {
-        let of = all.iter().flat_map(super::Allocator::assignments).filter(|u| u.backend == id);
-        assert!((of.map(|u| u.fraction).sum::<f64>() - 1.0).abs() < 1e-9);
+        let users = all.iter().flat_map(super::Allocator::assignments).filter(|u| u.backend == id);
+        assert!((users.map(|u| u.fraction).sum::<f64>() - 1.0).abs() < 1e-9);
     }
-    let Allocation::ByDemand(tier) = look(&mut all[4], 60 * S, 60 * S, 4, &needs) else { panic!("it knows") };
-    assert!((1.5..1.7).contains(&tier.weight), "0.1 and 0.9 of five in three: {tier:?}");
-    let (held, uses) = (tier.weight, all[4].assignments().to_vec());
-    let Allocation::Provisional(weight) = look(&mut all[4], 61 * S, 0, 4, &needs[..5]) else {
-        panic!("it slept")
+    let Allocation::ByDemand(tier) = observe_tier(&mut all[4], 60 * S, 60 * S, 4, &demands) else {
+        panic!("expected an allocation by demand")
+    };
+    assert!((1.5..1.7).contains(&tier.weight), "the weight is 0.1 + 0.9 * 5 / 3: {tier:?}");
+    let (weight_before, assignments) = (tier.weight, all[4].assignments().to_vec());
+    let Allocation::Provisional(weight) = observe_tier(&mut all[4], 61 * S, 0, 4, &demands[..5]) else {
+        panic!("expected a provisional allocation")
     };
-    assert!((weight - held).abs() < 0.02 && all[4].assignments() == uses);
+    assert!((weight - weight_before).abs() < 0.02 && all[4].assignments() == assignments);
 }
 
 #[test]
-fn one_that_starts_goes_by_what_it_sees_once_that_stands_still_and_one_that_slept_does_not() {
-    let mut dealer = dealers(1).remove(0);
-    let needs = [Some(1.0), Some(1.0), Some(1.0)];
-    let mut look = |told: usize, at: u64, awake: u64, still: u64| {
-        let (awake, still) = (Micros(awake), Micros(still));
-        let seen = TierView {
-            configured: told,
-            uptime: awake,
-            unchanged_for: still,
-            own: 0,
-            indices: &[0, 7, 9],
-            demands: &needs,
-        };
-        matches!(dealer.observe(Time(at), &seen, listed(60)), Allocation::ByDemand(_))
+fn a_starting_proxy_accepts_a_stable_view_early_and_a_resumed_one_does_not() {
+    let mut allocator = allocators(1).remove(0);
+    let demands = [Some(1.0), Some(1.0), Some(1.0)];
+    let mut observe_tier = |configured: usize, at_us: u64, uptime: u64, unchanged_for: u64| {
+        let (uptime, unchanged_for) = (Micros(uptime), Micros(unchanged_for));
+        let view =
+            TierView { configured, uptime, unchanged_for, own: 0, indices: &[0, 7, 9], demands: &demands };
+        matches!(allocator.observe(Time(at_us), &view, listed(60)), Allocation::ByDemand(_))
     };
-    assert!(!look(30, S / 4, S / 4, S / 4), "others may not have had the time to answer");
-    assert!(!look(30, S, S, S / 10), "they are still being met");
-    assert!(!look(3, S, S, S), "as many as were told: even parts will do until needs are known");
-    assert!(look(30, S + S / 4, S + S / 4, 3 * S / 10));
-    assert!(!look(30, 20 * S, S, 19 * S), "what stands still since it slept says nothing");
-    assert!(look(30, 21 * S, 2 * S, 0));
+    assert!(!observe_tier(30, S / 4, S / 4, S / 4), "other members may not have had time to answer");
+    assert!(!observe_tier(30, S, S, S / 10), "members are still being discovered");
+    assert!(
+        !observe_tier(3, S, S, S),
+        "as many as configured: equal fractions apply until demands are known"
+    );
+    assert!(observe_tier(30, S + S / 4, S + S / 4, 3 * S / 10));
+    assert!(!observe_tier(30, 20 * S, S, 19 * S), "after a resume a stable view is not evidence");
+    assert!(observe_tier(30, 21 * S, 2 * S, 0));
 }
 
 #[test]
-fn what_cannot_be_seen_changes_nothing() {
-    let mut dealer = dealers(1).remove(0);
-    let needs = [Some(1.0), None];
-    assert!(matches!(look(&mut dealer, 0, 3 * S, 2, &needs), Allocation::Provisional(_)), "no such place");
-    let seen = TierView {
+fn an_inconsistent_view_stays_provisional() {
+    let mut allocator = allocators(1).remove(0);
+    let demands = [Some(1.0), None];
+    assert!(
+        matches!(observe_tier(&mut allocator, 0, 3 * S, 2, &demands), Allocation::Provisional(_)),
+        "the own position is beyond the members"
+    );
+    let view = TierView {
         configured: 2,
         uptime: Micros(3 * S),
         unchanged_for: Micros(0),
         own: 0,
         indices: &[0],
-        demands: &needs,
+        demands: &demands,
     };
     assert!(
-        matches!(dealer.observe(Time(0), &seen, listed(3)), Allocation::Provisional(_)),
-        "places without needs"
+        matches!(allocator.observe(Time(0), &view, listed(3)), Allocation::Provisional(_)),
+        "fewer members than demands"
     );
 }
--- a/crates/gaugesaddle-allocation/src/demand.rs
+++ b/crates/gaugesaddle-allocation/src/demand.rs
@@ -1,27 +1,28 @@
-//! Fractions of a soft quantity by demand, with a floor and a maximum: the same for all that have the same reports.
+//! Fractions of a soft quantity by demand, with a floor and a maximum. Proxies that have the same reports compute the same
+//! fractions.
 
 use gaugesaddle_balancer::{Micros, Time};
 
-/// How demands become fractions.
+/// Limits of the fractions that are computed from demands.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AllocationLimits {
-    /// This fraction of the total is divided equally, whatever the demands: a member that has just joined, or reports nothing,
-    /// can begin.
+    /// Fraction of the total that is divided equally, whatever the demands, so that a member that has just joined or reports
+    /// no demand can start.
     pub floor: f64,
-    /// No fraction exceeds the equal one by more than this factor: what a false report can take.
+    /// No fraction exceeds the equal one by more than this factor, which limits the effect of a false report.
     pub max_multiple: f64,
 }
 
 impl Default for AllocationLimits {
     fn default() -> AllocationLimits {
-        // A tenth: a new member serves a tenth of an equal fraction at once. Eight: traffic as uneven as 1 to 5 is not
-        // limited, and of 30 proxies one with a false report takes no more than a quarter of what is divided by demand.
+        // With a floor of a tenth a new member serves a tenth of an equal fraction at once. A factor of eight does not limit
+        // traffic as uneven as 1 to 5, and of 30 proxies one with a false report takes no more than a quarter of the total.
         AllocationLimits { floor: 0.1, max_multiple: 8.0 }
     }
 }
 
-/// The fractions of members by their demands, in their order; they sum to one. `None`, a negative number or one that is not
-/// finite counts as not reported, and is taken for the mean of the reported ones.
+/// The fractions of members by their demands, in their order; they sum to one. `None`, a negative or a non-finite number
+/// counts as not reported, and is replaced by the mean of the reported ones.
 pub fn allocate_by_demand(limits: &AllocationLimits, demands: &[Option<f64>]) -> Vec<f64> {
     let count = demands.len() as f64;
     if demands.is_empty() {
@@ -56,7 +57,7 @@
         remaining -= fractions[*i];
         remaining_weight -= weights[*i];
     }
-    // All at the maximum: it is no maximum then, as in a tier of few.
+    // All fractions are at the maximum, as in a small tier: the remainder is distributed beyond it.
     if remaining > 1e-9 {
         let sum: f64 = fractions.iter().sum();
         let equal = 1.0 / weights.len() as f64;
@@ -65,14 +66,15 @@
     fractions
 }
 
-/// Weight of the newest observation in a mean rate: with an observation each half second a mean follows a jump within two
-/// seconds, and chance among some ten requests a second is a fifth.
+/// Weight of the newest observation in a mean rate: with two observations per second the mean follows a step within two
+/// seconds, and at about ten requests per second its random deviation is a fifth.
 const NEWEST_WEIGHT: f64 = 0.25;
-/// Number of observations that such a mean rests on, about.
+/// Approximate number of observations that such a mean covers.
 const MEAN_OBSERVATIONS: f64 = 2.0 / NEWEST_WEIGHT - 1.0;
-/// A reported demand that is off by less than this fraction of it, or by less than so many standard deviations of the count
-/// that the mean rests on, stands: it moves the fractions of all others.
+/// A reported demand is not updated for a change below this fraction of it, since each update moves the fractions of all
+/// other members.
 const DEMAND_MIN_CHANGE: f64 = 0.1;
+/// A reported demand is not updated for a change below this number of standard deviations of the count that the mean covers.
 const DEMAND_DEVIATIONS: f64 = 2.0;
 
 /// An exponential moving average of a rate.
@@ -84,14 +86,14 @@
 impl RateEstimator {
     /// Records the events in the `secs` (above 0) since the last observation; returns the mean rate per second.
     pub fn record(&mut self, events: u32, secs: f64) -> f64 {
-        let now = f64::from(events) / secs;
-        let mean = self.per_s.map_or(now, |mean| mean + NEWEST_WEIGHT * (now - mean));
+        let observed = f64::from(events) / secs;
+        let mean = self.per_s.map_or(observed, |mean| mean + NEWEST_WEIGHT * (observed - mean));
         *self.per_s.insert(mean)
     }
 }
 
-/// The demand that a proxy reports to the others: the mean rate of its arrivals, which stands until it is off by more than
-/// chance.
+/// The demand that a proxy reports to the others: the mean rate of its arrivals, updated only when the change exceeds random
+/// variation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DemandEstimator {
     observations: u32,
@@ -101,8 +103,8 @@
 
 impl DemandEstimator {
     /// Records the arrivals in the `secs` since the last observation; returns the demand to report, in requests per second.
-    /// `None` at first: the arrivals so far of a proxy that has just started say little about those to come, and the others
-    /// assume the mean of theirs.
+    /// `None` until the mean covers enough observations: the first arrivals after a start predict little, and the other
+    /// members substitute the mean of the reported demands.
     pub fn record(&mut self, arrivals: u32, secs: f64) -> Option<f64> {
         let secs = secs.max(1e-3);
         let mean = self.rate.record(arrivals, secs);
@@ -111,8 +113,8 @@
             return None;
         }
         let reported = self.reported.unwrap_or(mean);
-        let chance = DEMAND_DEVIATIONS * (reported.max(mean) / (MEAN_OBSERVATIONS * secs)).sqrt();
-        let has_changed = (mean - reported).abs() > chance.max(DEMAND_MIN_CHANGE * reported);
+        let noise = DEMAND_DEVIATIONS * (reported.max(mean) / (MEAN_OBSERVATIONS * secs)).sqrt();
+        let has_changed = (mean - reported).abs() > noise.max(DEMAND_MIN_CHANGE * reported);
         self.reported = Some(if has_changed { mean } else { reported });
         self.reported
     }
@@ -124,16 +126,16 @@
     value: f64,
     target: f64,
     at: Time,
-    /// A target that differs by less than this fraction of the present one is noise.
+    /// A target that differs by less than this fraction of the present one is ignored as noise.
     min_change: f64,
-    /// Time constant: two thirds of the way take this long.
-    duration: Micros,
+    /// Time constant: about two thirds of a change are completed within it.
+    time_constant: Micros,
 }
 
 impl SmoothedValue {
     /// A value at its target.
-    pub fn new(now: Time, value: f64, min_change: f64, duration: Micros) -> SmoothedValue {
-        SmoothedValue { value, target: value, at: now, min_change, duration }
+    pub fn new(now: Time, value: f64, min_change: f64, time_constant: Micros) -> SmoothedValue {
+        SmoothedValue { value, target: value, at: now, min_change, time_constant }
     }
 
     /// Sets the target as of now.
@@ -147,7 +149,7 @@
 
     /// The present value.
     pub fn value(&self, now: Time) -> f64 {
-        let passed = (now - self.at).secs() / self.duration.secs().max(1e-6);
+        let passed = (now - self.at).secs() / self.time_constant.secs().max(1e-6);
         self.target + (self.value - self.target) * (-passed).exp()
     }
 }
--- a/crates/gaugesaddle-allocation/src/lease_manager.rs
+++ b/crates/gaugesaddle-allocation/src/lease_manager.rs
@@ -1,4 +1,5 @@
-//! What one proxy may use of all hard quantities: it borrows and leases by demand. Messages between proxies as bytes.
+//! One proxy's leases of all hard quantities, granted and borrowed by demand, and the encoding of the messages between
+//! proxies.
 
 use crate::reservation::{LeaseId, LeaseMessage, Reservation, ReservationTerms};
 use gaugesaddle_balancer::{ConfigError, Micros, Time};
@@ -6,28 +7,29 @@
 
 /// Maximum number of hard quantities of a proxy.
 pub const MAX_QUANTITIES: usize = 16;
-/// Length of a message: quantity and kind (a byte each), the lease's id, sequence and units, big-endian.
+/// Length of a message in bytes: quantity and kind (one each), then boot and number of the lease's id, sequence and units
+/// (four each, big-endian).
 pub const MESSAGE_BYTES: usize = 18;
 /// Units are borrowed for this multiple of the demand: counts per second vary, and a new lease is unusable for a grace period.
 const HEADROOM: f64 = 1.25;
-/// A lease that ends within this fraction (one in so many) of its duration is renewed.
+/// A lease is renewed once its remaining time is at most its duration divided by this.
 const RENEWAL_DIVISOR: u64 = 2;
-/// How many peers are requested units from at a time; a quarter of a large tier. Some that have units are found within a few
-/// observations.
+/// Minimum and maximum number of peers that units are requested from at a time; between them it is a quarter of the other
+/// live members. Peers that have spare units are found within a few observations.
 const PEERS_REQUESTED: RangeInclusive<usize> = 2..=16;
 /// Weight of the newest observation in the mean demand.
 const NEWEST_WEIGHT: f64 = 0.25;
-/// An observation of this multiple of the demand is no chance but a surge: the mean restarts with it.
+/// An observation above this multiple of the demand is a surge and not random variation: the mean restarts with it.
 const SURGE_FACTOR: f64 = 2.0;
-/// The demand in a surge is known after this many observations. Until then nothing is requested and nothing leased: a surge
-/// that reaches all proxies is observed by one of them first, and what that one borrows of the others, whose demand seems
-/// low, they lack for a full lease duration.
+/// Number of observations after which the demand in a surge is known. Until then no units are requested or granted: one proxy
+/// is the first to observe a surge that reaches all of them, and the units that it borrowed from the others, whose demand
+/// still seems low, would be missing there for a full lease duration.
 const SURGE_OBSERVATIONS: u32 = 3;
 
 /// The state of one quantity, for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseView {
-    /// What all members together may use.
+    /// Units that all members together may use.
     pub total: u32,
     /// The equal entitlement.
     pub entitlement: u32,
@@ -49,8 +51,8 @@
     demand: f64,
     /// Observations since the last surge began.
     observations: u32,
-    /// Index among the other live members of the one after which the next request is sent.
-    next_peer: usize,
+    /// Index, among the other live members, of the last one that a request was sent to.
+    last_peer: usize,
 }
 
 impl QuantityState {
@@ -90,7 +92,7 @@
         renewals
     }
 
-    /// Requests what is short by `until` from the next of the other live members.
+    /// Requests the units that are missing by `until` from the next of the other live members.
     fn request_missing(&mut self, now: Time, until: Time, others: &[u16]) -> Vec<(u16, LeaseMessage)> {
         let wanted = self.wanted_units();
         let usable = self.reservation.usable(now).max(self.reservation.usable_until(now, until));
@@ -102,8 +104,8 @@
         let units = (wanted - usable).div_ceil(peers as u32);
         let mut requests = Vec::with_capacity(peers);
         for _ in 0..peers {
-            self.next_peer = (self.next_peer + 1) % others.len();
-            let peer = others[self.next_peer];
+            self.last_peer = (self.last_peer + 1) % others.len();
+            let peer = others[self.last_peer];
             requests.extend(self.reservation.request(now, peer, units).map(|request| (peer, request)));
         }
         requests
@@ -117,7 +119,7 @@
     quantities: Vec<QuantityState>,
 }
 
-/// An encoded message, with the index of the member that it is for.
+/// An encoded message, with the index of the receiving member.
 pub type PeerMessage = (u16, Vec<u8>);
 
 fn encode(quantity: usize, message: &LeaseMessage) -> Vec<u8> {
@@ -152,7 +154,7 @@
 }
 
 impl LeaseManager {
-    /// A process that has just started as the member `index`; quantities are numbered in the order of `terms`.
+    /// The leases of a process that has just started as the member `index`; quantities are numbered in the order of `terms`.
     ///
     /// # Errors
     /// The first of the terms that is out of its range, an `index` beyond the members, or too many quantities.
@@ -167,7 +169,7 @@
                 reservation: Reservation::new(*terms, index, boot, now)?,
                 demand: 0.0,
                 observations: SURGE_OBSERVATIONS,
-                next_peer: usize::from(index),
+                last_peer: usize::from(index),
             })
         };
         Ok(LeaseManager { index, quantities: terms.iter().map(state).collect::<Result<_, _>>()? })
@@ -193,8 +195,8 @@
         })
     }
 
-    /// Takes the present demand of each quantity and the live members; to be called a few times a second. What is short is
-    /// requested, and what is no longer needed is released.
+    /// Records the present demand of each quantity, with the live members; to be called a few times a second. Requests missing
+    /// units, renews leases and releases those that are no longer needed.
     pub fn observe(&mut self, now: Time, demands: &[f64], live: &[u16], out: &mut Vec<PeerMessage>) {
         let others: Vec<u16> = live.iter().copied().filter(|member| *member != self.index).collect();
         for (quantity, state) in self.quantities.iter_mut().enumerate() {
--- a/crates/gaugesaddle-allocation/src/reservation.rs
+++ b/crates/gaugesaddle-allocation/src/reservation.rs
@@ -2,25 +2,26 @@
 //! a member does not need.
 //!
 //! ```text
-//!  lender       reserved ------------------------------------- lease ends -- grace -- its own again
-//!                  |  Grant                           Release -> (grace) -> its own again, sooner
+//!  lender       granted -------------------------------------- lease ends -- grace -- available again
+//!                  |  Grant                           Release -> (grace) -> available again, sooner
 //!  borrower Request+----> received -- grace -- usable -------- lease ends
 //!              ^ the borrower's duration counts from here, so that it ends first
 //! ```
 //!
 //! The borrower counts the duration from its request, which precedes the grant, and deducts a margin for clocks of different
 //! rates, so its lease ends before the lender's does. Between two users lies a grace period: the longest time that a use
-//! lasts, or the window over which a rate is counted. A process that starts has granted whatever its predecessor granted: it
-//! waits for a lease duration and a grace period. For what is never leased it waits for a grace period only.
+//! lasts, or the window over which a rate is counted. A process that starts has to assume that its predecessor has granted all
+//! units that may be leased: it waits for a lease duration and a grace period before it uses them. Before it uses units that
+//! are never leased it waits for a grace period only.
 
 use gaugesaddle_balancer::{ConfigError, Micros, Time};
 
 /// Maximum number of leases that a process has granted, and of those that it has borrowed or requested.
 pub const MAX_LEASES: usize = 64;
-/// The clocks of two machines may differ in rate by one part in this many; quartz differs by one in ten thousand.
+/// The clocks of two machines may differ in rate by one part in this many; quartz clocks differ by one in ten thousand.
 const DRIFT_DIVISOR: u64 = 64;
 
-/// Identifies a lease: the borrower's process and a number of its own.
+/// Identifies a lease: the borrower's process and a number that is unique within it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseId {
     /// The borrower's process.
@@ -41,23 +42,23 @@
     },
     /// Requests another duration of a lease.
     Renew {
-        /// Which.
+        /// Identifies the lease.
         id: LeaseId,
         /// Incremented with each renewal of the lease.
         sequence: u32,
     },
     /// Answers a request or a renewal.
     Grant {
-        /// That of the request.
+        /// The id of the request or renewal.
         id: LeaseId,
-        /// That of the renewal; 0 for the first request.
+        /// The sequence of the renewal; 0 for the first request.
         sequence: u32,
-        /// Number of units; 0 where it is refused.
+        /// Number of units; 0 where the request is refused.
         units: u32,
     },
-    /// The units are no longer used.
+    /// Ends a lease: the borrower no longer uses its units.
     Release {
-        /// Which.
+        /// Identifies the lease.
         id: LeaseId,
     },
 }
@@ -65,7 +66,7 @@
 /// The terms of a quantity, the same at all members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ReservationTerms {
-    /// What all members together may use.
+    /// Units that all members together may use.
     pub total: u32,
     /// Number of configured members.
     pub members: u16,
@@ -83,11 +84,11 @@
     id: LeaseId,
     units: u32,
     sequence: u32,
-    /// From then on the units are the lender's own again, grace period included.
+    /// End of the lease and its grace period, from which on the lender may use the units again.
     returns_at: Time,
-    /// Until then a repeated request is recognised.
+    /// Time until which a repeated request is recognised.
     remembered_until: Time,
-    /// It was released: nothing renews it.
+    /// The borrower has released the lease, which cannot be renewed any more.
     released: bool,
 }
 
@@ -96,7 +97,7 @@
     from: u16,
     id: LeaseId,
     units: u32,
-    /// That of the last request about it.
+    /// The sequence of the last request for this lease.
     sequence: u32,
     usable_from: Time,
     usable_until: Time,
@@ -123,7 +124,7 @@
     pub renewals: u32,
 }
 
-/// What one process may use of a quantity.
+/// The units of a quantity that one process may use.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Reservation {
     terms: ReservationTerms,
@@ -153,7 +154,7 @@
         }
     }
 
-    /// The entitlement of a member; all of them sum to the total.
+    /// The entitlement of a member; the entitlements of all members sum to the total.
     pub fn entitlement(&self, index: u16) -> u32 {
         let (members, index) = (u32::from(self.members), u32::from(index));
         self.total / members + u32::from(index < self.total % members)
@@ -164,19 +165,19 @@
         (u64::from(self.entitlement(index)) * u64::from(self.reserved_percent)).div_ceil(100) as u32
     }
 
-    /// The lease's duration for the borrower: shorter than the lender's by what clocks may differ.
+    /// The lease's duration for the borrower, shorter than the lender's by the margin for clock drift.
     fn borrower_duration(&self) -> Micros {
         Micros(self.lease_duration.0 - self.lease_duration.0.div_ceil(DRIFT_DIVISOR))
     }
 
-    /// A time that is at least as long by any other clock.
+    /// Extends a time span so that it is at least as long as `span` by any other clock.
     fn with_drift(&self, span: Micros) -> Micros {
         Micros(span.0 + span.0.div_ceil(DRIFT_DIVISOR))
     }
 }
 
 impl Reservation {
-    /// A process that has just started as the member `index`.
+    /// The reservation of a process that has just started as the member `index`.
     ///
     /// # Errors
     /// The first of the terms that is out of its range, or an `index` beyond the members.
@@ -223,7 +224,7 @@
         self.granted.iter().filter(|g| now < g.returns_at).map(|g| g.units).sum()
     }
 
-    /// Units that are borrowed, usable now or soon, and the earliest end of their leases.
+    /// Units that are borrowed, including those still in the grace period, and the earliest end of their leases.
     pub fn borrowed(&self, now: Time) -> (u32, Option<Time>) {
         let live = self.borrowed.iter().filter(|t| now < t.usable_until);
         (live.clone().map(|t| t.units).sum(), live.map(|t| t.usable_until).min())
@@ -240,7 +241,7 @@
         self.own_available(now).saturating_sub(self.terms.reserved(self.index))
     }
 
-    /// The borrowed leases that it may use now.
+    /// The borrowed leases that may be used now.
     pub fn leases(&self, now: Time) -> impl Iterator<Item = Lease> + '_ {
         let usable =
             self.borrowed.iter().filter(move |lease| lease.usable_from <= now && now < lease.usable_until);
@@ -252,7 +253,7 @@
         &self.terms
     }
 
-    /// Requests units of another member; `None` where it has [`MAX_LEASES`] leases and requests already.
+    /// Requests units of another member; `None` where this process has [`MAX_LEASES`] borrowed leases and requests already.
     pub fn request(&mut self, now: Time, to: u16, units: u32) -> Option<LeaseMessage> {
         self.expire(now);
         let open = self.borrowed.len() + self.pending.len();
@@ -265,7 +266,7 @@
         Some(LeaseMessage::Request { id, units })
     }
 
-    /// Requests a renewal of that member's lease that ends first.
+    /// Requests a renewal of the lease that ends first among those borrowed from a member.
     pub fn renew(&mut self, now: Time, from: u16) -> Option<LeaseMessage> {
         self.expire(now);
         if self.pending.len() >= MAX_LEASES {
@@ -275,13 +276,13 @@
         let lease = leases.min_by_key(|t| t.usable_until)?;
         lease.sequence = lease.sequence.checked_add(1)?;
         let (id, sequence) = (lease.id, lease.sequence);
-        // The answer to an earlier request about it would be taken for the answer to this one.
+        // Only the answer to the newest request for this lease is accepted.
         self.pending.retain(|a| a.id != id);
         self.pending.push(PendingRequest { to: from, id, sequence, requested_at: now });
         Some(LeaseMessage::Renew { id, sequence })
     }
 
-    /// Releases the oldest lease of that member; its units are not used from here on.
+    /// Releases the oldest lease borrowed from a member; its units are no longer usable here.
     pub fn release(&mut self, now: Time, from: u16) -> Option<LeaseMessage> {
         self.expire(now);
         let at = self.borrowed.iter().position(|t| t.from == from)?;
@@ -290,8 +291,8 @@
         Some(LeaseMessage::Release { id })
     }
 
-    /// Handles a message of another member and returns the answer, if one is due. `spare`: units that may be leased as far
-    /// as the own demand goes; with 0 no lease is renewed either.
+    /// Handles a message of another member and returns the answer, if one is due. `spare` is the number of units that this
+    /// member's own demand leaves for leases; with 0 no lease is renewed either.
     pub fn handle(
         &mut self, now: Time, from: u16, message: LeaseMessage, spare: u32,
     ) -> Option<LeaseMessage> {
@@ -320,8 +321,8 @@
 
     fn grant(&mut self, now: Time, to: u16, id: LeaseId, units: u32) -> LeaseMessage {
         if let Some(lease) = self.granted.iter().find(|g| g.to == to && g.id == id) {
-            // A repeated request gets the same answer. If the lease was released meanwhile, or is nearly over, the
-            // borrower counts from its request and uses nothing that is not its own.
+            // A repeated request gets the same answer. That is safe even if the lease was released meanwhile or has nearly
+            // ended, since the borrower counts the duration from its request.
             return LeaseMessage::Grant { id, sequence: 0, units: lease.units };
         }
         let grantable = self.grantable(now);
@@ -351,7 +352,8 @@
         let mut renewable =
             self.granted.iter_mut().filter(|lease| !lease.released && sequence >= lease.sequence);
         let lease = renewable.find(|lease| lease.to == to && lease.id == id);
-        // A repeated renewal is answered again: the borrower counts from its request with that sequence, which was earlier.
+        // A repeated renewal gets the same answer: the borrower counts the duration from its request with that sequence, which
+        // was earlier.
         let Some(lease) = lease.filter(|lease| sequence == lease.sequence || spare > 0) else {
             return LeaseMessage::Grant { id, sequence, units: 0 };
         };
@@ -370,7 +372,7 @@
         let usable_until = request.requested_at + self.terms.borrower_duration();
         match self.borrowed.iter_mut().find(|lease| lease.from == from && lease.id == id) {
             Some(lease) if units > 0 => lease.usable_until = lease.usable_until.max(usable_until),
-            Some(_) => {} // refused: it ends when it would have ended
+            Some(_) => {} // refused: the lease keeps its end
             None if units > 0 && usable_from < usable_until => {
                 self.borrowed.push(BorrowedLease { from, id, units, sequence, usable_from, usable_until });
             }
--- a/crates/gaugesaddle-allocation/src/subset.rs
+++ b/crates/gaugesaddle-allocation/src/subset.rs
@@ -1,17 +1,18 @@
-//! Which backends each proxy uses where proxies are many, by the fractions of the live ones: a proxy with more traffic uses
-//! more backends, and every backend gets the same traffic of its kind.
+//! Subsetting: which backends each proxy of a large tier uses, by the traffic fractions of the live proxies. A proxy with
+//! more traffic uses more backends, and all backends of a kind get the same traffic.
 //!
-//! Each member draws its backends, kind by kind and zone by zone, as many of each as its fraction is due: those whose hash
-//! with it is lowest (rendezvous hashing). So all members are alike in kinds and zones, and one that joins or leaves, or has
-//! more or less demand, changes little but its own. What chance leaves uneven is balanced by the weights with which a member
-//! distributes its traffic over its backends (rows and columns scaled in turn), which moves traffic and no connection.
+//! For each kind and zone a member selects a number of backends in proportion to its fraction: those whose hash with the
+//! member is lowest (rendezvous hashing). So all members have the same mix of kinds and zones, and a member that joins, leaves
+//! or changes its demand changes few assignments but its own. The remaining random imbalance is removed by the weights with
+//! which a member distributes its traffic over its backends (iterative proportional fitting: rows and columns are scaled in
+//! turn), which moves traffic but no connections.
 
 use gaugesaddle_balancer::mix;
 use std::collections::BTreeMap;
 
-/// Maximum iterations of scaling; ten leave under a hundredth where every backend has ten users or more.
+/// Maximum iterations of scaling. Ten leave an imbalance of less than a hundredth where every backend has at least ten users.
 const MAX_SCALINGS: usize = 20;
-/// Relative deviation of loads that needs no further scaling.
+/// Scaling ends once the load of each backend deviates by less than this fraction from the mean.
 const MAX_IMBALANCE: f64 = 0.01;
 
 /// How many proxies use a backend.
@@ -25,8 +26,9 @@
 
 impl Default for SubsetSize {
     fn default() -> SubsetSize {
-        // As the balancer assumes without a tier: few enough that each learns a backend's latency from its own requests,
-        // many enough for their sum to be even; and with a third of eight unhealthy there is a choice in each of three zones.
+        // The balancer assumes the same without a tier. Twenty users are few enough that each measures a backend's latency by
+        // its own requests, and many enough for an even sum. With a third of eight backends unhealthy there is still a choice
+        // in each of three zones.
         SubsetSize { users_per_backend: 20, min_backends: 8 }
     }
 }
@@ -34,18 +36,18 @@
 /// A live proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Member {
-    /// What it is hashed by; the same at all proxies.
+    /// Key for rendezvous hashing, the same at all proxies.
     pub hash_key: u64,
     /// Its fraction of all traffic.
     pub fraction: f64,
 }
 
-/// A backend that may be sent to.
+/// A backend that may receive requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackendKey {
-    /// What it is hashed by.
+    /// Key for rendezvous hashing.
     pub hash_key: u64,
-    /// Its kind: the balancer decides how much each kind gets.
+    /// Its kind. The balancer decides how much traffic each kind gets.
     pub kind: u64,
     /// Its zone.
     pub zone: u64,
@@ -54,13 +56,13 @@
 /// A member's use of a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Assignment {
-    /// Its index in the list.
+    /// The backend's index in the list.
     pub backend: usize,
-    /// Its fraction of the member's traffic, relative to the mean of the member's backends of that kind.
+    /// The backend's fraction of the member's traffic, relative to the mean of the member's backends of that kind.
     pub weight: f64,
-    /// The member's fraction of all that the backend gets.
+    /// The member's fraction of the backend's traffic.
     pub fraction: f64,
-    /// Sum of the fractions of the members before it, in an order that all share.
+    /// Sum of the fractions of the preceding members, in an order that all proxies share.
     pub preceding: f64,
     /// Number of members that use the backend.
     pub users: u32,
@@ -73,12 +75,12 @@
     weight: f64,
 }
 
-/// How many backends a member is due. With up to `users_per_backend` members each uses all, and up to twice as many that
-/// fades out, so that one member more or less does not make all choose anew.
+/// The number of backends that a member should use. With up to `users_per_backend` members each uses all backends. Up to
+/// twice as many members this minimum decreases linearly, so that one member more or less does not change all assignments.
 fn due_backends(member: &Member, members: usize, backends: usize, size: &SubsetSize) -> f64 {
     let users = f64::from(size.users_per_backend.max(1));
-    let all = (2.0 - members as f64 / users).min(1.0);
-    let due = (member.fraction * users).max(all) * backends as f64;
+    let min_fraction = (2.0 - members as f64 / users).min(1.0);
+    let due = (member.fraction * users).max(min_fraction) * backends as f64;
     if due.is_finite() {
         due.clamp(size.min_backends.min(backends) as f64, backends as f64)
     } else {
@@ -94,43 +96,46 @@
         .enumerate()
         .for_each(|(s, backend)| cells.entry((backend.kind, backend.zone)).or_default().push(s));
     let mut edges: BTreeMap<u64, Vec<Edge>> = BTreeMap::new();
-    let mut drawn: Vec<(u64, usize)> = Vec::new();
+    let mut candidates: Vec<(u64, usize)> = Vec::new();
     for (i, member) in members.iter().enumerate().filter(|m| m.1.fraction > 0.0) {
         let member_hash = mix(member.hash_key);
         let due = due_backends(member, members.len(), backends.len(), size);
         for ((kind, zone), cell) in &cells {
-            // Each member rounds its count up by an offset of its own: summed over members each cell gets what it is due.
-            let up = (mix(member_hash ^ mix(kind ^ mix(*zone))) >> 11) as f64 / (1u64 << 53) as f64;
-            let count = (due * cell.len() as f64 / backends.len() as f64 + up) as usize;
-            drawn.clear();
-            drawn.extend(cell.iter().map(|s| (mix(backends[*s].hash_key ^ member_hash), *s)));
-            if (1..drawn.len()).contains(&count) {
-                drawn.select_nth_unstable(count - 1);
+            // Each member rounds its count with a pseudorandom offset of its own, so that the counts of all members sum to what
+            // each cell is due.
+            let rounding_offset =
+                (mix(member_hash ^ mix(kind ^ mix(*zone))) >> 11) as f64 / (1u64 << 53) as f64;
+            let count = (due * cell.len() as f64 / backends.len() as f64 + rounding_offset) as usize;
+            candidates.clear();
+            candidates.extend(cell.iter().map(|s| (mix(backends[*s].hash_key ^ member_hash), *s)));
+            if (1..candidates.len()).contains(&count) {
+                candidates.select_nth_unstable(count - 1);
             }
-            let own = drawn.iter().take(count).map(|(_, backend)| Edge {
+            let selected = candidates.iter().take(count).map(|(_, backend)| Edge {
                 member: i,
                 backend: *backend,
                 weight: 1.0,
             });
-            edges.entry(*kind).or_default().extend(own);
+            edges.entry(*kind).or_default().extend(selected);
         }
     }
     let mut rows = vec![Vec::new(); members.len()];
     edges.into_values().for_each(|of_kind| balance_weights(members, backends.len(), of_kind, &mut rows));
-    rows.iter_mut().for_each(|row| row.sort_unstable_by_key(|link: &Assignment| link.backend));
+    rows.iter_mut().for_each(|row| row.sort_unstable_by_key(|assignment: &Assignment| assignment.backend));
     rows
 }
 
-/// Scales the weights of one kind's assignments: each member's sum to one, each backend's traffic is the same.
+/// Scales the weights of one kind's assignments so that the weights of each member sum to one and all backends get the same
+/// traffic.
 fn balance_weights(members: &[Member], backends: usize, mut edges: Vec<Edge>, rows: &mut [Vec<Assignment>]) {
-    let (mut own, mut load) = (vec![0.0; members.len()], vec![0.0; backends]);
+    let (mut weight_sums, mut load) = (vec![0.0; members.len()], vec![0.0; backends]);
     let mut users = vec![0u32; backends];
     edges.iter().for_each(|e| users[e.backend] += 1);
     let count = users.iter().filter(|n| **n > 0).count();
     for iteration in 0..=MAX_SCALINGS {
-        own.fill(0.0);
-        edges.iter().for_each(|e| own[e.member] += e.weight);
-        edges.iter_mut().for_each(|e| e.weight /= own[e.member]);
+        weight_sums.fill(0.0);
+        edges.iter().for_each(|e| weight_sums[e.member] += e.weight);
+        edges.iter_mut().for_each(|e| e.weight /= weight_sums[e.member]);
         load.fill(0.0);
         edges.iter().for_each(|e| load[e.backend] += e.weight * members[e.member].fraction);
         let mean = load.iter().sum::<f64>() / count.max(1) as f64;
--- a/crates/gaugesaddle-allocation/tests/model.rs
+++ b/crates/gaugesaddle-allocation/tests/model.rs
@@ -1,34 +1,37 @@
-//! Loans of a hard quantity under every order of words, by a model checker: three processes lend, borrow and give back
-//! while words are lost, doubled and late, one process crashes and returns, one is paused. What all of them use, and what
-//! they began to use within a rest, is never more than the whole; and after all of it the whole is usable again.
+//! Model checks the leases of a hard quantity under every order of messages: three processes grant, borrow and release
+//! units while messages are lost, duplicated and delayed, one process crashes and restarts, and one is paused. The units in
+//! use, including uses that began within the last grace period, never exceed the total; and once all leases have ended the
+//! total is usable again.
 //!
-//! Bound: [`END`] ticks of time, [`FLYING`] words under way; two questions with one of: a word lost, a word doubled, a crash,
-//! a pause; or one question with any three of them. Each process uses all that it may at every tick.
+//! Bounds: [`MAX_TICKS`] ticks of time and [`MAX_IN_FLIGHT`] messages in flight; two requests with one fault out of a lost
+//! message, a duplicated message, a crash and a pause; or one request with any three of these faults. Each process uses all
+//! units that it may at every tick.
 
 use gaugesaddle_allocation::{LeaseMessage, Reservation, ReservationTerms};
 use gaugesaddle_balancer::{Micros, Time};
 use stateright::{Checker, Model, Property};
 
+/// Number of members.
 const N: usize = 3;
-const TICK: u64 = 64;
-const TERM: u64 = 3;
-const REST: u64 = 1;
-const END: u64 = 5;
-const FLYING: usize = 2;
-const WHOLE: u32 = 3;
+const TICK_US: u64 = 64;
+const LEASE_TICKS: u64 = 3;
+const GRACE_TICKS: u64 = 1;
+const MAX_TICKS: u64 = 5;
+const MAX_IN_FLIGHT: usize = 2;
+const TOTAL: u32 = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct State {
     now: u64,
     running: [Option<Reservation>; N],
     paused: Option<usize>,
-    /// What each used at this tick and the one before: a use lasts for a rest.
+    /// Units that each process used at this tick and the one before: a use lasts for a grace period.
     used: [[u32; 2]; N],
-    flying: Vec<(u16, u16, LeaseMessage)>,
-    starts: u32,
-    asks: u8,
+    in_flight: Vec<(u16, u16, LeaseMessage)>,
+    boots: u32,
+    requests: u8,
     lost: bool,
-    doubled: bool,
+    duplicated: bool,
     crashed: bool,
     was_paused: bool,
 }
@@ -36,11 +39,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Tick,
-    Ask(u16, u16),
+    Request(u16, u16),
     Renew(u16, u16),
-    GiveBack(u16, u16),
+    Release(u16, u16),
     Deliver(usize),
-    Double(usize),
+    Duplicate(usize),
     Lose(usize),
     Crash(usize),
     Start(usize),
@@ -49,24 +52,18 @@
 }
 
 fn terms() -> ReservationTerms {
-    let (term, rest) = (Micros(TERM * TICK), Micros(REST * TICK));
-    ReservationTerms {
-        total: WHOLE,
-        members: N as u16,
-        reserved_percent: 0,
-        lease_duration: term,
-        grace_period: rest,
-    }
+    let (lease_duration, grace_period) = (Micros(LEASE_TICKS * TICK_US), Micros(GRACE_TICKS * TICK_US));
+    ReservationTerms { total: TOTAL, members: N as u16, reserved_percent: 0, lease_duration, grace_period }
 }
 
-impl World {
+impl State {
     fn time(&self) -> Time {
-        Time(self.now * TICK)
+        Time(self.now * TICK_US)
     }
 
     fn usable(&self, i: usize) -> u32 {
-        let runs = self.running[i].as_ref().filter(|_| self.paused != Some(i));
-        runs.map_or(0, |e| e.usable(self.time()))
+        let running_process = self.running[i].as_ref().filter(|_| self.paused != Some(i));
+        running_process.map_or(0, |reservation| reservation.usable(self.time()))
     }
 
     fn use_all(&mut self) {
@@ -77,193 +74,200 @@
 
     fn tick(&mut self) {
         self.now += 1;
-        self.used.iter_mut().for_each(|u| *u = [0, u[0]]);
+        self.used.iter_mut().for_each(|units| *units = [0, units[0]]);
         self.use_all();
     }
 
-    fn deliver(&mut self, (from, to, word): (u16, u16, LeaseMessage)) {
+    fn deliver(&mut self, (from, to, message): (u16, u16, LeaseMessage)) {
         let now = self.time();
-        // What comes to a paused process waits, as in a socket; here it is as good as lost, or late by a copy.
+        // A message to a paused process is lost here. That it waits in a socket is covered by a duplicated message, which is
+        // delivered later.
         if self.paused == Some(usize::from(to)) {
             return;
         }
         if let Some(process) = &mut self.running[usize::from(to)] {
-            if let Some(answer) = process.handle(now, from, word, WHOLE) {
-                self.flying.push((to, from, answer));
-                self.flying.sort();
+            if let Some(answer) = process.handle(now, from, message, TOTAL) {
+                self.in_flight.push((to, from, answer));
+                self.in_flight.sort();
             }
         }
         self.use_all();
     }
 
-    /// At each moment: what is used now, and what was begun within a rest.
+    /// Units that are used now or whose use began within a grace period.
     fn in_use(&self) -> u32 {
-        self.used.iter().map(|u| u[0].max(u[1])).sum()
+        self.used.iter().map(|units| units[0].max(units[1])).sum()
     }
 
-    /// Everybody runs, nothing is lent any more.
-    fn settled(&self) -> u32 {
-        let mut w = self.clone();
-        (w.paused, w.flying) = (None, Vec::new());
+    /// Units usable once all processes run and all leases have ended.
+    fn settled_units(&self) -> u32 {
+        let mut state = self.clone();
+        (state.paused, state.in_flight) = (None, Vec::new());
         for i in 0..N {
-            if w.running[i].is_none() {
-                w.start(i);
+            if state.running[i].is_none() {
+                state.start(i);
             }
         }
-        w.now += TERM + 2 * REST + 4;
-        (0..N).map(|i| w.usable(i)).sum()
+        state.now += LEASE_TICKS + 2 * GRACE_TICKS + 4;
+        (0..N).map(|i| state.usable(i)).sum()
     }
 
     fn start(&mut self, i: usize) {
-        self.starts += 1;
-        self.running[i] = Some(Reservation::new(terms(), i as u16, self.starts, self.time()).expect("sound"));
+        self.boots += 1;
+        self.running[i] =
+            Some(Reservation::new(terms(), i as u16, self.boots, self.time()).expect("valid terms"));
     }
 }
 
 struct LeaseModel {
-    asks: u8,
+    requests: u8,
     faults: usize,
 }
 
 impl Model for LeaseModel {
-    type State = World;
+    type State = State;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
-        let mut w = World {
+    fn init_states(&self) -> Vec<State> {
+        let mut state = State {
             now: 0,
             running: [None, None, None],
             paused: None,
             used: [[0; 2]; N],
-            flying: Vec::new(),
-            starts: 0,
-            asks: 0,
+            in_flight: Vec::new(),
+            boots: 0,
+            requests: 0,
             lost: false,
-            doubled: false,
+            duplicated: false,
             crashed: false,
             was_paused: false,
         };
-        (0..N).for_each(|i| w.start(i));
-        // What matters begins when everybody has its own.
-        w.now = TERM + REST + 2;
-        w.use_all();
-        vec![w]
+        (0..N).for_each(|i| state.start(i));
+        // The model starts once all processes may use their entitlement.
+        state.now = LEASE_TICKS + GRACE_TICKS + 2;
+        state.use_all();
+        vec![state]
     }
 
-    fn actions(&self, w: &World, actions: &mut Vec<Step>) {
-        if w.now < TERM + REST + 2 + END {
+    fn actions(&self, state: &State, actions: &mut Vec<Step>) {
+        if state.now < LEASE_TICKS + GRACE_TICKS + 2 + MAX_TICKS {
             actions.push(Step::Tick);
         }
-        let room = w.flying.len() < FLYING;
-        let faults = [w.lost, w.doubled, w.crashed, w.was_paused].into_iter().filter(|f| *f).count();
-        let more = faults < self.faults;
+        let has_capacity = state.in_flight.len() < MAX_IN_FLIGHT;
+        let faults = [state.lost, state.duplicated, state.crashed, state.was_paused]
+            .into_iter()
+            .filter(|f| *f)
+            .count();
+        let may_fail = faults < self.faults;
         for i in 0..N {
-            if w.running[i].is_none() {
+            if state.running[i].is_none() {
                 actions.push(Step::Start(i));
                 continue;
             }
-            if w.paused == Some(i) {
+            if state.paused == Some(i) {
                 actions.push(Step::Resume);
                 continue;
             }
-            if !w.crashed && more {
+            if !state.crashed && may_fail {
                 actions.push(Step::Crash(i));
             }
-            if !w.was_paused && more {
+            if !state.was_paused && may_fail {
                 actions.push(Step::Pause(i));
             }
-            for j in (0..N).filter(|j| *j != i && room) {
-                if w.asks < self.asks {
-                    actions.push(Step::Ask(i as u16, j as u16));
+            for j in (0..N).filter(|j| *j != i && has_capacity) {
+                if state.requests < self.requests {
+                    actions.push(Step::Request(i as u16, j as u16));
                     actions.push(Step::Renew(i as u16, j as u16));
                 }
-                actions.push(Step::GiveBack(i as u16, j as u16));
+                actions.push(Step::Release(i as u16, j as u16));
             }
         }
-        for m in 0..w.flying.len() {
+        for m in 0..state.in_flight.len() {
             actions.push(Step::Deliver(m));
-            if !w.lost && more {
+            if !state.lost && may_fail {
                 actions.push(Step::Lose(m));
             }
-            if !w.doubled && more {
-                actions.push(Step::Double(m));
+            if !state.duplicated && may_fail {
+                actions.push(Step::Duplicate(m));
             }
         }
     }
 
-    fn next_state(&self, last: &World, step: Step) -> Option<World> {
-        let mut w = last.clone();
-        let now = w.time();
+    fn next_state(&self, previous: &State, step: Step) -> Option<State> {
+        let mut state = previous.clone();
+        let now = state.time();
         match step {
-            Step::Tick => w.tick(),
-            Step::Ask(i, j) => {
-                w.asks += 1;
-                let word = w.running[usize::from(i)].as_mut()?.request(now, j, 1)?;
-                w.flying.push((i, j, word));
-                w.flying.sort();
+            Step::Tick => state.tick(),
+            Step::Request(i, j) => {
+                state.requests += 1;
+                let message = state.running[usize::from(i)].as_mut()?.request(now, j, 1)?;
+                state.in_flight.push((i, j, message));
+                state.in_flight.sort();
             }
             Step::Renew(i, j) => {
-                w.asks += 1;
-                let word = w.running[usize::from(i)].as_mut()?.renew(now, j)?;
-                w.flying.push((i, j, word));
-                w.flying.sort();
+                state.requests += 1;
+                let message = state.running[usize::from(i)].as_mut()?.renew(now, j)?;
+                state.in_flight.push((i, j, message));
+                state.in_flight.sort();
             }
-            Step::GiveBack(i, j) => {
-                let word = w.running[usize::from(i)].as_mut()?.release(now, j)?;
-                w.flying.push((i, j, word));
-                w.flying.sort();
+            Step::Release(i, j) => {
+                let message = state.running[usize::from(i)].as_mut()?.release(now, j)?;
+                state.in_flight.push((i, j, message));
+                state.in_flight.sort();
             }
             Step::Deliver(m) => {
-                let word = w.flying.remove(m);
-                w.deliver(word);
+                let message = state.in_flight.remove(m);
+                state.deliver(message);
             }
-            Step::Double(m) => {
-                w.doubled = true;
-                let word = w.flying[m];
-                w.deliver(word);
+            Step::Duplicate(m) => {
+                state.duplicated = true;
+                let message = state.in_flight[m];
+                state.deliver(message);
             }
             Step::Lose(m) => {
-                w.lost = true;
-                w.flying.remove(m);
+                state.lost = true;
+                state.in_flight.remove(m);
             }
             Step::Crash(i) => {
-                w.crashed = true;
-                w.running[i] = None;
+                state.crashed = true;
+                state.running[i] = None;
             }
-            Step::Start(i) => w.start(i),
+            Step::Start(i) => state.start(i),
             Step::Pause(i) => {
-                w.was_paused = true;
-                w.paused = Some(i);
+                state.was_paused = true;
+                state.paused = Some(i);
             }
             Step::Resume => {
-                w.paused = None;
-                w.use_all();
+                state.paused = None;
+                state.use_all();
             }
         }
-        (w.flying.len() <= FLYING).then_some(w)
+        (state.in_flight.len() <= MAX_IN_FLIGHT).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("never more than the whole", |_, w: &World| w.in_use() <= WHOLE),
-            Property::<Self>::always("all of it usable again", |_, w: &World| w.settled() == WHOLE),
-            // Alone its first term ends three ticks after it was asked for.
-            Property::<Self>::sometimes("a renewed loan is used", |m: &LeaseModel, w: &World| {
-                let mut loans = w.running.iter().flatten().flat_map(|e| e.leases(w.time()));
-                m.asks < 2 || loans.any(|l| l.renewals > 0 && l.until > Time((TERM + REST + 6) * TICK))
+            Property::<Self>::always("the use never exceeds the total", |_, s: &State| s.in_use() <= TOTAL),
+            Property::<Self>::always("all units are usable again", |_, s: &State| s.settled_units() == TOTAL),
+            // Without a renewal a lease ends three ticks after its request.
+            Property::<Self>::sometimes("a renewed lease is used", |m: &LeaseModel, s: &State| {
+                let mut leases = s.running.iter().flatten().flat_map(|r| r.leases(s.time()));
+                m.requests < 2
+                    || leases
+                        .any(|l| l.renewals > 0 && l.until > Time((LEASE_TICKS + GRACE_TICKS + 6) * TICK_US))
             }),
-            Property::<Self>::sometimes("a loan is used", |_, w: &World| (0..N).any(|i| w.usable(i) > 1)),
+            Property::<Self>::sometimes("a lease is used", |_, s: &State| (0..N).any(|i| s.usable(i) > 1)),
         ]
     }
 }
 
 #[test]
-fn the_parts_in_use_never_sum_to_more_than_the_whole() {
-    for (asks, faults) in [(2, 1), (1, 3)] {
-        // Depth first: the states that are still to be looked at need the memory, not those that were.
-        let checker = LeaseModel { asks, faults }.checker().threads(2).spawn_dfs().join();
-        println!("{} states, {} unlike", checker.state_count(), checker.unique_state_count());
+fn units_in_use_never_exceed_the_total() {
+    for (requests, faults) in [(2, 1), (1, 3)] {
+        // Depth-first search, since the pending states take most of the memory, and it has fewer of them.
+        let checker = LeaseModel { requests, faults }.checker().threads(2).spawn_dfs().join();
+        println!("{} states, {} unique", checker.state_count(), checker.unique_state_count());
         checker.assert_properties();
-        assert!(checker.unique_state_count() > 100_000, "the bound left too little");
+        assert!(checker.unique_state_count() > 100_000, "the bounds leave too few states");
     }
 }
