--- a/crates/gaugesaddle-overload/src/controller.rs
+++ b/crates/gaugesaddle-overload/src/controller.rs
@@ -1,4 +1,5 @@
-//! The controller: counts what the host reports, detects storms, and decides what is admitted and when clients retry.
+//! The controller: counts the events that the host reports, detects storms, and decides the admitted rate and the delay after
+//! which refused clients retry.
 
 use crate::retry_schedule::MAX_SCHEDULE_S;
 use crate::{
@@ -7,25 +8,25 @@
 use gaugesaddle_balancer::{ConfigError, Micros, StormLimits, Time};
 use std::collections::HashMap;
 
-/// Fraction of the sustained rate that retries of refused clients may fill; the rest is for new requests.
-const RETURNING_FRACTION: f64 = 0.8;
-/// Request keys that are remembered, to recognize a retry that is not marked as one.
+/// Fraction of the sustained rate that is assigned to retries of refused clients; the rest is for new requests.
+const RETRY_RATE_FRACTION: f64 = 0.8;
+/// Maximum number of request keys that are remembered to recognize retries that are not marked as such.
 const MAX_KEYS: usize = 16_384;
-/// How long they are remembered: a client's retries come within its own time-out.
+/// Time for which a request key is remembered: clients retry within their own time-out.
 const KEY_MEMORY: Micros = Micros(5_000_000);
-/// Retries per first attempt that the balancer may add without a storm.
+/// Retries per first attempt that the balancer may send without a storm.
 const RETRY_RATIO: f64 = 0.2;
-/// The same during a storm.
+/// Retries per first attempt that the balancer may send during a storm.
 const STORM_RETRY_RATIO: f64 = 0.02;
-/// Between two observations.
+/// Minimum time between two observations.
 pub(crate) const OBSERVE_INTERVAL: Micros = Micros(250_000);
 
 /// Settings of the operator and of the deployment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// The longest delay that is advised, in whole seconds, from 1 to 600.
+    /// Maximum delay that is advised, in whole seconds, from 1 to 600.
     pub max_delay_s: u64,
-    /// Sources that are remembered at once, from 1 to 1,000,000.
+    /// Maximum number of sources in the retry accounting, from 1 to 1,000,000.
     pub sources: usize,
 }
 
@@ -45,16 +46,16 @@
     }
 }
 
-/// What an observation changed.
+/// The result of an observation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Observation {
-    /// The phase before it, if it changed.
+    /// The phase before this observation, if it changed.
     pub previous: Option<StormPhase>,
-    /// For the balancer, if anything of it may have changed.
+    /// Limits for the balancer, if they may have changed.
     pub limits: Option<StormLimits>,
 }
 
-/// Retry storms as one proxy sees them. See the first page.
+/// Detects and damps retry storms at one proxy. See the [crate documentation](crate).
 #[derive(Clone, Debug)]
 pub struct OverloadController {
     detector: StormDetector,
@@ -63,16 +64,16 @@
     accounting: RetryAccounting,
     counts: TrafficCounts,
     admitted: u32,
-    /// When each key was seen. Two generations, the older one of which is dropped at once.
+    /// Time at which each key was last seen. Of the two generations the older one is dropped as a whole.
     keys: [HashMap<u64, Time>; 2],
     keys_rotated_at: Time,
     observed_at: Option<Time>,
-    /// Requests a second that succeeded, smoothed.
+    /// Smoothed rate of requests that were served within their latency objective.
     goodput_per_s: f64,
 }
 
 impl OverloadController {
-    /// A controller without memory of earlier traffic.
+    /// A controller without observations.
     ///
     /// # Errors
     /// The first setting out of its range.
@@ -102,68 +103,71 @@
         self.detector.figures()
     }
 
-    /// Requests a second that may be admitted; `None` without a limit.
+    /// Requests per second that may be admitted; `None` without a limit.
     pub fn admitted_per_s(&self) -> Option<f64> {
         self.rate_limiter.per_s().filter(|_| self.phase().is_damping())
     }
 
-    /// A client has connected.
+    /// Records a new client connection.
     pub fn record_connection(&mut self) {
         self.counts.connects = self.counts.connects.saturating_add(1);
     }
 
-    /// A request has arrived, marked as a retry or not, with its idempotency key where it has one and its source. Returns
-    /// whether it is a retry, and whether its source comes before its time.
-    pub fn record_arrival(&mut self, now: Time, marked: bool, key: Option<u64>, source: u64) -> (bool, bool) {
-        let known = key.is_some_and(|key| self.seen(now, key));
-        let repeat = marked || known;
+    /// Records the arrival of a request: whether it is marked as a retry, its idempotency key, if any, and its source. Returns
+    /// whether it is a retry, and whether its source has recently retried earlier than advised.
+    pub fn record_arrival(
+        &mut self, now: Time, is_marked: bool, key: Option<u64>, source: u64,
+    ) -> (bool, bool) {
+        let is_known_key = key.is_some_and(|key| self.record_key(now, key));
+        let is_retry = is_marked || is_known_key;
         self.counts.requests = self.counts.requests.saturating_add(1);
-        self.counts.retries = self.counts.retries.saturating_add(u32::from(repeat));
-        (repeat, self.accounting.record_request(now, source))
+        self.counts.retries = self.counts.retries.saturating_add(u32::from(is_retry));
+        (is_retry, self.accounting.record_request(now, source))
     }
 
-    fn seen(&mut self, now: Time, key: u64) -> bool {
+    fn record_key(&mut self, now: Time, key: u64) -> bool {
         if now - self.keys_rotated_at >= KEY_MEMORY || self.keys[0].len() >= MAX_KEYS / 2 {
             self.keys.swap(0, 1);
             self.keys[0].clear();
             self.keys_rotated_at = now;
         }
-        let fresh = |at: &Time| now - *at < KEY_MEMORY;
-        let known = self.keys.iter().any(|half| half.get(&key).is_some_and(fresh));
+        let is_recent = |at: &Time| now - *at < KEY_MEMORY;
+        let is_known_key = self.keys.iter().any(|generation| generation.get(&key).is_some_and(is_recent));
         self.keys[0].insert(key, now);
-        known
+        is_known_key
     }
 
-    /// An attempt was sent: the first one of its request, or a retry.
-    pub fn record_attempt(&mut self, first: bool) {
+    /// Records an attempt that was sent: the first one of its request, or a retry.
+    pub fn record_attempt(&mut self, is_first: bool) {
         self.counts.attempts = self.counts.attempts.saturating_add(1);
-        self.admitted = self.admitted.saturating_add(u32::from(first));
+        self.admitted = self.admitted.saturating_add(u32::from(is_first));
     }
 
-    /// A request was served.
+    /// Records a request that was served.
     pub fn record_success(&mut self, within_objective: bool) {
         let count = if within_objective { &mut self.counts.within_objective } else { &mut self.counts.late };
         *count = count.saturating_add(1);
     }
 
-    /// A request failed.
+    /// Records a request that failed.
     pub fn record_failure(&mut self) {
         self.counts.failed = self.counts.failed.saturating_add(1);
     }
 
-    /// A request was refused. Returns after how many seconds its client may retry: `usual` where nothing is damped.
+    /// Records a request that was refused. Returns the delay in seconds after which its client may retry: `usual` in the calm
+    /// phase.
     pub fn record_refusal(&mut self, now: Time, source: u64, usual: u64) -> u64 {
         self.counts.refused = self.counts.refused.saturating_add(1);
         if self.phase() == StormPhase::Calm {
             return usual;
         }
-        let bears = self.goodput_per_s.min(self.rate_limiter.per_s().unwrap_or(f64::MAX));
-        let after = self.retry_schedule.assign(now, bears * RETURNING_FRACTION);
-        self.accounting.record_advice(source, now + Micros(after * 1_000_000));
-        after
+        let sustained_per_s = self.goodput_per_s.min(self.rate_limiter.per_s().unwrap_or(f64::MAX));
+        let delay_s = self.retry_schedule.assign(now, sustained_per_s * RETRY_RATE_FRACTION);
+        self.accounting.record_advice(source, now + Micros(delay_s * 1_000_000));
+        delay_s
     }
 
-    /// Evaluates what was counted, if the interval has passed.
+    /// Evaluates the counts since the last observation, if the interval has passed.
     pub fn observe(&mut self, now: Time) -> Option<Observation> {
         let Some(last) = self.observed_at else {
             self.observed_at = Some(now);
@@ -176,14 +180,14 @@
         self.observed_at = Some(now);
         let (counts, admitted) = (std::mem::take(&mut self.counts), std::mem::take(&mut self.admitted));
         let seconds = (now - last).secs();
-        let was = self.phase();
+        let phase_before = self.phase();
         self.goodput_per_s +=
             (f64::from(counts.within_objective) / seconds - self.goodput_per_s) * seconds.min(1.0);
-        let previous = self.detector.observe(now, &counts).map(|_| was);
-        if !self.phase().is_damping() || !was.is_damping() {
+        let previous = self.detector.observe(now, &counts).map(|_| phase_before);
+        if !self.phase().is_damping() || !phase_before.is_damping() {
             self.rate_limiter = RateLimiter::default();
         } else {
-            // A refusal is no failure: the limiter itself brings it about.
+            // Refusals are not counted as failures, since the limiter itself causes them.
             self.rate_limiter.observe(
                 seconds,
                 admitted,
@@ -191,13 +195,13 @@
                 counts.late + counts.failed,
             );
         }
-        let limits = (self.phase().is_damping() || was.is_damping()).then(|| self.storm_limits());
+        let limits = (self.phase().is_damping() || phase_before.is_damping()).then(|| self.storm_limits());
         Some(Observation { previous, limits })
     }
 
     fn storm_limits(&self) -> StormLimits {
-        let damped = self.phase().is_damping();
-        let retry_ratio = if damped { STORM_RETRY_RATIO } else { RETRY_RATIO };
-        StormLimits { admit_per_s: self.admitted_per_s(), hedging: !damped, retry_ratio }
+        let is_damping = self.phase().is_damping();
+        let retry_ratio = if is_damping { STORM_RETRY_RATIO } else { RETRY_RATIO };
+        StormLimits { admit_per_s: self.admitted_per_s(), hedging: !is_damping, retry_ratio }
     }
 }
--- a/crates/gaugesaddle-overload/src/lib.rs
+++ b/crates/gaugesaddle-overload/src/lib.rs
@@ -1,12 +1,12 @@
-//! Retry storms and reconnect storms, as one proxy sees them: detection and damping, decided without I/O, clock or threads.
+//! Detection and damping of retry storms and reconnect storms at one proxy. No I/O, clock or threads.
 //!
-//! - [`OverloadController`] owns the rest. Its host tells it of arrivals, refusals and outcomes, and calls it a few times a
-//!   second for the [`gaugesaddle_balancer::StormLimits`] to hand to the balancer. For each refusal it says when the client may
-//!   retry.
-//! - [`StormDetector`] tells storms from growth by how much comes again, not by how much comes.
+//! - [`OverloadController`] combines the other types. Its host reports arrivals, refusals and outcomes to it, and calls
+//!   [`OverloadController::observe`] a few times a second for the [`gaugesaddle_balancer::StormLimits`] of the balancer. For
+//!   each refusal it returns the delay after which the client may retry.
+//! - [`StormDetector`] distinguishes storms from growth by the fraction of retries, not by the rate.
 //! - [`RateLimiter`] finds the rate that the fleet sustains during a storm.
-//! - [`RetrySchedule`] assigns seconds for retries, no more a second than that rate.
-//! - [`RetryAccounting`] knows who retries before its time.
+//! - [`RetrySchedule`] spreads retries over the coming seconds, each up to that rate.
+//! - [`RetryAccounting`] tracks sources that retry earlier than advised.
 //!
 //! ```
 //! use gaugesaddle_balancer::Time;
@@ -18,17 +18,17 @@
 //! let (is_retry, returns_early) = controller.record_arrival(now, false, Some(42), 1);
 //! assert!(!is_retry && !returns_early);
 //! assert_eq!(controller.phase(), StormPhase::Calm);
-//! assert_eq!(controller.record_refusal(now, 1, 2), 2, "without a storm the usual advice holds");
+//! assert_eq!(controller.record_refusal(now, 1, 2), 2, "without a storm the usual delay applies");
 //! # Ok::<(), gaugesaddle_balancer::ConfigError>(())
 //! ```
 //!
-//! Which request is refused stays the balancer's decision, by priority weight; nothing here refuses one.
+//! The balancer decides which requests are refused, by priority weight; this crate refuses none.
 //!
-//! **Guarantees.** Nothing panics on any input. A `now` that goes back counts as standing still. Advice lies within the
-//! settings, and no second is overfilled while another is free.
+//! **Guarantees.** No input causes a panic. A `now` before the previous one counts as no time passed. Advised delays are
+//! within the settings, and no second is assigned more retries than the rate while another second is free.
 //!
-//! **Bounds.** The schedule has at most 600 seconds, the accounting [`Settings::sources`] sources (the one seen longest ago
-//! is forgotten first), the memory of request keys 16,384 keys of five seconds.
+//! **Bounds.** The schedule covers at most 600 seconds. The accounting has at most [`Settings::sources`] sources and evicts
+//! the least recently seen one first. Request keys are remembered for five seconds, at most 16,384 of them.
 
 mod controller;
 mod rate_limiter;
--- a/crates/gaugesaddle-overload/src/retry_accounting.rs
+++ b/crates/gaugesaddle-overload/src/retry_accounting.rs
@@ -1,86 +1,86 @@
-//! Who retries before the time that it was given: a bounded table of sources (an account, an address) from which the least
-//! recently seen one is evicted.
+//! Tracks sources (an account, an address) that retry earlier than advised, in a bounded table from which the least recently
+//! seen one is evicted.
 //!
-//! Weighed against a count-min sketch: the sketch holds any number of sources in fixed memory but only counts; it cannot keep
-//! the time that a source was given, and a full one blames sources that did nothing. A full table forgets early sources
-//! that have not come for the longest time: the milder error.
+//! A count-min sketch would hold any number of sources in fixed memory, but it only counts: it cannot store the time that a
+//! source was advised, and a full one reports sources that did not retry early. A full table forgets the early sources that
+//! were not seen for the longest time, which is the lesser error.
 
 use gaugesaddle_balancer::{Micros, Time};
 use std::collections::{BTreeMap, HashMap};
 
-/// A retry this much early is tolerated: clocks and roundings differ.
+/// A retry that is early by up to this is tolerated, since clocks and rounding differ.
 const EARLY_TOLERANCE: Micros = Micros(150_000);
-/// A source that has kept its times for this long is trusted again.
+/// A source that has not retried early for this long no longer counts as early.
 const FORGIVENESS_TIME: Micros = Micros(30_000_000);
 
 #[derive(Clone, Copy, Debug)]
-struct Row {
-    /// It may retry from then on.
+struct SourceEntry {
+    /// Advised time of the retry.
     retry_at: Time,
-    /// When it last came before its time.
-    early: Option<Time>,
-    seen: u64,
+    /// Time of the last early retry.
+    last_early: Option<Time>,
+    sequence: u64,
 }
 
-/// Sources that were refused, and whether they keep their times.
+/// Sources that were refused, with their advised times and early retries.
 #[derive(Clone, Debug)]
 pub struct RetryAccounting {
     max_sources: usize,
-    rows: HashMap<u64, Row>,
-    /// Sources by when they were seen.
+    entries: HashMap<u64, SourceEntry>,
+    /// Sources by the sequence number of their last update, the least recent first.
     order: BTreeMap<u64, u64>,
-    next: u64,
+    last_sequence: u64,
 }
 
 impl RetryAccounting {
-    /// Knows at most `max_sources` sources, at least one.
+    /// An empty table for at most `max_sources` sources, at least one.
     pub fn new(max_sources: usize) -> RetryAccounting {
         RetryAccounting {
             max_sources: max_sources.max(1),
-            rows: HashMap::new(),
+            entries: HashMap::new(),
             order: BTreeMap::new(),
-            next: 0,
+            last_sequence: 0,
         }
     }
 
-    /// The number of known sources.
+    /// The number of sources in the table.
     pub fn len(&self) -> usize {
-        self.rows.len()
+        self.entries.len()
     }
 
-    /// Whether no source is known.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty()
+        self.entries.is_empty()
     }
 
-    fn touch(&mut self, source: u64, row: Row) {
-        if let Some(old) = self.rows.get(&source) {
-            self.order.remove(&old.seen);
-        } else if self.rows.len() >= self.max_sources {
+    fn touch(&mut self, source: u64, entry: SourceEntry) {
+        if let Some(old) = self.entries.get(&source) {
+            self.order.remove(&old.sequence);
+        } else if self.entries.len() >= self.max_sources {
             if let Some((_, oldest)) = self.order.pop_first() {
-                self.rows.remove(&oldest);
+                self.entries.remove(&oldest);
             }
         }
-        self.next += 1;
-        self.order.insert(self.next, source);
-        self.rows.insert(source, Row { seen: self.next, ..row });
+        self.last_sequence += 1;
+        self.order.insert(self.last_sequence, source);
+        self.entries.insert(source, SourceEntry { sequence: self.last_sequence, ..entry });
     }
 
-    /// A source sends a request. Returns whether it has lately come before its time.
+    /// Records a request of a source. Returns whether the source has recently retried early.
     pub fn record_request(&mut self, now: Time, source: u64) -> bool {
-        let Some(mut row) = self.rows.get(&source).copied() else { return false };
-        if now + EARLY_TOLERANCE < row.retry_at {
-            row.early = Some(now);
+        let Some(mut entry) = self.entries.get(&source).copied() else { return false };
+        if now + EARLY_TOLERANCE < entry.retry_at {
+            entry.last_early = Some(now);
         }
-        let returns_early = row.early.is_some_and(|at| now - at < FORGIVENESS_TIME);
-        self.touch(source, row);
-        returns_early
+        let is_early = entry.last_early.is_some_and(|at| now - at < FORGIVENESS_TIME);
+        self.touch(source, entry);
+        is_early
     }
 
-    /// A source was advised to retry at a time.
+    /// Records the time at which a source was advised to retry.
     pub fn record_advice(&mut self, source: u64, retry_at: Time) {
-        let early = self.rows.get(&source).and_then(|r| r.early);
-        self.touch(source, Row { retry_at, early, seen: 0 });
+        let last_early = self.entries.get(&source).and_then(|r| r.last_early);
+        self.touch(source, SourceEntry { retry_at, last_early, sequence: 0 });
     }
 }
 
--- a/crates/gaugesaddle-overload/src/retry_accounting/tests.rs
+++ b/crates/gaugesaddle-overload/src/retry_accounting/tests.rs
@@ -5,15 +5,15 @@
 }
 
 #[test]
-fn a_source_that_comes_early_is_known_until_it_has_kept_its_times() {
+fn a_source_that_retries_early_is_reported_for_the_forgiveness_time() {
     let mut accounting = RetryAccounting::new(8);
     assert!(!accounting.record_request(at(0), 1), "never seen");
     accounting.record_advice(1, at(3000));
     accounting.record_advice(2, at(3000));
     assert!(accounting.record_request(at(500), 1), "early");
-    assert!(!accounting.record_request(at(2900), 2), "within the allowance");
-    assert!(accounting.record_request(at(20_000), 1), "remembered");
-    assert!(!accounting.record_request(at(31_000), 1), "forgiven");
+    assert!(!accounting.record_request(at(2900), 2), "within the tolerance");
+    assert!(accounting.record_request(at(20_000), 1), "an early retry is remembered");
+    assert!(!accounting.record_request(at(31_000), 1), "the forgiveness time has passed");
 }
 
 #[test]
@@ -25,7 +25,7 @@
     assert!(accounting.record_request(at(0), 1));
     accounting.record_advice(4, at(10_000));
     assert_eq!(accounting.len(), 3);
-    assert!(!accounting.record_request(at(1), 2), "forgotten");
+    assert!(!accounting.record_request(at(1), 2), "evicted");
     assert!(
         accounting.record_request(at(1), 1)
             && accounting.record_request(at(1), 3)
--- a/crates/gaugesaddle-overload/src/storm_detector.rs
+++ b/crates/gaugesaddle-overload/src/storm_detector.rs
@@ -1,8 +1,8 @@
-//! Detects storms by the fraction of retries and of requests that are not served, beside a memory of the usual rate.
+//! Detects storms by the fractions of retries and of requests that are not served, and by the usual rate.
 
 use gaugesaddle_balancer::{Micros, Time};
 
-/// The phase of a storm, as one proxy sees it.
+/// The phase of a storm at one proxy.
 ///
 /// ```text
 ///            pressure            pressure for RISING_TIME
@@ -14,16 +14,17 @@
 ///                     none for RECOVERY_TIME
 /// ```
 ///
-/// A phase lasts its stated time at least, so that nothing flaps.
+/// A transition also requires that the present phase has lasted for the stated time, to prevent flapping. Only `Calm` has no
+/// minimum time; from `Recovering` a storm resumes after `RISING_TIME`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StormPhase {
-    /// As usual.
+    /// Usual traffic.
     Calm,
-    /// Pressure, not yet for long.
+    /// Pressure that has not lasted long enough for a storm.
     Rising,
     /// A storm.
     Storm,
-    /// It has passed; what was refused still comes back.
+    /// The storm has passed; refused clients still retry.
     Recovering,
 }
 
@@ -33,7 +34,7 @@
         matches!(self, StormPhase::Storm | StormPhase::Recovering)
     }
 
-    /// The name in logs and states.
+    /// The phase's name in logs and in the state.
     pub fn name(self) -> &'static str {
         match self {
             StormPhase::Calm => "calm",
@@ -44,36 +45,36 @@
     }
 }
 
-/// Pressure must last this long to be a storm: two observations in a row.
+/// Pressure must last this long to be a storm: two consecutive observations.
 pub(crate) const RISING_TIME: Micros = Micros(400_000);
-/// Without pressure for this long a rise was no storm.
+/// After this time without pressure the rising phase ends without a storm.
 pub(crate) const FADE_TIME: Micros = Micros(1_000_000);
-/// Without pressure for this long a storm is over.
+/// After this time without pressure a storm is over.
 pub(crate) const EASE_TIME: Micros = Micros(3_000_000);
 /// Refused clients retry within this time, or not at all.
 pub(crate) const RECOVERY_TIME: Micros = Micros(10_000_000);
 
-/// Time constant of the usual rate, in seconds: minutes, so that a storm of one minute does not become usual, and short beside
-/// the growth of a day.
+/// Time constant of the usual rate, in seconds: long enough that a storm of one minute does not become usual, and short
+/// compared with the growth of traffic over a day.
 const USUAL_MEMORY_S: f64 = 180.0;
-/// An observation counts for at most this multiple of the usual rate: a burst hardly moves the memory.
+/// An observation counts for at most this multiple of the usual rate, so that a burst hardly changes it.
 const BURST_CLIP: f64 = 3.0;
-/// Seconds of memory before the usual rate is known.
+/// Seconds of observations after which the usual rate is known.
 const MIN_USUAL_MEMORY_S: f64 = 10.0;
-/// Fraction of retries from which there is pressure. Usual clients retry at most once, after a
-/// failure: a tenth would mean that a tenth fails.
-const MIN_REPEAT_FRACTION: f64 = 0.25;
-/// Beside it, either this multiple of the usual rate is needed ...
+/// Minimum fraction of retries for pressure. In usual traffic clients retry at most once, after a failure: a fraction of a
+/// tenth would mean that a tenth of the requests fail.
+const MIN_RETRY_FRACTION: f64 = 0.25;
+/// Pressure also requires at least this multiple of the usual rate, or [`MIN_UNSERVED_FRACTION`].
 const MIN_GROWTH_FACTOR: f64 = 1.3;
-/// ... or this fraction of requests that are not served.
+/// Minimum fraction of requests that are not served, for pressure below [`MIN_GROWTH_FACTOR`].
 const MIN_UNSERVED_FRACTION: f64 = 0.1;
-/// Fewer requests in an observation are not evaluated.
+/// Observations with fewer requests do not count as pressure.
 const MIN_REQUESTS: f64 = 8.0;
 
 /// Counts since the last observation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TrafficCounts {
-    /// Requests.
+    /// Requests that arrived.
     pub requests: u32,
     /// Retries among them.
     pub retries: u32,
@@ -81,28 +82,28 @@
     pub connects: u32,
     /// Requests that were served within their latency objective.
     pub within_objective: u32,
-    /// Served too late.
+    /// Requests that were served after their latency objective.
     pub late: u32,
-    /// Refused.
+    /// Requests that were refused.
     pub refused: u32,
-    /// Failed.
+    /// Requests that failed.
     pub failed: u32,
     /// Attempts sent.
     pub attempts: u32,
 }
 
-/// The figures by which a phase was decided.
+/// The figures that determine the phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TrafficFigures {
-    /// Requests a second.
+    /// Requests per second.
     pub per_s: f64,
     /// The usual rate, once it is known.
     pub usual_per_s: Option<f64>,
-    /// Fraction of retries.
+    /// Fraction of requests that are retries.
     pub retry_fraction: f64,
     /// Fraction of ended requests that were not served.
     pub unserved_fraction: f64,
-    /// Connections per request.
+    /// New connections per request.
     pub connects_per_request: f64,
     /// Attempts per request.
     pub attempts_per_request: f64,
@@ -113,7 +114,7 @@
         let usual = self.usual_per_s.map_or("unknown".into(), |u| format!("{u:.0}"));
         write!(
             f,
-            "{:.0} requests/s (usual {usual}), {:.0}% again, {:.0}% not served, {:.2} connects and {:.2} attempts a request",
+            "{:.0} requests/s (usual {usual}), {:.0}% retries, {:.0}% not served, {:.2} connects and {:.2} attempts per request",
             self.per_s,
             self.retry_fraction * 100.0,
             self.unserved_fraction * 100.0,
@@ -123,16 +124,16 @@
     }
 }
 
-/// The detector and its memory.
+/// Determines the phase of a storm and the usual rate.
 #[derive(Clone, Debug)]
 pub struct StormDetector {
     phase: StormPhase,
     since: Time,
-    /// When there was pressure last.
+    /// Time of the last observation with pressure.
     last_pressure: Option<Time>,
-    at: Option<Time>,
-    usual: f64,
-    weight: f64,
+    observed_at: Option<Time>,
+    usual_sum: f64,
+    usual_weight: f64,
     figures: TrafficFigures,
 }
 
@@ -142,48 +143,48 @@
             phase: StormPhase::Calm,
             since: Time(0),
             last_pressure: None,
-            at: None,
-            usual: 0.0,
-            weight: 0.0,
+            observed_at: None,
+            usual_sum: 0.0,
+            usual_weight: 0.0,
             figures: TrafficFigures::default(),
         }
     }
 }
 
 impl StormDetector {
-    /// The present state.
+    /// The present phase.
     pub fn phase(&self) -> StormPhase {
         self.phase
     }
 
-    /// The figures of the last look.
+    /// The figures of the last observation.
     pub fn figures(&self) -> TrafficFigures {
         self.figures
     }
 
-    /// The usual requests a second, once known.
+    /// The usual rate in requests per second, once it is known.
     pub fn usual_per_s(&self) -> Option<f64> {
-        (self.weight >= MIN_USUAL_MEMORY_S).then(|| self.usual / self.weight)
+        (self.usual_weight >= MIN_USUAL_MEMORY_S).then(|| self.usual_sum / self.usual_weight)
     }
 
-    /// Takes in what was counted since the last observation. Returns the new phase if it changed.
+    /// Evaluates the counts since the last observation. Returns the new phase if it changed.
     pub fn observe(&mut self, now: Time, counts: &TrafficCounts) -> Option<StormPhase> {
-        let Some(last) = self.at.filter(|at| *at < now) else {
-            self.at = Some(self.at.map_or(now, |at| at.max(now)));
+        let Some(last) = self.observed_at.filter(|at| *at < now) else {
+            self.observed_at = Some(self.observed_at.map_or(now, |at| at.max(now)));
             return None;
         };
         let seconds = (now - last).secs();
-        self.at = Some(now);
+        self.observed_at = Some(now);
         let per_s = f64::from(counts.requests) / seconds;
-        let part = |n: u32, of: u32| f64::from(n) / f64::from(of.max(1));
+        let ratio = |n: u32, of: u32| f64::from(n) / f64::from(of.max(1));
         let ended = counts.within_objective + counts.late + counts.refused + counts.failed;
         self.figures = TrafficFigures {
             per_s,
             usual_per_s: self.usual_per_s(),
-            retry_fraction: part(counts.retries, counts.requests),
-            unserved_fraction: part(counts.late + counts.refused + counts.failed, ended),
-            connects_per_request: part(counts.connects, counts.requests),
-            attempts_per_request: part(counts.attempts, counts.requests),
+            retry_fraction: ratio(counts.retries, counts.requests),
+            unserved_fraction: ratio(counts.late + counts.refused + counts.failed, ended),
+            connects_per_request: ratio(counts.connects, counts.requests),
+            attempts_per_request: ratio(counts.attempts, counts.requests),
         };
         let pressure = self.is_under_pressure(counts);
         if pressure {
@@ -210,24 +211,24 @@
         Some(next)
     }
 
-    /// Many requests are retries, and there are more than usual or many are not served. New clients that ask for the first time
-    /// are growth, however many.
+    /// Whether many requests are retries, and either the rate is above the usual one or many requests are not served. Requests
+    /// of new clients are growth at any rate.
     fn is_under_pressure(&self, counts: &TrafficCounts) -> bool {
         let f = &self.figures;
-        let over = f.usual_per_s.is_some_and(|usual| f.per_s >= MIN_GROWTH_FACTOR * usual);
+        let is_above_usual = f.usual_per_s.is_some_and(|usual| f.per_s >= MIN_GROWTH_FACTOR * usual);
         f64::from(counts.requests) >= MIN_REQUESTS
-            && f.retry_fraction >= MIN_REPEAT_FRACTION
-            && (over || f.unserved_fraction >= MIN_UNSERVED_FRACTION)
+            && f.retry_fraction >= MIN_RETRY_FRACTION
+            && (is_above_usual || f.unserved_fraction >= MIN_UNSERVED_FRACTION)
     }
 
-    /// Traffic under pressure is not usual.
+    /// Updates the usual rate; traffic under pressure or outside of the calm phase does not count.
     fn update_usual(&mut self, per_s: f64, seconds: f64, pressure: bool) {
         if pressure || self.phase != StormPhase::Calm {
             return;
         }
-        let max_sources = self.usual_per_s().map_or(f64::MAX, |usual| BURST_CLIP * usual.max(1.0));
-        let fade = (-seconds / USUAL_MEMORY_S).exp();
-        self.usual = self.usual * fade + per_s.min(max_sources) * seconds;
-        self.weight = self.weight * fade + seconds;
+        let max_per_s = self.usual_per_s().map_or(f64::MAX, |usual| BURST_CLIP * usual.max(1.0));
+        let decay = (-seconds / USUAL_MEMORY_S).exp();
+        self.usual_sum = self.usual_sum * decay + per_s.min(max_per_s) * seconds;
+        self.usual_weight = self.usual_weight * decay + seconds;
     }
 }
