--- a/crates/gaugesaddle-maintenance/src/lib.rs
+++ b/crates/gaugesaddle-maintenance/src/lib.rs
@@ -1,11 +1,10 @@
-//! Maintenance of a proxy in service, as its operators do it: drains, excluded backends, hot restart. Decisions without I/O,
-//! clock or threads.
+//! Maintenance of a proxy in service by its operators: drains, excluded backends, hot restart. No I/O, clock or threads.
 //!
-//! - [`Lifecycle`] says whether the proxy accepts new clients, which connections close and when the listener does, while it
-//!   drains, is replaced by its successor, or stops.
-//! - [`Maintenance`] knows the backends that the operators excluded, and shows the balancer the list accordingly.
-//! - [`HandoverMessage`] is what a proxy and its successor send each other during a hot restart, a line of JSON each;
-//!   [`MessageReader`] reads them.
+//! - [`Lifecycle`] decides whether the proxy accepts new clients, and when it closes idle connections and the listener, while
+//!   it drains, is replaced by its successor, or stops.
+//! - [`Maintenance`] stores the backends that the operators excluded, and adapts the list for the balancer accordingly.
+//! - [`HandoverMessage`] is a message between a proxy and its successor during a hot restart, encoded as a line of JSON;
+//!   [`MessageReader`] decodes these messages.
 //!
 //! ```
 //! use gaugesaddle_balancer::{Backend, BackendId, BackendState, Time};
@@ -19,14 +18,13 @@
 //! assert_eq!(maintenance.view(&listed).state, BackendState::Draining);
 //! ```
 //!
-//! Which backend is used stays the balancer's decision: it sees an excluded one as draining.
+//! The balancer decides which backends are used; an excluded one is presented to it as draining.
 //!
-//! **Guarantees.** An exclusion holds until the command that ends it, whatever discovery lists meanwhile. A process that was
-//! told to stop never serves again. No bytes of the other process cause a panic. A `now` that goes back counts as standing
-//! still.
+//! **Guarantees.** An exclusion holds until the command that ends it, whatever discovery lists meanwhile. A stopping process
+//! never serves again. No bytes from the other process cause a panic. A `now` before the previous one counts as no time passed.
 //!
-//! **Bounds.** [`MAX_EXCLUDED_BACKENDS`] exclusions, [`MAX_REMEMBERED_BACKENDS`] remembered identities (the oldest is
-//! forgotten first), messages of [`MAX_MESSAGE_BYTES`].
+//! **Bounds.** At most [`MAX_EXCLUDED_BACKENDS`] exclusions, [`MAX_REMEMBERED_BACKENDS`] remembered identities (the oldest is
+//! removed first), and messages of [`MAX_MESSAGE_BYTES`].
 
 mod handover;
 mod lifecycle;
--- a/crates/gaugesaddle-maintenance/src/lifecycle.rs
+++ b/crates/gaugesaddle-maintenance/src/lifecycle.rs
@@ -1,16 +1,16 @@
-//! Whether a proxy accepts clients, and how it closes the connections that it has.
+//! Whether a proxy accepts clients, and when it closes its idle connections and its listener.
 
 use gaugesaddle_balancer::{Micros, Time};
 
-/// After SIGTERM without a successor new connections still arrive for 0.2 to 0.4 s (PROTOCOL of the platform); they are
-/// accepted for this long.
+/// Time for which new connections are accepted after SIGTERM without a successor. They still arrive for 0.2 to 0.4 s
+/// (PROTOCOL of the platform).
 pub const LISTEN_AFTER_STOP: Micros = Micros(500_000);
-/// Where another proxy takes the clients, connections between requests are kept for this long. Nearly all bring another
-/// request meanwhile and are closed with its response, which crosses nothing; a close between requests may cross one. Long
-/// enough for them, short enough for the last request to end before the platform looks at the drain (4 s).
+/// Time for which idle connections stay open when another proxy takes over the clients. Nearly all of them carry another
+/// request within it and are closed with its response, while closing an idle connection can race with a new request. It is
+/// short enough for the last request to end before the platform checks the drain (4 s).
 pub const IDLE_CLOSE_DELAY: Micros = Micros(1_500_000);
 
-/// What the proxy is doing.
+/// The phase of a proxy's lifecycle.
 ///
 /// ```text
 ///            drain                  stop
@@ -19,18 +19,18 @@
 ///   |   |    rejoin               Stopping { has_successor }
 ///   |   +------------------------------> ^
 ///   |                 stop               |
-///   +--- (never back: a process that was told to stop ends)
+///   +--- (no transition back: a stopping process ends)
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Clients are accepted.
+    /// The proxy accepts clients.
     Serving,
-    /// Clients are to be sent elsewhere; the process stays.
+    /// Clients are moved to other proxies; the process continues to run.
     Draining {
         /// Since when.
         since: Time,
     },
-    /// The process is to end.
+    /// The process ends.
     Stopping {
         /// Since when.
         since: Time,
@@ -39,7 +39,7 @@
     },
 }
 
-/// The phase and what follows from it.
+/// The phase of this proxy and the decisions that depend on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lifecycle {
     phase: Phase,
@@ -52,19 +52,19 @@
 }
 
 impl Lifecycle {
-    /// What the proxy is doing.
+    /// The present phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// The operators send its clients away. A repeated command changes nothing; a stopping process stays one.
+    /// Starts to drain. Has no effect on a proxy that is draining or stopping.
     pub fn drain(&mut self, now: Time) {
         if self.phase == Phase::Serving {
             self.phase = Phase::Draining { since: now };
         }
     }
 
-    /// Serves again; false where the process is stopping.
+    /// Returns to serving; false if the process is stopping.
     pub fn rejoin(&mut self) -> bool {
         if !self.is_stopping() {
             self.phase = Phase::Serving;
@@ -72,24 +72,24 @@
         !self.is_stopping()
     }
 
-    /// The process is to end; `has_successor`: another one listens on its address.
+    /// Starts to stop. `has_successor`: another process listens on the same address. Has no effect on a stopping process.
     pub fn stop(&mut self, now: Time, has_successor: bool) {
         if !self.is_stopping() {
             self.phase = Phase::Stopping { since: now, has_successor };
         }
     }
 
-    /// Whether new clients are wanted.
+    /// Whether new clients are accepted.
     pub fn accepts_clients(&self) -> bool {
         self.phase == Phase::Serving
     }
 
-    /// Whether the process is to end.
+    /// Whether the process is stopping.
     pub fn is_stopping(&self) -> bool {
         matches!(self.phase, Phase::Stopping { .. })
     }
 
-    /// Whether the listener stays open. It does while draining: the platform asks there whether the drain is over.
+    /// Whether the listener is open. It stays open during a drain, since the platform queries the state of the drain through it.
     pub fn listens(&self, now: Time) -> bool {
         match self.phase {
             Phase::Serving | Phase::Draining { .. } => true,
@@ -98,19 +98,20 @@
         }
     }
 
-    /// When connections between requests are closed, if at all.
+    /// Time from which on idle connections are closed; `None` while serving.
     pub fn idle_close_time(&self) -> Option<Time> {
         match self.phase {
             Phase::Serving => None,
             Phase::Draining { since } | Phase::Stopping { since, has_successor: true } => {
                 Some(since + IDLE_CLOSE_DELAY)
             }
-            // Its clients have nowhere to go before the platform has noticed; after that the sooner the better.
+            // Clients cannot go to another proxy before the platform has noticed the stop. Once it has, idle connections are
+            // closed without further delay.
             Phase::Stopping { since, .. } => Some(since + LISTEN_AFTER_STOP),
         }
     }
 
-    /// Whether connections between requests are closed now.
+    /// Whether idle connections are closed now.
     pub fn closes_idle_connections(&self, now: Time) -> bool {
         self.idle_close_time().is_some_and(|time| now >= time)
     }
--- a/crates/gaugesaddle-maintenance/src/maintenance.rs
+++ b/crates/gaugesaddle-maintenance/src/maintenance.rs
@@ -1,33 +1,33 @@
-//! The backends that the operators excluded, and the list as the balancer is to see it.
+//! The backends that the operators excluded, and the list of backends as it is presented to the balancer.
 
 use gaugesaddle_balancer::{Backend, BackendId, BackendState, Time};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
-/// Identities that are remembered as listed once; the oldest is forgotten first. A fleet that replaces a thousand backends a
-/// day fills it in two months, at some 2 MB.
+/// Maximum number of backends that are remembered as listed once; the oldest is removed first. A fleet that replaces a
+/// thousand backends a day reaches it in two months, with about 2 MB.
 pub const MAX_REMEMBERED_BACKENDS: usize = 65_536;
-/// Backends that may be excluded at once: more than any fleet that was tried has.
+/// Maximum number of backends that are excluded at once, more than any tested fleet has.
 pub const MAX_EXCLUDED_BACKENDS: usize = 4_096;
 
-/// A command of the operators about one backend.
+/// A command of an operator for one backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MaintenanceCommand {
-    /// Send it nothing new.
+    /// Sends no new requests to the backend.
     Exclude,
-    /// Use it again.
+    /// Uses the backend again.
     Include,
 }
 
-/// What became of a command.
+/// The result of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandOutcome {
-    /// It holds, and changed something.
+    /// The command changed the state.
     Applied,
-    /// It held before.
+    /// The state was as commanded before.
     Unchanged,
-    /// No list has ever named that backend.
+    /// The backend is not among those remembered as listed.
     UnknownBackend,
-    /// [`MAX_EXCLUDED_BACKENDS`] are excluded already.
+    /// [`MAX_EXCLUDED_BACKENDS`] backends are excluded already.
     LimitReached,
 }
 
@@ -37,8 +37,8 @@
     Active {
         since: Time,
     },
-    /// Until the list shows a start after `since`, the backend may have been restarted meanwhile, and counts as started at
-    /// `ended`.
+    /// The backend may have been restarted during the exclusion. Until the list shows a start after `since`, the backend
+    /// counts as started at `ended`.
     Ended {
         since: Time,
         ended: Time,
@@ -50,12 +50,12 @@
 pub struct Maintenance {
     exclusions: BTreeMap<BackendId, Exclusion>,
     remembered: HashSet<BackendId>,
-    /// In the order in which they were first listed.
+    /// The remembered backends in the order in which they were first listed.
     oldest_first: VecDeque<BackendId>,
 }
 
 impl Maintenance {
-    /// A list has named the backend.
+    /// Remembers a backend as listed.
     pub fn remember(&mut self, id: BackendId) {
         if !self.remembered.insert(id) {
             return;
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Applies a command. It may come more than once; one [`MaintenanceCommand::Include`] ends any number of exclusions.
+    /// Applies a command. Commands are idempotent: one [`MaintenanceCommand::Include`] ends any number of exclusions.
     pub fn apply(&mut self, now: Time, id: BackendId, command: MaintenanceCommand) -> CommandOutcome {
         if !self.is_excluded(id) && !self.remembered.contains(&id) {
             return CommandOutcome::UnknownBackend;
@@ -98,7 +98,7 @@
         CommandOutcome::Applied
     }
 
-    /// Takes an exclusion over from the process before this one, whether or not a list has named the backend here yet.
+    /// Takes over an exclusion from the predecessor process, whether or not this process has listed the backend yet.
     pub fn inherit_exclusion(&mut self, now: Time, id: BackendId) -> CommandOutcome {
         self.remember(id);
         self.apply(now, id, MaintenanceCommand::Exclude)
@@ -115,24 +115,24 @@
         self.exclusions.iter().filter(move |(_, exclusion)| is_active(exclusion)).map(|(id, _)| *id)
     }
 
-    /// An entry of the list as the balancer is to see it: an excluded backend drains, whatever the list says; one that is
-    /// included again starts slowly unless the list shows a start after it was excluded.
+    /// An entry of the list as it is presented to the balancer: an excluded backend that is listed as ready drains, and one
+    /// that is included again gets a slow start unless the list shows a start after its exclusion.
     pub fn view(&self, entry: &Backend) -> Backend {
-        let mut seen = entry.clone();
+        let mut viewed = entry.clone();
         match self.exclusions.get(&entry.id) {
             Some(Exclusion::Active { .. }) if entry.state == BackendState::Ready => {
-                seen.state = BackendState::Draining;
+                viewed.state = BackendState::Draining;
             }
             Some(Exclusion::Ended { since, ended }) if entry.booted.is_none_or(|booted| booted < *since) => {
-                seen.booted = Some(*ended);
+                viewed.booted = Some(*ended);
             }
             _ => {}
         }
-        seen
+        viewed
     }
 
-    /// The list has shown an entry. An ended exclusion is forgotten with its backend, or once the list shows a later start. An
-    /// active one stays, since it holds whatever discovery lists.
+    /// Records an entry of the list. An ended exclusion is removed when its backend departs, or once the list shows a start
+    /// after the exclusion. An active exclusion stays, whatever discovery lists.
     pub fn observe(&mut self, entry: &Backend) {
         self.remember(entry.id);
         if let Some(Exclusion::Ended { since, .. }) = self.exclusions.get(&entry.id) {
