--- a/crates/gaugesaddle-failover/src/decision.rs
+++ b/crates/gaugesaddle-failover/src/decision.rs
@@ -4,8 +4,8 @@
 //! 0x80 | epoch 4 | revision 2 | decider 2 | utilization 1 | absorbed 2 | zone count 1 | per zone:
 //!                                               local 2, inbound fraction 1, trust 1   up to 45 bytes
 //! ```
-//! Integers are big-endian. Fractions are encoded in 255ths. What stays local or is absorbed is a [`PriorityThreshold`]
-//! and not one fraction a class, so that the length does not depend on the number of classes.
+//! Integers are big-endian. Fractions are encoded in 255ths. The local and the absorbed traffic are each given by a
+//! [`PriorityThreshold`] instead of one fraction per class, so that the length does not depend on the number of classes.
 
 use crate::plan::Plan;
 use std::cmp::{Ordering, Reverse};
@@ -20,7 +20,7 @@
 
 const HEADER_BYTES: usize = 13;
 const ZONE_BYTES: usize = 4;
-/// Difference up to which a fraction still counts as 1.
+/// A fraction that is below 1 by up to this difference counts as 1.
 const ROUNDING_ERROR: f64 = 1e-9;
 
 /// Why a plan cannot be turned into a decision.
@@ -45,18 +45,18 @@
 /// Why bytes are not a decision for this tier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// The first byte is another one than [`DECISION_TAG`].
+    /// The first byte is not [`DECISION_TAG`].
     #[error("decoding a decision: expected tag {DECISION_TAG:#04x}, got {0:#04x}")]
     Tag(u8),
-    /// Too short or too long for the configured number of zones.
+    /// The message is too short or too long for the configured number of zones.
     #[error("decoding a decision: unexpected length of {0} bytes")]
     Length(usize),
-    /// The decision is about another number of zones than configured here.
+    /// The number of zones differs from the one configured here.
     #[error("decoding a decision: expected {expected} zones, got {encoded}")]
     ZoneCount {
         /// Zones configured here.
         expected: usize,
-        /// Zones that the message claims.
+        /// Zones that the message states.
         encoded: u8,
     },
 }
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Position on one scale: 255 a class.
+    /// The threshold as one number, 255 per class.
     fn position(self) -> u32 {
         u32::from(self.full_classes) * 255 + u32::from(self.fraction)
     }
@@ -124,8 +124,8 @@
 }
 
 /// Orders decisions by age. A decider that sees a majority of the tier increments the epoch; one that sees a minority
-/// increments only the revision within the epoch that it knows. So after a partition heals, the majority's decision
-/// supersedes whatever the minority decided meanwhile.
+/// increments only the revision within its current epoch. So after a partition heals, the majority's decision supersedes
+/// all decisions that the minority made meanwhile.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DecisionVersion {
     /// Incremented by decisions of a majority.
@@ -137,15 +137,15 @@
 /// The plan that all proxies of the tier follow, with its version and origin.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Decision {
-    /// Its age relative to other decisions.
+    /// Its order relative to other decisions.
     pub version: DecisionVersion,
-    /// Member that decided.
+    /// The member that made the decision.
     pub decider: u16,
     /// Utilization that zones are filled to, in 255ths of their trusted capacity.
     pub utilization: u8,
-    /// Of the traffic that leaves its zone, what other zones have headroom for; the remainder goes to another region.
+    /// The part of the traffic leaving its zone that other zones have headroom for; the remainder goes to another region.
     pub absorbed: PriorityThreshold,
-    /// By zone.
+    /// The directives by zone.
     pub zones: Vec<ZoneDirective>,
 }
 
@@ -205,7 +205,7 @@
             && self.zones.iter().zip(&other.zones).all(|(own, other)| own.is_within(other, tolerance))
     }
 
-    /// The bytes in which it travels; zones beyond [`MAX_ZONES`] are left out.
+    /// Encodes the decision; zones beyond [`MAX_ZONES`] are left out.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = vec![DECISION_TAG];
         out.extend(self.version.epoch.to_be_bytes());
--- a/crates/gaugesaddle-failover/src/decision/tests.rs
+++ b/crates/gaugesaddle-failover/src/decision/tests.rs
@@ -10,7 +10,7 @@
     let version = DecisionVersion { epoch: 7, revision: 2 };
     let decision =
         Decision::from_plan(version, 3, &p, &[1.0, 0.5, 0.125], &class_order).expect("three zones");
-    let decoded = Decision::decode(&decision.encode(), 3).expect("a decision");
+    let decoded = Decision::decode(&decision.encode(), 3).expect("a valid decision");
     assert_eq!(decoded, decision);
     for (zone, local) in p.local_fraction.iter().enumerate() {
         for (rank, class) in class_order.iter().enumerate() {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn decoding_reports_what_is_wrong() {
+fn decoding_errors_name_tag_length_and_zone_count() {
     let bytes = Decision { zones: vec![ZoneDirective::default(); 2], ..Decision::default() }.encode();
     assert_eq!(Decision::decode(&bytes[..12], 2), Err(DecodeError::Length(12)));
     assert_eq!(Decision::decode(&bytes[..20], 2), Err(DecodeError::Length(20)));
--- a/crates/gaugesaddle-failover/src/decision_replication.rs
+++ b/crates/gaugesaddle-failover/src/decision_replication.rs
@@ -1,4 +1,4 @@
-//! Which proxy decides, and how its decisions reach all others.
+//! Choice of the deciding proxy, and dissemination of its decisions.
 //!
 //! The live member with the lowest number decides. There is no agreement before a decision takes effect: each proxy follows
 //! the newest decision that it has received, so neither a partition nor a lost decider stops traffic.
@@ -6,21 +6,22 @@
 //! Dissemination is epidemic, at a cost per proxy that does not grow with the tier:
 //! - Each proxy that adopts a decision sends it to [`FANOUT`] random peers, [`TRANSMISSIONS`] times.
 //! - Each proxy sends its current decision to one random peer every [`ANTI_ENTROPY_INTERVAL`]; a peer with a newer one
-//!   answers with it. This repairs what the first step lost.
+//!   answers with it. This repairs losses of the first step.
 
 use crate::decision::{Decision, DecisionVersion};
 use gaugesaddle_balancer::{mix, Micros, Time};
 use std::collections::VecDeque;
 
-/// Peers that each transmission of a newly adopted decision goes to.
+/// Number of peers that each transmission of a newly adopted decision is sent to.
 pub const FANOUT: usize = 4;
-/// Transmissions of a newly adopted decision. With a third of the datagrams lost, about one proxy in several thousand
+/// Number of transmissions of a newly adopted decision. With a third of the datagrams lost, about one proxy in several thousand
 /// misses all of them.
 pub const TRANSMISSIONS: u32 = 3;
-/// Each proxy sends its current decision to one random peer this often.
+/// Interval at which each proxy sends its current decision to one random peer.
 pub const ANTI_ENTROPY_INTERVAL: Micros = Micros(500_000);
-/// Decisions retained for diagnosis: some minutes of frequent changes.
+/// Number of decisions retained for diagnosis: some minutes of frequent changes.
 pub const MAX_HISTORY: usize = 64;
+/// Time between two transmissions of a newly adopted decision.
 const TRANSMISSION_INTERVAL: Micros = Micros(100_000);
 /// Minimum time between two decisions; the first decision is exempt.
 const MIN_DECISION_INTERVAL: Micros = Micros(500_000);
@@ -59,9 +60,9 @@
 pub struct DecisionReplica {
     member: u16,
     zones: usize,
-    /// Differences up to this many 255ths do not make a new decision.
+    /// A plan whose figures differ from the current decision by up to this many 255ths does not replace it.
     tolerance: u8,
-    /// Adopted decisions, the current one last; at most [`MAX_HISTORY`], the oldest leaves first.
+    /// Adopted decisions, the current one last; at most [`MAX_HISTORY`], the oldest is removed first.
     history: VecDeque<AdoptedDecision>,
     next_anti_entropy: Time,
     remaining_transmissions: u32,
@@ -100,8 +101,8 @@
         view.is_current && view.live.first() == Some(&self.member)
     }
 
-    /// Advances the clock. `desired` is what this proxy's own assessment calls for; the decider makes a decision of it
-    /// where it differs from the current one. Appends messages to `out` and returns whether the current decision changed.
+    /// Advances the clock. `desired` is what this proxy's own assessment calls for; the decider adopts it as
+    /// a new decision where it differs from the current one. Appends messages to `out` and returns whether the current decision changed.
     pub fn tick(
         &mut self, now: Time, view: &MembershipView, desired: Option<&Decision>, out: &mut Vec<Outgoing>,
     ) -> bool {
@@ -142,8 +143,8 @@
         true
     }
 
-    /// Adopts the desired decision where this proxy decides, the difference matters, and the last change is not too
-    /// recent. A decision adopted from a former decider stays that decider's until the next difference that matters.
+    /// Adopts the desired decision where this proxy decides, the difference exceeds the tolerance, and the last
+    /// change is not too recent. A decision adopted from a former decider is kept until the next such difference.
     fn decide(&mut self, now: Time, view: &MembershipView, desired: Option<&Decision>) -> bool {
         let Some(desired) = desired.filter(|_| self.is_decider(view)) else { return false };
         if let Some(current) = self.current() {
--- a/crates/gaugesaddle-failover/src/decision_replication/tests.rs
+++ b/crates/gaugesaddle-failover/src/decision_replication/tests.rs
@@ -10,13 +10,13 @@
     bytes: Vec<u8>,
 }
 
-/// A tier whose proxies tick fifty times a second. Datagrams take one tick; some are lost, and none crosses a partition.
+/// A tier whose proxies tick 50 times per second. Datagrams take one tick; some are lost, and none crosses a partition.
 struct Tier {
-    /// By member; `None` where it was killed.
+    /// The replicas by member; `None` where the proxy was killed.
     replicas: Vec<Option<DecisionReplica>>,
     /// The side of the partition, by member.
     sides: Vec<u8>,
-    /// By member.
+    /// The desired decision by member.
     desired: Vec<Decision>,
     in_flight: Vec<Datagram>,
     loss_percent: u64,
@@ -25,7 +25,7 @@
     random_state: u64,
 }
 
-/// Decisions of these tests are told apart by their utilization.
+/// Decisions in these tests differ only in their utilization.
 fn decision(utilization: u8) -> Decision {
     Decision { utilization, zones: vec![ZoneDirective::default(); ZONES], ..Decision::default() }
 }
@@ -88,7 +88,7 @@
         replica.current().map(|current| current.decision.clone())
     }
 
-    /// The decision of a side where all of its members have the same.
+    /// The decision of a side, if all of its members have the same one.
     fn common_decision(&self, side: u8) -> Option<Decision> {
         let members = self.live_members(side);
         let first = self.current(*members.first()?)?;
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn one_version_used_twice_by_a_restarted_decider_converges() {
+fn two_decisions_of_one_version_after_a_decider_restart_converge() {
     let mut tier = Tier::new(5, 0);
     tier.desired = vec![decision(7); 5];
     tier.run_until_converged(0, 7);
@@ -121,12 +121,13 @@
     tier.desired = vec![decision(3); 5];
     let live = tier.live_members(0);
     let view = MembershipView { live: &live, has_majority: true, is_current: true };
-    let restarted = tier.replicas[0].as_mut().expect("it was just started");
+    let restarted = tier.replicas[0].as_mut().expect("restarted replica");
     assert!(restarted.tick(Time(tier.now), &view, Some(&decision(3)), &mut Vec::new()));
-    let new = tier.current(0).expect("the restarted decider's");
-    let former = tier.current(1).expect("the former");
+    let new = tier.current(0).expect("decision of the restarted decider");
+    let former = tier.current(1).expect("previous decision");
     assert!(new.version == former.version && new != former);
-    // Its transmissions are lost above, and the others already have that version: only anti-entropy is left.
+    // The restarted decider's transmissions above are lost, and the others already have that version: only anti-entropy can
+    // resolve the difference.
     tier.run_until_converged(0, 3);
 }
 
@@ -143,7 +144,7 @@
             tier.run(600);
         }
         assert!(slowest_ms <= 1000, "{members} proxies, {loss_percent}% lost: {slowest_ms} ms");
-        // The decider dies: the next one continues from its version.
+        // The decider is killed; its successor continues from its version.
         let before = tier.common_decision(0).expect("converged").version;
         tier.replicas[0] = None;
         tier.desired.fill(decision(9));
@@ -160,11 +161,11 @@
 }
 
 #[test]
-fn a_minority_decides_for_itself_and_adopts_the_majoritys_decision_at_the_heal() {
+fn a_minority_decides_for_itself_and_adopts_the_majoritys_decision_after_the_partition() {
     let mut tier = Tier::new(10, 10);
     tier.run_until_converged(0, 1);
     tier.run(1000);
-    // The minority has the lowest members, so the former decider.
+    // The minority consists of the lowest members, which include the former decider.
     (0..4).for_each(|member| tier.sides[member] = 1);
     tier.desired[..4].fill(decision(50));
     tier.desired[4..].fill(decision(60));
@@ -184,7 +185,7 @@
     tier.desired.fill(decision(60));
     tier.run_until_converged(0, 60);
     let healed = tier.common_decision(0).expect("converged");
-    assert_eq!(healed.version, majority.version, "adopted, without a new decision");
+    assert_eq!(healed.version, majority.version, "the majority's decision is adopted without a new one");
 }
 
 #[test]
@@ -197,10 +198,10 @@
         tier.desired.fill(decision(10 + (tick % 2) as u8));
         tier.tick();
     }
-    let decided = tier.current(0).expect("it decided").version.epoch - before;
-    assert!((5..=20).contains(&decided), "{decided} in ten seconds");
+    let decided = tier.current(0).expect("a decision").version.epoch - before;
+    assert!((5..=20).contains(&decided), "{decided} decisions in ten seconds");
     let current = tier.current(1);
-    let replica = tier.replicas[1].as_mut().expect("it runs");
+    let replica = tier.replicas[1].as_mut().expect("live replica");
     assert!(replica.history().count() <= MAX_HISTORY);
     let mut out = Vec::new();
     let view = MembershipView { live: &[0, 1, 2], has_majority: true, is_current: true };
--- a/crates/gaugesaddle-failover/src/escalation.rs
+++ b/crates/gaugesaddle-failover/src/escalation.rs
@@ -1,4 +1,4 @@
-//! How much traffic a zone gets again after it was lost.
+//! Restores traffic to a zone level by level after it was lost.
 
 use crate::failure_evaluator::ZoneStatus;
 use gaugesaddle_balancer::{Micros, Time};
@@ -17,18 +17,19 @@
     pub level_duration: Micros,
     /// Time for which a lost zone must be available before level 0, after its first loss.
     pub initial_backoff: Micros,
-    /// Limit of that time, which doubles with each repeated loss.
+    /// Maximum of that time, which doubles with each repeated loss.
     pub max_backoff: Micros,
-    /// A zone that is lost for this long on any level is lost altogether.
+    /// A zone that is lost for this long on any level loses all trust.
     pub loss_timeout: Micros,
-    /// A loss longer ago does not lengthen the backoff.
+    /// Time after which a loss no longer lengthens the backoff.
     pub loss_memory: Micros,
 }
 
 impl Default for EscalationLevels {
     fn default() -> EscalationLevels {
-        // An uncached backend needs about ten seconds to warm up: an eighth, a quarter, a half, and all after nine. A zone
-        // that is lost every three seconds is not trusted again after its second loss.
+        // A backend with cold caches needs about ten seconds to warm up: the zone is trusted with an eighth, a quarter, a half,
+        // and all of its capacity after nine seconds. A zone that is lost every three seconds is not trusted again after its
+        // second loss.
         EscalationLevels {
             initial_fraction: 0.125,
             level_duration: Micros(3_000_000),
--- a/crates/gaugesaddle-failover/src/escalation/tests.rs
+++ b/crates/gaugesaddle-failover/src/escalation/tests.rs
@@ -68,7 +68,7 @@
     );
     assert!(zone.policy.backoff() <= EscalationLevels::default().max_backoff);
     zone.observe(4_500, Available);
-    assert!(matches!(zone.policy.trust(), Trust::Level(_)), "trusted again in the end");
+    assert!(matches!(zone.policy.trust(), Trust::Level(_)), "trusted again after the backoff");
     assert_eq!(zone.observe(13_000, Available), Trust::Full);
     zone.observe(60_000, Available);
     zone.observe(250, Lost);
--- a/crates/gaugesaddle-failover/src/failure_evaluator.rs
+++ b/crates/gaugesaddle-failover/src/failure_evaluator.rs
@@ -1,8 +1,8 @@
 //! Assessment of the zones from the reports of all proxies.
 //!
 //! A proxy's report counts for a zone while the report is recent and the proxy uses backends there. A zone is lost when more
-//! than half of the counted reports find nearly all of its backends unhealthy. A proxy that finds so against the majority
-//! fails to observe the zone, and its report does not count against it.
+//! than half of the counted reports find nearly all of its backends unhealthy. A proxy that finds this against the majority
+//! fails to observe the zone, and its report does not make the zone lost.
 //!
 //! The capacity of a zone is the weighted median of what each report implies for the full fleet. A sum over the reports
 //! would be exact without faults, but would follow every wrong report; the median moves only when the reports with half of
@@ -11,10 +11,10 @@
 use crate::numeric::finite_non_negative;
 use gaugesaddle_balancer::{ConfigError, Micros};
 
-/// How reports become an assessment.
+/// Settings for assessing zones from reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EvaluatorSettings {
-    /// Older reports do not count.
+    /// Maximum age of a report that counts.
     pub max_report_age: Micros,
     /// A report finds a zone lost where at least this fraction of the proxy's backends there is unhealthy; over 0.5.
     pub unhealthy_fraction: f64,
@@ -39,10 +39,10 @@
     /// Checks the ranges.
     ///
     /// # Errors
-    /// The first field out of its range, with the range.
+    /// The first field that is out of its range.
     pub fn check(&self) -> Result<(), ConfigError> {
         if self.max_report_age.0 == 0 {
-            return Err(ConfigError { field: "max_report_age", expected: "a time" });
+            return Err(ConfigError { field: "max_report_age", expected: "more than 0" });
         }
         if !(self.unhealthy_fraction > 0.5 && self.unhealthy_fraction <= 1.0) {
             return Err(ConfigError { field: "unhealthy_fraction", expected: "over 0.5, up to 1" });
@@ -61,7 +61,7 @@
     pub backends: f64,
     /// Number of these that it finds unhealthy.
     pub unhealthy: f64,
-    /// What the healthy ones can serve for this proxy, in requests per second; 0 where unknown.
+    /// Requests per second that the healthy ones can serve for this proxy; 0 where unknown.
     pub capacity_per_s: f64,
 }
 
@@ -76,7 +76,7 @@
     pub allocation: f64,
     /// Requests per second that arrive at this proxy, by class.
     pub demand_per_s: Vec<f64>,
-    /// By zone.
+    /// The observations by zone.
     pub observations: Vec<ZoneObservation>,
     /// Age of the report.
     pub age: Micros,
@@ -94,7 +94,7 @@
 /// Whether a zone can serve.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ZoneStatus {
-    /// It serves, or there are no reports on it.
+    /// The zone serves, or there are no reports on it.
     #[default]
     Available,
     /// Most reports find nearly all of its backends unhealthy.
@@ -113,9 +113,9 @@
 pub struct ZoneAssessment {
     /// Requests per second that arrive at the zone's proxies, by class.
     pub demand_per_s: Vec<f64>,
-    /// What its backends can serve, in requests per second; `None` where no report contains it.
+    /// Requests per second that its backends can serve; `None` where no report contains an estimate.
     pub capacity_per_s: Option<f64>,
-    /// Whether it can serve.
+    /// Whether the zone can serve.
     pub status: ZoneStatus,
     /// Number of reports that count.
     pub reports: u32,
@@ -135,16 +135,16 @@
 /// The common assessment of all reports.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Assessment {
-    /// By zone.
+    /// The assessments by zone.
     pub zones: Vec<ZoneAssessment>,
-    /// Sorted by member, then zone.
+    /// Zones that a single proxy fails to observe, sorted by member, then zone.
     pub unobserved: Vec<UnobservedZone>,
     /// Proxies that fail to observe their own zone, or more than half of the available zones: the proxy's own network is
     /// at fault.
     pub partitioned: Vec<u16>,
 }
 
-/// What one report implies for the capacity of a zone.
+/// The capacity of a zone as extrapolated from one report.
 struct CapacityEstimate {
     capacity_per_s: f64,
     weight: f64,
--- a/crates/gaugesaddle-failover/src/failure_evaluator/tests.rs
+++ b/crates/gaugesaddle-failover/src/failure_evaluator/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn reports_of_a_healthy_fleet_add_up() {
+fn reports_of_a_healthy_fleet_sum_to_its_demand_and_capacity() {
     let assessment = evaluate_all(&healthy_reports());
     assert!(assessment.unobserved.is_empty() && assessment.partitioned.is_empty());
     for zone in &assessment.zones {
@@ -34,7 +34,7 @@
     let unknown = evaluate_all(&[]);
     assert!(
         unknown.zones.iter().all(|zone| zone.capacity_per_s.is_none() && !zone.status.is_lost()),
-        "without reports nothing is known"
+        "without reports the capacity is unknown and no zone is lost"
     );
 }
 
@@ -43,7 +43,10 @@
     let mut reports = healthy_reports();
     reports[..6].iter_mut().for_each(|report| report_lost(report, 1));
     let assessment = evaluate_all(&reports);
-    assert!(!assessment.zones[1].status.is_lost() && assessment.unobserved.len() == 6, "half is no majority");
+    assert!(
+        !assessment.zones[1].status.is_lost() && assessment.unobserved.len() == 6,
+        "half of the reports are not a majority"
+    );
     report_lost(&mut reports[6], 1);
     let assessment = evaluate_all(&reports);
     assert!(assessment.zones[1].status.is_lost() && assessment.zones[1].capacity_per_s == Some(0.0));
@@ -64,7 +67,7 @@
     assert!(assessment.partitioned.is_empty(), "it serves through the other zones");
     assert!((assessment.zones[0].capacity_per_s.unwrap() - 300.0).abs() < 1e-9);
     report_lost(&mut reports[5], 2);
-    assert_eq!(evaluate_all(&reports).partitioned, [5], "its own zone among them");
+    assert_eq!(evaluate_all(&reports).partitioned, [5], "its own zone is among the unobserved ones");
     let mut reports = healthy_reports();
     (0..3).for_each(|zone| report_lost(&mut reports[0], zone));
     assert_eq!(evaluate_all(&reports).partitioned, [0]);
@@ -98,7 +101,7 @@
     );
     assert_eq!(
         error(EvaluatorSettings { max_report_age: Micros(0), ..default }),
-        "max_report_age: expected a time"
+        "max_report_age: expected more than 0"
     );
     assert_eq!(
         error(EvaluatorSettings { min_allocation: 0.0, ..default }),
--- a/crates/gaugesaddle-failover/src/lib.rs
+++ b/crates/gaugesaddle-failover/src/lib.rs
@@ -1,8 +1,8 @@
-//! Failover between zones and to other regions, decided in common by the proxies of a tier. No I/O, clock or threads.
+//! Failover between zones and to other regions, decided jointly by the proxies of a tier. No I/O, clock or threads.
 //!
 //! # What it decides
 //!
-//! From the reports of all proxies to one plan that all follow:
+//! The reports of all proxies are turned into one plan that all of them follow:
 //!
 //! 1. [`evaluate`] makes one [`Assessment`] of many [`ProxyReport`]s: demand and capacity of each zone, which zones are
 //!    lost, and which proxies fail to observe a zone that the majority sees.
@@ -46,13 +46,13 @@
 //! - Traffic goes to another region only when the trusted capacity of all zones is used up, lowest priority weight first.
 //! - A minority of faulty reports neither makes a zone lost nor moves its capacity far.
 //! - Under a partition each side decides for itself. After it heals, all proxies converge on the majority's decision.
-//! - A process that wakes from a stall decides nothing until its host finds its view of the membership current.
-//! - Bytes from other processes never panic; what is not a decision for this tier is dropped.
+//! - A process that resumes from a stall makes no decision until its host finds its view of the membership current.
+//! - Bytes from other processes never cause a panic; a message that is not a decision for this tier is dropped.
 //!
 //! # Bounds
 //!
-//! [`MAX_ZONES`] zones; [`MAX_HISTORY`] decisions retained; a decision goes to [`FANOUT`] peers, [`TRANSMISSIONS`] times,
-//! from each proxy that adopts it.
+//! At most [`MAX_ZONES`] zones and [`MAX_HISTORY`] retained decisions. Each proxy that adopts a decision sends it to
+//! [`FANOUT`] peers, [`TRANSMISSIONS`] times.
 
 mod decision;
 mod decision_replication;
--- a/crates/gaugesaddle-failover/src/numeric.rs
+++ b/crates/gaugesaddle-failover/src/numeric.rs
@@ -1,6 +1,6 @@
-//! Defence against figures of other processes that are no numbers.
+//! Sanitizes figures that other processes report.
 
-/// The value as it may enter a sum: 0 where it is negative, infinite or NaN.
+/// Returns a value that can be summed: 0 where `value` is negative, infinite or NaN.
 pub(crate) fn finite_non_negative(value: f64) -> f64 {
     if value.is_finite() {
         value.max(0.0)
--- a/crates/gaugesaddle-failover/src/plan.rs
+++ b/crates/gaugesaddle-failover/src/plan.rs
@@ -2,11 +2,11 @@
 //!
 //! All zones are filled to one utilization: the target, or as much above it as the total demand requires, up to 1. A zone's
 //! demand above that level is its excess, what remains below it is its headroom. No zone has both, so a zone that receives
-//! traffic sends none, and no zone is filled above the level whoever sends.
+//! traffic sends none, and no zone is filled above the level, whichever zones send to it.
 
 use crate::numeric::finite_non_negative;
 
-/// Amounts up to this, in requests per second, count as nothing.
+/// Amounts up to this, in requests per second, count as 0.
 const NEGLIGIBLE_PER_S: f64 = 1e-9;
 
 /// How one zone is filled, in requests per second.
@@ -32,7 +32,7 @@
     pub spillover_fraction: Vec<f64>,
 }
 
-/// Fits amounts by class into a capacity, in the order given; returns what fits, by class.
+/// Fits amounts by class into a capacity, in the given order; returns the amounts that fit, by class.
 fn fit_by_priority(amounts: &[f64], class_order: &[usize], mut capacity: f64) -> Vec<f64> {
     let mut fitted = vec![0.0; amounts.len()];
     for class in class_order {
@@ -64,7 +64,7 @@
     ZoneFill { local, excess, headroom }
 }
 
-/// The utilization that lets the zones serve as much of the demand as they can.
+/// The utilization at which the zones together serve as much of the demand as they can.
 fn common_utilization(target: f64, total_demand: f64, total_capacity: f64) -> f64 {
     if total_capacity > 0.0 {
         (total_demand / total_capacity).clamp(target.clamp(0.0, 1.0), 1.0)
@@ -75,7 +75,7 @@
 
 /// Plans the distribution of traffic. `target_utilization` is the fraction of their capacity that zones stay at or
 /// below while the demand allows; `demand` is in requests per second by zone and class; `capacity` in requests per second
-/// by zone; `priority_weights` by class. Figures that are missing, negative or no numbers count as 0.
+/// by zone; `priority_weights` by class. Figures that are missing, negative or not finite count as 0.
 pub fn plan(
     target_utilization: f64, demand: &[Vec<f64>], capacity: &[f64], priority_weights: &[f64],
 ) -> Plan {
@@ -100,7 +100,7 @@
         (0..classes).map(|class| fills.iter().map(|fill| fill.excess[class]).sum()).collect();
     let absorbed = fit_by_priority(&excess, &class_order, headroom);
     let local_fraction = |zone: usize| -> Vec<f64> {
-        // Without demand the first request of a class stays, where the zone has any capacity.
+        // Where a class has no demand yet, its first request stays in the zone if that has any capacity.
         let if_no_demand = f64::from(capacity[zone] > 0.0);
         let by_class = fills[zone].local.iter().zip(&demand[zone]);
         by_class.map(|(local, demand)| ratio(*local, *demand, if_no_demand)).collect()
@@ -118,7 +118,7 @@
 }
 
 impl Plan {
-    /// What a zone serves under this demand, its own and that of other zones, in requests per second.
+    /// The load of a zone under this demand, its own and that from other zones, in requests per second.
     pub fn zone_load_per_s(&self, demand: &[Vec<f64>], zone: usize) -> f64 {
         let by_class = demand[zone].iter().zip(&self.local_fraction[zone]);
         let local: f64 = by_class.map(|(demand, fraction)| demand * fraction).sum();
@@ -132,7 +132,7 @@
         local + inbound
     }
 
-    /// What goes to another region under this demand, in requests per second.
+    /// The traffic that goes to another region under this demand, in requests per second.
     pub fn spillover_per_s(&self, demand: &[Vec<f64>]) -> f64 {
         let mut total = 0.0;
         for source in 0..demand.len() {
--- a/crates/gaugesaddle-failover/src/plan/tests.rs
+++ b/crates/gaugesaddle-failover/src/plan/tests.rs
@@ -24,7 +24,7 @@
     let p = plan(0.8, &demand, &[100.0, 100.0], &PRIORITY_WEIGHTS);
     assert!(
         (p.utilization - 0.95).abs() < 1e-9,
-        "above the target, since together they have the capacity: {p:?}"
+        "utilization above the target, since the zones together have the capacity: {p:?}"
     );
     assert_eq!((p.local_fraction[0][0], p.local_fraction[1][0]), (1.0, 1.0));
     assert!((p.zone_load_per_s(&demand, 0) - 95.0).abs() < 1e-9);
@@ -53,7 +53,7 @@
         let total_capacity: f64 = capacity.iter().sum();
         let load: Vec<f64> = (0..zones.len()).map(|zone| p.zone_load_per_s(&demand, zone)).collect();
         for z in 0..zones.len() {
-            prop_assert!(load[z] <= p.utilization * capacity[z] + 1e-6, "{} of {}", load[z], capacity[z]);
+            prop_assert!(load[z] <= p.utilization * capacity[z] + 1e-6, "load {} of capacity {}", load[z], capacity[z]);
             let sends = demand[z].iter().zip(&p.local_fraction[z]).any(|(n, local)| n * (1.0 - local) > 1e-6);
             prop_assert!(!sends || p.inbound_fraction[z] < 1e-9, "a zone that sends receives nothing");
         }
--- a/crates/gaugesaddle-failover/tests/golden_decision.rs
+++ b/crates/gaugesaddle-failover/tests/golden_decision.rs
@@ -1,11 +1,12 @@
-//! The failure: a renamed or moved field changes the decisions that proxies of two builds exchange.
+//! Guards against incompatible encodings: a renamed or moved field must not change the decisions that proxies of two builds
+//! exchange.
 
 use gaugesaddle_failover::{Decision, DecisionVersion, PriorityThreshold, ZoneDirective};
 
 const BYTES: [u8; 21] = [0x80, 0, 0, 1, 4, 2, 3, 0, 9, 200, 2, 77, 2, 1, 128, 30, 255, 0, 0, 225, 64];
 
 #[test]
-fn a_decision_keeps_its_bytes() {
+fn a_decision_keeps_its_encoding() {
     let zone = |full_classes, fraction, inbound_fraction, trust| ZoneDirective {
         local: PriorityThreshold { full_classes, fraction },
         inbound_fraction,
