--- a/crates/gaugesaddle-allocation/src/allocator.rs
+++ b/crates/gaugesaddle-allocation/src/allocator.rs
@@ -8,9 +8,10 @@
 pub const DISCOVERY_TIME: Micros = Micros(2_000_000);
 /// A proxy that has just started assumes the configured number of members, which may be ten times the number of live ones.
 /// It accepts its view before [`DISCOVERY_TIME`] once no further member was discovered for this long: by then it has probed
-/// some thirty members, each of which has had time to answer, and of 300 members that start at once 95 % are discovered within
-/// 0.11 s and the last one within 0.56 s (`docs/design/peers.md`). Where about as many members are live as configured, it
-/// waits for the full time: no demand has been reported yet, and the balancer assumes equal fractions anyway.
+/// some thirty members, each of which has had time to answer, and of 300 members that start at once 95 % are discovered
+/// within 0.11 s and the last one within 0.56 s (`docs/design/peers.md`). Where about as many members are live as
+/// configured, it waits for the full time: no demand has been reported yet, and the balancer assumes equal fractions
+/// anyway.
 const STABLE_TIME: Micros = Micros(300_000);
 /// The weight reported to the balancer is a multiple of this step: a smaller change would make the balancer choose its
 /// backends anew without benefit.
--- a/crates/gaugesaddle-allocation/src/allocator/tests.rs
+++ b/crates/gaugesaddle-allocation/src/allocator/tests.rs
@@ -83,7 +83,7 @@
     let demands = [Some(1.0), None];
     assert!(
         matches!(observe_tier(&mut allocator, 0, 3 * S, 2, &demands), Allocation::Provisional(_)),
-        "the own position is beyond the members"
+        "the proxy's position is beyond the members"
     );
     let view = TierView {
         configured: 2,
--- a/crates/gaugesaddle-allocation/src/demand.rs
+++ b/crates/gaugesaddle-allocation/src/demand.rs
@@ -6,8 +6,8 @@
 /// Limits of the fractions that are computed from demands.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AllocationLimits {
-    /// Fraction of the total that is divided equally, whatever the demands, so that a member that has just joined or reports
-    /// no demand can start.
+    /// Fraction of the total that is divided equally, whatever the demands, so that a member that has just joined or
+    /// reports no demand can start.
     pub floor: f64,
     /// No fraction exceeds the equal one by more than this factor, which limits the effect of a false report.
     pub max_multiple: f64,
@@ -15,8 +15,9 @@
 
 impl Default for AllocationLimits {
     fn default() -> AllocationLimits {
-        // With a floor of a tenth a new member serves a tenth of an equal fraction at once. A factor of eight does not limit
-        // traffic as uneven as 1 to 5, and of 30 proxies one with a false report takes no more than a quarter of the total.
+        // With a floor of a tenth a new member serves a tenth of an equal fraction at once. A factor of eight does not
+        // limit traffic as uneven as 1 to 5, and of 30 proxies one with a false report takes no more than a quarter of
+        // the total.
         AllocationLimits { floor: 0.1, max_multiple: 8.0 }
     }
 }
@@ -74,7 +75,8 @@
 /// A reported demand is not updated for a change below this fraction of it, since each update moves the fractions of all
 /// other members.
 const DEMAND_MIN_CHANGE: f64 = 0.1;
-/// A reported demand is not updated for a change below this number of standard deviations of the count that the mean covers.
+/// A reported demand is not updated for a change below this number of standard deviations of the count that the mean
+/// covers.
 const DEMAND_DEVIATIONS: f64 = 2.0;
 
 /// An exponential moving average of a rate.
@@ -92,8 +94,8 @@
     }
 }
 
-/// The demand that a proxy reports to the others: the mean rate of its arrivals, updated only when the change exceeds random
-/// variation.
+/// The demand that a proxy reports to the others: the mean rate of its arrivals, updated only when the change exceeds
+/// random variation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DemandEstimator {
     observations: u32,
--- a/crates/gaugesaddle-allocation/src/lease_manager.rs
+++ b/crates/gaugesaddle-allocation/src/lease_manager.rs
@@ -10,7 +10,8 @@
 /// Length of a message in bytes: quantity and kind (one each), then boot and number of the lease's id, sequence and units
 /// (four each, big-endian).
 pub const MESSAGE_BYTES: usize = 18;
-/// Units are borrowed for this multiple of the demand: counts per second vary, and a new lease is unusable for a grace period.
+/// Units are borrowed for this multiple of the demand: counts per second vary, and a new lease is unusable for a grace
+/// period.
 const HEADROOM: f64 = 1.25;
 /// A lease is renewed once its remaining time is at most its duration divided by this.
 const RENEWAL_DIVISOR: u64 = 2;
@@ -21,9 +22,9 @@
 const NEWEST_WEIGHT: f64 = 0.25;
 /// An observation above this multiple of the demand is a surge and not random variation: the mean restarts with it.
 const SURGE_FACTOR: f64 = 2.0;
-/// Number of observations after which the demand in a surge is known. Until then no units are requested or granted: one proxy
-/// is the first to observe a surge that reaches all of them, and the units that it borrowed from the others, whose demand
-/// still seems low, would be missing there for a full lease duration.
+/// Number of observations after which the demand in a surge is known. Until then no units are requested or granted: one
+/// proxy is the first to observe a surge that reaches all of them, and the units that it borrowed from the others, whose
+/// demand still seems low, would be missing there for a full lease duration.
 const SURGE_OBSERVATIONS: u32 = 3;
 
 /// The state of one quantity, for operators.
@@ -154,7 +155,8 @@
 }
 
 impl LeaseManager {
-    /// The leases of a process that has just started as the member `index`; quantities are numbered in the order of `terms`.
+    /// The leases of a process that has just started as the member `index`; quantities are numbered in the order of
+    /// `terms`.
     ///
     /// # Errors
     /// The first of the terms that is out of its range, an `index` beyond the members, or too many quantities.
@@ -195,8 +197,8 @@
         })
     }
 
-    /// Records the present demand of each quantity, with the live members; to be called a few times a second. Requests missing
-    /// units, renews leases and releases those that are no longer needed.
+    /// Records the present demand of each quantity, with the live members; to be called a few times a second. Requests
+    /// missing units, renews leases and releases those that are no longer needed.
     pub fn observe(&mut self, now: Time, demands: &[f64], live: &[u16], out: &mut Vec<PeerMessage>) {
         let others: Vec<u16> = live.iter().copied().filter(|member| *member != self.index).collect();
         for (quantity, state) in self.quantities.iter_mut().enumerate() {
--- a/crates/gaugesaddle-allocation/src/reservation.rs
+++ b/crates/gaugesaddle-allocation/src/reservation.rs
@@ -1,5 +1,5 @@
-//! A quantity whose sum over all members may never exceed its total: an equal entitlement for each member, and leases of what
-//! a member does not need.
+//! A quantity whose sum over all members may never exceed its total: an equal entitlement for each member, and leases of
+//! units that a member does not need.
 //!
 //! ```text
 //!  lender       granted -------------------------------------- lease ends -- grace -- available again
@@ -8,11 +8,11 @@
 //!              ^ the borrower's duration counts from here, so that it ends first
 //! ```
 //!
-//! The borrower counts the duration from its request, which precedes the grant, and deducts a margin for clocks of different
-//! rates, so its lease ends before the lender's does. Between two users lies a grace period: the longest time that a use
-//! lasts, or the window over which a rate is counted. A process that starts has to assume that its predecessor has granted all
-//! units that may be leased: it waits for a lease duration and a grace period before it uses them. Before it uses units that
-//! are never leased it waits for a grace period only.
+//! The borrower counts the duration from its request, which precedes the grant, and deducts a margin for clocks of
+//! different rates, so its lease ends before the lender's does. Between two users lies a grace period: the longest time
+//! that a use lasts, or the window over which a rate is counted. A process that starts has to assume that its predecessor
+//! has granted all units that may be leased: it waits for a lease duration and a grace period before it uses them. Before
+//! it uses units that are never leased it waits for a grace period only.
 
 use gaugesaddle_balancer::{ConfigError, Micros, Time};
 
@@ -352,8 +352,8 @@
         let mut renewable =
             self.granted.iter_mut().filter(|lease| !lease.released && sequence >= lease.sequence);
         let lease = renewable.find(|lease| lease.to == to && lease.id == id);
-        // A repeated renewal gets the same answer: the borrower counts the duration from its request with that sequence, which
-        // was earlier.
+        // A repeated renewal gets the same answer: the borrower counts the duration from its request with that sequence,
+        // which was earlier.
         let Some(lease) = lease.filter(|lease| sequence == lease.sequence || spare > 0) else {
             return LeaseMessage::Grant { id, sequence, units: 0 };
         };
--- a/crates/gaugesaddle-allocation/src/subset.rs
+++ b/crates/gaugesaddle-allocation/src/subset.rs
@@ -101,8 +101,8 @@
         let member_hash = mix(member.hash_key);
         let due = due_backends(member, members.len(), backends.len(), size);
         for ((kind, zone), cell) in &cells {
-            // Each member rounds its count with a pseudorandom offset of its own, so that the counts of all members sum to what
-            // each cell is due.
+            // Each member rounds its count with a pseudorandom offset of its own, so that over all members each cell gets
+            // its expected number of users.
             let rounding_offset =
                 (mix(member_hash ^ mix(kind ^ mix(*zone))) >> 11) as f64 / (1u64 << 53) as f64;
             let count = (due * cell.len() as f64 / backends.len() as f64 + rounding_offset) as usize;
--- a/crates/gaugesaddle-allocation/tests/model.rs
+++ b/crates/gaugesaddle-allocation/tests/model.rs
@@ -80,8 +80,8 @@
 
     fn deliver(&mut self, (from, to, message): (u16, u16, LeaseMessage)) {
         let now = self.time();
-        // A message to a paused process is lost here. That it waits in a socket is covered by a duplicated message, which is
-        // delivered later.
+        // A message to a paused process is lost here. Its delivery after the pause is covered by a duplicated message, whose
+        // second copy is delivered later.
         if self.paused == Some(usize::from(to)) {
             return;
         }
--- a/crates/gaugesaddle-failover/src/decision.rs
+++ b/crates/gaugesaddle-failover/src/decision.rs
@@ -104,7 +104,7 @@
     }
 }
 
-/// What a decision requires of one zone.
+/// The part of a decision that concerns one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ZoneDirective {
     /// The zone's own traffic that it serves itself.
--- a/crates/gaugesaddle-failover/src/decision_replication.rs
+++ b/crates/gaugesaddle-failover/src/decision_replication.rs
@@ -101,7 +101,7 @@
         view.is_current && view.live.first() == Some(&self.member)
     }
 
-    /// Advances the clock. `desired` is what this proxy's own assessment calls for; the decider adopts it as
+    /// Advances the clock. `desired` is the decision that follows from this proxy's own assessment; the decider adopts it as
     /// a new decision where it differs from the current one. Appends messages to `out` and returns whether the current decision changed.
     pub fn tick(
         &mut self, now: Time, view: &MembershipView, desired: Option<&Decision>, out: &mut Vec<Outgoing>,
--- a/crates/gaugesaddle-failover/src/lib.rs
+++ b/crates/gaugesaddle-failover/src/lib.rs
@@ -1,6 +1,6 @@
 //! Failover between zones and to other regions, decided jointly by the proxies of a tier. No I/O, clock or threads.
 //!
-//! # What it decides
+//! # Decisions
 //!
 //! The reports of all proxies are turned into one plan that all of them follow:
 //!
@@ -8,7 +8,7 @@
 //!    lost, and which proxies fail to observe a zone that the majority sees.
 //! 2. [`EscalationPolicy`], one a zone, trusts a recovered zone level by level, and a flapping one later each time.
 //! 3. [`plan()`] keeps traffic local up to a target utilization and distributes the excess over the headroom of the other
-//!    zones. What no zone has headroom for goes to another region.
+//!    zones. Traffic that no zone has headroom for goes to another region.
 //! 4. [`DecisionReplica`] disseminates the plan as a [`Decision`]: the live member with the lowest number decides, and each
 //!    proxy follows the newest decision that it has received.
 //!
--- a/crates/gaugesaddle-failover/src/plan.rs
+++ b/crates/gaugesaddle-failover/src/plan.rs
@@ -1,7 +1,7 @@
 //! Which traffic stays in its zone, which goes to another zone, and which to another region.
 //!
 //! All zones are filled to one utilization: the target, or as much above it as the total demand requires, up to 1. A zone's
-//! demand above that level is its excess, what remains below it is its headroom. No zone has both, so a zone that receives
+//! demand above that level is its excess, the remainder below it is its headroom. No zone has both, so a zone that receives
 //! traffic sends none, and no zone is filled above the level, whichever zones send to it.
 
 use crate::numeric::finite_non_negative;
--- a/crates/gaugesaddle-overload/src/controller.rs
+++ b/crates/gaugesaddle-overload/src/controller.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// Maximum delay that is advised, in whole seconds, from 1 to 600.
-    pub max_delay_s: u64,
+    pub longest_s: u64,
     /// Maximum number of sources in the retry accounting, from 1 to 1,000,000.
     pub sources: usize,
 }
@@ -36,8 +36,8 @@
     /// # Errors
     /// The first setting out of its range.
     pub fn check(&self) -> Result<(), ConfigError> {
-        if !(1..=MAX_SCHEDULE_S as u64).contains(&self.max_delay_s) {
-            return Err(ConfigError { field: "max_delay_s", expected: "1 to 600" });
+        if !(1..=MAX_SCHEDULE_S as u64).contains(&self.longest_s) {
+            return Err(ConfigError { field: "longest_s", expected: "1 to 600" });
         }
         if !(1..=1_000_000).contains(&self.sources) {
             return Err(ConfigError { field: "sources", expected: "1 to 1000000" });
@@ -82,7 +82,7 @@
         Ok(OverloadController {
             detector: StormDetector::default(),
             rate_limiter: RateLimiter::default(),
-            retry_schedule: RetrySchedule::new(settings.max_delay_s, seed),
+            retry_schedule: RetrySchedule::new(settings.longest_s, seed),
             accounting: RetryAccounting::new(settings.sources),
             counts: TrafficCounts::default(),
             admitted: 0,
--- a/crates/gaugesaddle-overload/src/lib.rs
+++ b/crates/gaugesaddle-overload/src/lib.rs
@@ -12,7 +12,7 @@
 //! use gaugesaddle_balancer::Time;
 //! use gaugesaddle_overload::{OverloadController, Settings, StormPhase};
 //!
-//! let settings = Settings { max_delay_s: 30, sources: 1000 };
+//! let settings = Settings { longest_s: 30, sources: 1000 };
 //! let mut controller = OverloadController::new(settings, 7)?;
 //! let now = Time(1_000_000);
 //! let (is_retry, returns_early) = controller.record_arrival(now, false, Some(42), 1);
--- a/crates/gaugesaddle-overload/tests/properties.rs
+++ b/crates/gaugesaddle-overload/tests/properties.rs
@@ -139,7 +139,7 @@
     fn the_admitted_rate_is_finite_and_nothing_panics(
         steps in prop::collection::vec((0u8..7, 0u64..600, any::<u64>()), 1..500),
     ) {
-        let mut controller = OverloadController::new(Settings { max_delay_s: 30, sources: 16 }, 3).unwrap();
+        let mut controller = OverloadController::new(Settings { longest_s: 30, sources: 16 }, 3).unwrap();
         let mut now = 0;
         for (kind, gap, n) in steps {
             now += gap;
--- a/crates/gaugesaddle/src/application/startup.rs
+++ b/crates/gaugesaddle/src/application/startup.rs
@@ -232,7 +232,7 @@
     }
     let max_s = config.max_retry_after.map_or(u64::MAX, |max| (max.0 / 1_000_000).max(1));
     let longest_s = operator.storm.longest_retry_after_s.min(max_s);
-    let settings = gaugesaddle_overload::Settings { max_delay_s: longest_s, sources: operator.storm.sources };
+    let settings = gaugesaddle_overload::Settings { longest_s, sources: operator.storm.sources };
     let controller =
         gaugesaddle_overload::OverloadController::new(settings, config.seed).map_err(Error::Overload)?;
     Ok(Some(Box::new(OverloadWatch::new(controller, common.registry.clone()))))
