--- a/crates/gaugesaddle/src/serving/overload.rs
+++ b/crates/gaugesaddle/src/serving/overload.rs
@@ -27,15 +27,15 @@
     fn poll(&mut self, now: Time, _: &Balancer, events: &mut Vec<Event>) {
         let controller = &mut self.controller;
         let accepted = self.registry.accepted_connections.get();
-        (self.seen_connections..accepted).for_each(|_| controller.connected());
+        (self.seen_connections..accepted).for_each(|_| controller.record_connection());
         self.seen_connections = accepted;
         let Some(observation) = controller.observe(now) else { return };
-        let (state, figures) = (controller.state(), controller.figures());
+        let (state, figures) = (controller.phase(), controller.figures());
         if let Some(previous) = observation.previous {
             tracing::info!("retry storm detection: {} after {}: {figures}", state.name(), previous.name());
             self.registry.storm.set(state);
         }
-        if let Some(pressure) = observation.pressure {
+        if let Some(pressure) = observation.limits {
             events.push(Event::StormLimits(pressure));
         }
         let mut view = self.registry.storm_view.borrow_mut();
@@ -47,31 +47,31 @@
             storms: old.map_or(0, |o| o.storms) + u64::from(began),
             per_s: figures.per_s,
             usual_per_s: figures.usual_per_s,
-            repeats: figures.repeats,
+            repeats: figures.retry_fraction,
             let_in_per_s: controller.admitted_per_s(),
         });
     }
 
     fn on_arrival(&mut self, now: Time, new: &NewRequest, arrival: &mut Arrival) {
         (arrival.repeat, arrival.retried_early) =
-            self.controller.arrived(now, new.repeat, new.key, new.source);
+            self.controller.record_arrival(now, new.repeat, new.key, new.source);
     }
 
     fn on_attempt_start(&mut self, is_first: bool) {
-        self.controller.sent(is_first);
+        self.controller.record_attempt(is_first);
     }
 
     fn on_request_end(&mut self, _: ClassId, end: RequestEnd) {
         match end {
-            RequestEnd::InTime => self.controller.served(true),
-            RequestEnd::Late => self.controller.served(false),
-            RequestEnd::FailedByBalancer | RequestEnd::FailedUnanswered => self.controller.failed(),
+            RequestEnd::InTime => self.controller.record_success(true),
+            RequestEnd::Late => self.controller.record_success(false),
+            RequestEnd::FailedByBalancer | RequestEnd::FailedUnanswered => self.controller.record_failure(),
             _ => {}
         }
     }
 
     fn adjust_rejection(&mut self, now: Time, source: u64, retried_early: bool, rejection: &mut Rejection) {
-        rejection.retry_after_s = self.controller.refused(now, source, rejection.retry_after_s);
-        rejection.by_client = retried_early && self.controller.state().is_damping();
+        rejection.retry_after_s = self.controller.record_refusal(now, source, rejection.retry_after_s);
+        rejection.by_client = retried_early && self.controller.phase().is_damping();
     }
 }
