--- a/crates/gaugesaddle-control/tests/configuration_changes.rs
+++ b/crates/gaugesaddle-control/tests/configuration_changes.rs
@@ -44,7 +44,7 @@
         let other = (at + 1) % 3;
         let next = document(revision + 1).to_string();
         put_until_acknowledged(&fleet, other, revision, &next);
-        fleet.run(at).expect("process restarts");
+        fleet.start_process(at).expect("process restarts");
         until("the restarted process answers", || fleet.get(at) == (200, next.clone()));
     }
 }
@@ -56,7 +56,7 @@
     put_until_acknowledged(&fleet, 1, 0, &first);
     (0..3).for_each(|at| fleet.kill(at));
     for at in 0..3 {
-        fleet.run(at).expect("process restarts");
+        fleet.start_process(at).expect("process restarts");
     }
     until("the configuration is read back", || fleet.get(2) == (200, first.clone()));
 }
@@ -68,7 +68,7 @@
     put_until_acknowledged(&fleet, 0, 0, &first);
     fleet.kill(0);
     fleet.wipe(0).expect("the disk is wiped");
-    fleet.run(0).expect("process restarts");
+    fleet.start_process(0).expect("process restarts");
     until("the wiped machine serves the configuration", || fleet.get(0) == (200, first.clone()));
     // The wiped machine votes again, so that either of the two others may fail.
     let second = document(4).to_string();
@@ -76,7 +76,7 @@
         fleet.kill(1);
         let committed = fleet.put(0, 3, &second).0 == 200;
         if !committed {
-            fleet.run(1).expect("process restarts");
+            fleet.start_process(1).expect("process restarts");
             until("all voters are back", || fleet.get(1).0 == 200);
         }
         committed
@@ -205,7 +205,7 @@
             let (left, right) = (&left, &right);
             let send = |at: usize, text| move || conclusive(|| fleet.patch(at, base, text).0);
             let (a, b) = (scope.spawn(send(one, left)), scope.spawn(send(other, right)));
-            fleet.stop_abruptly(crashed);
+            fleet.send_sigkill(crashed);
             (a.join().expect("client thread completes"), b.join().expect("client thread completes"))
         });
         let mut answers = [first, second];
@@ -221,7 +221,7 @@
         let expected = if first == 200 { [true, false] } else { [false, true] };
         assert_eq!(changed, expected, "iteration {iteration}: {committed}");
         fleet.kill(crashed);
-        fleet.run(crashed).expect("process restarts");
+        fleet.start_process(crashed).expect("process restarts");
         until("the restarted process responds", || fleet.get(crashed).0 == 200);
     }
 }
--- a/crates/gaugesaddle-control/tests/traffic.rs
+++ b/crates/gaugesaddle-control/tests/traffic.rs
@@ -292,14 +292,14 @@
     until("the proxy is not ready", || !fleet.is_ready(EDGE));
     release.send(()).expect("backend is waiting");
     assert_eq!(client.join().expect("client thread completes").expect("stream is complete"), events(0, 4));
-    until("the process ends", || !fleet.runs(EDGE));
+    until("the process ends", || !fleet.is_running(EDGE));
 }
 
 /// Maximum time for which a key may be used after its revocation, in the fail-closed fleets below, in ms.
 const REVOKE_MS: u64 = 2500;
 
 fn closed_fleet(backend: &Backend) -> Fleet {
-    let fleet = Fleet::start_closed(1, 1, REVOKE_MS).expect("fleet starts");
+    let fleet = Fleet::start_fail_closed(1, 1, REVOKE_MS).expect("fleet starts");
     configure(fleet, &[("i-1", backend.address)])
 }
 
@@ -336,7 +336,7 @@
     assert_eq!(send_request(&fleet).status(), 503);
     assert_eq!(backend.requests().len(), before);
     // The control process is restarted.
-    fleet.run(CONTROL).expect("process restarts");
+    fleet.start_process(CONTROL).expect("process restarts");
     until("backend is registered", || fleet.heartbeat(CONTROL, "i-1", "s", backend.address, "ready") == 200);
     until("keys are accepted again", || send_request(&fleet).status() == 200);
 }
@@ -347,7 +347,7 @@
     let fleet = closed_fleet(&backend);
     assert_eq!(call(fleet.front(EDGE), &request("plain", FREE)).map(|m| m.status()).ok(), Some(200));
     let before = backend.requests().len();
-    fleet.freeze(EDGE).expect("signal is sent");
+    fleet.suspend(EDGE).expect("signal is sent");
     let without = document(2).to_string().replace("k-free", "k-other");
     assert_eq!(fleet.put(CONTROL, 1, &without).0, 200);
     let acknowledged = std::time::Instant::now();
@@ -361,7 +361,7 @@
         .collect();
     let sent_at = std::time::Instant::now();
     until("the requests are sent", || sent_at.elapsed().as_millis() > 200);
-    fleet.wake(EDGE).expect("signal is sent");
+    fleet.resume(EDGE).expect("signal is sent");
     for client in clients {
         let status = client.join().expect("client thread completes").expect("response is received");
         assert!([401, 503].contains(&status), "{status}");
--- a/crates/gaugesaddle-measure/src/allocation/scenarios.rs
+++ b/crates/gaugesaddle-measure/src/allocation/scenarios.rs
@@ -67,7 +67,7 @@
 /// in a third all nodes start cold.
 pub(super) fn hard(seed: u64) -> Scenario {
     let regions = seed % 2 == 1;
-    let mut s = hunt::draw_on(mix(77, seed), |s| {
+    let mut s = hunt::draw_scenario_on(mix(77, seed), |s| {
         s.demand_allocation = true;
         if regions {
             s.proxies -= s.proxies % 2;
--- a/crates/gaugesaddle-measure/src/drains.rs
+++ b/crates/gaugesaddle-measure/src/drains.rs
@@ -5,7 +5,7 @@
 use crate::runs::{interval, play_all, round};
 use gaugesaddle_testbed::scenario::{Clients, Kind};
 use gaugesaddle_testbed::scripted::{ask, config, line, ok, request, until, Backend, Discovery, Proxy};
-use gaugesaddle_testbed::{program, Broken, Disturbance, Scenario};
+use gaugesaddle_testbed::{program, Disturbance, Scenario, Violation};
 use serde_json::{json, Value};
 use std::io;
 use std::net::SocketAddr;
@@ -114,7 +114,7 @@
     let (mut drains, mut others, mut served) = (0, 0, Vec::new());
     for (s, outcome) in scenarios.iter().zip(&outcomes) {
         let verdict = &outcome.verdict;
-        let of_drains = verdict.findings.iter().filter(|f| f.broken == Broken::Drain).count();
+        let of_drains = verdict.findings.iter().filter(|f| f.violation == Violation::Drain).count();
         drains += of_drains;
         others += verdict.findings.len() - of_drains;
         served.push(verdict.g);
--- a/crates/gaugesaddle-measure/src/region.rs
+++ b/crates/gaugesaddle-measure/src/region.rs
@@ -7,7 +7,7 @@
 use crate::proc::children_cpu_seconds;
 use crate::runs::{cast, interval, play, play_all, play_with, round};
 use gaugesaddle_federation::Via;
-use gaugesaddle_testbed::{Broken, Disturbance, Event, Outcome, Scenario};
+use gaugesaddle_testbed::{Disturbance, Event, Outcome, Scenario, Violation};
 use scenarios::{base, hard, lost, CASES, LOST_AT, LOST_FOR};
 use serde_json::{json, Value};
 use std::io;
@@ -150,7 +150,7 @@
                 log.iter().filter(|l| l.contains("region")).for_each(|l| println!("    p{proxy}: {l}"));
             }
         }
-        let looped = verdict.count(Broken::Looped) + verdict.count(Broken::OverBudget);
+        let looped = verdict.count(Violation::Looped) + verdict.count(Violation::OverBudget);
         let service: Vec<String> = verdict.regions.iter().map(|region| format!("{:.3}", region.g)).collect();
         println!("  {name}, {seed}: G {}, {looped} looped or over", service.join(" "));
     }
--- a/crates/gaugesaddle-measure/src/tier/mod.rs
+++ b/crates/gaugesaddle-measure/src/tier/mod.rs
@@ -253,7 +253,7 @@
     let hunted =
         hunt::hunt(&cast()?, 11, within, extent.lanes, &std::env::temp_dir(), &|line| println!("{line}"))?;
     println!("{hunted}");
-    let found = hunted.saved.len() + hunted.once.len();
+    let found = hunted.saved.len() + hunted.not_reproduced.len();
     let held = malformed_held && virtual_held && processes_held && votes_held && peaceful_held && found == 0;
     Ok(
         json!({"virtual": in_virtual, "processes": as_processes, "votes_p99": votes, "cpu": cpu, "peace": peaceful,
--- a/crates/gaugesaddle-proxy-simulation/src/tier.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/tier.rs
@@ -333,7 +333,7 @@
     }
 
     fn deliver(&mut self, to: usize, from: usize, bytes: Vec<u8>) {
-        if !self.links.passes(from, to) {
+        if !self.links.allows(from, to) {
             return;
         }
         let Some(r) = self.running[to].as_mut() else { return };
--- a/crates/gaugesaddle-testbed/src/agent.rs
+++ b/crates/gaugesaddle-testbed/src/agent.rs
@@ -124,13 +124,13 @@
         if down {
             self.outages.set(self.outages.get() + 1);
         } else {
-            self.missed.take().into_iter().for_each(|entry| self.put(entry));
+            self.missed.take().into_iter().for_each(|entry| self.publish(entry));
         }
         self.changed.notify_waiters();
     }
 
     /// Publishes a change of a node's process, unless a newer one of the same name is known.
-    pub fn put(&self, entry: ListEntry) {
+    pub fn publish(&self, entry: ListEntry) {
         if self.down.get() {
             return self.missed.borrow_mut().push(entry);
         }
@@ -161,7 +161,7 @@
     }
 
     /// The list as a starting proxy has it in its configuration; it counts as delivered.
-    pub fn known(&self) -> Value {
+    pub fn initial_list(&self) -> Value {
         self.delivered.borrow_mut().clear();
         let (entries, listed) = self.snapshot();
         self.record_delivery(&listed, true);
--- a/crates/gaugesaddle-testbed/src/audit.rs
+++ b/crates/gaugesaddle-testbed/src/audit.rs
@@ -16,7 +16,7 @@
 mod slow_start;
 mod verdict;
 
-pub use verdict::{Broken, ClassFigures, Finding, RegionFigures, Verdict};
+pub use verdict::{ClassFigures, Finding, RegionFigures, Verdict, Violation};
 
 use crate::record::{Boot, Event, Moment, NodeState, Record};
 use crate::scenario::Scenario;
@@ -151,7 +151,7 @@
             }
             Event::ProxyEnded { proxy, clean: false } => {
                 let text = format!("proxy {proxy} ended by itself or had to be killed");
-                self.record_finding(Broken::Crash, text, vec![record]);
+                self.record_finding(Violation::Crash, text, vec![record]);
             }
             Event::ProxyEnded { .. }
             | Event::ProxyTerminated { .. }
@@ -162,7 +162,7 @@
                 let slow_start_us = *slow_start_us as f64;
                 self.nodes.insert(*boot, NodeFacts { up: at, zone, speed, initial_capacity, slow_start_us });
             }
-            Event::NodeFell { .. } => self.verdict.fallen += 1,
+            Event::NodeFell { .. } => self.verdict.overload_crashes += 1,
             Event::Published { proxy, boot, state } => {
                 self.read_report(record, (*proxy, *boot), *state, false);
             }
@@ -211,9 +211,9 @@
         self.reports.push(NodeReport { proxy, boot, state, delivered, record });
     }
 
-    fn record_finding(&mut self, broken: Broken, text: String, records: Vec<&Record>) {
+    fn record_finding(&mut self, violation: Violation, text: String, records: Vec<&Record>) {
         let records = records.into_iter().cloned().collect();
-        self.verdict.findings.push(Finding { broken, text, records });
+        self.verdict.findings.push(Finding { violation, text, records });
     }
 
     /// Whether a proxy was killed or stopped at some moment of a span. What it received while it was stopped waits, and
--- a/crates/gaugesaddle-testbed/src/audit/answers.rs
+++ b/crates/gaugesaddle-testbed/src/audit/answers.rs
@@ -1,10 +1,10 @@
 //! Rule 1: every request that was taken has exactly one final response, in time, made for it; nothing is sent after it.
 
-use super::{Attempt, Auditor, Broken, ClientAttempt};
+use super::{Attempt, Auditor, ClientAttempt, Violation};
 use crate::record::{Event, Moment, Record};
 
 /// A rule broken, with its text and the records that show it.
-type Found<'a> = (Broken, String, Vec<&'a Record>);
+type Found<'a> = (Violation, String, Vec<&'a Record>);
 
 /// One request's attempt as its client saw it, with what nodes saw of that request.
 struct Exchange<'a, 'b> {
@@ -37,8 +37,8 @@
             }
         }
         self.verdict.closed_unread = closed_unread;
-        for (broken, text, records) in found {
-            self.record_finding(broken, text, records);
+        for (violation, text, records) in found {
+            self.record_finding(violation, text, records);
         }
     }
 
@@ -54,7 +54,7 @@
         let Some(end) = self.client.ended.first() else {
             let sent = self.client.sent.at;
             if !self.was_absent(sent, self.deadline) && self.auditor.is_over(self.deadline) {
-                found.push((Broken::Lost, self.text("came to no end"), self.shown()));
+                found.push((Violation::Lost, self.text("came to no end"), self.shown()));
             }
             return;
         };
@@ -63,7 +63,7 @@
             Event::ClientDisconnected { .. } => {}
             Event::Broken { bytes, .. } => self.check_broken(end, *bytes, found, closed_unread),
             _ if self.was_absent(self.client.sent.at, self.deadline) => {}
-            _ => found.push((Broken::Lost, self.text("had no answer in its time"), self.shown())),
+            _ => found.push((Violation::Lost, self.text("had no answer in its time"), self.shown())),
         }
         self.check_sent_after(end, found);
     }
@@ -72,7 +72,7 @@
         let ended = &self.client.ended;
         let answers = ended.iter().filter(|r| matches!(r.event, Event::Answered { .. })).count();
         if answers > 1 || ended.iter().any(|r| matches!(r.event, Event::Surplus { .. })) {
-            found.push((Broken::AnsweredTwice, self.text("had more than an answer"), self.shown()));
+            found.push((Violation::AnsweredTwice, self.text("had more than an answer"), self.shown()));
         }
     }
 
@@ -80,11 +80,15 @@
         if end.at > self.deadline && !self.was_absent(self.client.sent.at, end.at) {
             let late_ms = (end.at - self.deadline) as f64 / 1e3;
             let text = self.text(&format!("was answered {late_ms:.1} ms after its time"));
-            found.push((Broken::AnsweredLate, text, self.shown()));
+            found.push((Violation::AnsweredLate, text, self.shown()));
         }
         let is_made = |number: u64| self.attempts.iter().any(|(n, attempt)| *n == number && attempt.replied);
         if status == 200 && !attempt.is_some_and(is_made) {
-            found.push((Broken::Foreign, self.text("was served with no node's answer to it"), self.shown()));
+            found.push((
+                Violation::Foreign,
+                self.text("was served with no node's answer to it"),
+                self.shown(),
+            ));
         }
     }
 
@@ -102,7 +106,7 @@
             return;
         }
         let records = self.shown().into_iter().chain(forwarded).collect();
-        found.push((Broken::Lost, self.text("was sent on and its connection closed"), records));
+        found.push((Violation::Lost, self.text("was sent on and its connection closed"), records));
     }
 
     /// What comes after the end of an attempt belongs to a later one or to nothing.
@@ -116,7 +120,7 @@
             let is_late = arriving.at > over && arriving.at < self.until;
             if is_late && !self.was_absent(self.client.sent.at, arriving.at) {
                 let records = self.shown().into_iter().chain([arriving]).collect();
-                found.push((Broken::SentAfterAnswer, self.text("was sent on after its end"), records));
+                found.push((Violation::SentAfterAnswer, self.text("was sent on after its end"), records));
             }
         }
     }
--- a/crates/gaugesaddle-testbed/src/audit/drains.rs
+++ b/crates/gaugesaddle-testbed/src/audit/drains.rs
@@ -1,6 +1,6 @@
 //! Rule 3: nothing new goes to a node after the grace, once its proxy was told to leave it alone.
 
-use super::{Auditor, Broken};
+use super::{Auditor, Violation};
 use crate::record::{Boot, Moment, NodeState, Record};
 use std::collections::HashMap;
 
@@ -45,7 +45,7 @@
             }
         }
         for (text, records) in found {
-            self.record_finding(Broken::Drain, text, records);
+            self.record_finding(Violation::Drain, text, records);
         }
     }
 }
--- a/crates/gaugesaddle-testbed/src/audit/regions.rs
+++ b/crates/gaugesaddle-testbed/src/audit/regions.rs
@@ -1,6 +1,6 @@
 //! The way of each request through regions, and how many leave one of them.
 
-use super::{Attempt, Auditor, Broken, RegionFigures};
+use super::{Attempt, Auditor, RegionFigures, Violation};
 use crate::record::{Moment, Record};
 use std::collections::HashMap;
 
@@ -26,7 +26,7 @@
                 if way.last() != Some(&region) {
                     if way.contains(&region) || way.len() > hops {
                         let text = format!("request {id:016x} went through regions {way:?} and to {region}");
-                        found.push((Broken::Looped, text, vec![client_attempts[0].sent, a.arriving]));
+                        found.push((Violation::Looped, text, vec![client_attempts[0].sent, a.arriving]));
                     }
                     way.push(region);
                     left.entry((home, region)).or_default().push((a.arriving.at, a.arriving));
@@ -47,11 +47,11 @@
             figures.max_spilled_per_s = figures.max_spilled_per_s.max(most);
             if most > self.s.regions.per_s as usize {
                 let text = format!("{most} requests left region {home} for {to} within a second");
-                found.push((Broken::OverBudget, text, vec![times[at].1]));
+                found.push((Violation::OverBudget, text, vec![times[at].1]));
             }
         }
-        for (broken, text, records) in found {
-            self.record_finding(broken, text, records);
+        for (violation, text, records) in found {
+            self.record_finding(violation, text, records);
         }
     }
 }
--- a/crates/gaugesaddle-testbed/src/audit/repeats.rs
+++ b/crates/gaugesaddle-testbed/src/audit/repeats.rs
@@ -1,6 +1,6 @@
 //! Rule 2: what may have run is sent again, or rejected, only as its class allows.
 
-use super::{Attempt, Auditor, Broken};
+use super::{Attempt, Auditor, Violation};
 use crate::record::{Event, Moment};
 use crate::scenario::Effect;
 
@@ -25,7 +25,7 @@
                         Effect::Unsafe => {
                             let text =
                                 format!("unsafe request {id:016x} was sent again though it may have run");
-                            found.push((Broken::UnsafeRepeated, text, shown()));
+                            found.push((Violation::UnsafeRepeated, text, shown()));
                         }
                         Effect::Keyed => {
                             let zone = |a: &Attempt| self.nodes.get(&a.boot).map(|n| n.zone);
@@ -38,7 +38,7 @@
                                     zone(later),
                                     passed as f64 / 1e3
                                 );
-                                found.push((Broken::KeyedRepeated, text, shown()));
+                                found.push((Violation::KeyedRepeated, text, shown()));
                             }
                         }
                     }
@@ -50,15 +50,15 @@
                 if let (Some(ran), true) = (ran, class.effect != Effect::Safe) {
                     let text = format!("request {id:016x} was refused though it may have run");
                     found.push((
-                        Broken::RefusedAfterRun,
+                        Violation::RefusedAfterRun,
                         text,
                         vec![client_attempts[0].sent, ran.arriving, end],
                     ));
                 }
             }
         }
-        for (broken, text, records) in found {
-            self.record_finding(broken, text, records);
+        for (violation, text, records) in found {
+            self.record_finding(violation, text, records);
         }
     }
 }
--- a/crates/gaugesaddle-testbed/src/audit/slow_start.rs
+++ b/crates/gaugesaddle-testbed/src/audit/slow_start.rs
@@ -1,6 +1,6 @@
 //! Rule 4: no node in slow start is sent more than its budget in any window.
 
-use super::{mean_work_us, Attempt, Auditor, Broken};
+use super::{mean_work_us, Attempt, Auditor, Violation};
 use crate::processor::present_work;
 use crate::record::Boot;
 use std::collections::HashMap;
@@ -46,7 +46,7 @@
             }
         }
         for (text, records) in found {
-            self.record_finding(Broken::SlowStartOverload, text, records);
+            self.record_finding(Violation::SlowStartOverload, text, records);
         }
     }
 }
--- a/crates/gaugesaddle-testbed/src/audit/tests.rs
+++ b/crates/gaugesaddle-testbed/src/audit/tests.rs
@@ -55,8 +55,8 @@
         records.push(Record { at: 60_000_000, event: Event::ProxyTerminated { proxy: 0 } });
         audit(scenario, &records, 0)
     }
-    fn broken(&self) -> Vec<Broken> {
-        let mut all: Vec<Broken> = self.verdict().findings.iter().map(|f| f.broken).collect();
+    fn violations(&self) -> Vec<Violation> {
+        let mut all: Vec<Violation> = self.verdict().findings.iter().map(|f| f.violation).collect();
         all.dedup();
         all
     }
@@ -88,34 +88,34 @@
 fn rule_one_in_each_of_its_ways() {
     let mut lost = Script::new();
     lost.asked(10, 1, 0).at(2000, Event::Unanswered { id: 1 });
-    assert_eq!(lost.broken(), [Broken::Lost]);
+    assert_eq!(lost.violations(), [Violation::Lost]);
     let mut never = Script::new();
     never.asked(10, 1, 0);
-    assert_eq!(never.broken(), [Broken::Lost], "no end at all");
+    assert_eq!(never.violations(), [Violation::Lost], "no end at all");
     let mut closed = Script::new();
     closed.asked(10, 1, 0).sent(11, 1, 1, A).at(30, Event::Broken { id: 1, bytes: 0 });
-    assert_eq!(closed.broken(), [Broken::Lost], "sent on and closed");
+    assert_eq!(closed.violations(), [Violation::Lost], "sent on and closed");
     let mut twice = Script::new();
     twice.served(10, 1, 0, 1).at(40, Event::Surplus { id: 1 });
-    assert_eq!(twice.broken(), [Broken::AnsweredTwice]);
+    assert_eq!(twice.violations(), [Violation::AnsweredTwice]);
     let mut again = Script::new();
     again.served(10, 1, 0, 1).answered(50, 1, 200, Some(1));
-    assert_eq!(again.broken(), [Broken::AnsweredTwice]);
+    assert_eq!(again.violations(), [Violation::AnsweredTwice]);
     let mut late = Script::new();
     late.asked(10, 1, 0).answered(1061, 1, 502, None);
-    assert_eq!(late.broken(), [Broken::AnsweredLate]);
+    assert_eq!(late.violations(), [Violation::AnsweredLate]);
     let mut foreign = Script::new();
     foreign.served(10, 1, 0, 1).asked(100, 2, 0).answered(130, 2, 200, Some(1));
-    assert_eq!(foreign.broken(), [Broken::Foreign], "another request's attempt");
+    assert_eq!(foreign.violations(), [Violation::Foreign], "another request's attempt");
     let mut after = Script::new();
     after.served(10, 1, 0, 1).sent(200, 1, 2, A);
-    assert_eq!(after.broken(), [Broken::SentAfterAnswer]);
+    assert_eq!(after.violations(), [Violation::SentAfterAnswer]);
     let mut left = Script::new();
     left.asked(10, 1, 0).at(50, Event::ClientDisconnected { id: 1 }).sent(150, 1, 1, A);
-    assert_eq!(left.broken(), [Broken::SentAfterAnswer], "its client had gone");
+    assert_eq!(left.violations(), [Violation::SentAfterAnswer], "its client had gone");
     let mut crash = Script::new();
     crash.served(10, 1, 0, 1).at(500, Event::ProxyEnded { proxy: 0, clean: false });
-    assert_eq!(crash.broken(), [Broken::Crash]);
+    assert_eq!(crash.violations(), [Violation::Crash]);
 }
 
 #[test]
@@ -123,23 +123,23 @@
     // Closed between two requests with nothing sent on; the client asks once more.
     let mut crossed = Script::new();
     crossed.asked(10, 1, 1).at(12, Event::Broken { id: 1, bytes: 0 }).served(13, 1, 1, 1);
-    assert_eq!((crossed.broken(), crossed.verdict().closed_unread), (vec![], 1));
+    assert_eq!((crossed.violations(), crossed.verdict().closed_unread), (vec![], 1));
     // A killed proxy holds nothing any more.
     let mut killed = Script::new();
     killed.served(1, 9, 0, 9).asked(10, 1, 0).sent(11, 1, 1, A);
     killed.at(20, Event::ProxyKilled { proxy: 0 }).at(21, Event::Broken { id: 1, bytes: 0 });
-    assert_eq!(killed.broken(), []);
+    assert_eq!(killed.violations(), []);
     // A stopped one answers late what it was sent meanwhile, but not what came afterwards.
     let mut stopped = Script::new();
     stopped.at(10, Event::ProxyStopped { proxy: 0 }).asked(20, 1, 0);
     stopped.at(5000, Event::ProxyContinued { proxy: 0 }).answered(5010, 1, 502, None);
-    assert_eq!(stopped.broken(), []);
+    assert_eq!(stopped.violations(), []);
     stopped.asked(6000, 2, 0).at(7800, Event::Unanswered { id: 2 });
-    assert_eq!(stopped.broken(), [Broken::Lost]);
+    assert_eq!(stopped.violations(), [Violation::Lost]);
     // Half an answer: its client can tell that it failed.
     let mut half = Script::new();
     half.served(1, 9, 0, 9).asked(10, 1, 0).sent(11, 1, 1, A).at(30, Event::Broken { id: 1, bytes: 40 });
-    assert_eq!(half.broken(), []);
+    assert_eq!(half.violations(), []);
 }
 
 #[test]
@@ -152,31 +152,31 @@
         }
         script.sent(at, 1, 2, second).at(at + 5, Event::Replied { attempt: 2, status: 200 });
         script.answered(at + 6, 1, 200, Some(2));
-        script.broken()
+        script.violations()
     };
     assert_eq!(repeat(0, B, 60, None), [], "safe: anywhere, any time");
     assert_eq!(repeat(1, A, 60, None), [], "keyed: in its hall and window");
-    assert_eq!(repeat(1, B, 60, None), [Broken::KeyedRepeated], "another hall");
+    assert_eq!(repeat(1, B, 60, None), [Violation::KeyedRepeated], "another hall");
     assert_eq!(repeat(1, B, 60, Some(40)), [], "it was turned away");
-    assert_eq!(repeat(1, B, 60, Some(70)), [Broken::KeyedRepeated], "turned away only later");
-    assert_eq!(repeat(2, A, 60, None), [Broken::UnsafeRepeated]);
+    assert_eq!(repeat(1, B, 60, Some(70)), [Violation::KeyedRepeated], "turned away only later");
+    assert_eq!(repeat(2, A, 60, None), [Violation::UnsafeRepeated]);
     assert_eq!(repeat(2, A, 60, Some(40)), []);
     let mut window = Script::new();
     window.asked(10, 1, 1).sent(11, 1, 1, A).sent(1011, 1, 2, A).sent(1300, 1, 3, A);
     window.answered(1000, 1, 502, None);
-    assert!(window.broken().contains(&Broken::KeyedRepeated), "1289 ms after the first");
+    assert!(window.violations().contains(&Violation::KeyedRepeated), "1289 ms after the first");
     let refused = |class: usize| {
         let mut script = Script::new();
         script.asked(10, 1, class).sent(11, 1, 1, A).answered(60, 1, 503, None);
-        script.broken()
+        script.violations()
     };
     assert_eq!(refused(0), []);
-    assert_eq!(refused(1), [Broken::RefusedAfterRun]);
-    assert_eq!(refused(2), [Broken::RefusedAfterRun]);
+    assert_eq!(refused(1), [Violation::RefusedAfterRun]);
+    assert_eq!(refused(2), [Violation::RefusedAfterRun]);
     let mut cut = Script::new();
     cut.asked(10, 1, 2).at(11, Event::Arriving { attempt: 1, boot: A, proxy: 0 }).sent(20, 1, 2, B);
     cut.at(25, Event::Replied { attempt: 2, status: 200 }).answered(26, 1, 200, Some(2));
-    assert_eq!(cut.broken(), [], "its last byte never came");
+    assert_eq!(cut.violations(), [], "its last byte never came");
 }
 
 #[test]
@@ -187,15 +187,15 @@
             script.at(*at, event.clone());
         }
         script.served(ms, 1, 0, 1);
-        script.broken()
+        script.violations()
     };
     let told = |standing| Event::Delivered { proxy: 0, boot: A, state: standing };
     let published = Event::Published { proxy: 0, boot: A, state: NodeState::Draining };
     assert_eq!(send(1540, &[(1000, told(NodeState::Draining))]), [], "within the grace");
-    assert_eq!(send(1560, &[(1000, told(NodeState::Draining))]), [Broken::Drain]);
-    assert_eq!(send(1560, &[(1000, told(NodeState::Departed))]), [Broken::Drain]);
+    assert_eq!(send(1560, &[(1000, told(NodeState::Draining))]), [Violation::Drain]);
+    assert_eq!(send(1560, &[(1000, told(NodeState::Departed))]), [Violation::Drain]);
     assert_eq!(send(1540, &[(1000, published.clone())]), [], "within the grace of what the agent has");
-    assert_eq!(send(1560, &[(1000, published.clone())]), [Broken::Drain], "whether or not it was asked");
+    assert_eq!(send(1560, &[(1000, published.clone())]), [Violation::Drain], "whether or not it was asked");
     let asked = |ms: u64| {
         let mut asked = scenario();
         asked.discovery.polled = true;
@@ -231,12 +231,12 @@
             script.at(at + 1, Event::Received { attempt: n, id: n, work_us: 30_000 });
             script.at(at + 2, Event::Replied { attempt: n, status: 200 }).answered(at + 3, n, 200, Some(n));
         }
-        script.broken()
+        script.violations()
     };
     assert_eq!(flood(85, 2), [], "2.55 s of work at once");
-    assert_eq!(flood(110, 2), [Broken::SlowStartOverload], "3.3 s at once");
+    assert_eq!(flood(110, 2), [Violation::SlowStartOverload], "3.3 s at once");
     assert_eq!(flood(400, 28), [], "2.1 s in every two seconds");
-    assert_eq!(flood(400, 15), [Broken::SlowStartOverload], "4 s in every two seconds");
+    assert_eq!(flood(400, 15), [Violation::SlowStartOverload], "4 s in every two seconds");
 }
 
 #[test]
--- a/crates/gaugesaddle-testbed/src/audit/verdict.rs
+++ b/crates/gaugesaddle-testbed/src/audit/verdict.rs
@@ -6,7 +6,7 @@
 
 /// How a rule was broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Broken {
+pub enum Violation {
     /// A request had no final response.
     Lost,
     /// It had more than one, or bytes beyond it.
@@ -35,21 +35,21 @@
     Crash,
 }
 
-impl Broken {
+impl Violation {
     /// The number of the rule; a crash breaks the first.
     pub fn rule(self) -> u8 {
         match self {
-            Broken::Lost
-            | Broken::AnsweredTwice
-            | Broken::AnsweredLate
-            | Broken::Foreign
-            | Broken::SentAfterAnswer
-            | Broken::Looped
-            | Broken::OverBudget
-            | Broken::Crash => 1,
-            Broken::UnsafeRepeated | Broken::KeyedRepeated | Broken::RefusedAfterRun => 2,
-            Broken::Drain => 3,
-            Broken::SlowStartOverload => 4,
+            Violation::Lost
+            | Violation::AnsweredTwice
+            | Violation::AnsweredLate
+            | Violation::Foreign
+            | Violation::SentAfterAnswer
+            | Violation::Looped
+            | Violation::OverBudget
+            | Violation::Crash => 1,
+            Violation::UnsafeRepeated | Violation::KeyedRepeated | Violation::RefusedAfterRun => 2,
+            Violation::Drain => 3,
+            Violation::SlowStartOverload => 4,
         }
     }
 }
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
     /// The rule and how it was broken.
-    pub broken: Broken,
+    pub violation: Violation,
     /// A description for people.
     pub text: String,
     /// The records that show it.
@@ -67,7 +67,7 @@
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "rule {}, {:?}: {}", self.broken.rule(), self.broken, self.text)?;
+        writeln!(f, "rule {}, {:?}: {}", self.violation.rule(), self.violation, self.text)?;
         for record in &self.records {
             writeln!(f, "    {:>10.3} s  {:?}", record.at as f64 / 1e6, record.event)?;
         }
@@ -129,7 +129,7 @@
     /// Keys of keyed and unsafe requests that took effect more than once, by whoever's retry.
     pub double_effects: u64,
     /// Nodes that went down by too much load in slow start.
-    pub fallen: u64,
+    pub overload_crashes: u64,
     /// Requests that a stand-in could not read.
     pub unexpected: u64,
     /// Requests whose connection ended before they were forwarded.
@@ -143,8 +143,8 @@
     }
 
     /// Number of findings of one kind.
-    pub fn count(&self, broken: Broken) -> usize {
-        self.findings.iter().filter(|f| f.broken == broken).count()
+    pub fn count(&self, violation: Violation) -> usize {
+        self.findings.iter().filter(|f| f.violation == violation).count()
     }
 }
 
@@ -164,7 +164,7 @@
             f,
             "G {:.3}, worst 10 s {:.3}; {} attempts, {:.2} of the answered near, {} double effects, {} fallen nodes, \
              {} closed unread, {} strange",
-            self.g, self.worst_10s, self.attempts, self.same_zone_fraction, self.double_effects, self.fallen, self.closed_unread, self.unexpected
+            self.g, self.worst_10s, self.attempts, self.same_zone_fraction, self.double_effects, self.overload_crashes, self.closed_unread, self.unexpected
         )?;
         for c in &self.classes {
             let part = c.in_time as f64 / c.requests.max(1) as f64;
--- a/crates/gaugesaddle-testbed/src/authority.rs
+++ b/crates/gaugesaddle-testbed/src/authority.rs
@@ -24,7 +24,7 @@
 
 /// A certificate and its key, in PEM.
 #[derive(Clone)]
-pub struct Keys {
+pub struct CertifiedKey {
     /// The certificate.
     pub certificate: String,
     /// The private key.
@@ -44,12 +44,12 @@
     }
 
     /// Made out to that name, valid for a year.
-    pub fn issue(&self, name: &str) -> Keys {
+    pub fn issue(&self, name: &str) -> CertifiedKey {
         self.issue_for(name, 365)
     }
 
     /// The same, with so many days left; below 0 it has ended.
-    pub fn issue_for(&self, name: &str, days: i64) -> Keys {
+    pub fn issue_for(&self, name: &str, days: i64) -> CertifiedKey {
         let key = KeyPair::generate().expect("a key");
         let mut params = CertificateParams::new(vec![name.to_string()]).expect("a name");
         let now = SystemTime::now();
@@ -57,7 +57,7 @@
         params.not_before = (now - DAY * 1000).into();
         params.not_after = end.into();
         let certificate = params.signed_by(&key, &self.issuer).expect("signed").pem();
-        Keys { certificate, key: key.serialize_pem() }
+        CertifiedKey { certificate, key: key.serialize_pem() }
     }
 }
 
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     /// A file cannot be written.
-    pub fn put_all(&self, keys: &Keys, trust: &str) -> io::Result<()> {
+    pub fn put_all(&self, keys: &CertifiedKey, trust: &str) -> io::Result<()> {
         self.put("trust.pem", trust, 0o644)?;
         self.put("key.pem", &keys.key, 0o600)?;
         self.put("certificate.pem", &keys.certificate, 0o644)
@@ -104,7 +104,7 @@
 }
 
 /// What a peer shows at the gateway's door.
-pub fn client_config(keys: Option<&Keys>, trust: &str) -> Arc<rustls::ClientConfig> {
+pub fn client_tls_config(keys: Option<&CertifiedKey>, trust: &str) -> Arc<rustls::ClientConfig> {
     let mut roots = rustls::RootCertStore::empty();
     for anchor in CertificateDer::pem_slice_iter(trust.as_bytes()).flatten() {
         roots.add(anchor).expect("an authority");
@@ -188,7 +188,7 @@
 ///
 /// # Errors
 /// The gateway cannot be reached, refuses the keys, or sends no response.
-pub async fn ask_gateway(
+pub async fn send_to_gateway(
     config: Arc<rustls::ClientConfig>, to: SocketAddr, name: &str, requests: Vec<Request<Full<Bytes>>>,
 ) -> io::Result<Vec<Response<Bytes>>> {
     let mut gateway = GatewayConnection::open(config, to, name).await?;
@@ -204,14 +204,14 @@
 }
 
 /// A folder of the test's own, gone with it.
-pub struct Folder(pub PathBuf);
+pub struct TempFolder(pub PathBuf);
 
-impl Folder {
+impl TempFolder {
     /// Makes it.
-    pub fn new(name: &str) -> Folder {
+    pub fn new(name: &str) -> TempFolder {
         let path = std::env::temp_dir().join(format!("gaugesaddle-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
+        TempFolder(path)
     }
 
     /// A file in it.
@@ -227,7 +227,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
--- a/crates/gaugesaddle-testbed/src/datagrams.rs
+++ b/crates/gaugesaddle-testbed/src/datagrams.rs
@@ -107,7 +107,7 @@
     }
 
     /// The network between some of the processes, by their indexes among themselves.
-    pub fn among(&self, members: &[usize]) -> Links {
+    pub fn restricted_to(&self, members: &[usize]) -> Links {
         let place = |p: &usize| members.iter().position(|m| m == p);
         let places = |all: &[usize]| all.iter().filter_map(place).collect::<Vec<_>>();
         let pair = |(a, b): &(usize, usize)| Some((place(a)?, place(b)?));
@@ -127,7 +127,7 @@
     }
 
     /// Whether anything passes from one process to another.
-    pub fn passes(&self, from: usize, to: usize) -> bool {
+    pub fn allows(&self, from: usize, to: usize) -> bool {
         self.groups.get(from) == self.groups.get(to)
             && !self.unheard.contains(&from)
             && !self.one_way.contains(&(from, to))
@@ -146,22 +146,22 @@
     }
 
     /// Whether the network is undisturbed.
-    pub fn calm(&self) -> bool {
+    pub fn is_undisturbed(&self) -> bool {
         self.fully_connected() && self.lossless()
     }
 
     /// Whether two processes reach each other in both directions, directly or over a third that runs.
     pub fn connected(&self, i: usize, j: usize, running: impl Fn(usize) -> bool, places: usize) -> bool {
         let reaches = |a: usize, b: usize| {
-            let through = |k: usize| k != a && k != b && running(k) && self.passes(a, k) && self.passes(k, b);
-            self.passes(a, b) || (0..places).any(through)
+            let through = |k: usize| k != a && k != b && running(k) && self.allows(a, k) && self.allows(k, b);
+            self.allows(a, b) || (0..places).any(through)
         };
         self.fully_connected() || (reaches(i, j) && reaches(j, i))
     }
 
     /// The latencies of a datagram, in microseconds: none, one or two arrivals.
     pub fn draw(&self, random: &mut RandomStream, from: usize, to: usize) -> [Option<u64>; 2] {
-        if !self.passes(from, to) || random.bernoulli(self.loss) {
+        if !self.allows(from, to) || random.bernoulli(self.loss) {
             return [None, None];
         }
         let mut more = if self.slow.contains(&from) || self.slow.contains(&to) { self.slow_us } else { 0 };
@@ -214,7 +214,7 @@
 }
 
 /// The relay.
-pub struct Datagrams {
+pub struct DatagramRelay {
     addresses: Vec<SocketAddr>,
     state: Arc<Mutex<State>>,
     /// Wakes the thread to inject; its end is that of the relay.
@@ -227,12 +227,12 @@
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Datagrams {
+impl DatagramRelay {
     /// Starts the relay for proxies at these addresses; its own are on `host`.
     ///
     /// # Errors
     /// A socket cannot be bound.
-    pub fn start(listens: &[SocketAddr], host: IpAddr, seed: u64) -> io::Result<Datagrams> {
+    pub fn start(listens: &[SocketAddr], host: IpAddr, seed: u64) -> io::Result<DatagramRelay> {
         let sockets: Vec<std::net::UdpSocket> =
             listens.iter().map(|_| std::net::UdpSocket::bind((host, 0))).collect::<io::Result<_>>()?;
         let addresses =
@@ -258,7 +258,7 @@
             };
             tokio::task::LocalSet::new().block_on(&runtime, carry(sockets, listens, shared, words));
         });
-        Ok(Datagrams { addresses, state, wake: Some(word), thread: Some(thread) })
+        Ok(DatagramRelay { addresses, state, wake: Some(word), thread: Some(thread) })
     }
 
     /// The address at which each proxy is reached.
@@ -300,7 +300,7 @@
     }
 }
 
-impl Drop for Datagrams {
+impl Drop for DatagramRelay {
     fn drop(&mut self) {
         self.wake = None;
         if let Some(thread) = self.thread.take() {
--- a/crates/gaugesaddle-testbed/src/datagrams/tests.rs
+++ b/crates/gaugesaddle-testbed/src/datagrams/tests.rs
@@ -9,10 +9,10 @@
 
 #[test]
 fn what_passes_comes_from_the_senders_address_and_what_is_cut_does_not() {
-    let lease = Lease::take().unwrap();
+    let lease = Lease::acquire().unwrap();
     let ends: Vec<_> = (0..3).map(|_| open(&lease)).collect();
     let listens: Vec<_> = ends.iter().map(|e| e.local_addr().unwrap()).collect();
-    let relay = Datagrams::start(&listens, lease.peer().ip(), 1).unwrap();
+    let relay = DatagramRelay::start(&listens, lease.peer().ip(), 1).unwrap();
     let (to, mut buffer) = (relay.addresses().to_vec(), [0; 64]);
     ends[0].send_to(b"one", to[1]).unwrap();
     assert_eq!(ends[1].recv_from(&mut buffer).unwrap(), (3, to[0]));
@@ -67,13 +67,13 @@
         loss: 0.1,
         ..Links::default()
     };
-    let odd = all.among(&[1, 3]);
+    let odd = all.restricted_to(&[1, 3]);
     assert_eq!((&odd.groups[..], &odd.one_way[..], &odd.unheard[..]), (&[1, 1][..], &[][..], &[0][..]));
     assert_eq!(odd.poor, [LossyPath { from: vec![0], to: Vec::new(), loss: 0.5, more_us: 7 }]);
-    let even = all.among(&[0, 2]);
+    let even = all.restricted_to(&[0, 2]);
     assert_eq!((&even.one_way[..], &even.unheard[..], even.loss), (&[(0, 1)][..], &[1][..], 0.1));
     assert!(even.poor.is_empty(), "its other end is not among them");
-    assert_eq!(all.among(&[0, 1, 2, 3]), all);
+    assert_eq!(all.restricted_to(&[0, 1, 2, 3]), all);
 }
 
 #[test]
--- a/crates/gaugesaddle-testbed/src/fleet.rs
+++ b/crates/gaugesaddle-testbed/src/fleet.rs
@@ -67,7 +67,7 @@
     ///
     /// # Errors
     /// A process cannot be started.
-    pub fn start_closed(controls: u8, edges: u8, revoke_ms: u64) -> io::Result<Fleet> {
+    pub fn start_fail_closed(controls: u8, edges: u8, revoke_ms: u64) -> io::Result<Fleet> {
         let settings = format!("bounds.closed=true\nbounds.revokeMs={revoke_ms}\n");
         Fleet::start_with(controls, edges, false, &settings)
     }
@@ -90,7 +90,7 @@
             fleet.nodes.push(Node { role, ip, bootstrap: true, child: None });
         }
         for at in 0..fleet.nodes.len() {
-            fleet.run(at)?;
+            fleet.start_process(at)?;
         }
         Ok(fleet)
     }
@@ -145,7 +145,7 @@
     ///
     /// # Errors
     /// The process cannot be started.
-    pub fn run(&mut self, at: usize) -> io::Result<()> {
+    pub fn start_process(&mut self, at: usize) -> io::Result<()> {
         let file = self.folder.join(format!("boot-{at}.conf"));
         std::fs::write(&file, self.boot(at))?;
         let (name, argument) = if self.nodes[at].role == Role::Control { CONTROL } else { EDGE };
@@ -187,7 +187,7 @@
     }
 
     /// Ends a process with SIGKILL while others use the fleet; [`Fleet::kill`] must follow before it may run again.
-    pub fn stop_abruptly(&self, at: usize) {
+    pub fn send_sigkill(&self, at: usize) {
         let _ = self.signal(at, "-KILL");
     }
 
@@ -195,7 +195,7 @@
     ///
     /// # Errors
     /// The signal cannot be sent.
-    pub fn freeze(&self, at: usize) -> io::Result<()> {
+    pub fn suspend(&self, at: usize) -> io::Result<()> {
         self.signal(at, "-STOP")
     }
 
@@ -203,7 +203,7 @@
     ///
     /// # Errors
     /// The signal cannot be sent.
-    pub fn wake(&self, at: usize) -> io::Result<()> {
+    pub fn resume(&self, at: usize) -> io::Result<()> {
         self.signal(at, "-CONT")
     }
 
@@ -214,7 +214,7 @@
     }
 
     /// Whether a process runs.
-    pub fn runs(&mut self, at: usize) -> bool {
+    pub fn is_running(&mut self, at: usize) -> bool {
         self.nodes[at].child.as_mut().is_some_and(|c| matches!(c.try_wait(), Ok(None)))
     }
 
--- a/crates/gaugesaddle-testbed/src/fleet_demo.rs
+++ b/crates/gaugesaddle-testbed/src/fleet_demo.rs
@@ -79,7 +79,7 @@
             Ok(Some(format!("configuration 2 on top of 1 is answered {status}")))
         }
         4 => {
-            fleet.run(0)?;
+            fleet.start_process(0)?;
             Ok(Some("control process 0 starts again".to_owned()))
         }
         5 => {
--- a/crates/gaugesaddle-testbed/src/hunt.rs
+++ b/crates/gaugesaddle-testbed/src/hunt.rs
@@ -1,7 +1,7 @@
 //! The hunt: combinations of faults drawn from a seed, played over 6 to 30 proxies that know one another, and what breaks
 //! a rule made small enough to be read.
 //!
-//! Each run ends with [`CALM_S`] without faults, so that both checkers (of the four rules, and of the tier) have a state
+//! Each run ends with [`RECOVERY_S`] without faults, so that both checkers (of the four rules, and of the tier) have a state
 //! that must be right. A finding is played again before it counts, faults are left out one by one as long as it still
 //! shows, and the rest is saved as a scenario that `gaugesaddle-testbed run` replays.
 
@@ -17,19 +17,19 @@
 use std::time::{Duration, Instant};
 
 /// At the end of each run nothing goes wrong for so long: longer than a death may take to be known.
-pub const CALM_S: f64 = 8.0;
+pub const RECOVERY_S: f64 = 8.0;
 /// Faults come within this time from the start.
-const FAULTS_S: f64 = 10.0;
+const LAST_FAULT_S: f64 = 10.0;
 /// Before the first fault all have met.
-const QUIET_S: f64 = 2.0;
+const WARM_UP_S: f64 = 2.0;
 /// A finding is played so often again: one that shows in none of these is told, and not made smaller.
-const AGAIN: usize = 2;
+const REPLAYS: usize = 2;
 /// Runs whose first mistake is told.
-const SHOWN: usize = 20;
+const MAX_FALSE_DEATH_EXAMPLES: usize = 20;
 
 /// What came of it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Hunted {
+pub struct HuntSummary {
     /// Runs, and proxies in them.
     pub runs: u64,
     /// See `runs`.
@@ -39,17 +39,17 @@
     /// Times that a living process was wrongly held dead for a while.
     pub false_deaths: u64,
     /// The first of each run with such.
-    pub mistakes: Vec<String>,
+    pub false_death_examples: Vec<String>,
     /// Findings that did not show again.
-    pub once: Vec<String>,
+    pub not_reproduced: Vec<String>,
     /// Scenarios of those that did.
     pub saved: Vec<PathBuf>,
 }
 
-impl fmt::Display for Hunted {
+impl fmt::Display for HuntSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.mistakes.iter().try_for_each(|what| writeln!(f, "held dead for a while: {what}"))?;
-        self.once.iter().try_for_each(|what| writeln!(f, "seen once, not again: {what}"))?;
+        self.false_death_examples.iter().try_for_each(|what| writeln!(f, "held dead for a while: {what}"))?;
+        self.not_reproduced.iter().try_for_each(|what| writeln!(f, "seen once, not again: {what}"))?;
         self.saved.iter().try_for_each(|path| writeln!(f, "FOUND: {}", path.display()))?;
         write!(
             f,
@@ -58,26 +58,26 @@
             self.proxies,
             self.faults,
             self.saved.len(),
-            self.once.len(),
+            self.not_reproduced.len(),
             self.false_deaths
         )
     }
 }
 
 /// A combination of faults.
-pub fn draw(seed: u64) -> Scenario {
-    draw_on(seed, |_| {})
+pub fn draw_scenario(seed: u64) -> Scenario {
+    draw_scenario_on(seed, |_| {})
 }
 
 /// The same on a fleet of another shape; the number of proxies is drawn before.
-pub fn draw_on(seed: u64, shape: impl FnOnce(&mut Scenario)) -> Scenario {
+pub fn draw_scenario_on(seed: u64, shape: impl FnOnce(&mut Scenario)) -> Scenario {
     let mut random = RandomStream::new(seed, "hunt");
     let proxies = 6 + random.below(25);
     let defaults = Scenario::default();
     let mut s = Scenario {
         name: format!("hunt-{seed:x}"),
         seed,
-        seconds: FAULTS_S + CALM_S,
+        seconds: LAST_FAULT_S + RECOVERY_S,
         proxies,
         peers: true,
         failover: true,
@@ -94,13 +94,13 @@
     let proxies = s.proxies;
     // Each proxy has one fault of its own at most: what two of them would do to one another is no fault of its.
     let mut free: Vec<usize> = (0..proxies).collect();
-    let mut network_free = QUIET_S;
+    let mut network_free = WARM_UP_S;
     for _ in 0..2 + random.below(5) {
-        let at = QUIET_S + random.unit() * (FAULTS_S - QUIET_S - 1.0);
-        let for_s = 0.5 + random.unit() * (FAULTS_S - at - 0.5);
+        let at = WARM_UP_S + random.unit() * (LAST_FAULT_S - WARM_UP_S - 1.0);
+        let for_s = 0.5 + random.unit() * (LAST_FAULT_S - at - 0.5);
         let kind = random.below(9);
         if kind >= 6 {
-            let (at, for_s) = (network_free, (FAULTS_S - network_free).min(0.5 + random.unit() * 5.0));
+            let (at, for_s) = (network_free, (LAST_FAULT_S - network_free).min(0.5 + random.unit() * 5.0));
             if for_s < 0.4 {
                 continue;
             }
@@ -128,7 +128,7 @@
     }
     // A whole hall, beside all else: none that sees it may send its clients away for that.
     if random.bernoulli(0.4) {
-        let (at_s, zone, for_s) = (QUIET_S + 1.0, random.below(s.zones), 1.0 + 3.0 * random.unit());
+        let (at_s, zone, for_s) = (WARM_UP_S + 1.0, random.below(s.zones), 1.0 + 3.0 * random.unit());
         s.events.push(ScheduledDisturbance { at_s, disturbance: Disturbance::ZoneOutage { zone, for_s } });
     }
     s.events.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
@@ -185,7 +185,7 @@
 }
 
 /// What is wrong with a run, in a line; `None` where nothing is.
-fn wrong(s: &Scenario, cast: &Cast, count: &Mutex<Hunted>) -> io::Result<Option<String>> {
+fn wrong(s: &Scenario, cast: &Cast, count: &Mutex<HuntSummary>) -> io::Result<Option<String>> {
     let outcome = run(s, cast, &mut |_| {})?;
     let mut count = lock(count);
     count.runs += 1;
@@ -193,13 +193,17 @@
     count.faults += s.events.len() as u64;
     if let Some(tier) = &outcome.tier {
         count.false_deaths += tier.false_deaths;
-        if let Some(m) = tier.first_false_deaths.first().filter(|_| count.mistakes.len() < SHOWN) {
+        if let Some(m) = tier
+            .first_false_deaths
+            .first()
+            .filter(|_| count.false_death_examples.len() < MAX_FALSE_DEATH_EXAMPLES)
+        {
             let ((viewer, of), at) = (m.pair, m.at as f64 / 1e6);
             let text = format!(
                 "{}: {} times, at {at:.2} s {viewer} of {of}: {}",
                 s.name, tier.false_deaths, m.description
             );
-            count.mistakes.push(text);
+            count.false_death_examples.push(text);
         }
     }
     if outcome.is_clean() {
@@ -217,17 +221,18 @@
 /// A scenario cannot be played, or a finding cannot be saved.
 pub fn hunt(
     cast: &Cast, seed: u64, within: Duration, lanes: usize, into: &Path, tell: &(dyn Fn(&str) + Sync),
-) -> io::Result<Hunted> {
-    let (hunted, next, end) = (Mutex::new(Hunted::default()), AtomicU64::new(0), Instant::now() + within);
+) -> io::Result<HuntSummary> {
+    let (hunted, next, end) =
+        (Mutex::new(HuntSummary::default()), AtomicU64::new(0), Instant::now() + within);
     let lane = || -> io::Result<()> {
         while Instant::now() < end {
-            let s = draw(mix(seed, next.fetch_add(1, Ordering::Relaxed)));
+            let s = draw_scenario(mix(seed, next.fetch_add(1, Ordering::Relaxed)));
             let Some(first) = wrong(&s, cast, &hunted)? else { continue };
             tell(&format!("{}: {first}", s.name));
-            let again = |s: &Scenario| (0..AGAIN).any(|_| matches!(wrong(s, cast, &hunted), Ok(Some(_))));
+            let again = |s: &Scenario| (0..REPLAYS).any(|_| matches!(wrong(s, cast, &hunted), Ok(Some(_))));
             if !again(&s) {
                 let mut hunted = lock(&hunted);
-                hunted.once.push(format!("{}: {first}", s.name));
+                hunted.not_reproduced.push(format!("{}: {first}", s.name));
                 continue;
             }
             // Made smaller for as long again at most: the time is the caller's.
--- a/crates/gaugesaddle-testbed/src/hunt/tests.rs
+++ b/crates/gaugesaddle-testbed/src/hunt/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn what_is_drawn_can_be_played_saved_and_differs() {
-    let drawn: Vec<Scenario> = (0..500).map(|n| draw(mix(7, n))).collect();
+    let drawn: Vec<Scenario> = (0..500).map(|n| draw_scenario(mix(7, n))).collect();
     for s in &drawn {
         assert!(s.check().is_ok(), "{s:?}");
         let text = toml::to_string(s).expect("as text");
@@ -12,7 +12,7 @@
             Disturbance::KillProxy { back_after_s, .. } => e.at_s + back_after_s,
             _ => e.at_s,
         };
-        assert!(s.events.iter().all(|e| ends(e) <= FAULTS_S + 0.01), "{s:?}");
+        assert!(s.events.iter().all(|e| ends(e) <= LAST_FAULT_S + 0.01), "{s:?}");
     }
     let faults = |kind: fn(&Disturbance) -> bool| {
         drawn.iter().flat_map(|s| &s.events).filter(|e| kind(&e.disturbance)).count()
@@ -20,12 +20,12 @@
     assert!(faults(|w| matches!(w, Disturbance::LoseProxy { .. })) > 50);
     assert!(faults(|w| matches!(w, Disturbance::JoinProxy { .. })) > 50);
     assert!(faults(|w| matches!(w, Disturbance::Network { zones, .. } if !zones.is_empty())) > 20);
-    assert_eq!(drawn[3], draw(mix(7, 3)), "a seed means the same");
+    assert_eq!(drawn[3], draw_scenario(mix(7, 3)), "a seed means the same");
 }
 
 #[test]
 fn the_fewest_faults_that_still_show_it_are_left() {
-    let s = draw(mix(7, 1));
+    let s = draw_scenario(mix(7, 1));
     let extra = (0..8).fold(s, |s, proxy| s.event(3.0, Disturbance::StopProxy { proxy, for_s: 1.0 }));
     let (first, last) =
         (Disturbance::StopProxy { proxy: 2, for_s: 1.0 }, Disturbance::StopProxy { proxy: 6, for_s: 1.0 });
--- a/crates/gaugesaddle-testbed/src/lease.rs
+++ b/crates/gaugesaddle-testbed/src/lease.rs
@@ -10,7 +10,7 @@
 /// Port of proxies.
 const PROXY_PORT: u16 = 5000;
 /// Ports of addresses that are requested one by one, on a host of their own.
-const NAMED_PORTS: std::ops::Range<u16> = 5001..32_000;
+const NUMBERED_PORTS: std::ops::Range<u16> = 5001..32_000;
 /// Most networks that are tried.
 const MAX_ATTEMPTS: u64 = 200;
 
@@ -25,7 +25,7 @@
     ///
     /// # Errors
     /// None was free.
-    pub fn take() -> io::Result<Lease> {
+    pub fn acquire() -> io::Result<Lease> {
         let start = u64::from(std::process::id());
         let mut last = io::Error::other("no network was tried");
         for n in 0..MAX_ATTEMPTS {
@@ -50,8 +50,8 @@
     }
 
     /// Another address for each number; the system gives none of them to anybody.
-    pub fn named(&self, number: usize) -> SocketAddr {
-        let port = NAMED_PORTS.start + (number % NAMED_PORTS.len()) as u16;
+    pub fn numbered(&self, number: usize) -> SocketAddr {
+        let port = NUMBERED_PORTS.start + (number % NUMBERED_PORTS.len()) as u16;
         SocketAddr::new(self.host(252), port)
     }
 
--- a/crates/gaugesaddle-testbed/src/lib.rs
+++ b/crates/gaugesaddle-testbed/src/lib.rs
@@ -37,7 +37,7 @@
 pub mod tier;
 mod world;
 
-pub use audit::{audit, Broken, ClassFigures, Finding, RegionFigures, Verdict};
+pub use audit::{audit, ClassFigures, Finding, RegionFigures, Verdict, Violation};
 pub use faulty::Fault;
 pub use process::{peak_kb, Process, Program};
 pub use record::{Boot, Event, Journal, Moment, NodeState, Record};
--- a/crates/gaugesaddle-testbed/src/scripted/proxy.rs
+++ b/crates/gaugesaddle-testbed/src/scripted/proxy.rs
@@ -40,9 +40,9 @@
 /// draws and that is let go may be drawn again by the next test before its proxy binds it, and two proxies then serve on
 /// one address without a complaint, for they share it as an upgrade's two processes do.)
 pub fn free_address() -> SocketAddr {
-    static OWN: LazyLock<Lease> = LazyLock::new(|| Lease::take().expect("a network of its own"));
+    static OWN: LazyLock<Lease> = LazyLock::new(|| Lease::acquire().expect("a network of its own"));
     static NEXT: AtomicUsize = AtomicUsize::new(0);
-    OWN.named(NEXT.fetch_add(1, Ordering::Relaxed))
+    OWN.numbered(NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
 /// A proxy's configuration in that deployment, listening on a free address.
--- a/crates/gaugesaddle-testbed/src/tier.rs
+++ b/crates/gaugesaddle-testbed/src/tier.rs
@@ -224,7 +224,7 @@
             Fact::Continued(p) => index(*p).map(Fact::Continued),
             Fact::Terminated(p) => index(*p).map(Fact::Terminated),
             Fact::Ended(p) => index(*p).map(Fact::Ended),
-            Fact::Links(links) => Some(Fact::Links(links.among(members))),
+            Fact::Links(links) => Some(Fact::Links(links.restricted_to(members))),
         };
         let facts: Vec<(u64, Fact)> = facts.iter().filter_map(|(at, f)| Some((*at, fact(f)?))).collect();
         let logs: Vec<_> = members.iter().filter_map(|m| logs.get(*m).cloned()).collect();
--- a/crates/gaugesaddle-testbed/src/tier/checks.rs
+++ b/crates/gaugesaddle-testbed/src/tier/checks.rs
@@ -146,12 +146,12 @@
 pub(super) fn check_agreement(history: &TierHistory, logs: &[Vec<(u64, String)>], verdict: &mut TierVerdict) {
     let mut begun: Vec<u64> = Vec::new();
     for pair in history.links.windows(2) {
-        if !pair[0].1.fully_connected() && pair[1].1.calm() {
+        if !pair[0].1.fully_connected() && pair[1].1.is_undisturbed() {
             begun.push(pair[1].0);
         }
     }
     begun.extend(history.pauses.iter().flatten().map(|p| p.1).filter(|at| *at < history.end));
-    for at in begun.into_iter().filter(|at| history.links(*at).calm()) {
+    for at in begun.into_iter().filter(|at| history.links(*at).is_undisturbed()) {
         let next = history.moments.iter().copied().find(|m| *m > at).unwrap_or(history.end);
         let running: Vec<usize> = (0..history.size).filter(|p| history.runs(*p, at)).collect();
         let mut last = at;
--- a/crates/gaugesaddle-testbed/src/tier/history.rs
+++ b/crates/gaugesaddle-testbed/src/tier/history.rs
@@ -122,7 +122,7 @@
 
     /// Whether a process can learn of deaths.
     pub(super) fn informed(&self, index: usize, at: u64) -> bool {
-        self.runs(index, at) && self.links(at).calm()
+        self.runs(index, at) && self.links(at).is_undisturbed()
     }
 
     /// The spans in which a value is known and unchanged.
--- a/crates/gaugesaddle-testbed/src/world.rs
+++ b/crates/gaugesaddle-testbed/src/world.rs
@@ -7,7 +7,7 @@
 use crate::agent::Agent;
 use crate::audit::{audit, mean_work_us, Verdict};
 use crate::clients::Clients;
-use crate::datagrams::Datagrams;
+use crate::datagrams::DatagramRelay;
 use crate::faulty::{Fault, Faulty};
 use crate::lease::Lease;
 use crate::node::{Facts, Fleet, Memory, Node};
@@ -156,7 +156,7 @@
     /// The federation, where there are several regions.
     joined: Option<Joined>,
     /// The network between the proxies of a tier.
-    datagrams: Option<Datagrams>,
+    datagrams: Option<DatagramRelay>,
 }
 
 impl Drop for World {
@@ -167,7 +167,7 @@
 
 impl World {
     async fn build(s: &Scenario, cast: &Cast) -> io::Result<Rc<World>> {
-        let (lease, journal, plan) = (Lease::take()?, Journal::new(), plan(s));
+        let (lease, journal, plan) = (Lease::acquire()?, Journal::new(), plan(s));
         let folder = std::env::temp_dir().join(format!("gaugesaddle-run-{}", lease.proxy(0).ip()));
         std::fs::create_dir_all(&folder)?;
         let mut agents = Vec::new();
@@ -180,7 +180,8 @@
             None
         };
         let listens: Vec<SocketAddr> = (0..s.proxies).map(|p| peer_listen(&lease, p)).collect();
-        let datagrams = s.peers.then(|| Datagrams::start(&listens, lease.peer().ip(), s.seed)).transpose()?;
+        let datagrams =
+            s.peers.then(|| DatagramRelay::start(&listens, lease.peer().ip(), s.seed)).transpose()?;
         let world = Rc::new(World {
             joined,
             datagrams,
@@ -273,7 +274,7 @@
         tokio::time::sleep(Duration::from_millis(1200)).await;
         look(&self.live(start, &mut seen));
         let end = self.journal.now();
-        let datagrams = self.datagrams.as_ref().map(Datagrams::sent).unwrap_or_default();
+        let datagrams = self.datagrams.as_ref().map(DatagramRelay::sent).unwrap_or_default();
         self.end().await;
         let (records, dropped) = self.journal.take();
         let mut lateness_us = lateness_us.take();
--- a/crates/gaugesaddle-testbed/src/world/nodes.rs
+++ b/crates/gaugesaddle-testbed/src/world/nodes.rs
@@ -41,7 +41,7 @@
             self.publish(&node, NodeState::Ready, self.s.discovery.add_s);
         } else {
             let own = (0..proxies).filter(|p| self.s.region(*p) == self.s.region(slot));
-            own.for_each(|p| self.agents[p].put(self.list_entry(&node, p, NodeState::Ready)));
+            own.for_each(|p| self.agents[p].publish(self.list_entry(&node, p, NodeState::Ready)));
         }
         Ok(())
     }
@@ -74,7 +74,7 @@
             let at = tokio::time::Instant::from_std(self.journal.instant(at));
             tokio::task::spawn_local(async move {
                 tokio::time::sleep_until(at).await;
-                agent.put(list_entry);
+                agent.publish(list_entry);
             });
         }
     }
--- a/crates/gaugesaddle-testbed/src/world/proxies.rs
+++ b/crates/gaugesaddle-testbed/src/world/proxies.rs
@@ -61,7 +61,7 @@
         let agent = &self.agents[proxy];
         let actor = match &self.cast {
             Cast::Program(program) => {
-                let config = self.config(proxy, &agent.known());
+                let config = self.config(proxy, &agent.initial_list());
                 let mut program = program.clone();
                 let operator_file = self.operator_file(proxy);
                 if let Some((path, _)) = &operator_file {
--- a/crates/gaugesaddle-testbed/src/world/steps.rs
+++ b/crates/gaugesaddle-testbed/src/world/steps.rs
@@ -98,7 +98,7 @@
     /// The record of a change lies before it where the network gets worse, and after it where it gets better: the
     /// auditor of membership then assumes no more of the network than there was.
     fn set_network(&self, links: Links) {
-        let worse = !links.calm();
+        let worse = !links.is_undisturbed();
         if worse {
             self.journal.put(Event::Network { links: links.clone() });
         }
--- a/crates/gaugesaddle-testbed/tests/faulty.rs
+++ b/crates/gaugesaddle-testbed/tests/faulty.rs
@@ -2,7 +2,7 @@
 //! way, over real sockets, and must be found, for that and for nothing else.
 
 use gaugesaddle_testbed::scenario::{Choke, Clients, Kind};
-use gaugesaddle_testbed::{run, Broken, Cast, Disturbance, Fault, Scenario, Verdict};
+use gaugesaddle_testbed::{run, Cast, Disturbance, Fault, Scenario, Verdict, Violation};
 use std::collections::BTreeSet;
 
 /// Light load, with what each fault needs to show: drains, a cold node.
@@ -22,14 +22,14 @@
 }
 
 /// The ways in which rules were broken.
-fn broken(s: &Scenario, fault: Fault) -> BTreeSet<Broken> {
+fn broken(s: &Scenario, fault: Fault) -> BTreeSet<Violation> {
     let verdict = verdict(s, fault);
     assert!(verdict.inconclusive.is_empty(), "{fault:?}: {verdict}");
-    verdict.findings.iter().map(|f| f.broken).collect()
+    verdict.findings.iter().map(|f| f.violation).collect()
 }
 
 /// Runs side by side: each waits far more than it works.
-fn all(cases: Vec<(Scenario, Fault, &'static [Broken])>) {
+fn all(cases: Vec<(Scenario, Fault, &'static [Violation])>) {
     let threads: Vec<_> = cases
         .into_iter()
         .map(|(s, fault, expected)| {
@@ -46,22 +46,23 @@
 #[test]
 fn rule_one_broken_in_each_way_is_found_and_only_that() {
     all(vec![
-        (scenario(), Fault::Drops, &[Broken::Lost]),
-        (scenario(), Fault::ClosesAfterSending, &[Broken::Lost]),
-        (scenario(), Fault::AnswersTwice, &[Broken::AnsweredTwice]),
-        (scenario(), Fault::AnswersLate, &[Broken::AnsweredLate]),
-        (scenario(), Fault::MixesUp, &[Broken::Foreign]),
+        (scenario(), Fault::Drops, &[Violation::Lost]),
+        (scenario(), Fault::ClosesAfterSending, &[Violation::Lost]),
+        (scenario(), Fault::AnswersTwice, &[Violation::AnsweredTwice]),
+        (scenario(), Fault::AnswersLate, &[Violation::AnsweredLate]),
+        (scenario(), Fault::MixesUp, &[Violation::Foreign]),
     ]);
 }
 
 #[test]
 fn rule_two_broken_is_found() {
     // Sent again after the answer, an unsafe request is repeated and a keyed one leaves its hall.
-    let after: &[Broken] = &[Broken::SentAfterAnswer, Broken::UnsafeRepeated, Broken::KeyedRepeated];
+    let after: &[Violation] =
+        &[Violation::SentAfterAnswer, Violation::UnsafeRepeated, Violation::KeyedRepeated];
     all(vec![
         (scenario(), Fault::SendsAfterAnswer, after),
-        (scenario(), Fault::Repeats, &[Broken::UnsafeRepeated, Broken::KeyedRepeated]),
-        (scenario(), Fault::RefusesAfterRun, &[Broken::RefusedAfterRun]),
+        (scenario(), Fault::Repeats, &[Violation::UnsafeRepeated, Violation::KeyedRepeated]),
+        (scenario(), Fault::RefusesAfterRun, &[Violation::RefusedAfterRun]),
     ]);
 }
 
@@ -80,8 +81,8 @@
         s
     };
     all(vec![
-        (drain(scenario()), Fault::IgnoresDrains, &[Broken::Drain]),
-        (busy(cold(scenario())), Fault::FloodsNewest, &[Broken::SlowStartOverload]),
+        (drain(scenario()), Fault::IgnoresDrains, &[Violation::Drain]),
+        (busy(cold(scenario())), Fault::FloodsNewest, &[Violation::SlowStartOverload]),
         (rest(cold(drain(scenario()))), Fault::None, &[]),
     ]);
 }
--- a/crates/gaugesaddle/tests/operator.rs
+++ b/crates/gaugesaddle/tests/operator.rs
@@ -1,7 +1,7 @@
 //! The operator's file and the state socket of the built proxy: what is told, what a reload takes up, and that
 //! nothing of it harms what is served.
 
-use gaugesaddle_testbed::authority::Folder;
+use gaugesaddle_testbed::authority::TempFolder;
 use gaugesaddle_testbed::program;
 use gaugesaddle_testbed::scripted::*;
 use serde_json::{json, Value};
@@ -27,7 +27,7 @@
 
 /// A proxy with a state socket, one backend and a discovery.
 struct Setting {
-    folder: Folder,
+    folder: TempFolder,
     file: PathBuf,
     socket: PathBuf,
     proxy: Proxy,
@@ -37,7 +37,7 @@
 }
 
 fn setting(name: &str, more: &str) -> Setting {
-    let folder = Folder::new(name);
+    let folder = TempFolder::new(name);
     let socket = folder.0.join("state.sock");
     let file = folder.file("gaugesaddle.toml", &format!("[state]\nsocket = {socket:?}\n{more}"));
     let backend = Backend::start(|m| if m.start.contains("slow") { Reply::NoResponse } else { ok("x") });
@@ -50,7 +50,7 @@
 
 #[test]
 fn check_tells_whether_a_file_would_be_taken() {
-    let folder = Folder::new("check");
+    let folder = TempFolder::new("check");
     let good = folder.file("good.toml", "[state]\nsocket = \"/run/x.sock\"\n");
     let told = command(&["check", good.to_str().unwrap()]);
     assert_eq!(told.status.code(), Some(0));
--- a/crates/gaugesaddle/tests/region.rs
+++ b/crates/gaugesaddle/tests/region.rs
@@ -17,7 +17,7 @@
 
 /// One region: a proxy with its backends.
 struct Site {
-    folder: Folder,
+    folder: TempFolder,
     proxy: Proxy,
     discovery: Discovery,
 }
@@ -25,7 +25,7 @@
 /// What differs from one site to the next.
 struct Plan<'a> {
     name: &'a str,
-    keys: &'a Keys,
+    keys: &'a CertifiedKey,
     trust: &'a str,
     listen: Option<SocketAddr>,
     /// Names, addresses and budgets.
@@ -38,7 +38,7 @@
 
 impl Site {
     fn start(test: &str, plan: &Plan) -> Site {
-        let folder = Folder::new(&format!("region-{test}-{}", plan.name));
+        let folder = TempFolder::new(&format!("region-{test}-{}", plan.name));
         let files = KeyFiles { folder: folder.0.clone() };
         files.put_all(plan.keys, plan.trust).unwrap();
         let file = folder.file("gaugesaddle.toml", &Site::text(&folder, plan));
@@ -53,7 +53,7 @@
         site
     }
 
-    fn text(folder: &Folder, plan: &Plan) -> String {
+    fn text(folder: &TempFolder, plan: &Plan) -> String {
         let mut text = format!(
             "[state]\nsocket = {:?}\n[region]\nenabled = true\nname = {:?}\n{}\n{}\n",
             folder.0.join("state.sock"),
@@ -107,7 +107,7 @@
 
 fn pair(test: &str, north: &[SocketAddr], south: &[SocketAddr], budget: &str) -> Pair {
     let authority = Authority::new();
-    let lease = Lease::take().unwrap();
+    let lease = Lease::acquire().unwrap();
     let gates = [lease.proxy(0), lease.proxy(1)];
     let site = |i: usize, name: &str, other: &str, backends: &[SocketAddr]| {
         Site::start(
@@ -212,7 +212,7 @@
 #[test]
 fn the_switch_is_taken_up_without_a_restart() {
     let south = Backend::start(|_| ok("south"));
-    let (authority, lease) = (Authority::new(), Lease::take().unwrap());
+    let (authority, lease) = (Authority::new(), Lease::acquire().unwrap());
     let gate = lease.proxy(0);
     let keys = [authority.issue("north"), authority.issue("south")];
     let plan = |i: usize| Plan {
@@ -373,7 +373,7 @@
     let south = Backend::start(|_| ok("south"));
     let two = pair("wakes", &[], &[south.address; 3], WIDE);
     until("the south is ready", || two.south.proxy.ready() == 200);
-    let config = client_config(Some(&two.authority.issue("north")), &two.authority.pem);
+    let config = client_tls_config(Some(&two.authority.issue("north")), &two.authority.pem);
     let answer = block_on(async {
         let mut gateway = GatewayConnection::open(config, two.gates[1], "south").await.unwrap();
         let deadline = gateway.clock().await.unwrap() + 300_000;
@@ -447,8 +447,8 @@
         with("99000000"),
     ];
     let answers = block_on(async {
-        let config = client_config(Some(&north), &two.authority.pem);
-        tokio::time::timeout(LONG, ask_gateway(config, two.gates[1], "south", requests))
+        let config = client_tls_config(Some(&north), &two.authority.pem);
+        tokio::time::timeout(LONG, send_to_gateway(config, two.gates[1], "south", requests))
             .await
             .expect("an end")
     });
@@ -523,14 +523,14 @@
     until("the south is ready", || two.south.proxy.ready() == 200);
     let gate = two.gates[1];
     let (pem, stranger) = (two.authority.pem.as_str(), Authority::new());
-    let ask = |keys: Option<&Keys>, trust: &str, requests: Vec<Request<Full<Bytes>>>| {
+    let ask = |keys: Option<&CertifiedKey>, trust: &str, requests: Vec<Request<Full<Bytes>>>| {
         block_on(async {
-            let asked = ask_gateway(client_config(keys, trust), gate, "south", requests);
+            let asked = send_to_gateway(client_tls_config(keys, trust), gate, "south", requests);
             tokio::time::timeout(LONG, asked).await.expect("an end")
         })
     };
     let good = || vec![hop("read", Some("north;left=0"), "7000")];
-    let refused = |keys: Option<&Keys>| assert!(ask(keys, pem, good()).is_err());
+    let refused = |keys: Option<&CertifiedKey>| assert!(ask(keys, pem, good()).is_err());
     refused(None);
     refused(Some(&stranger.issue("north")));
     refused(Some(&two.authority.issue("east")));
@@ -649,7 +649,7 @@
 #[test]
 fn check_covers_the_section_and_its_files() {
     let authority = Authority::new();
-    let folder = Folder::new("region-check");
+    let folder = TempFolder::new("region-check");
     let files = KeyFiles { folder: folder.0.clone() };
     let keys = authority.issue("north");
     let plan = Plan {
--- a/crates/gaugesaddle/tests/rules.rs
+++ b/crates/gaugesaddle/tests/rules.rs
@@ -32,7 +32,7 @@
                 std::thread::spawn(move || {
                     let outcome = play(&s);
                     let verdict = &outcome.verdict;
-                    let good = verdict.is_clean() && verdict.fallen == 0 && verdict.g >= least;
+                    let good = verdict.is_clean() && verdict.overload_crashes == 0 && verdict.g >= least;
                     let errors = outcome.logs.iter().flatten().filter(|l| l.contains("ERROR"));
                     let errors = errors.cloned().collect::<Vec<_>>();
                     let told = || format!("{}, seed {}:\n{verdict}{}", s.name, s.seed, errors.join("\n"));
--- a/crates/gaugesaddle/tests/tier/mod.rs
+++ b/crates/gaugesaddle/tests/tier/mod.rs
@@ -6,7 +6,7 @@
 use gaugesaddle::registry::{MemberRow, MembershipView, Snapshot};
 use gaugesaddle_balancer::{Micros, Time};
 use gaugesaddle_membership::{Authenticator, Boot, Membership, Output, Settings, TierConfig};
-use gaugesaddle_testbed::datagrams::Datagrams;
+use gaugesaddle_testbed::datagrams::DatagramRelay;
 use gaugesaddle_testbed::lease::Lease;
 use gaugesaddle_testbed::scripted::*;
 use std::net::{SocketAddr, UdpSocket};
@@ -19,7 +19,7 @@
 /// A tier on loopback, its proxies started and stopped by the test.
 pub struct Tier {
     pub proxies: Vec<Option<Proxy>>,
-    pub ways: Datagrams,
+    pub ways: DatagramRelay,
     pub discovery: Discovery,
     pub backend: Backend,
     pub listens: Vec<SocketAddr>,
@@ -32,12 +32,12 @@
 
 impl Tier {
     pub fn told(name: &str, places: usize, keyed: bool) -> Tier {
-        let lease = Lease::take().unwrap();
+        let lease = Lease::acquire().unwrap();
         let folder = std::env::temp_dir().join(format!("gs-peers-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let listens: Vec<SocketAddr> =
             (0..places).map(|p| SocketAddr::new(lease.proxy(p).ip(), 7946)).collect();
-        let ways = Datagrams::start(&listens, lease.peer().ip(), 1).unwrap();
+        let ways = DatagramRelay::start(&listens, lease.peer().ip(), 1).unwrap();
         let key = folder.join("key");
         std::fs::write(&key, [7; 48]).unwrap();
         std::fs::set_permissions(&key, std::fs::Permissions::from_mode(0o600)).unwrap();
