--- a/crates/gaugesaddle-testbed/src/agent.rs
+++ b/crates/gaugesaddle-testbed/src/agent.rs
@@ -18,9 +18,9 @@
 use tokio::task::AbortHandle;
 
 /// How long the old address keeps its connections after a move.
-const MOVED: Duration = Duration::from_millis(1500);
+const OLD_ADDRESS_GRACE: Duration = Duration::from_millis(1500);
 /// Longest wait of a call.
-const WAIT_MS: u64 = 60_000;
+const MAX_WAIT_MS: u64 = 60_000;
 /// Most departed nodes that are kept for changes; a proxy that lacks older ones needs a snapshot.
 const MAX_DEPARTED: usize = 1024;
 
@@ -62,10 +62,10 @@
     /// Number of outages: a call that was pending when one began is never answered.
     outages: Cell<u64>,
     /// Changes during an outage, published at its end.
-    missed: RefCell<Vec<ListEntry>>,
+    deferred: RefCell<Vec<ListEntry>>,
     changed: Notify,
-    listening: RefCell<Option<AbortHandle>>,
-    open: RefCell<Vec<AbortHandle>>,
+    accept_task: RefCell<Option<AbortHandle>>,
+    connection_tasks: RefCell<Vec<AbortHandle>>,
     /// Processes that the present process of the proxy knows.
     delivered: RefCell<BTreeSet<Boot>>,
 }
@@ -80,10 +80,10 @@
             version: Cell::new(1),
             down: Cell::default(),
             outages: Cell::default(),
-            missed: RefCell::default(),
+            deferred: RefCell::default(),
             changed: Notify::new(),
-            listening: RefCell::default(),
-            open: RefCell::default(),
+            accept_task: RefCell::default(),
+            connection_tasks: RefCell::default(),
             delivered: RefCell::default(),
         });
         agent.clone().listen(bind).await?;
@@ -102,16 +102,16 @@
         let accepting = tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let handle = tokio::task::spawn_local(this.clone().serve(stream)).abort_handle();
-                let mut open = this.open.borrow_mut();
+                let mut open = this.connection_tasks.borrow_mut();
                 open.retain(|t| !t.is_finished());
                 open.push(handle);
             }
         });
-        if let Some(old) = self.listening.replace(Some(accepting.abort_handle())) {
+        if let Some(old) = self.accept_task.replace(Some(accepting.abort_handle())) {
             old.abort();
-            let open = std::mem::take(&mut *self.open.borrow_mut());
+            let open = std::mem::take(&mut *self.connection_tasks.borrow_mut());
             tokio::task::spawn_local(async move {
-                tokio::time::sleep(MOVED).await;
+                tokio::time::sleep(OLD_ADDRESS_GRACE).await;
                 open.iter().for_each(AbortHandle::abort);
             });
         }
@@ -124,7 +124,7 @@
         if down {
             self.outages.set(self.outages.get() + 1);
         } else {
-            self.missed.take().into_iter().for_each(|entry| self.publish(entry));
+            self.deferred.take().into_iter().for_each(|entry| self.publish(entry));
         }
         self.changed.notify_waiters();
     }
@@ -132,7 +132,7 @@
     /// Publishes a change of a node's process, unless a newer one of the same name is known.
     pub fn publish(&self, entry: ListEntry) {
         if self.down.get() {
-            return self.missed.borrow_mut().push(entry);
+            return self.deferred.borrow_mut().push(entry);
         }
         let mut entries = self.entries.borrow_mut();
         if let Some((_, listed)) = entries.get(&entry.name) {
@@ -202,8 +202,8 @@
         let mut reader = Reader::new(stream);
         while let Ok(message) = reader.message().await {
             let Some((body, entries, snapshot)) = self.answer(&message).await else {
-                let missing = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
-                if reader.get_mut().write_all(missing).await.is_err() {
+                let not_found = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
+                if reader.get_mut().write_all(not_found).await.is_err() {
                     return;
                 }
                 continue;
@@ -228,12 +228,12 @@
             pairs.find(|p| p.0 == name).and_then(|p| p.1.parse::<u64>().ok())
         };
         let after = number("after").filter(|v| *v <= self.version.get());
-        let wait = Duration::from_millis(number("wait_ms").unwrap_or(0).min(WAIT_MS));
+        let wait = Duration::from_millis(number("wait_ms").unwrap_or(0).min(MAX_WAIT_MS));
         let end = tokio::time::Instant::now() + wait;
-        let silences = self.outages.get();
+        let outages_before = self.outages.get();
         loop {
             // Like a connection whose other side is partitioned: a call that came then is never answered.
-            if self.down.get() || self.outages.get() != silences {
+            if self.down.get() || self.outages.get() != outages_before {
                 std::future::pending::<()>().await;
             }
             let changed = self.changed.notified();
--- a/crates/gaugesaddle-testbed/src/audit.rs
+++ b/crates/gaugesaddle-testbed/src/audit.rs
@@ -97,15 +97,15 @@
     /// Attempts that reached no proxy: when, id of the first attempt, class.
     unreachable: Vec<(Moment, u64, usize)>,
     /// By request, the id of its first attempt.
-    firsts: HashMap<u64, u64>,
+    first_attempt_ids: HashMap<u64, u64>,
     attempts: BTreeMap<u64, Attempt<'a>>,
     /// By request, its attempts that nodes received.
     by_request: HashMap<u64, Vec<u64>>,
     nodes: HashMap<Boot, NodeFacts>,
     /// Proxy, when it was killed or stopped, and when it was continued.
-    absences: Vec<(usize, Moment, Moment)>,
+    proxy_outages: Vec<(usize, Moment, Moment)>,
     /// Proxy, and when it was started.
-    starts: Vec<(usize, Moment)>,
+    proxy_starts: Vec<(usize, Moment)>,
     /// In the order of time.
     reports: Vec<NodeReport<'a>>,
     /// By key, how often it took effect.
@@ -121,12 +121,12 @@
             slack: (s.rules.slack_ms * 1e3) as u64,
             client_attempts: BTreeMap::new(),
             unreachable: Vec::new(),
-            firsts: HashMap::new(),
+            first_attempt_ids: HashMap::new(),
             attempts: BTreeMap::new(),
             by_request: HashMap::new(),
             nodes: HashMap::new(),
-            absences: Vec::new(),
-            starts: Vec::new(),
+            proxy_outages: Vec::new(),
+            proxy_starts: Vec::new(),
             reports: Vec::new(),
             effects: HashMap::new(),
             records,
@@ -141,13 +141,13 @@
     fn read_record(&mut self, record: &'a Record) {
         let at = record.at;
         match &record.event {
-            Event::ProxyUp { proxy } => self.starts.push((*proxy, at)),
+            Event::ProxyUp { proxy } => self.proxy_starts.push((*proxy, at)),
             Event::ProxyKilled { proxy } | Event::ProxyStopped { proxy } => {
-                self.absences.push((*proxy, at, Moment::MAX));
+                self.proxy_outages.push((*proxy, at, Moment::MAX));
             }
             Event::ProxyContinued { proxy } => {
-                let last = self.absences.iter_mut().rev().find(|absence| absence.0 == *proxy);
-                last.into_iter().for_each(|absence| absence.2 = at);
+                let last = self.proxy_outages.iter_mut().rev().find(|outage| outage.0 == *proxy);
+                last.into_iter().for_each(|outage| outage.2 = at);
             }
             Event::ProxyEnded { proxy, clean: false } => {
                 let text = format!("proxy {proxy} ended by itself or had to be killed");
@@ -171,7 +171,7 @@
             }
             Event::RequestSent { proxy, id, first, class, patience_us, .. } => {
                 let (proxy, class, patience_us) = (*proxy, *class, *patience_us);
-                self.firsts.insert(*id, *first);
+                self.first_attempt_ids.insert(*id, *first);
                 let sent = ClientAttempt { sent: record, proxy, class, patience_us, ended: Vec::new() };
                 self.client_attempts.entry(*id).or_default().push(sent);
             }
@@ -218,12 +218,14 @@
 
     /// Whether a proxy was killed or stopped at some moment of a span. What it received while it was stopped waits, and
     /// may be late after that.
-    fn was_absent(&self, proxy: usize, from: Moment, to: Moment) -> bool {
+    fn was_unavailable(&self, proxy: usize, from: Moment, to: Moment) -> bool {
         let back = |killed: Moment| {
-            let next = self.starts.iter().filter(|s| s.0 == proxy && s.1 > killed).map(|s| s.1).min();
+            let next = self.proxy_starts.iter().filter(|s| s.0 == proxy && s.1 > killed).map(|s| s.1).min();
             next.unwrap_or(Moment::MAX)
         };
-        self.absences.iter().any(|(p, gone, on)| *p == proxy && *gone <= to && back(*gone).min(*on) >= from)
+        self.proxy_outages
+            .iter()
+            .any(|(p, gone, on)| *p == proxy && *gone <= to && back(*gone).min(*on) >= from)
     }
 }
 
--- a/crates/gaugesaddle-testbed/src/audit/answers.rs
+++ b/crates/gaugesaddle-testbed/src/audit/answers.rs
@@ -53,17 +53,17 @@
         self.check_single_answer(found);
         let Some(end) = self.client.ended.first() else {
             let sent = self.client.sent.at;
-            if !self.was_absent(sent, self.deadline) && self.auditor.is_over(self.deadline) {
-                found.push((Violation::Lost, self.text("came to no end"), self.shown()));
+            if !self.was_unavailable(sent, self.deadline) && self.auditor.is_over(self.deadline) {
+                found.push((Violation::Lost, self.text("came to no end"), self.evidence()));
             }
             return;
         };
         match &end.event {
             Event::Answered { status, attempt, .. } => self.check_answer(end, *status, *attempt, found),
             Event::ClientDisconnected { .. } => {}
-            Event::Broken { bytes, .. } => self.check_broken(end, *bytes, found, closed_unread),
-            _ if self.was_absent(self.client.sent.at, self.deadline) => {}
-            _ => found.push((Violation::Lost, self.text("had no answer in its time"), self.shown())),
+            Event::Broken { bytes, .. } => self.check_broken_connection(end, *bytes, found, closed_unread),
+            _ if self.was_unavailable(self.client.sent.at, self.deadline) => {}
+            _ => found.push((Violation::Lost, self.text("had no answer in its time"), self.evidence())),
         }
         self.check_sent_after(end, found);
     }
@@ -72,29 +72,32 @@
         let ended = &self.client.ended;
         let answers = ended.iter().filter(|r| matches!(r.event, Event::Answered { .. })).count();
         if answers > 1 || ended.iter().any(|r| matches!(r.event, Event::Surplus { .. })) {
-            found.push((Violation::AnsweredTwice, self.text("had more than an answer"), self.shown()));
+            found.push((Violation::AnsweredTwice, self.text("had more than an answer"), self.evidence()));
         }
     }
 
     fn check_answer(&self, end: &Record, status: u16, attempt: Option<u64>, found: &mut Vec<Found<'a>>) {
-        if end.at > self.deadline && !self.was_absent(self.client.sent.at, end.at) {
+        if end.at > self.deadline && !self.was_unavailable(self.client.sent.at, end.at) {
             let late_ms = (end.at - self.deadline) as f64 / 1e3;
             let text = self.text(&format!("was answered {late_ms:.1} ms after its time"));
-            found.push((Violation::AnsweredLate, text, self.shown()));
+            found.push((Violation::AnsweredLate, text, self.evidence()));
         }
-        let is_made = |number: u64| self.attempts.iter().any(|(n, attempt)| *n == number && attempt.replied);
-        if status == 200 && !attempt.is_some_and(is_made) {
+        let is_answered_by =
+            |number: u64| self.attempts.iter().any(|(n, attempt)| *n == number && attempt.replied);
+        if status == 200 && !attempt.is_some_and(is_answered_by) {
             found.push((
                 Violation::Foreign,
                 self.text("was served with no node's answer to it"),
-                self.shown(),
+                self.evidence(),
             ));
         }
     }
 
     /// The connection ended before a response.
-    fn check_broken(&self, end: &Record, bytes: usize, found: &mut Vec<Found<'a>>, closed_unread: &mut u64) {
-        if bytes > 0 || self.was_absent(self.client.sent.at, end.at) {
+    fn check_broken_connection(
+        &self, end: &Record, bytes: usize, found: &mut Vec<Found<'a>>, closed_unread: &mut u64,
+    ) {
+        if bytes > 0 || self.was_unavailable(self.client.sent.at, end.at) {
             return;
         }
         let own = self.client.sent.at..self.until;
@@ -105,7 +108,7 @@
             *closed_unread += 1;
             return;
         }
-        let records = self.shown().into_iter().chain(forwarded).collect();
+        let records = self.evidence().into_iter().chain(forwarded).collect();
         found.push((Violation::Lost, self.text("was sent on and its connection closed"), records));
     }
 
@@ -118,22 +121,22 @@
         for (_, attempt) in &self.attempts {
             let arriving = attempt.arriving;
             let is_late = arriving.at > over && arriving.at < self.until;
-            if is_late && !self.was_absent(self.client.sent.at, arriving.at) {
-                let records = self.shown().into_iter().chain([arriving]).collect();
+            if is_late && !self.was_unavailable(self.client.sent.at, arriving.at) {
+                let records = self.evidence().into_iter().chain([arriving]).collect();
                 found.push((Violation::SentAfterAnswer, self.text("was sent on after its end"), records));
             }
         }
     }
 
-    fn was_absent(&self, from: Moment, to: Moment) -> bool {
-        self.auditor.was_absent(self.client.proxy, from, to)
+    fn was_unavailable(&self, from: Moment, to: Moment) -> bool {
+        self.auditor.was_unavailable(self.client.proxy, from, to)
     }
 
     fn text(&self, what: &str) -> String {
         format!("request {:016x} {what}", self.id)
     }
 
-    fn shown(&self) -> Vec<&'a Record> {
+    fn evidence(&self) -> Vec<&'a Record> {
         std::iter::once(self.client.sent).chain(self.client.ended.iter().copied()).collect()
     }
 }
--- a/crates/gaugesaddle-testbed/src/audit/figures.rs
+++ b/crates/gaugesaddle-testbed/src/audit/figures.rs
@@ -20,9 +20,10 @@
     /// The part of what was served that did not cross halls.
     pub(super) fn compute_same_zone_fraction(&mut self) {
         let replied = || self.attempts.values().filter(|a| a.replied);
-        let near = |a: &&Attempt| self.nodes.get(&a.boot).is_some_and(|n| n.zone == a.proxy % self.s.zones);
-        let (near, all) = (replied().filter(near).count(), replied().count());
-        self.verdict.same_zone_fraction = near as f64 / all.max(1) as f64;
+        let same_zone =
+            |a: &&Attempt| self.nodes.get(&a.boot).is_some_and(|n| n.zone == a.proxy % self.s.zones);
+        let (same_zone, all) = (replied().filter(same_zone).count(), replied().count());
+        self.verdict.same_zone_fraction = same_zone as f64 / all.max(1) as f64;
     }
 
     pub(super) fn compute_figures(&mut self) {
@@ -59,14 +60,19 @@
         }
         for (id, attempts) in &self.client_attempts {
             for attempt in attempts {
-                record(self.firsts[id], attempt.sent.at, attempt.class, self.s.region(attempt.proxy));
+                record(
+                    self.first_attempt_ids[id],
+                    attempt.sent.at,
+                    attempt.class,
+                    self.s.region(attempt.proxy),
+                );
             }
         }
         for (id, attempts) in &self.client_attempts {
             let objective_us = (self.s.classes[attempts[0].class].objective_ms * 1e3) as u64;
             for end in attempts.iter().flat_map(|attempt| &attempt.ended) {
                 let Event::Answered { status: 200, .. } = end.event else { continue };
-                if let Some(request) = requests.get_mut(&self.firsts[id]) {
+                if let Some(request) = requests.get_mut(&self.first_attempt_ids[id]) {
                     request.in_time |= end.at <= request.sent + objective_us;
                 }
             }
@@ -125,7 +131,7 @@
         let served: u64 = self.verdict.classes.iter().filter_map(|c| c.statuses.get(&200)).sum();
         let sent: u64 = self.verdict.classes.iter().map(|c| c.requests).sum();
         let delivered = self.reports.iter().filter(|n| n.delivered).count();
-        let tests = [
+        let conditions = [
             (dropped == 0, format!("{dropped} records were dropped")),
             (sent > 0, "no client asked anything".into()),
             (delivered > 0, "no proxy was told of any node".into()),
@@ -136,6 +142,6 @@
             ),
             (self.records.is_sorted_by_key(|r| r.at), "records are out of order".into()),
         ];
-        self.verdict.inconclusive.extend(tests.into_iter().filter(|t| !t.0).map(|t| t.1));
+        self.verdict.inconclusive.extend(conditions.into_iter().filter(|t| !t.0).map(|t| t.1));
     }
 }
--- a/crates/gaugesaddle-testbed/src/audit/regions.rs
+++ b/crates/gaugesaddle-testbed/src/audit/regions.rs
@@ -12,7 +12,8 @@
             return;
         }
         let of_node = |a: &Attempt| self.s.region(a.boot.node);
-        let (mut found, mut left) = (Vec::new(), HashMap::<(usize, usize), Vec<(Moment, &Record)>>::new());
+        let (mut found, mut departures) =
+            (Vec::new(), HashMap::<(usize, usize), Vec<(Moment, &Record)>>::new());
         self.verdict.regions = vec![RegionFigures::default(); count];
         for (id, client_attempts) in &self.client_attempts {
             let Some(sent) = self.by_request.get(id) else { continue };
@@ -20,26 +21,26 @@
             sent.sort_by_key(|a| a.arriving.at);
             // By the region whose proxy was asked; a client that had to ask once more began anew there.
             let home = self.s.region(client_attempts.last().map_or(0, |t| t.proxy));
-            let mut way = vec![home];
+            let mut path = vec![home];
             for a in &sent {
                 let region = of_node(a);
-                if way.last() != Some(&region) {
-                    if way.contains(&region) || way.len() > hops {
-                        let text = format!("request {id:016x} went through regions {way:?} and to {region}");
+                if path.last() != Some(&region) {
+                    if path.contains(&region) || path.len() > hops {
+                        let text = format!("request {id:016x} went through regions {path:?} and to {region}");
                         found.push((Violation::Looped, text, vec![client_attempts[0].sent, a.arriving]));
                     }
-                    way.push(region);
-                    left.entry((home, region)).or_default().push((a.arriving.at, a.arriving));
-                    let lent = &mut self.verdict.regions[region].inbound_span;
+                    path.push(region);
+                    departures.entry((home, region)).or_default().push((a.arriving.at, a.arriving));
+                    let span = &mut self.verdict.regions[region].inbound_span;
                     let at = a.arriving.at;
-                    *lent = Some(lent.map_or((at, at), |l| (l.0.min(at), l.1.max(at))));
+                    *span = Some(span.map_or((at, at), |l| (l.0.min(at), l.1.max(at))));
                 }
             }
-            self.verdict.regions[home].spilled += u64::from(way.len() > 1);
+            self.verdict.regions[home].spilled += u64::from(path.len() > 1);
         }
-        // Left in one second, they may arrive in a little less: the way differs by the slack at most, either way.
+        // Left in one second, they may arrive in a little less: the path differs by the slack at most, either path.
         let window = 1_000_000 - 2 * self.slack;
-        for ((home, to), mut times) in left {
+        for ((home, to), mut times) in departures {
             times.sort_by_key(|t| t.0);
             let within = |i: usize| times[i..].iter().take_while(|t| t.0 < times[i].0 + window).count();
             let (most, at) = (0..times.len()).map(|i| (within(i), i)).max().unwrap_or((0, 0));
--- a/crates/gaugesaddle-testbed/src/audit/repeats.rs
+++ b/crates/gaugesaddle-testbed/src/audit/repeats.rs
@@ -19,13 +19,13 @@
                     if !may_have_run(earlier, later.arriving.at) {
                         continue;
                     }
-                    let shown = || vec![client_attempts[0].sent, earlier.arriving, later.arriving];
+                    let evidence = || vec![client_attempts[0].sent, earlier.arriving, later.arriving];
                     match class.effect {
                         Effect::Safe => {}
                         Effect::Unsafe => {
                             let text =
                                 format!("unsafe request {id:016x} was sent again though it may have run");
-                            found.push((Violation::UnsafeRepeated, text, shown()));
+                            found.push((Violation::UnsafeRepeated, text, evidence()));
                         }
                         Effect::Keyed => {
                             let zone = |a: &Attempt| self.nodes.get(&a.boot).map(|n| n.zone);
@@ -38,7 +38,7 @@
                                     zone(later),
                                     passed as f64 / 1e3
                                 );
-                                found.push((Violation::KeyedRepeated, text, shown()));
+                                found.push((Violation::KeyedRepeated, text, evidence()));
                             }
                         }
                     }
--- a/crates/gaugesaddle-testbed/src/audit/slow_start.rs
+++ b/crates/gaugesaddle-testbed/src/audit/slow_start.rs
@@ -18,29 +18,29 @@
         for (boot, mut sent) in by_boot {
             let Some(node) = self.nodes.get(&boot).filter(|n| n.initial_capacity < 1.0) else { continue };
             sent.sort_by_key(|a| a.received.map_or(0, |w| w.at));
-            let came = |a: &Attempt| a.received.map_or(0, |w| w.at).saturating_sub(node.up) as f64;
-            let (mut first, mut held) = (0, 0.0);
+            let arrival = |a: &Attempt| a.received.map_or(0, |w| w.at).saturating_sub(node.up) as f64;
+            let (mut first, mut window_work) = (0, 0.0);
             for (i, a) in sent.iter().enumerate() {
-                held += a.work_us as f64;
-                while came(sent[first]) < came(a) - window {
-                    held -= sent[first].work_us as f64;
+                window_work += a.work_us as f64;
+                while arrival(sent[first]) < arrival(a) - window {
+                    window_work -= sent[first].work_us as f64;
                     first += 1;
                 }
-                let from = (came(a) - window).max(0.0);
+                let from = (arrival(a) - window).max(0.0);
                 if from >= node.slow_start_us {
                     break; // warm throughout
                 }
-                let able =
+                let capacity_us =
                     present_work(node.speed, node.initial_capacity, node.slow_start_us, from, from + window);
-                if held > rules.fall_multiple * able + slack {
+                if window_work > rules.fall_multiple * capacity_us + slack {
                     let text = format!(
                         "cold {boot:?} was sent {:.0} ms of work within {:.1} s, {:.2} times what it can do",
-                        held / 1e3,
+                        window_work / 1e3,
                         window / 1e6,
-                        held / able
+                        window_work / capacity_us
                     );
-                    let shown = [first, i].map(|n| sent[n].arriving).to_vec();
-                    found.push((text, shown));
+                    let evidence = [first, i].map(|n| sent[n].arriving).to_vec();
+                    found.push((text, evidence));
                     break;
                 }
             }
--- a/crates/gaugesaddle-testbed/src/audit/verdict.rs
+++ b/crates/gaugesaddle-testbed/src/audit/verdict.rs
@@ -150,15 +150,15 @@
 
 impl fmt::Display for Verdict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let shown = 5;
-        for finding in self.findings.iter().take(shown) {
+        let limit = 5;
+        for finding in self.findings.iter().take(limit) {
             write!(f, "{finding}")?;
         }
-        if self.findings.len() > shown {
-            writeln!(f, "... and {} findings more", self.findings.len() - shown)?;
+        if self.findings.len() > limit {
+            writeln!(f, "... and {} findings more", self.findings.len() - limit)?;
         }
-        for why in &self.inconclusive {
-            writeln!(f, "no verdict: {why}")?;
+        for reason in &self.inconclusive {
+            writeln!(f, "no verdict: {reason}")?;
         }
         writeln!(
             f,
--- a/crates/gaugesaddle-testbed/src/authority.rs
+++ b/crates/gaugesaddle-testbed/src/authority.rs
@@ -136,12 +136,12 @@
 /// A connection to a gateway, as a peer has it.
 pub struct GatewayConnection {
     sender: hyper::client::conn::http2::SendRequest<Full<Bytes>>,
-    driving: tokio::task::JoinHandle<Result<(), hyper::Error>>,
+    connection_task: tokio::task::JoinHandle<Result<(), hyper::Error>>,
 }
 
 impl Drop for GatewayConnection {
     fn drop(&mut self) {
-        self.driving.abort();
+        self.connection_task.abort();
     }
 }
 
@@ -156,7 +156,7 @@
         let stream = tokio_rustls::TlsConnector::from(config).connect(name, stream).await?;
         let http = hyper::client::conn::http2::Builder::new(TokioExecutor::new());
         let (sender, connection) = http.handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
-        Ok(GatewayConnection { sender, driving: tokio::spawn(connection) })
+        Ok(GatewayConnection { sender, connection_task: tokio::spawn(connection) })
     }
 
     /// The gateway's clock, in microseconds.
--- a/crates/gaugesaddle-testbed/src/datagrams.rs
+++ b/crates/gaugesaddle-testbed/src/datagrams.rs
@@ -18,7 +18,7 @@
 
 /// Datagrams that wait for their time.
 pub const MAX_IN_FLIGHT: usize = 20_000;
-/// Number of the last datagrams of each proxy that are kept, to be replayed.
+/// Number of the last datagrams of each proxy that are recent, to be replayed.
 const RETAINED: usize = 64;
 /// Longest latency of a datagram, in microseconds.
 const MAX_DELAY_US: u64 = 10_000_000;
@@ -71,15 +71,15 @@
 }
 
 impl LossyPath {
-    /// The ways between the proxies of two halls, in both directions; a place stands in the hall of its turn.
-    pub fn between(zones: [usize; 2], of: usize, places: usize, loss: f64, more_us: u64) -> Vec<LossyPath> {
-        let [a, b] = zones.map(|zone| (0..places).filter(|p| p % of == zone).collect::<Vec<usize>>());
+    /// The ways between the proxies of two halls, in both directions; a index stands in the hall of its turn.
+    pub fn between(zones: [usize; 2], of: usize, size: usize, loss: f64, more_us: u64) -> Vec<LossyPath> {
+        let [a, b] = zones.map(|zone| (0..size).filter(|p| p % of == zone).collect::<Vec<usize>>());
         let back = LossyPath { from: b.clone(), to: a.clone(), loss, more_us };
         vec![LossyPath { from: a, to: b, loss, more_us }, back]
     }
 
-    fn is_of(&self, from: usize, to: usize) -> bool {
-        let among = |set: &[usize], place| set.is_empty() || set.contains(&place);
+    fn applies_to(&self, from: usize, to: usize) -> bool {
+        let among = |set: &[usize], index| set.is_empty() || set.contains(&index);
         among(&self.from, from) && among(&self.to, to)
     }
 }
@@ -102,25 +102,25 @@
 
 impl Links {
     /// A partition into that many groups, with the processes assigned in turn.
-    pub fn partitioned(places: usize, parts: usize) -> Links {
-        Links { groups: (0..places).map(|p| (p % parts) as u8).collect(), ..Links::default() }
+    pub fn partitioned(size: usize, parts: usize) -> Links {
+        Links { groups: (0..size).map(|p| (p % parts) as u8).collect(), ..Links::default() }
     }
 
     /// The network between some of the processes, by their indexes among themselves.
     pub fn restricted_to(&self, members: &[usize]) -> Links {
-        let place = |p: &usize| members.iter().position(|m| m == p);
-        let places = |all: &[usize]| all.iter().filter_map(place).collect::<Vec<_>>();
-        let pair = |(a, b): &(usize, usize)| Some((place(a)?, place(b)?));
+        let index = |p: &usize| members.iter().position(|m| m == p);
+        let indexes = |all: &[usize]| all.iter().filter_map(index).collect::<Vec<_>>();
+        let pair = |(a, b): &(usize, usize)| Some((index(a)?, index(b)?));
         let poor = |p: &LossyPath| {
-            let (from, to) = (places(&p.from), places(&p.to));
+            let (from, to) = (indexes(&p.from), indexes(&p.to));
             let none = |all: &[usize], here: &[usize]| !all.is_empty() && here.is_empty();
             (!none(&p.from, &from) && !none(&p.to, &to)).then_some(LossyPath { from, to, ..p.clone() })
         };
         Links {
             groups: members.iter().filter_map(|m| self.groups.get(*m).copied()).collect(),
             one_way: self.one_way.iter().filter_map(pair).collect(),
-            unheard: places(&self.unheard),
-            slow: places(&self.slow),
+            unheard: indexes(&self.unheard),
+            slow: indexes(&self.slow),
             poor: self.poor.iter().filter_map(poor).collect(),
             ..self.clone()
         }
@@ -131,7 +131,7 @@
         self.groups.get(from) == self.groups.get(to)
             && !self.unheard.contains(&from)
             && !self.one_way.contains(&(from, to))
-            && !self.poor.iter().any(|p| p.loss >= 1.0 && p.is_of(from, to))
+            && !self.poor.iter().any(|p| p.loss >= 1.0 && p.applies_to(from, to))
     }
 
     /// Whether every process reaches every other one.
@@ -151,10 +151,10 @@
     }
 
     /// Whether two processes reach each other in both directions, directly or over a third that runs.
-    pub fn connected(&self, i: usize, j: usize, running: impl Fn(usize) -> bool, places: usize) -> bool {
+    pub fn connected(&self, i: usize, j: usize, running: impl Fn(usize) -> bool, size: usize) -> bool {
         let reaches = |a: usize, b: usize| {
             let through = |k: usize| k != a && k != b && running(k) && self.allows(a, k) && self.allows(k, b);
-            self.allows(a, b) || (0..places).any(through)
+            self.allows(a, b) || (0..size).any(through)
         };
         self.fully_connected() || (reaches(i, j) && reaches(j, i))
     }
@@ -165,33 +165,33 @@
             return [None, None];
         }
         let mut more = if self.slow.contains(&from) || self.slow.contains(&to) { self.slow_us } else { 0 };
-        for poor in self.poor.iter().filter(|p| p.is_of(from, to)) {
+        for poor in self.poor.iter().filter(|p| p.applies_to(from, to)) {
             if random.bernoulli(poor.loss) {
                 return [None, None];
             }
             more += poor.more_us;
         }
         let [least, most] = self.way_us;
-        let mut way = || random.uniform([least as f64, most as f64]) as u64 + more;
-        let once = way();
-        let late = way() + 20 * most;
+        let mut latency = || random.uniform([least as f64, most as f64]) as u64 + more;
+        let once = latency();
+        let late = latency() + 20 * most;
         [Some(once), random.bernoulli(self.doubled).then_some(late)]
     }
 
     /// # Errors
     /// The first value that is out of its range.
-    pub fn check(&self, places: usize) -> Result<(), InvalidLinks> {
-        let part = |x: f64| (0.0..=1.0).contains(&x);
-        let there = |p: &usize| *p < places;
+    pub fn check(&self, size: usize) -> Result<(), InvalidLinks> {
+        let fraction = |x: f64| (0.0..=1.0).contains(&x);
+        let exists = |p: &usize| *p < size;
         let poor = self.poor.iter().flat_map(|p| p.from.iter().chain(&p.to));
         let more = self.poor.iter().map(|p| p.more_us).fold(self.slow_us, u64::saturating_add);
         let longest = self.way_us[1].saturating_add(more);
         let tests = [
-            (self.groups.is_empty() || self.groups.len() == places, "a part for each proxy"),
-            (self.one_way.iter().all(|(a, b)| there(a) && there(b)), "proxies that there are"),
-            (self.unheard.iter().chain(&self.slow).chain(poor).all(there), "proxies that there are"),
+            (self.groups.is_empty() || self.groups.len() == size, "a part for each proxy"),
+            (self.one_way.iter().all(|(a, b)| exists(a) && exists(b)), "proxies that there are"),
+            (self.unheard.iter().chain(&self.slow).chain(poor).all(exists), "proxies that there are"),
             (
-                part(self.loss) && part(self.doubled) && self.poor.iter().all(|p| part(p.loss)),
+                fraction(self.loss) && fraction(self.doubled) && self.poor.iter().all(|p| fraction(p.loss)),
                 "parts from 0 to 1",
             ),
             (self.way_us[0] <= self.way_us[1] && longest <= MAX_DELAY_US, "a way of up to 10 s"),
@@ -200,10 +200,10 @@
     }
 }
 
-struct State {
+struct RelayState {
     links: Links,
     random: RandomStream,
-    under_way: usize,
+    in_flight: usize,
     dropped: u64,
     /// By index: datagrams and bytes that it sent.
     sent: Vec<(u64, u64)>,
@@ -216,9 +216,9 @@
 /// The relay.
 pub struct DatagramRelay {
     addresses: Vec<SocketAddr>,
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<RelayState>>,
     /// Wakes the thread to inject; its end is that of the relay.
-    wake: Option<watch::Sender<u64>>,
+    injections: Option<watch::Sender<u64>>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
@@ -239,10 +239,10 @@
             sockets.iter().map(std::net::UdpSocket::local_addr).collect::<io::Result<Vec<_>>>()?;
         sockets.iter().try_for_each(|s| s.set_nonblocking(true))?;
         let count = listens.len();
-        let state = State {
+        let state = RelayState {
             links: Links::default(),
             random: RandomStream::new(seed, "datagrams"),
-            under_way: 0,
+            in_flight: 0,
             dropped: 0,
             sent: vec![(0, 0); count],
             longest: 0,
@@ -250,15 +250,16 @@
             inject: VecDeque::new(),
         };
         let state = Arc::new(Mutex::new(state));
-        let (word, words) = watch::channel(0);
+        let (notifier, notified) = watch::channel(0);
         let (shared, listens) = (state.clone(), listens.to_vec());
         let thread = std::thread::spawn(move || {
             let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else {
                 return;
             };
-            tokio::task::LocalSet::new().block_on(&runtime, carry(sockets, listens, shared, words));
+            tokio::task::LocalSet::new()
+                .block_on(&runtime, forward_datagrams(sockets, listens, shared, notified));
         });
-        Ok(DatagramRelay { addresses, state, wake: Some(word), thread: Some(thread) })
+        Ok(DatagramRelay { addresses, state, injections: Some(notifier), thread: Some(thread) })
     }
 
     /// The address at which each proxy is reached.
@@ -287,41 +288,41 @@
     }
 
     /// The last datagrams of a proxy, with their receivers.
-    pub fn retained(&self, place: usize) -> Vec<(usize, Vec<u8>)> {
-        lock(&self.state).retained[place].iter().cloned().collect()
+    pub fn retained(&self, index: usize) -> Vec<(usize, Vec<u8>)> {
+        lock(&self.state).retained[index].iter().cloned().collect()
     }
 
     /// Sends these bytes to a proxy as if another had sent them.
     pub fn inject(&self, from: usize, to: usize, bytes: Vec<u8>) {
         lock(&self.state).inject.push_back((from, to, bytes));
-        if let Some(word) = &self.wake {
-            word.send_modify(|n| *n += 1);
+        if let Some(notifier) = &self.injections {
+            notifier.send_modify(|n| *n += 1);
         }
     }
 }
 
 impl Drop for DatagramRelay {
     fn drop(&mut self) {
-        self.wake = None;
+        self.injections = None;
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-async fn carry(
-    sockets: Vec<std::net::UdpSocket>, listens: Vec<SocketAddr>, state: Arc<Mutex<State>>,
-    mut words: watch::Receiver<u64>,
+async fn forward_datagrams(
+    sockets: Vec<std::net::UdpSocket>, listens: Vec<SocketAddr>, state: Arc<Mutex<RelayState>>,
+    mut notified: watch::Receiver<u64>,
 ) {
     let Ok(sockets) = sockets.into_iter().map(UdpSocket::from_std).collect::<io::Result<Vec<_>>>() else {
         return;
     };
     let sockets = Rc::new(sockets);
-    let places: Rc<HashMap<SocketAddr, usize>> = Rc::new(listens.iter().copied().zip(0..).collect());
+    let indexes: Rc<HashMap<SocketAddr, usize>> = Rc::new(listens.iter().copied().zip(0..).collect());
     let listens = Rc::new(listens);
     for to in 0..sockets.len() {
-        let (sockets, listens, places, state) =
-            (sockets.clone(), listens.clone(), places.clone(), state.clone());
+        let (sockets, listens, indexes, state) =
+            (sockets.clone(), listens.clone(), indexes.clone(), state.clone());
         tokio::task::spawn_local(async move {
             let mut buffer = [0; 2048];
             loop {
@@ -329,21 +330,21 @@
                     tokio::task::yield_now().await; // a proxy that was killed refuses what was sent to it
                     continue;
                 };
-                let Some(from) = places.get(&from).copied() else { continue };
-                let ways = take(&state, from, to, &buffer[..n]);
-                for way in ways.into_iter().flatten() {
+                let Some(from) = indexes.get(&from).copied() else { continue };
+                let latencies = schedule(&state, from, to, &buffer[..n]);
+                for latency in latencies.into_iter().flatten() {
                     let (sockets, listens, state) = (sockets.clone(), listens.clone(), state.clone());
                     let bytes = buffer[..n].to_vec();
                     tokio::task::spawn_local(async move {
-                        tokio::time::sleep(Duration::from_micros(way)).await;
-                        lock(&state).under_way -= 1;
+                        tokio::time::sleep(Duration::from_micros(latency)).await;
+                        lock(&state).in_flight -= 1;
                         let _ = sockets[from].send_to(&bytes, listens[to]).await;
                     });
                 }
             }
         });
     }
-    while words.changed().await.is_ok() {
+    while notified.changed().await.is_ok() {
         let injected = std::mem::take(&mut lock(&state).inject);
         for (from, to, bytes) in injected {
             let _ = sockets[from].send_to(&bytes, listens[to]).await;
@@ -352,26 +353,26 @@
 }
 
 /// Counts a datagram and draws its arrivals.
-fn take(state: &Mutex<State>, from: usize, to: usize, bytes: &[u8]) -> [Option<u64>; 2] {
+fn schedule(state: &Mutex<RelayState>, from: usize, to: usize, bytes: &[u8]) -> [Option<u64>; 2] {
     let mut state = lock(state);
     let state = &mut *state;
     state.sent[from].0 += 1;
     state.sent[from].1 += bytes.len() as u64;
     state.longest = state.longest.max(bytes.len());
-    let kept = &mut state.retained[from];
-    if kept.len() == RETAINED {
-        kept.pop_front();
+    let recent = &mut state.retained[from];
+    if recent.len() == RETAINED {
+        recent.pop_front();
     }
-    kept.push_back((to, bytes.to_vec()));
-    let mut ways = state.links.draw(&mut state.random, from, to);
-    for way in &mut ways {
-        if way.is_some() && state.under_way >= MAX_IN_FLIGHT {
-            *way = None;
+    recent.push_back((to, bytes.to_vec()));
+    let mut latencies = state.links.draw(&mut state.random, from, to);
+    for latency in &mut latencies {
+        if latency.is_some() && state.in_flight >= MAX_IN_FLIGHT {
+            *latency = None;
             state.dropped += 1;
         }
-        state.under_way += usize::from(way.is_some());
+        state.in_flight += usize::from(latency.is_some());
     }
-    ways
+    latencies
 }
 
 #[cfg(test)]
--- a/crates/gaugesaddle-testbed/src/datagrams/tests.rs
+++ b/crates/gaugesaddle-testbed/src/datagrams/tests.rs
@@ -10,22 +10,22 @@
 #[test]
 fn what_passes_comes_from_the_senders_address_and_what_is_cut_does_not() {
     let lease = Lease::acquire().unwrap();
-    let ends: Vec<_> = (0..3).map(|_| open(&lease)).collect();
-    let listens: Vec<_> = ends.iter().map(|e| e.local_addr().unwrap()).collect();
+    let sockets: Vec<_> = (0..3).map(|_| open(&lease)).collect();
+    let listens: Vec<_> = sockets.iter().map(|e| e.local_addr().unwrap()).collect();
     let relay = DatagramRelay::start(&listens, lease.peer().ip(), 1).unwrap();
     let (to, mut buffer) = (relay.addresses().to_vec(), [0; 64]);
-    ends[0].send_to(b"one", to[1]).unwrap();
-    assert_eq!(ends[1].recv_from(&mut buffer).unwrap(), (3, to[0]));
+    sockets[0].send_to(b"one", to[1]).unwrap();
+    assert_eq!(sockets[1].recv_from(&mut buffer).unwrap(), (3, to[0]));
     relay.set(Links { one_way: vec![(0, 1)], ..Links::default() });
-    ends[0].send_to(b"lost", to[1]).unwrap();
-    ends[1].send_to(b"back", to[0]).unwrap();
-    assert_eq!(ends[0].recv_from(&mut buffer).unwrap(), (4, to[1]), "the other way it passes");
+    sockets[0].send_to(b"lost", to[1]).unwrap();
+    sockets[1].send_to(b"back", to[0]).unwrap();
+    assert_eq!(sockets[0].recv_from(&mut buffer).unwrap(), (4, to[1]), "the other way it passes");
     relay.set(Links { doubled: 1.0, ..Links::default() });
-    ends[0].send_to(b"twice", to[1]).unwrap();
-    assert_eq!(ends[1].recv_from(&mut buffer).unwrap(), (5, to[0]), "and not what was cut");
-    assert_eq!(ends[1].recv_from(&mut buffer).unwrap(), (5, to[0]));
+    sockets[0].send_to(b"twice", to[1]).unwrap();
+    assert_eq!(sockets[1].recv_from(&mut buffer).unwrap(), (5, to[0]), "and not what was cut");
+    assert_eq!(sockets[1].recv_from(&mut buffer).unwrap(), (5, to[0]));
     relay.inject(2, 1, b"forged".to_vec());
-    assert_eq!(ends[1].recv_from(&mut buffer).unwrap(), (6, to[2]));
+    assert_eq!(sockets[1].recv_from(&mut buffer).unwrap(), (6, to[2]));
     assert_eq!(relay.sent(), [(3, 12), (1, 4), (0, 0)]);
     assert_eq!((relay.retained(0).len(), relay.longest(), relay.dropped()), (3, 5, 0));
 }
@@ -38,8 +38,8 @@
     assert!(links.fully_connected() && !links.lossless(), "it passes, yet not surely");
     let mut random = RandomStream::new(7, "poor");
     for (from, to) in (0..6).flat_map(|a| (0..6).map(move |b| (a, b))).filter(|(a, b)| a != b) {
-        let ways: Vec<Option<u64>> = (0..400).map(|_| links.draw(&mut random, from, to)[0]).collect();
-        let arrived: Vec<u64> = ways.into_iter().flatten().collect();
+        let latencies: Vec<Option<u64>> = (0..400).map(|_| links.draw(&mut random, from, to)[0]).collect();
+        let arrived: Vec<u64> = latencies.into_iter().flatten().collect();
         if [from % 3, to % 3] == [0, 2] || [from % 3, to % 3] == [2, 0] {
             assert!((140..260).contains(&arrived.len()), "{} of 400", arrived.len());
             assert!(arrived.iter().all(|way| (40_100..=42_000).contains(way)));
--- a/crates/gaugesaddle-testbed/src/demo.rs
+++ b/crates/gaugesaddle-testbed/src/demo.rs
@@ -1,4 +1,4 @@
-//! The local demo: a small fleet under disturbances, drawn while it runs.
+//! The local demo: a small fleet under disturbances, drawn_at while it runs.
 
 use gaugesaddle_testbed::scenario::{Clients, ScheduledDisturbance};
 use gaugesaddle_testbed::{program, run, Cast, Disturbance, Event, Live, Program, Scenario};
@@ -54,7 +54,7 @@
     class_of: HashMap<u64, usize>,
     now: Vec<Counts>,
     all: Vec<Counts>,
-    drawn: f64,
+    drawn_at: f64,
 }
 
 /// Plays the demo; true where the rules were kept.
@@ -82,16 +82,16 @@
         class_of: HashMap::new(),
         now: counts.clone(),
         all: counts,
-        drawn: 0.0,
+        drawn_at: 0.0,
         scenario: scenario.clone(),
     };
-    let outcome = run(&scenario, &Cast::Program(program), &mut |live| screen.look(live))?;
+    let outcome = run(&scenario, &Cast::Program(program), &mut |live| screen.update(live))?;
     println!("\n{}", outcome.verdict);
     Ok(outcome.verdict.is_clean())
 }
 
 impl Screen {
-    fn look(&mut self, live: &Live) {
+    fn update(&mut self, live: &Live) {
         for record in &live.new_records {
             match &record.event {
                 Event::RequestSent { id, class, .. } => {
@@ -111,18 +111,18 @@
                 _ => {}
             }
         }
-        if live.seconds - self.drawn < 1.0 {
+        if live.seconds - self.drawn_at < 1.0 {
             return;
         }
-        let passed = live.seconds - self.drawn;
-        self.drawn = live.seconds;
+        let passed = live.seconds - self.drawn_at;
+        self.drawn_at = live.seconds;
         for (all, now) in self.all.iter_mut().zip(&self.now) {
             all.requests += now.requests;
             all.served += now.served;
             all.refused += now.refused;
             all.failed += now.failed;
         }
-        let text = if self.plain { self.line(live) } else { self.table(live, passed) };
+        let text = if self.plain { self.plain_line(live) } else { self.table(live, passed) };
         print!("{text}");
         let _ = io::stdout().flush();
         self.now.iter_mut().for_each(|c| *c = Counts::default());
@@ -134,7 +134,7 @@
         self.scenario.events.iter().filter(recent).map(|e| describe(&e.disturbance)).collect()
     }
 
-    fn line(&self, live: &Live) -> String {
+    fn plain_line(&self, live: &Live) -> String {
         let sum = |of: fn(&Counts) -> u64| self.now.iter().map(of).sum::<u64>();
         let mut text = format!(
             "{:5.1} s  asked {:4}  served {:4}  refused {:3}  failed {:3}",
--- a/crates/gaugesaddle-testbed/src/faulty.rs
+++ b/crates/gaugesaddle-testbed/src/faulty.rs
@@ -42,7 +42,7 @@
 }
 
 /// One in this many requests meets the fault, where not all do.
-const ONE_IN: u64 = 8;
+const FAULT_INTERVAL: u64 = 8;
 /// Fraction of the client's deadline for which it waits for a node.
 const WAIT_FRACTION: f64 = 0.8;
 
@@ -60,8 +60,8 @@
     list: RefCell<Vec<(String, Entry)>>,
     /// Requests so far, and attempts.
     requests: Cell<u64>,
-    turn: Cell<u64>,
-    last: RefCell<Option<Vec<u8>>>,
+    next_node: Cell<u64>,
+    last_response: RefCell<Option<Vec<u8>>>,
     tasks: RefCell<Vec<AbortHandle>>,
 }
 
@@ -75,14 +75,14 @@
             effects: s.classes.iter().map(|c| (c.name.clone(), c.effect)).collect(),
             list: RefCell::default(),
             requests: Cell::default(),
-            turn: Cell::default(),
-            last: RefCell::default(),
+            next_node: Cell::default(),
+            last_response: RefCell::default(),
             tasks: RefCell::default(),
         });
         let watch = this.clone();
         let watching = tokio::task::spawn_local(async move {
             loop {
-                let _ = watch.watch(discovery).await;
+                let _ = watch.poll_discovery(discovery).await;
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         });
@@ -104,7 +104,7 @@
         self.list.borrow().iter().any(|e| e.1.ready)
     }
 
-    async fn watch(&self, discovery: SocketAddr) -> io::Result<Infallible> {
+    async fn poll_discovery(&self, discovery: SocketAddr) -> io::Result<Infallible> {
         let mut reader = Reader::new(TcpStream::connect(discovery).await?);
         let mut path = "/api/targets".to_string();
         loop {
@@ -136,15 +136,15 @@
         while let Ok(message) = reader.message().await {
             let n = self.requests.get();
             self.requests.set(n + 1);
-            let hit = n % ONE_IN == 0;
-            let Some(mut answer) = self.handle(&message, hit).await else { return };
-            if hit && self.fault == Fault::AnswersTwice {
+            let faulty = n % FAULT_INTERVAL == 0;
+            let Some(mut answer) = self.handle(&message, faulty).await else { return };
+            if faulty && self.fault == Fault::AnswersTwice {
                 answer.extend_from_within(..); // in one piece, or the second could pass for the next answer
             }
             if reader.get_mut().write_all(&answer).await.is_err() {
                 return;
             }
-            if hit && self.fault == Fault::SendsAfterAnswer {
+            if faulty && self.fault == Fault::SendsAfterAnswer {
                 tokio::time::sleep(Duration::from_millis(150)).await;
                 let _ = self.send(&message, Duration::from_millis(500)).await;
             }
@@ -152,34 +152,34 @@
     }
 
     /// The answer; `None`: the connection is closed without one.
-    async fn handle(&self, message: &Message, hit: bool) -> Option<Vec<u8>> {
-        let left = Duration::from_millis(message.number("x-time-left-ms").unwrap_or(500));
+    async fn handle(&self, message: &Message, faulty: bool) -> Option<Vec<u8>> {
+        let time_left = Duration::from_millis(message.number("x-time-left-ms").unwrap_or(500));
         let effect = message.header("x-service-class").and_then(|c| self.effects.get(c)).copied();
         let safe = effect == Some(Effect::Safe);
-        if hit && self.fault == Fault::Drops {
-            tokio::time::sleep(left * 4).await;
+        if faulty && self.fault == Fault::Drops {
+            tokio::time::sleep(time_left * 4).await;
             return None;
         }
-        let got = self.send(message, left.mul_f64(WAIT_FRACTION)).await;
+        let response = self.send(message, time_left.mul_f64(WAIT_FRACTION)).await;
         match self.fault {
-            Fault::ClosesAfterSending if hit => return None,
-            Fault::AnswersLate if hit => tokio::time::sleep(left + Duration::from_millis(200)).await,
-            Fault::MixesUp if hit => {
-                if let Some(other) = self.last.borrow().clone() {
+            Fault::ClosesAfterSending if faulty => return None,
+            Fault::AnswersLate if faulty => tokio::time::sleep(time_left + Duration::from_millis(200)).await,
+            Fault::MixesUp if faulty => {
+                if let Some(other) = self.last_response.borrow().clone() {
                     return Some(other);
                 }
             }
-            Fault::Repeats if !safe && hit => {
-                let again = self.send(message, left.mul_f64(WAIT_FRACTION / 4.0)).await;
-                return Some(again.or(got).unwrap_or_else(|| answer(502, "failed")));
+            Fault::Repeats if !safe && faulty => {
+                let again = self.send(message, time_left.mul_f64(WAIT_FRACTION / 4.0)).await;
+                return Some(again.or(response).unwrap_or_else(|| encode_response(502, "failed")));
             }
-            Fault::RefusesAfterRun if hit => return Some(answer(503, "refused")),
+            Fault::RefusesAfterRun if faulty => return Some(encode_response(503, "refused")),
             _ => {}
         }
-        if let Some(got) = &got {
-            *self.last.borrow_mut() = Some(got.clone());
+        if let Some(response) = &response {
+            *self.last_response.borrow_mut() = Some(response.clone());
         }
-        Some(got.unwrap_or_else(|| answer(502, "failed")))
+        Some(response.unwrap_or_else(|| encode_response(502, "failed")))
     }
 
     /// One attempt; a 200 comes back as it is to be passed on.
@@ -187,8 +187,8 @@
         let to = {
             let list = self.list.borrow();
             let ready: Vec<&Entry> = list.iter().map(|e| &e.1).filter(|e| e.ready).collect();
-            let n = self.turn.get() as usize;
-            self.turn.set(self.turn.get() + 1);
+            let n = self.next_node.get() as usize;
+            self.next_node.set(self.next_node.get() + 1);
             match self.fault {
                 Fault::FloodsNewest => ready.iter().max_by_key(|e| e.since_ms)?.address,
                 _ => ready.get(n % ready.len().max(1))?.address,
@@ -205,11 +205,12 @@
             reader.get_mut().write_all(&text).await?;
             reader.message().await
         };
-        let got = tokio::time::timeout(within, exchange).await.ok()?.ok()?;
-        (got.status() == Some(200)).then(|| answer(200, &String::from_utf8_lossy(&got.body)))
+        let response = tokio::time::timeout(within, exchange).await.ok()?.ok()?;
+        (response.status() == Some(200))
+            .then(|| encode_response(200, &String::from_utf8_lossy(&response.body)))
     }
 }
 
-fn answer(status: u16, body: &str) -> Vec<u8> {
+fn encode_response(status: u16, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status} x\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
--- a/crates/gaugesaddle-testbed/src/fleet.rs
+++ b/crates/gaugesaddle-testbed/src/fleet.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// No call takes so long unless something is wrong.
-const CALL: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Name of the program of the data plane, with its argument.
 const EDGE: (&str, &str) = ("gaugesaddle", "edge");
 /// Name of the program of the control plane, with its argument.
@@ -41,7 +41,7 @@
     port: u16,
     nodes: Vec<Node>,
     /// Whether the processes' logs go to this process's standard error.
-    loud: bool,
+    inherit_stderr: bool,
     /// Further lines of every boot file.
     settings: String,
 }
@@ -72,18 +72,18 @@
         Fleet::start_with(controls, edges, false, &settings)
     }
 
-    /// The same, with further lines in every boot file; a loud one shows what its processes log.
+    /// The same, with further lines in every boot file; a inherit_stderr one shows what its processes log.
     ///
     /// # Errors
     /// A process cannot be started.
-    pub fn start_with(controls: u8, edges: u8, loud: bool, settings: &str) -> io::Result<Fleet> {
+    pub fn start_with(controls: u8, edges: u8, inherit_stderr: bool, settings: &str) -> io::Result<Fleet> {
         let (pid, number) = (std::process::id(), FLEETS.fetch_add(1, Ordering::Relaxed));
         let folder = std::env::temp_dir().join(format!("gaugesaddle-fleet-{pid}-{number}"));
         std::fs::create_dir_all(&folder)?;
         let port = 20_000 + (pid % 5000) as u16 * 8;
         let third = ((pid / 5000 + number * 5) % 250) as u8;
         let settings = settings.to_owned();
-        let mut fleet = Fleet { folder, port, nodes: Vec::new(), loud, settings };
+        let mut fleet = Fleet { folder, port, nodes: Vec::new(), inherit_stderr, settings };
         for machine in 0..controls + edges {
             let role = if machine < controls { Role::Control } else { Role::Edge };
             let ip = Ipv4Addr::new(127, 1 + (pid % 200) as u8, third, 1 + machine);
@@ -111,7 +111,7 @@
         controls.map(address).collect::<Vec<_>>().join(",")
     }
 
-    fn boot(&self, at: usize) -> String {
+    fn boot_file(&self, at: usize) -> String {
         let Node { role, ip, bootstrap, .. } = &self.nodes[at];
         let port = self.port;
         let (serves, disk, folder) = match role {
@@ -147,9 +147,9 @@
     /// The process cannot be started.
     pub fn start_process(&mut self, at: usize) -> io::Result<()> {
         let file = self.folder.join(format!("boot-{at}.conf"));
-        std::fs::write(&file, self.boot(at))?;
+        std::fs::write(&file, self.boot_file(at))?;
         let (name, argument) = if self.nodes[at].role == Role::Control { CONTROL } else { EDGE };
-        let log = if self.loud { Stdio::inherit() } else { Stdio::null() };
+        let log = if self.inherit_stderr { Stdio::inherit() } else { Stdio::null() };
         let child = Command::new(program::path(name))
             .arg(argument)
             .env("GAUGESADDLE_BOOT", &file)
@@ -250,15 +250,15 @@
 
     /// Brings a configuration to a control process: the answer's status and text; 0 where there is none.
     pub fn put(&self, at: usize, base: u64, document: &str) -> (u16, String) {
-        self.order(at, "Put", base, document)
+        self.send_configuration(at, "Put", base, document)
     }
 
     /// Brings changes of named items, likewise.
     pub fn patch(&self, at: usize, base: u64, patch: &str) -> (u16, String) {
-        self.order(at, "Patch", base, patch)
+        self.send_configuration(at, "Patch", base, patch)
     }
 
-    fn order(&self, at: usize, call: &str, base: u64, body: &str) -> (u16, String) {
+    fn send_configuration(&self, at: usize, call: &str, base: u64, body: &str) -> (u16, String) {
         let text = format!(
             "POST /Config.{call} HTTP/1.1\r\nHost: c\r\nConfig-Revision: {base}\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
@@ -307,8 +307,8 @@
 /// # Errors
 /// The connection fails, or ends before a response.
 pub fn call(to: SocketAddrV4, text: &str) -> io::Result<Message> {
-    let stream = TcpStream::connect_timeout(&to.into(), CALL)?;
-    stream.set_read_timeout(Some(CALL))?;
+    let stream = TcpStream::connect_timeout(&to.into(), CALL_TIMEOUT)?;
+    stream.set_read_timeout(Some(CALL_TIMEOUT))?;
     (&stream).write_all(text.as_bytes())?;
     read_message(&mut BufReader::new(stream)).ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
 }
@@ -326,8 +326,8 @@
     /// # Errors
     /// The connection fails, or ends before the head of a response.
     pub fn open(to: SocketAddrV4, text: &str) -> io::Result<Chunked> {
-        let stream = TcpStream::connect_timeout(&to.into(), CALL)?;
-        stream.set_read_timeout(Some(CALL))?;
+        let stream = TcpStream::connect_timeout(&to.into(), CALL_TIMEOUT)?;
+        stream.set_read_timeout(Some(CALL_TIMEOUT))?;
         (&stream).write_all(text.as_bytes())?;
         let mut reader = BufReader::new(stream);
         let head = read_message(&mut reader).ok_or(io::ErrorKind::UnexpectedEof)?;
--- a/crates/gaugesaddle-testbed/src/fleet_demo.rs
+++ b/crates/gaugesaddle-testbed/src/fleet_demo.rs
@@ -12,11 +12,11 @@
 const EDGES: u8 = 2;
 const BACKENDS: usize = 4;
 /// Time for the fleet to come up.
-const START: Duration = Duration::from_secs(15);
+const START_TIMEOUT: Duration = Duration::from_secs(15);
 /// Between a backend's heartbeats.
-const HEARTBEAT: Duration = Duration::from_millis(1200);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1200);
 /// Between two requests.
-const PACE: Duration = Duration::from_millis(15);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(15);
 
 fn stream(message: &Message) -> Reply {
     let id = message.header("request-id").unwrap_or_default();
@@ -36,7 +36,7 @@
 }
 
 impl Tally {
-    fn ask(&mut self, fleet: &Fleet, number: u64) {
+    fn send_request(&mut self, fleet: &Fleet, number: u64) {
         let edge = usize::from(CONTROLS) + (number % u64::from(EDGES)) as usize;
         let text = format!(
             "POST /stream/a HTTP/1.1\r\nHost: h.example\r\nRequest-Id: demo-{number}\r\nDeadline-Ms: 4000\r\n\
@@ -62,7 +62,7 @@
 }
 
 /// One thing that happens, and what is printed of it.
-fn happen(step: u64, fleet: &mut Fleet, backends: &[(String, SocketAddr)]) -> io::Result<Option<String>> {
+fn run_step(step: u64, fleet: &mut Fleet, backends: &[(String, SocketAddr)]) -> io::Result<Option<String>> {
     match step {
         1 => {
             // Whoever leads is among the three; the others elect anew if it is this one.
@@ -94,25 +94,25 @@
 /// Plays for so many seconds; whether every stream was whole.
 pub fn play(seconds: f64) -> io::Result<bool> {
     let mut fleet = Fleet::start(CONTROLS, EDGES)?;
-    let standing: Vec<Backend> = (0..BACKENDS).map(|_| Backend::start(stream)).collect();
+    let servers: Vec<Backend> = (0..BACKENDS).map(|_| Backend::start(stream)).collect();
     let backends: Vec<(String, SocketAddr)> =
-        standing.iter().enumerate().map(|(n, b)| (format!("i-{n}"), b.address)).collect();
-    wait("a configuration is taken", || fleet.put(0, 0, &document(1).to_string()).0 == 200)?;
+        servers.iter().enumerate().map(|(n, b)| (format!("i-{n}"), b.address)).collect();
+    wait_until("a configuration is taken", || fleet.put(0, 0, &document(1).to_string()).0 == 200)?;
     for (id, address) in &backends {
-        wait("a backend is registered", || fleet.heartbeat(0, id, "s", *address, "ready") == 200)?;
+        wait_until("a backend is registered", || fleet.heartbeat(0, id, "s", *address, "ready") == 200)?;
     }
     let edges = usize::from(CONTROLS)..usize::from(CONTROLS + EDGES);
     for edge in edges {
-        wait("a proxy is ready", || fleet.is_ready(edge))?;
+        wait_until("a proxy is ready", || fleet.is_ready(edge))?;
     }
     println!("{CONTROLS} control processes, {EDGES} proxies, {BACKENDS} backends: ready");
     let (begun, mut beat, mut step, mut tally) = (Instant::now(), Instant::now(), 1, Tally::default());
     let span = Duration::from_secs_f64(seconds);
     let mut number = 0;
     while begun.elapsed() < span {
-        tally.ask(&fleet, number);
+        tally.send_request(&fleet, number);
         number += 1;
-        if beat.elapsed() >= HEARTBEAT {
+        if beat.elapsed() >= HEARTBEAT_INTERVAL {
             beat = Instant::now();
             for (at, (id, address)) in backends.iter().enumerate() {
                 let state = if at == 0 && step > 2 { "draining" } else { "ready" };
@@ -120,19 +120,19 @@
             }
         }
         if begun.elapsed() >= span.mul_f64(step as f64 / 6.0) {
-            if let Some(what) = happen(step, &mut fleet, &backends)? {
+            if let Some(what) = run_step(step, &mut fleet, &backends)? {
                 println!("{:5.1} s  {what}; so far: {}", begun.elapsed().as_secs_f64(), tally.line());
             }
             step += 1;
         }
-        std::thread::sleep(PACE);
+        std::thread::sleep(REQUEST_INTERVAL);
     }
     println!("{number} requests: {}", tally.line());
     Ok(tally.outcomes.keys().all(|what| what == "whole streams"))
 }
 
-fn wait(what: &str, mut holds: impl FnMut() -> bool) -> io::Result<()> {
-    let end = Instant::now() + START;
+fn wait_until(what: &str, mut holds: impl FnMut() -> bool) -> io::Result<()> {
+    let end = Instant::now() + START_TIMEOUT;
     while !holds() {
         if Instant::now() >= end {
             return Err(io::Error::new(io::ErrorKind::TimedOut, format!("it never came that {what}")));
--- a/crates/gaugesaddle-testbed/src/http.rs
+++ b/crates/gaugesaddle-testbed/src/http.rs
@@ -4,9 +4,9 @@
 use tokio::io::{AsyncRead, AsyncReadExt};
 
 /// A head is read up to this size.
-const HEAD_BYTES: usize = 64 << 10;
+const MAX_HEAD_BYTES: usize = 64 << 10;
 /// A body is read up to this size.
-const BODY_BYTES: usize = 1 << 20;
+const MAX_BODY_BYTES: usize = 1 << 20;
 
 /// A head with its body.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -69,10 +69,10 @@
 
     /// Waits until at least one byte is there; false where the connection ends first.
     pub async fn first_byte(&mut self) -> io::Result<bool> {
-        Ok(!self.buffer.is_empty() || self.more().await? > 0)
+        Ok(!self.buffer.is_empty() || self.read_more().await? > 0)
     }
 
-    async fn more(&mut self) -> io::Result<usize> {
+    async fn read_more(&mut self) -> io::Result<usize> {
         self.from.read_buf(&mut self.buffer).await
     }
 
@@ -82,10 +82,10 @@
             if let Some(at) = find(&self.buffer, b"\r\n\r\n") {
                 break at;
             }
-            if self.buffer.len() > HEAD_BYTES {
+            if self.buffer.len() > MAX_HEAD_BYTES {
                 return Err(io::Error::new(io::ErrorKind::InvalidData, "a head without end"));
             }
-            if self.more().await? == 0 {
+            if self.read_more().await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
         };
@@ -97,33 +97,33 @@
         let headers: Vec<(String, String)> = lines.filter_map(split).collect();
         let mut message = Message { start, headers, body: Vec::new() };
         if message.header("transfer-encoding").is_some_and(|v| v.eq_ignore_ascii_case("chunked")) {
-            message.body = self.chunks().await?;
+            message.body = self.read_chunks().await?;
         } else if let Some(length) = message.number("content-length") {
-            if length > BODY_BYTES as u64 {
+            if length > MAX_BODY_BYTES as u64 {
                 return Err(io::Error::new(io::ErrorKind::InvalidData, "a body that is too long"));
             }
-            message.body = self.exactly(length as usize).await?;
+            message.body = self.read_exactly(length as usize).await?;
         }
         Ok(message)
     }
 
-    async fn exactly(&mut self, length: usize) -> io::Result<Vec<u8>> {
+    async fn read_exactly(&mut self, length: usize) -> io::Result<Vec<u8>> {
         while self.buffer.len() < length {
-            if self.more().await? == 0 {
+            if self.read_more().await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
         }
         Ok(self.buffer.drain(..length).collect())
     }
 
-    async fn chunks(&mut self) -> io::Result<Vec<u8>> {
+    async fn read_chunks(&mut self) -> io::Result<Vec<u8>> {
         let mut body = Vec::new();
         loop {
             let line = loop {
                 if let Some(at) = find(&self.buffer, b"\r\n") {
-                    break self.exactly(at + 2).await?;
+                    break self.read_exactly(at + 2).await?;
                 }
-                if self.buffer.len() > HEAD_BYTES || self.more().await? == 0 {
+                if self.buffer.len() > MAX_HEAD_BYTES || self.read_more().await? == 0 {
                     return Err(io::ErrorKind::UnexpectedEof.into());
                 }
             };
@@ -131,10 +131,10 @@
             let size = usize::from_str_radix(size.trim().split(';').next().unwrap_or(""), 16);
             let size =
                 size.map_err(|_| io::Error::new(io::ErrorKind::InvalidData, "a chunk without size"))?;
-            if size + body.len() > BODY_BYTES {
+            if size + body.len() > MAX_BODY_BYTES {
                 return Err(io::Error::new(io::ErrorKind::InvalidData, "a body that is too long"));
             }
-            let mut chunk = self.exactly(size + 2).await?;
+            let mut chunk = self.read_exactly(size + 2).await?;
             if size == 0 {
                 return Ok(body);
             }
--- a/crates/gaugesaddle-testbed/src/hunt.rs
+++ b/crates/gaugesaddle-testbed/src/hunt.rs
@@ -93,28 +93,29 @@
     shape(&mut s);
     let proxies = s.proxies;
     // Each proxy has one fault of its own at most: what two of them would do to one another is no fault of its.
-    let mut free: Vec<usize> = (0..proxies).collect();
-    let mut network_free = WARM_UP_S;
+    let mut unaffected: Vec<usize> = (0..proxies).collect();
+    let mut network_free_at = WARM_UP_S;
     for _ in 0..2 + random.below(5) {
         let at = WARM_UP_S + random.unit() * (LAST_FAULT_S - WARM_UP_S - 1.0);
         let for_s = 0.5 + random.unit() * (LAST_FAULT_S - at - 0.5);
         let kind = random.below(9);
         if kind >= 6 {
-            let (at, for_s) = (network_free, (LAST_FAULT_S - network_free).min(0.5 + random.unit() * 5.0));
+            let (at, for_s) =
+                (network_free_at, (LAST_FAULT_S - network_free_at).min(0.5 + random.unit() * 5.0));
             if for_s < 0.4 {
                 continue;
             }
-            network_free = at + for_s + 0.5;
-            let (links, zones) = network(&mut random, proxies, s.zones);
+            network_free_at = at + for_s + 0.5;
+            let (links, zones) = draw_network_fault(&mut random, proxies, s.zones);
             s.events.push(ScheduledDisturbance {
                 at_s: at,
                 disturbance: Disturbance::Network { links, zones, for_s },
             });
             continue;
         }
-        let several = if random.bernoulli(0.2) { proxies / 2 } else { 1 };
-        for _ in 0..several.min(free.len().saturating_sub(1)) {
-            let proxy = free.swap_remove(random.below(free.len()));
+        let affected = if random.bernoulli(0.2) { proxies / 2 } else { 1 };
+        for _ in 0..affected.min(unaffected.len().saturating_sub(1)) {
+            let proxy = unaffected.swap_remove(random.below(unaffected.len()));
             let what = match kind {
                 0 => Disturbance::KillProxy { proxy, back_after_s: 0.05 + for_s * random.unit() },
                 1 => Disturbance::LoseProxy { proxy },
@@ -136,7 +137,7 @@
 }
 
 /// A network that fails, and the halls that are cut with it.
-fn network(random: &mut RandomStream, proxies: usize, zones: usize) -> (Links, Vec<u8>) {
+fn draw_network_fault(random: &mut RandomStream, proxies: usize, zones: usize) -> (Links, Vec<u8>) {
     let (mut links, mut cut) = (Links::default(), Vec::new());
     let any = |random: &mut RandomStream| random.below(proxies);
     match random.below(9) {
@@ -185,7 +186,7 @@
 }
 
 /// What is wrong with a run, in a line; `None` where nothing is.
-fn wrong(s: &Scenario, cast: &Cast, count: &Mutex<HuntSummary>) -> io::Result<Option<String>> {
+fn find_failure(s: &Scenario, cast: &Cast, count: &Mutex<HuntSummary>) -> io::Result<Option<String>> {
     let outcome = run(s, cast, &mut |_| {})?;
     let mut count = lock(count);
     count.runs += 1;
@@ -220,26 +221,27 @@
 /// # Errors
 /// A scenario cannot be played, or a finding cannot be saved.
 pub fn hunt(
-    cast: &Cast, seed: u64, within: Duration, lanes: usize, into: &Path, tell: &(dyn Fn(&str) + Sync),
+    cast: &Cast, seed: u64, within: Duration, lanes: usize, into: &Path, report: &(dyn Fn(&str) + Sync),
 ) -> io::Result<HuntSummary> {
     let (hunted, next, end) =
         (Mutex::new(HuntSummary::default()), AtomicU64::new(0), Instant::now() + within);
     let lane = || -> io::Result<()> {
         while Instant::now() < end {
             let s = draw_scenario(mix(seed, next.fetch_add(1, Ordering::Relaxed)));
-            let Some(first) = wrong(&s, cast, &hunted)? else { continue };
-            tell(&format!("{}: {first}", s.name));
-            let again = |s: &Scenario| (0..REPLAYS).any(|_| matches!(wrong(s, cast, &hunted), Ok(Some(_))));
-            if !again(&s) {
+            let Some(failure) = find_failure(&s, cast, &hunted)? else { continue };
+            report(&format!("{}: {failure}", s.name));
+            let reproduces =
+                |s: &Scenario| (0..REPLAYS).any(|_| matches!(find_failure(s, cast, &hunted), Ok(Some(_))));
+            if !reproduces(&s) {
                 let mut hunted = lock(&hunted);
-                hunted.not_reproduced.push(format!("{}: {first}", s.name));
+                hunted.not_reproduced.push(format!("{}: {failure}", s.name));
                 continue;
             }
             // Made smaller for as long again at most: the time is the caller's.
-            let small = shrink(s, |s| Instant::now() < end + within && again(s));
-            let path = into.join(format!("{}.toml", small.name));
-            std::fs::write(&path, toml::to_string(&small).map_err(io::Error::other)?)?;
-            tell(&format!("{}: {} faults are enough", path.display(), small.events.len()));
+            let minimal = shrink(s, |s| Instant::now() < end + within && reproduces(s));
+            let path = into.join(format!("{}.toml", minimal.name));
+            std::fs::write(&path, toml::to_string(&minimal).map_err(io::Error::other)?)?;
+            report(&format!("{}: {} faults are enough", path.display(), minimal.events.len()));
             lock(&hunted).saved.push(path);
         }
         Ok(())
--- a/crates/gaugesaddle-testbed/src/hunt/tests.rs
+++ b/crates/gaugesaddle-testbed/src/hunt/tests.rs
@@ -26,16 +26,16 @@
 #[test]
 fn the_fewest_faults_that_still_show_it_are_left() {
     let s = draw_scenario(mix(7, 1));
-    let extra = (0..8).fold(s, |s, proxy| s.event(3.0, Disturbance::StopProxy { proxy, for_s: 1.0 }));
+    let with_stops = (0..8).fold(s, |s, proxy| s.event(3.0, Disturbance::StopProxy { proxy, for_s: 1.0 }));
     let (first, last) =
         (Disturbance::StopProxy { proxy: 2, for_s: 1.0 }, Disturbance::StopProxy { proxy: 6, for_s: 1.0 });
-    let mut plays = 0;
-    let small = shrink(extra, |s| {
-        plays += 1;
+    let mut runs = 0;
+    let minimal = shrink(with_stops, |s| {
+        runs += 1;
         let has = |what: &Disturbance| s.events.iter().any(|e| &e.disturbance == what);
         has(&first) && has(&last)
     });
-    let left: Vec<Disturbance> = small.events.into_iter().map(|e| e.disturbance).collect();
+    let left: Vec<Disturbance> = minimal.events.into_iter().map(|e| e.disturbance).collect();
     assert_eq!(left, [first, last]);
-    assert!(plays < 200, "{plays}");
+    assert!(runs < 200, "{runs}");
 }
--- a/crates/gaugesaddle-testbed/src/lease.rs
+++ b/crates/gaugesaddle-testbed/src/lease.rs
@@ -16,7 +16,7 @@
 
 /// The addresses 127.a.b.x, held until it is dropped.
 pub struct Lease {
-    net: [u8; 2],
+    network: [u8; 2],
     _guard: TcpListener,
 }
 
@@ -31,9 +31,9 @@
         for n in 0..MAX_ATTEMPTS {
             let drawn = mix(start, n);
             // Not 127.0.x.x, where everything else on the machine is.
-            let net = [1 + (drawn % 254) as u8, (drawn >> 16) as u8];
-            match TcpListener::bind((Ipv4Addr::new(127, net[0], net[1], 254), GUARD_PORT)) {
-                Ok(guard) => return Ok(Lease { net, _guard: guard }),
+            let network = [1 + (drawn % 254) as u8, (drawn >> 16) as u8];
+            match TcpListener::bind((Ipv4Addr::new(127, network[0], network[1], 254), GUARD_PORT)) {
+                Ok(guard) => return Ok(Lease { network, _guard: guard }),
                 Err(e) => last = e,
             }
         }
@@ -41,7 +41,7 @@
     }
 
     fn host(&self, last: u8) -> IpAddr {
-        IpAddr::V4(Ipv4Addr::new(127, self.net[0], self.net[1], last))
+        IpAddr::V4(Ipv4Addr::new(127, self.network[0], self.network[1], last))
     }
 
     /// Where a proxy listens, at each of its starts.
--- a/crates/gaugesaddle-testbed/src/main.rs
+++ b/crates/gaugesaddle-testbed/src/main.rs
@@ -185,10 +185,10 @@
 fn hunt(seed: u64, seconds: f64, lanes: u8, into: &Path) -> io::Result<bool> {
     let cast = Cast::Program(Program { path: program::built("gaugesaddle")?, arguments: Vec::new() });
     let within = std::time::Duration::from_secs_f64(seconds);
-    let told = |line: &str| println!("{line}");
-    let hunted = hunt::hunt(&cast, seed, within, usize::from(lanes), into, &told)?;
-    println!("{hunted}");
-    Ok(hunted.saved.is_empty())
+    let print_line = |line: &str| println!("{line}");
+    let summary = hunt::hunt(&cast, seed, within, usize::from(lanes), into, &print_line)?;
+    println!("{summary}");
+    Ok(summary.saved.is_empty())
 }
 
 fn write_records(path: &Path, outcome: &Outcome) -> io::Result<()> {
