--- a/crates/gaugesaddle-testbed/src/agent.rs
+++ b/crates/gaugesaddle-testbed/src/agent.rs
@@ -1,7 +1,7 @@
-//! Stand-in discovery: late, unresponsive, down or at another address.
+//! Stand-in discovery that can be delayed, unresponsive, down or moved to another address.
 //!
-//! Where lists are pushed there is one agent beside each proxy, with delays of its own; where they are polled the same
-//! calls go to one service. Either way there is one [`Agent`] for each proxy here.
+//! With pushed lists, one agent runs beside each proxy and has its own delays; with polled lists, the same calls go to
+//! one service. In both cases each proxy has its own [`Agent`] here.
 
 use crate::http::{Message, Reader};
 use crate::record::{Boot, Event, Journal, NodeState};
@@ -17,23 +17,24 @@
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
-/// How long the old address keeps its connections after a move.
+/// Time after a move for which connections to the old address stay open.
 const OLD_ADDRESS_GRACE: Duration = Duration::from_millis(1500);
-/// Longest wait of a call.
+/// Longest long poll, in milliseconds.
 const MAX_WAIT_MS: u64 = 60_000;
-/// Most departed nodes that are kept for changes; a proxy that lacks older ones needs a snapshot.
+/// Most departed nodes that are retained for incremental updates. A proxy that missed an evicted departure needs a
+/// snapshot.
 const MAX_DEPARTED: usize = 1024;
 
-/// A node's process in the list.
+/// The list entry of a node's process.
 #[derive(Clone, Debug)]
 pub struct ListEntry {
     pub boot: Boot,
     pub name: String,
-    /// Its address for this proxy.
+    /// Address at which this proxy reaches the node.
     pub address: SocketAddr,
     pub zone: String,
     pub kind: String,
-    /// Its start, in Unix milliseconds; 0: long ago.
+    /// Start of the process, in Unix milliseconds; 0 if long ago.
     pub since_ms: u64,
     pub state: NodeState,
 }
@@ -50,23 +51,23 @@
     }
 }
 
-/// The agent of one proxy.
+/// The discovery agent of one proxy.
 pub struct Agent {
     proxy: usize,
     journal: Journal,
     address: Cell<SocketAddr>,
-    /// By name, with the version that brought it.
+    /// Entries by name, each with the version of the list that last changed it.
     entries: RefCell<BTreeMap<String, (u64, ListEntry)>>,
     version: Cell<u64>,
     down: Cell<bool>,
-    /// Number of outages: a call that was pending when one began is never answered.
+    /// Number of outages. A call that was pending at the start of one is never answered.
     outages: Cell<u64>,
-    /// Changes during an outage, published at its end.
+    /// Changes during the present outage; they are published at its end.
     deferred: RefCell<Vec<ListEntry>>,
     changed: Notify,
     accept_task: RefCell<Option<AbortHandle>>,
     connection_tasks: RefCell<Vec<AbortHandle>>,
-    /// Processes that the present process of the proxy knows.
+    /// Node processes that were delivered to the present process of the proxy and have not departed.
     delivered: RefCell<BTreeSet<Boot>>,
 }
 
@@ -94,7 +95,7 @@
         self.address.get()
     }
 
-    /// Listens at a new address; the old one accepts no more connections.
+    /// Listens at a new address and stops accepting connections at the old one.
     pub async fn listen(self: Rc<Self>, bind: SocketAddr) -> io::Result<()> {
         let listener = TcpListener::bind(bind).await?;
         self.address.set(listener.local_addr()?);
@@ -118,7 +119,7 @@
         Ok(())
     }
 
-    /// Unresponsive while true; changes in between are published at the end.
+    /// Starts or ends an outage. During an outage the agent does not respond; changes are published at its end.
     pub fn set_down(&self, down: bool) {
         self.down.set(down);
         if down {
@@ -129,7 +130,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Publishes a change of a node's process, unless a newer one of the same name is known.
+    /// Publishes a change of a node's process, unless a newer process of the same name is listed.
     pub fn publish(&self, entry: ListEntry) {
         if self.down.get() {
             return self.deferred.borrow_mut().push(entry);
@@ -160,7 +161,7 @@
         self.changed.notify_waiters();
     }
 
-    /// The list as a starting proxy has it in its configuration; it counts as delivered.
+    /// The list in the configuration of a starting proxy; its entries count as delivered.
     pub fn initial_list(&self) -> Value {
         self.delivered.borrow_mut().clear();
         let (entries, listed) = self.snapshot();
@@ -175,7 +176,7 @@
         (listed.iter().map(ListEntry::json).collect(), listed)
     }
 
-    /// Records what was just delivered to the proxy.
+    /// Records the delivery of these entries to the proxy; a snapshot also removes all other entries.
     fn record_delivery(&self, entries: &[ListEntry], snapshot: bool) {
         let mut delivered = self.delivered.borrow_mut();
         let record = |boot: Boot, state: NodeState| {
@@ -216,7 +217,7 @@
         }
     }
 
-    /// The body, its entries, and whether it is a snapshot.
+    /// The body of the response, its entries, and whether it is a snapshot; `None` for an unknown path.
     async fn answer(&self, message: &Message) -> Option<(String, Vec<ListEntry>, bool)> {
         let (path, query) = message.path().split_once('?').unwrap_or((message.path(), ""));
         if path != "/api/targets" {
@@ -232,7 +233,7 @@
         let end = tokio::time::Instant::now() + wait;
         let outages_before = self.outages.get();
         loop {
-            // Like a connection whose other side is partitioned: a call that came then is never answered.
+            // As on a connection to a partitioned host, a call that was pending during an outage is never answered.
             if self.down.get() || self.outages.get() != outages_before {
                 std::future::pending::<()>().await;
             }
--- a/crates/gaugesaddle-testbed/src/audit.rs
+++ b/crates/gaugesaddle-testbed/src/audit.rs
@@ -1,12 +1,13 @@
-//! The auditor of requests: reads the records of the stand-ins and checks the four rules. Nothing else in this
-//! repository's tests decides whether they were kept.
+//! The audit of requests: reads the records of the stand-ins and checks the four rules. It is the only check of these
+//! rules on whole runs.
 //!
-//! 1. Lost ([`answers`]): every request that was taken has exactly one final response, in time, made for it.
-//! 2. Twice ([`repeats`]): what may have run is sent again, or rejected, only as its class allows.
-//! 3. Drains ([`drains`]): nothing new goes to a node after the grace, once its proxy was told.
+//! 1. Lost ([`answers`]): every accepted request has exactly one final response, in time, produced for that request.
+//! 2. Twice ([`repeats`]): a request that may have run is retried, or rejected, only as its class allows.
+//! 3. Drains ([`drains`]): a proxy sends no new request to a node after the grace period that follows the delivery of
+//!    the node's drain.
 //! 4. Slow start ([`slow_start`]): no node that has just started is sent more than its budget in any window.
 //!
-//! An auditor that sees nothing finds nothing: a verdict is clean only where it rests on records of all sorts.
+//! Missing records could hide violations: a verdict is clean only if records of every kind are present.
 
 mod answers;
 mod drains;
@@ -22,34 +23,34 @@
 use crate::scenario::Scenario;
 use std::collections::{BTreeMap, HashMap};
 
-/// An attempt of a client to have a request served.
+/// An attempt of a client.
 struct ClientAttempt<'a> {
-    /// The last byte of the request was written.
+    /// The record of the last byte that the client wrote.
     sent: &'a Record,
     proxy: usize,
     class: usize,
     patience_us: u64,
-    /// Everything that ended it: one record, unless a rule is broken.
+    /// Records that end the attempt: one, unless a rule is broken.
     ended: Vec<&'a Record>,
 }
 
-/// An attempt of a proxy, as its node saw it.
+/// An attempt of a proxy, as recorded by the node.
 struct Attempt<'a> {
-    /// Its first byte came.
+    /// The record of its first byte.
     arriving: &'a Record,
     boot: Boot,
     proxy: usize,
-    /// Its last byte came.
+    /// The record of its last byte.
     received: Option<&'a Record>,
     work_us: u64,
-    /// The node refused it unprocessed.
+    /// Time at which the node rejected it unprocessed.
     rejected: Option<Moment>,
-    /// The node wrote a 200.
+    /// Whether the node wrote a 200.
     replied: bool,
 }
 
 impl<'a> Attempt<'a> {
-    /// An attempt of which nothing but its first byte has come.
+    /// An attempt of which only the first byte has arrived.
     fn arriving(arriving: &'a Record, boot: Boot, proxy: usize) -> Attempt<'a> {
         Attempt { arriving, boot, proxy, received: None, work_us: 0, rejected: None, replied: false }
     }
@@ -73,7 +74,7 @@
     slow_start_us: f64,
 }
 
-/// Checks the records of a scenario, of which `dropped` are missing.
+/// Checks the records of a run; `dropped` is the number of records that the journal dropped.
 pub fn audit(s: &Scenario, records: &[Record], dropped: u64) -> Verdict {
     let mut auditor = Auditor::read(s, records);
     auditor.check_answers();
@@ -87,28 +88,28 @@
     auditor.verdict
 }
 
-/// The records by request, attempt, node and proxy, and what was found so far.
+/// The records by request, attempt, node and proxy, and the verdict so far.
 struct Auditor<'a> {
     s: &'a Scenario,
-    /// Tolerance of every limit in time, in microseconds.
+    /// Tolerance of every time limit, in microseconds.
     slack: u64,
-    /// By request.
+    /// Attempts of clients, by request id.
     client_attempts: BTreeMap<u64, Vec<ClientAttempt<'a>>>,
-    /// Attempts that reached no proxy: when, id of the first attempt, class.
+    /// Attempts that reached no proxy: time, id of the first attempt, class.
     unreachable: Vec<(Moment, u64, usize)>,
-    /// By request, the id of its first attempt.
+    /// Id of the request's first attempt, by the id of each attempt.
     first_attempt_ids: HashMap<u64, u64>,
     attempts: BTreeMap<u64, Attempt<'a>>,
-    /// By request, its attempts that nodes received.
+    /// Attempts that nodes received, by request id.
     by_request: HashMap<u64, Vec<u64>>,
     nodes: HashMap<Boot, NodeFacts>,
-    /// Proxy, when it was killed or stopped, and when it was continued.
+    /// Proxy, time at which it was killed or stopped, and time at which it was continued.
     proxy_outages: Vec<(usize, Moment, Moment)>,
-    /// Proxy, and when it was started.
+    /// Proxy, and time at which it was started.
     proxy_starts: Vec<(usize, Moment)>,
-    /// In the order of time.
+    /// Reports in the order of their times.
     reports: Vec<NodeReport<'a>>,
-    /// By key, how often it took effect.
+    /// Number of effects, by idempotency key.
     effects: HashMap<u64, u64>,
     records: &'a [Record],
     verdict: Verdict,
@@ -216,8 +217,8 @@
         self.verdict.findings.push(Finding { violation, text, records });
     }
 
-    /// Whether a proxy was killed or stopped at some moment of a span. What it received while it was stopped waits, and
-    /// may be late after that.
+    /// Whether a proxy was killed or stopped at any time in a span. Requests that arrive while it is stopped wait, so
+    /// their responses may be late.
     fn was_unavailable(&self, proxy: usize, from: Moment, to: Moment) -> bool {
         let back = |killed: Moment| {
             let next = self.proxy_starts.iter().filter(|s| s.0 == proxy && s.1 > killed).map(|s| s.1).min();
@@ -229,7 +230,7 @@
     }
 }
 
-/// Mean work of a request over all classes, in microseconds of a standard core.
+/// Mean work of a request over all classes, in microseconds on a standard core.
 pub fn mean_work_us(s: &Scenario) -> f64 {
     let shares: f64 = s.classes.iter().map(|c| c.weight).sum();
     s.classes.iter().map(|c| c.weight / shares * c.work_ms * 1e3).sum()
--- a/crates/gaugesaddle-testbed/src/audit/answers.rs
+++ b/crates/gaugesaddle-testbed/src/audit/answers.rs
@@ -1,19 +1,20 @@
-//! Rule 1: every request that was taken has exactly one final response, in time, made for it; nothing is sent after it.
+//! Rule 1: every accepted request has exactly one final response, in time, produced for that request; the request is
+//! sent to no node after it.
 
 use super::{Attempt, Auditor, ClientAttempt, Violation};
 use crate::record::{Event, Moment, Record};
 
-/// A rule broken, with its text and the records that show it.
+/// A violation, its description and the records that show it.
 type Found<'a> = (Violation, String, Vec<&'a Record>);
 
-/// One request's attempt as its client saw it, with what nodes saw of that request.
+/// A client's attempt, with the attempts of the same request at nodes.
 struct Exchange<'a, 'b> {
     auditor: &'b Auditor<'a>,
     id: u64,
     client: &'b ClientAttempt<'a>,
-    /// The attempts of this request at nodes, whichever of its client's attempts they belong to.
+    /// All attempts of this request at nodes, for any attempt of the client.
     attempts: Vec<(u64, &'b Attempt<'a>)>,
-    /// Up to when a node's attempt belongs to this one: the client's next attempt.
+    /// Start of the client's next attempt: later attempts at nodes belong to that one.
     until: Moment,
     deadline: Moment,
 }
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Whether the run went on for a second after a moment: what has not come by then does not come.
+    /// Whether the run continued for a second after a moment; later responses are not expected.
     fn is_over(&self, at: Moment) -> bool {
         self.records.last().is_some_and(|r| r.at > at + 1_000_000)
     }
@@ -93,7 +94,7 @@
         }
     }
 
-    /// The connection ended before a response.
+    /// Checks an attempt whose connection ended before a complete response.
     fn check_broken_connection(
         &self, end: &Record, bytes: usize, found: &mut Vec<Found<'a>>, closed_unread: &mut u64,
     ) {
@@ -104,7 +105,8 @@
         let forwarded: Vec<&Record> =
             self.attempts.iter().map(|a| a.1.arriving).filter(|r| own.contains(&r.at)).collect();
         if forwarded.is_empty() {
-            // Closed between two requests, or before its first was read: its client can tell.
+            // The proxy closed the connection between two requests, or before it read the first one. The client can
+            // detect that its request was not processed.
             *closed_unread += 1;
             return;
         }
@@ -112,7 +114,7 @@
         found.push((Violation::Lost, self.text("was sent on and its connection closed"), records));
     }
 
-    /// What comes after the end of an attempt belongs to a later one or to nothing.
+    /// Checks that no node received the request between the end of this attempt and the client's next attempt.
     fn check_sent_after(&self, end: &Record, found: &mut Vec<Found<'a>>) {
         let over = match end.event {
             Event::Unanswered { .. } => self.deadline,
--- a/crates/gaugesaddle-testbed/src/audit/drains.rs
+++ b/crates/gaugesaddle-testbed/src/audit/drains.rs
@@ -1,18 +1,19 @@
-//! Rule 3: nothing new goes to a node after the grace, once its proxy was told to leave it alone.
+//! Rule 3: a proxy sends no new request to a node after the grace period that follows the delivery of its drain.
 
 use super::{Auditor, Violation};
 use crate::record::{Boot, Moment, NodeState, Record};
 use std::collections::HashMap;
 
-/// From when until when a proxy may send a node nothing new, and the record that says so.
+/// Start and end of the time in which a proxy may send no new request to a node, and the record that starts it.
 type ForbiddenSpan<'a> = (Moment, Moment, &'a Record);
 
 impl Auditor<'_> {
-    /// Rule 3.
+    /// Checks rule 3.
     pub(super) fn check_drains(&mut self) {
-        // From when on each start of a proxy counts as told that a node is not to be sent anything new.
+        // By proxy and node process: the times in which the proxy may send no new request.
         let mut forbidden: HashMap<(usize, Boot), Vec<ForbiddenSpan>> = HashMap::new();
-        // What an agent of the own machine has counts as told, whether or not it was asked.
+        // A change that an agent on the proxy's own machine has published counts as delivered, whether or not the proxy
+        // has polled it. With a polled service, it counts as delivered after the report deadline.
         let notice_delay =
             if self.s.discovery.polled { (self.s.rules.report_deadline_s * 1e6) as u64 } else { 0 };
         for report in &self.reports {
@@ -29,7 +30,7 @@
         for a in self.attempts.values() {
             let Some(spans) = forbidden.get(&(a.proxy, a.boot)) else { continue };
             let at = a.arriving.at;
-            // A proxy that started later knows only what it was told since.
+            // A proxy process knows only the changes that were published or delivered since its start.
             let started = self.proxy_starts.iter().filter(|s| s.0 == a.proxy && s.1 <= at).map(|s| s.1).max();
             let started = started.unwrap_or(0);
             let broken = spans.iter().find(|(from, to, record)| {
--- a/crates/gaugesaddle-testbed/src/audit/figures.rs
+++ b/crates/gaugesaddle-testbed/src/audit/figures.rs
@@ -1,14 +1,14 @@
-//! Figures beside the rules, and whether the records carry a verdict.
+//! Figures of a run beside the rules, and the check that the records suffice for a verdict.
 
 use super::{Attempt, Auditor, ClassFigures};
 use crate::record::{Event, Moment};
 use crate::scenario::Class;
 use std::collections::HashMap;
 
-/// Length of the windows of which the worst is reported.
+/// Length of the windows for the worst-window figure.
 const WINDOW_US: Moment = 10_000_000;
 
-/// A request with all its attempts.
+/// A request over all its attempts.
 struct RequestFigures {
     sent: Moment,
     class: usize,
@@ -17,7 +17,7 @@
 }
 
 impl Auditor<'_> {
-    /// The part of what was served that did not cross halls.
+    /// Computes the fraction of served attempts that stayed in the proxy's zone.
     pub(super) fn compute_same_zone_fraction(&mut self) {
         let replied = || self.attempts.values().filter(|a| a.replied);
         let same_zone =
@@ -47,7 +47,7 @@
         self.verdict.double_effects = self.effects.values().filter(|count| **count > 1).count() as u64;
     }
 
-    /// Every request by the id of its first attempt, with all its attempts.
+    /// All requests, by the id of their first attempt.
     fn requests(&self) -> HashMap<u64, RequestFigures> {
         let mut requests: HashMap<u64, RequestFigures> = HashMap::new();
         let mut record = |first: u64, sent: Moment, class: usize, region: usize| {
@@ -80,7 +80,7 @@
         requests
     }
 
-    /// By class: the attempts of clients and the answers to them.
+    /// Attempts of clients and statuses of their responses, by class.
     fn class_figures(&self) -> Vec<ClassFigures> {
         let of_class = |class: &Class| ClassFigures {
             name: class.name.clone(),
@@ -100,7 +100,7 @@
         classes
     }
 
-    /// Weight that was served in time over weight that was requested; 1 of nothing.
+    /// Weight that was served in time over weight that was requested; 1 if there are no requests.
     fn weight_in_time<'r>(&self, requests: impl Iterator<Item = &'r RequestFigures>) -> f64 {
         let (mut all, mut good) = (0.0, 0.0);
         for request in requests {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The least of any window of ten seconds that begins at a full second.
+    /// The least fraction of weight in time over all windows of ten seconds that begin at a full second.
     fn worst_window(&self, requests: &HashMap<u64, RequestFigures>) -> f64 {
         let last = requests.values().map(|request| request.sent).max().unwrap_or(0);
         let starts = (0..last.saturating_sub(WINDOW_US)).step_by(1_000_000);
@@ -126,7 +126,7 @@
         starts.map(of_window).fold(f64::INFINITY, f64::min)
     }
 
-    /// What the records must hold for a verdict to mean anything.
+    /// Checks that the records suffice for a verdict.
     pub(super) fn check_evidence(&mut self, dropped: u64) {
         let served: u64 = self.verdict.classes.iter().filter_map(|c| c.statuses.get(&200)).sum();
         let sent: u64 = self.verdict.classes.iter().map(|c| c.requests).sum();
--- a/crates/gaugesaddle-testbed/src/audit/regions.rs
+++ b/crates/gaugesaddle-testbed/src/audit/regions.rs
@@ -1,11 +1,11 @@
-//! The way of each request through regions, and how many leave one of them.
+//! The path of each request through regions, and the number of requests that leave each region.
 
 use super::{Attempt, Auditor, RegionFigures, Violation};
 use crate::record::{Moment, Record};
 use std::collections::HashMap;
 
 impl Auditor<'_> {
-    /// The way of each request through regions, and how many left for each of them.
+    /// Checks the path of each request through regions and the budget between each pair of regions.
     pub(super) fn check_regions(&mut self) {
         let (count, hops) = (self.s.regions.count, self.s.regions.hops as usize);
         if count < 2 {
@@ -19,7 +19,7 @@
             let Some(sent) = self.by_request.get(id) else { continue };
             let mut sent: Vec<&Attempt> = sent.iter().map(|a| &self.attempts[a]).collect();
             sent.sort_by_key(|a| a.arriving.at);
-            // By the region whose proxy was asked; a client that had to ask once more began anew there.
+            // The home region is that of the proxy of the client's last attempt, since each attempt starts a new path.
             let home = self.s.region(client_attempts.last().map_or(0, |t| t.proxy));
             let mut path = vec![home];
             for a in &sent {
@@ -38,7 +38,8 @@
             }
             self.verdict.regions[home].spilled += u64::from(path.len() > 1);
         }
-        // Left in one second, they may arrive in a little less: the path differs by the slack at most, either path.
+        // Requests that leave within one second may arrive within slightly less: their latencies differ by at most the
+        // slack in either direction.
         let window = 1_000_000 - 2 * self.slack;
         for ((home, to), mut times) in departures {
             times.sort_by_key(|t| t.0);
--- a/crates/gaugesaddle-testbed/src/audit/repeats.rs
+++ b/crates/gaugesaddle-testbed/src/audit/repeats.rs
@@ -1,11 +1,11 @@
-//! Rule 2: what may have run is sent again, or rejected, only as its class allows.
+//! Rule 2: a request that may have run is retried, or rejected, only as its class allows.
 
 use super::{Attempt, Auditor, Violation};
 use crate::record::{Event, Moment};
 use crate::scenario::Effect;
 
 impl Auditor<'_> {
-    /// Rule 2.
+    /// Checks rule 2.
     pub(super) fn check_repeats(&mut self) {
         let mut found = Vec::new();
         for (id, client_attempts) in &self.client_attempts {
--- a/crates/gaugesaddle-testbed/src/audit/slow_start.rs
+++ b/crates/gaugesaddle-testbed/src/audit/slow_start.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 
 impl Auditor<'_> {
-    /// Rule 4.
+    /// Checks rule 4.
     pub(super) fn check_slow_start(&mut self) {
         let (rules, mut by_boot) = (&self.s.rules, HashMap::<Boot, Vec<&Attempt>>::new());
         for a in self.attempts.values().filter(|a| a.received.is_some()) {
@@ -28,7 +28,7 @@
                 }
                 let from = (arrival(a) - window).max(0.0);
                 if from >= node.slow_start_us {
-                    break; // warm throughout
+                    break; // the node is past slow start for the whole window
                 }
                 let capacity_us =
                     present_work(node.speed, node.initial_capacity, node.slow_start_us, from, from + window);
--- a/crates/gaugesaddle-testbed/src/audit/verdict.rs
+++ b/crates/gaugesaddle-testbed/src/audit/verdict.rs
@@ -1,42 +1,42 @@
-//! What an audit found, and the figures beside it.
+//! The findings and figures of an audit.
 
 use crate::record::{Moment, Record};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// How a rule was broken.
+/// Kind of violation of a rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Violation {
     /// A request had no final response.
     Lost,
-    /// It had more than one, or bytes beyond it.
+    /// A request had more than one final response, or bytes followed it.
     AnsweredTwice,
-    /// Its answer came after its client's time.
+    /// A response came after the client's deadline.
     AnsweredLate,
-    /// It was served with a response that no node made for it.
+    /// A request was served with a response that no node produced for it.
     Foreign,
-    /// It was sent to a node after its final response, or after its client had disconnected.
+    /// A request was sent to a node after its final response, or after its client had disconnected.
     SentAfterAnswer,
     /// An unsafe request that may have run was retried.
     UnsafeRepeated,
     /// A keyed request that may have run was retried outside its zone or its window.
     KeyedRepeated,
-    /// It was rejected though it may have run.
+    /// A keyed or unsafe request was rejected though it may have run.
     RefusedAfterRun,
-    /// A node was sent a new request after the grace of its drain.
+    /// A node was sent a new request after the grace period of its drain.
     Drain,
     /// A node in slow start was sent more than its budget.
     SlowStartOverload,
-    /// A request came back to a region that it had left, or made too many hops.
+    /// A request returned to a region on its path, or made too many hops.
     Looped,
-    /// More requests left for a region within a second than the budget of all proxies.
+    /// More requests left for a region within a second than the budget of all proxies allows.
     OverBudget,
-    /// A proxy's process ended by itself or had to be killed.
+    /// A proxy's process exited unexpectedly, failed at shutdown or had to be killed.
     Crash,
 }
 
 impl Violation {
-    /// The number of the rule; a crash breaks the first.
+    /// Number of the broken rule; a crash, a loop and an exceeded budget count for rule 1.
     pub fn rule(self) -> u8 {
         match self {
             Violation::Lost
@@ -54,10 +54,10 @@
     }
 }
 
-/// One case of a broken rule.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
-    /// The rule and how it was broken.
+    /// The kind of violation.
     pub violation: Violation,
     /// A description for people.
     pub text: String,
@@ -82,11 +82,11 @@
     pub name: String,
     /// Requests, each counted once.
     pub requests: u64,
-    /// Requests that were served within the latency objective, by whichever attempt.
+    /// Requests that were served within the latency objective, by any attempt.
     pub in_time: u64,
     /// Attempts of clients.
     pub attempts: u64,
-    /// Answers by status.
+    /// Number of responses, by status.
     pub statuses: BTreeMap<u16, u64>,
     /// Weight of a request.
     pub priority_weight: f64,
@@ -101,9 +101,9 @@
     pub in_time: Vec<f64>,
     /// Requests of its clients that other regions' nodes received.
     pub spilled: u64,
-    /// The most of them within a second.
+    /// Most requests that left the region for one other region within a second.
     pub max_spilled_per_s: usize,
-    /// When its nodes received the first and the last request of another region.
+    /// Times at which its nodes received the first and the last request of another region.
     pub inbound_span: Option<(Moment, Moment)>,
 }
 
@@ -112,32 +112,32 @@
 pub struct Verdict {
     /// Every broken rule.
     pub findings: Vec<Finding>,
-    /// Why the records do not support a verdict; empty where they do.
+    /// Reasons why the records do not suffice for a verdict; empty if they do.
     pub inconclusive: Vec<String>,
     /// Weight that was served in time over weight that was requested.
     pub g: f64,
-    /// The same of the worst ten seconds, by the time of the first attempt.
+    /// The same fraction for the worst ten seconds, by the time of the first attempt.
     pub worst_10s: f64,
-    /// By class.
+    /// Figures by class.
     pub classes: Vec<ClassFigures>,
-    /// By region, where there are several.
+    /// Figures by region; empty if there is only one region.
     pub regions: Vec<RegionFigures>,
     /// Attempts that nodes received.
     pub attempts: u64,
-    /// The fraction of the served ones that stayed in their proxy's zone.
+    /// Fraction of the served attempts that stayed in their proxy's zone.
     pub same_zone_fraction: f64,
-    /// Keys of keyed and unsafe requests that took effect more than once, by whoever's retry.
+    /// Keys of keyed and unsafe requests that took effect more than once, by a retry of a proxy or of a client.
     pub double_effects: u64,
-    /// Nodes that went down by too much load in slow start.
+    /// Nodes that crashed by overload in slow start.
     pub overload_crashes: u64,
-    /// Requests that a stand-in could not read.
+    /// Messages that a stand-in could not process, and failures of a stand-in.
     pub unexpected: u64,
     /// Requests whose connection ended before they were forwarded.
     pub closed_unread: u64,
 }
 
 impl Verdict {
-    /// No rule was broken, and there was enough to see it by.
+    /// Whether no rule was broken and the records suffice to decide that.
     pub fn is_clean(&self) -> bool {
         self.findings.is_empty() && self.inconclusive.is_empty()
     }
--- a/crates/gaugesaddle-testbed/src/authority.rs
+++ b/crates/gaugesaddle-testbed/src/authority.rs
@@ -1,5 +1,5 @@
-//! Certificates for regions under test: an authority of the test's own, sound and unsound ones, and a gateway's client
-//! that says what the test words.
+//! Certificates for regions under test: a certificate authority, valid and expired certificates, and a gateway client
+//! that sends requests as the test gives them.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -15,10 +15,10 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-/// Who signs.
+/// A certificate authority.
 pub struct Authority {
     issuer: Issuer<'static, KeyPair>,
-    /// Its own certificate.
+    /// The certificate of the authority, in PEM.
     pub pem: String,
 }
 
@@ -34,29 +34,29 @@
 const DAY: Duration = Duration::from_secs(86_400);
 
 impl Authority {
-    /// A new one.
+    /// Creates an authority with a new key.
     pub fn new() -> Authority {
-        let key = KeyPair::generate().expect("a key");
-        let mut params = CertificateParams::new(Vec::new()).expect("sound");
+        let key = KeyPair::generate().expect("key pair is generated");
+        let mut params = CertificateParams::new(Vec::new()).expect("empty list of names is valid");
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
-        let pem = params.self_signed(&key).expect("signed").pem();
+        let pem = params.self_signed(&key).expect("certificate is signed").pem();
         Authority { issuer: Issuer::new(params, key), pem }
     }
 
-    /// Made out to that name, valid for a year.
+    /// Issues a certificate for that name, valid for a year.
     pub fn issue(&self, name: &str) -> CertifiedKey {
         self.issue_for(name, 365)
     }
 
-    /// The same, with so many days left; below 0 it has ended.
+    /// Issues a certificate that expires in that many days; a negative number of days gives an expired one.
     pub fn issue_for(&self, name: &str, days: i64) -> CertifiedKey {
-        let key = KeyPair::generate().expect("a key");
-        let mut params = CertificateParams::new(vec![name.to_string()]).expect("a name");
+        let key = KeyPair::generate().expect("key pair is generated");
+        let mut params = CertificateParams::new(vec![name.to_string()]).expect("name is a valid DNS name");
         let now = SystemTime::now();
         let end = if days < 0 { now - DAY * days.unsigned_abs() as u32 } else { now + DAY * days as u32 };
         params.not_before = (now - DAY * 1000).into();
         params.not_after = end.into();
-        let certificate = params.signed_by(&key, &self.issuer).expect("signed").pem();
+        let certificate = params.signed_by(&key, &self.issuer).expect("certificate is signed").pem();
         CertifiedKey { certificate, key: key.serialize_pem() }
     }
 }
@@ -67,14 +67,14 @@
     }
 }
 
-/// The three files of a region.
+/// The certificate, key and trust files of a region.
 pub struct KeyFiles {
-    /// Where they are.
+    /// The folder of the files.
     pub folder: PathBuf,
 }
 
 impl KeyFiles {
-    /// Writes one, moved into place whole.
+    /// Replaces one file atomically.
     ///
     /// # Errors
     /// The file cannot be written.
@@ -85,7 +85,7 @@
         std::fs::rename(&draft, self.folder.join(name))
     }
 
-    /// Writes all three.
+    /// Replaces all three files, one after the other.
     ///
     /// # Errors
     /// A file cannot be written.
@@ -95,7 +95,7 @@
         self.put("certificate.pem", &keys.certificate, 0o644)
     }
 
-    /// The lines of the operator's file that name them.
+    /// The lines of the operator's file with the paths of the files.
     pub fn to_toml(&self) -> String {
         let of = |name: &str| self.folder.join(name);
         let (certificate, key, trust) = (of("certificate.pem"), of("key.pem"), of("trust.pem"));
@@ -103,23 +103,24 @@
     }
 }
 
-/// What a peer shows at the gateway's door.
+/// The TLS configuration of a peer, with its certificate if it has one.
 pub fn client_tls_config(keys: Option<&CertifiedKey>, trust: &str) -> Arc<rustls::ClientConfig> {
     let mut roots = rustls::RootCertStore::empty();
     for anchor in CertificateDer::pem_slice_iter(trust.as_bytes()).flatten() {
-        roots.add(anchor).expect("an authority");
+        roots.add(anchor).expect("trust anchor is a valid certificate");
     }
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let builder = rustls::ClientConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .expect("a version")
+        .expect("TLS 1.3 is supported")
         .with_root_certificates(roots);
     let mut config = match keys {
         None => builder.with_no_client_auth(),
         Some(keys) => {
-            let certificate = CertificateDer::from_pem_slice(keys.certificate.as_bytes()).expect("sound");
-            let key = PrivateKeyDer::from_pem_slice(keys.key.as_bytes()).expect("sound");
-            builder.with_client_auth_cert(vec![certificate], key).expect("a pair")
+            let certificate = CertificateDer::from_pem_slice(keys.certificate.as_bytes())
+                .expect("certificate is valid PEM");
+            let key = PrivateKeyDer::from_pem_slice(keys.key.as_bytes()).expect("key is valid PEM");
+            builder.with_client_auth_cert(vec![certificate], key).expect("key matches the certificate")
         }
     };
     config.alpn_protocols = vec![b"h2".to_vec()];
@@ -128,12 +129,12 @@
 
 /// The header with a gateway's clock, in microseconds.
 const GATEWAY_CLOCK: &str = "region-clock-us";
-/// The header with a request's deadline by that clock, in microseconds.
+/// The header with a request's deadline on the gateway's clock, in microseconds.
 pub const GATEWAY_DEADLINE: &str = "region-deadline-us";
-/// The deadline of requests to which a test gives none, from when the clock was read.
+/// Time from the clock reading to the deadline, for requests without a deadline of their own.
 const GATEWAY_DEADLINE_US: u64 = 30_000_000;
 
-/// A connection to a gateway, as a peer has it.
+/// A peer's connection to a gateway.
 pub struct GatewayConnection {
     sender: hyper::client::conn::http2::SendRequest<Full<Bytes>>,
     connection_task: tokio::task::JoinHandle<Result<(), hyper::Error>>,
@@ -146,7 +147,7 @@
 }
 
 impl GatewayConnection {
-    /// Connects with those keys to the gateway of that name.
+    /// Connects with a TLS configuration to the gateway of that name.
     ///
     /// # Errors
     /// The gateway cannot be reached, or refuses the keys.
@@ -159,7 +160,7 @@
         Ok(GatewayConnection { sender, connection_task: tokio::spawn(connection) })
     }
 
-    /// The gateway's clock, in microseconds.
+    /// Reads the gateway's clock, in microseconds.
     ///
     /// # Errors
     /// The gateway sends no clock.
@@ -168,10 +169,10 @@
         let request = request.body(Full::default()).map_err(io::Error::other)?;
         let answer = self.send(request).await?;
         let reading = answer.headers().get(GATEWAY_CLOCK).and_then(|value| value.to_str().ok()?.parse().ok());
-        reading.ok_or_else(|| io::Error::other("expected the gateway's clock"))
+        reading.ok_or_else(|| io::Error::other("expected the gateway's clock in the region-clock-us header"))
     }
 
-    /// Sends a request as it is and reads the answer.
+    /// Sends a request unchanged and reads the response.
     ///
     /// # Errors
     /// The connection ends before a response.
@@ -183,8 +184,8 @@
     }
 }
 
-/// Asks a gateway as a peer with those keys, with a deadline where a request has none; an error where it does not answer at
-/// all.
+/// Connects to a gateway, sends the requests one after the other, and returns the responses. A request without a
+/// deadline gets one.
 ///
 /// # Errors
 /// The gateway cannot be reached, refuses the keys, or sends no response.
@@ -203,25 +204,25 @@
     Ok(answers)
 }
 
-/// A folder of the test's own, gone with it.
+/// A temporary folder, removed on drop.
 pub struct TempFolder(pub PathBuf);
 
 impl TempFolder {
-    /// Makes it.
+    /// Creates a folder whose path has this name and the process id.
     pub fn new(name: &str) -> TempFolder {
         let path = std::env::temp_dir().join(format!("gaugesaddle-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
+        std::fs::create_dir_all(&path).expect("temporary folder is created");
         TempFolder(path)
     }
 
-    /// A file in it.
+    /// Writes a file in the folder and returns its path.
     pub fn file(&self, name: &str, text: &str) -> PathBuf {
         let path = self.0.join(name);
-        std::fs::write(&path, text).expect("a file");
+        std::fs::write(&path, text).expect("file is written");
         path
     }
 
-    /// Its path.
+    /// The path of the folder.
     pub fn path(&self) -> &Path {
         &self.0
     }
--- a/crates/gaugesaddle-testbed/src/clients.rs
+++ b/crates/gaugesaddle-testbed/src/clients.rs
@@ -1,5 +1,5 @@
-//! Stand-in clients. They send requests at the planned times, whatever became of earlier ones, over connections that
-//! they keep, and retry after a failure where a retry is safe.
+//! Stand-in clients. They send requests at the planned times, independently of the outcome of earlier ones, over
+//! persistent connections, and retry after a failure if a retry is safe.
 
 use crate::http::{Message, Reader};
 use crate::plan::{may_retry, retry_id, PlannedRequest};
@@ -14,31 +14,31 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Time for which a client reads on after its deadline, to register_facts a late response from none.
+/// Time for which a client continues to read after its deadline, to distinguish a late response from a missing one.
 const LATE_RESPONSE_WAIT: Duration = Duration::from_millis(700);
-/// Time-out of a connect.
+/// Timeout of a connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// How long a proxy that could not be reached is the last choice.
+/// Time for which a proxy that refused a connection, or timed out, is tried last.
 const UNREACHABLE_FOR: Duration = Duration::from_millis(500);
 /// Chunks of a request that is written slowly, and the interval between them.
 const WRITE_CHUNKS: usize = 4;
 const WRITE_INTERVAL: Duration = Duration::from_millis(15);
-/// Delay of a slow reader.
+/// Time before a slow reader begins to read the response.
 const SLOW_READ_DELAY: Duration = Duration::from_millis(120);
-/// Longest `Retry-After` that clients follow.
+/// Upper limit of the delay by `Retry-After`.
 const MAX_RETRY_DELAY_MS: u64 = 10_000;
 
-/// A proxy, as clients see it.
+/// The state of a proxy at its clients.
 struct ProxyEndpoint {
     address: SocketAddr,
     zone: usize,
-    /// Idle connections, with the last request on each.
+    /// Idle connections, each with the id of the last request on it.
     idle: Vec<(u64, Reader<TcpStream>)>,
     open: usize,
     unreachable_until: Option<Instant>,
 }
 
-/// Registers the facts of an attempt with the nodes, before it is sent.
+/// Registers the properties of an attempt with the nodes, before it is sent.
 type RegisterFacts = Box<dyn Fn(u64, &PlannedRequest)>;
 
 /// All clients.
@@ -47,7 +47,7 @@
     classes: Vec<Class>,
     register: RegisterFacts,
     endpoints: RefCell<Vec<ProxyEndpoint>>,
-    /// Number of regions; clients stay in their own.
+    /// Number of regions; clients use only proxies of their own region.
     regions: usize,
     max_connections: usize,
     label_retries: bool,
@@ -57,7 +57,7 @@
     single_use: RefCell<Vec<(usize, Reader<TcpStream>)>>,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 struct AttemptEnd {
     status: u16,
     reached: bool,
@@ -115,7 +115,8 @@
         }
     }
 
-    /// The proxies in the order in which an attempt goes to them: those of its zone first, in a random order.
+    /// The order in which an attempt tries the proxies: those of its zone first, each group in random order. With
+    /// uneven weights, the order depends on the weights alone. Unreachable proxies come last.
     fn proxy_order(&self, request: &PlannedRequest, number: u32) -> Vec<usize> {
         let now = Instant::now();
         let endpoints = self.endpoints.borrow();
@@ -129,7 +130,8 @@
         }
         let moved = request.at_us.checked_div(self.moves_every_us).unwrap_or(0) as usize;
         let weight = |i: usize| self.uneven[(i + moved) % self.uneven.len()];
-        // The least of exponential draws with these rates is each as often as its weight says.
+        // Of exponential draws with the weights as rates, each is the least with a probability proportional to its
+        // weight.
         let draw = |i: usize| -(1.0 - (draw_for(i) >> 11) as f64 / (1u64 << 53) as f64).ln() / weight(i);
         order.sort_by(|a, b| is_unreachable(*a).cmp(&is_unreachable(*b)).then(draw(*a).total_cmp(&draw(*b))));
         order
@@ -137,7 +139,8 @@
 
     async fn send_attempt(&self, request: &PlannedRequest, id: u64, number: u32) -> AttemptEnd {
         for proxy in self.proxy_order(request, number) {
-            // An idle connection that was closed meanwhile is no attempt: a new one follows.
+            // A write to an idle connection that was closed in the meantime does not count as an attempt; a new
+            // connection follows.
             for _ in 0..2 {
                 let Some((reader, fresh)) = self.connection(proxy, request.storm_client).await else { break };
                 if let Some(ended) = self.exchange(proxy, reader, fresh, request, id, number).await {
@@ -191,12 +194,12 @@
 
     fn close(&self, proxy: usize, request: &PlannedRequest) {
         if request.storm_client.is_some() {
-            return; // a storm's connections are its own
+            return; // connections of a storm do not count against the limit
         }
         self.endpoints.borrow_mut()[proxy].open -= 1;
     }
 
-    /// One attempt on one connection; `None`: the connection had been closed before the proxy read it.
+    /// Sends one attempt on one connection. `None` if an idle connection was closed and the request may be sent again.
     async fn exchange(
         &self, proxy: usize, mut reader: Reader<TcpStream>, fresh: bool, request: &PlannedRequest, id: u64,
         number: u32,
@@ -211,7 +214,7 @@
             written &= reader.get_mut().write_all(chunk).await.is_ok();
         }
         if !written {
-            // The proxy never had its last byte.
+            // The proxy did not receive the last byte of the request.
             self.close(proxy, request);
             if !fresh {
                 return None;
@@ -246,8 +249,8 @@
                 self.close(proxy, request);
                 let bytes = reader.unread() - before.min(reader.unread());
                 self.journal.put(Event::Broken { id, bytes });
-                // A proxy may close between two requests. A client cannot register_facts whether it had read this one: only what is
-                // idempotent goes out once more (RFC 9110, 9.2.2).
+                // A proxy may close an idle connection. The client cannot determine whether the proxy had read this
+                // request, so that it sends only idempotent requests again (RFC 9110, 9.2.2).
                 let again = bytes == 0 && !fresh && self.classes[class].effect == Effect::Safe;
                 return if again { None } else { Some(reached(0, None)) };
             }
@@ -274,7 +277,7 @@
         } else if answer.wants_close() || request.storm_client.is_some() {
             self.close(proxy, request);
         } else if request.once && number == 0 {
-            // Kept for good; it counts against the limit on connections.
+            // The client keeps this connection open and unused; it counts against the limit on connections.
             self.single_use.borrow_mut().push((proxy, reader));
         } else {
             self.endpoints.borrow_mut()[proxy].idle.push((id, reader));
@@ -282,7 +285,7 @@
         Some(reached(status, retry_after_ms))
     }
 
-    /// Drops the connections kept for good that the proxy has closed.
+    /// Drops the single-use connections that the proxy has closed.
     pub fn release_closed(&self) {
         let mut connections = self.single_use.borrow_mut();
         let mut endpoints = self.endpoints.borrow_mut();
@@ -315,11 +318,12 @@
     }
 }
 
-/// A connection from an address that only this client of a storm has.
+/// Connects from an address that is used only by this client of a storm.
 async fn connect_from(number: u32, to: SocketAddr) -> std::io::Result<TcpStream> {
     let (high, low) = ((number / 250) as u8, 1 + (number % 250) as u8);
     let socket = tokio::net::TcpSocket::new_v4()?;
-    // With this option the system chooses the port at the connect, by both ends: 28,000 to each proxy from each address.
+    // With this option the kernel chooses the port at the connect by both endpoints, which allows 28,000 connections
+    // from each address to each proxy.
     socket2::SockRef::from(&socket).set_reuse_address(true)?;
     socket.bind(SocketAddr::from(([127, 255, high, low], 0)))?;
     let stream = socket.connect(to).await?;
@@ -327,7 +331,7 @@
     Ok(stream)
 }
 
-/// The attempt that a response names, if it is for this request.
+/// The number of the node's attempt in a response, if the response names this request.
 fn attempt_of(answer: &Message, id: u64) -> Option<u64> {
     let body = std::str::from_utf8(&answer.body).ok()?;
     let (attempt, of) = body.strip_prefix("attempt=")?.split_once(" id=")?;
--- a/crates/gaugesaddle-testbed/src/datagrams.rs
+++ b/crates/gaugesaddle-testbed/src/datagrams.rs
@@ -1,9 +1,9 @@
-//! The network between the proxies of a tier: a relay for their datagrams that partitions, loses, duplicates, delays and
-//! reorders.
+//! The network between the proxies of a tier: a relay that partitions, loses, duplicates, delays and reorders their
+//! datagrams.
 //!
-//! Each proxy has an address here at which the others reach it. The relay knows a sender by its address, and forwards from
-//! the sender's address here, so that the receiver sees the configured address. It runs on a thread of its own until it is
-//! dropped. Bound: [`MAX_IN_FLIGHT`] datagrams; further ones are dropped and counted.
+//! The relay has a socket for each proxy, at whose address the other proxies reach it. It identifies a sender by its
+//! source address and forwards from the sender's socket, so that the receiver sees the configured address. It runs on a
+//! thread of its own until it is dropped. Bound: [`MAX_IN_FLIGHT`] datagrams; further ones are dropped and counted.
 
 use crate::random::RandomStream;
 use serde::{Deserialize, Serialize};
@@ -16,9 +16,9 @@
 use tokio::net::UdpSocket;
 use tokio::sync::watch;
 
-/// Datagrams that wait for their time.
+/// Most datagrams in flight.
 pub const MAX_IN_FLIGHT: usize = 20_000;
-/// Number of the last datagrams of each proxy that are recent, to be replayed.
+/// Number of the most recent datagrams of each proxy that are retained for replay.
 const RETAINED: usize = 64;
 /// Longest latency of a datagram, in microseconds.
 const MAX_DELAY_US: u64 = 10_000_000;
@@ -27,28 +27,28 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Links {
-    /// By index, its group; nothing passes between groups. Empty: one group.
+    /// Group of each process, by index; datagrams between groups are lost. Empty: one group.
     #[serde(rename = "parts")]
     pub groups: Vec<u8>,
-    /// Nothing passes from the first to the second.
+    /// Pairs of processes; datagrams from the first to the second are lost.
     pub one_way: Vec<(usize, usize)>,
-    /// Nothing that these send arrives.
+    /// Processes whose outgoing datagrams are lost.
     pub unheard: Vec<usize>,
-    /// Datagrams from and to these have the latency `slow_us` in addition.
+    /// Processes whose incoming and outgoing datagrams have the additional latency `slow_us`.
     pub slow: Vec<usize>,
-    /// See `slow`.
+    /// Additional latency of `slow`, in microseconds.
     pub slow_us: u64,
     /// Fraction of all datagrams that is lost.
     pub loss: f64,
-    /// Fraction that arrives twice, the second time much later.
+    /// Fraction of datagrams that is duplicated; the duplicate arrives much later.
     pub doubled: f64,
-    /// Range of the latency, drawn uniformly: datagrams may be reordered.
+    /// Range of the latency, in microseconds. It is drawn uniformly, so that datagrams may be reordered.
     pub way_us: [u64; 2],
-    /// Paths that are worse than the rest.
+    /// Paths with additional loss or latency.
     pub poor: Vec<LossyPath>,
 }
 
-/// Datagrams from some to others are lost more often, or later, than the rest.
+/// A path on which datagrams have additional loss or latency.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LossyPath {
@@ -56,22 +56,22 @@
     pub from: Vec<usize>,
     /// Receivers, by index; empty: all.
     pub to: Vec<usize>,
-    /// Fraction of these datagrams that is lost, beside the loss of all.
+    /// Fraction of these datagrams that is lost, in addition to [`Links::loss`].
     pub loss: f64,
     /// Additional latency, in microseconds.
     pub more_us: u64,
 }
 
-/// A state of the network that cannot be.
+/// A value of [`Links`] that is out of its range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("links: expected {expected}")]
 pub struct InvalidLinks {
-    /// What was expected.
+    /// The expected value.
     pub expected: &'static str,
 }
 
 impl LossyPath {
-    /// The ways between the proxies of two halls, in both directions; a index stands in the hall of its turn.
+    /// The paths between the proxies of two zones, in both directions; proxies are assigned to the zones in turn.
     pub fn between(zones: [usize; 2], of: usize, size: usize, loss: f64, more_us: u64) -> Vec<LossyPath> {
         let [a, b] = zones.map(|zone| (0..size).filter(|p| p % of == zone).collect::<Vec<usize>>());
         let back = LossyPath { from: b.clone(), to: a.clone(), loss, more_us };
@@ -106,7 +106,7 @@
         Links { groups: (0..size).map(|p| (p % parts) as u8).collect(), ..Links::default() }
     }
 
-    /// The network between some of the processes, by their indexes among themselves.
+    /// The links between these processes only, with the indexes renumbered by position in `members`.
     pub fn restricted_to(&self, members: &[usize]) -> Links {
         let index = |p: &usize| members.iter().position(|m| m == p);
         let indexes = |all: &[usize]| all.iter().filter_map(index).collect::<Vec<_>>();
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Whether anything passes from one process to another.
+    /// Whether datagrams from one process to another can arrive.
     pub fn allows(&self, from: usize, to: usize) -> bool {
         self.groups.get(from) == self.groups.get(to)
             && !self.unheard.contains(&from)
@@ -134,13 +134,13 @@
             && !self.poor.iter().any(|p| p.loss >= 1.0 && p.applies_to(from, to))
     }
 
-    /// Whether every process reaches every other one.
+    /// Whether every process reaches every other one directly.
     pub fn fully_connected(&self) -> bool {
         let cut = !self.one_way.is_empty() || self.poor.iter().any(|p| p.loss >= 1.0);
         self.groups.is_empty() && self.unheard.is_empty() && !cut
     }
 
-    /// Whether what passes always arrives, and in time.
+    /// Whether no datagram is lost or slowed between processes that are not partitioned.
     pub fn lossless(&self) -> bool {
         self.loss == 0.0 && self.slow.is_empty() && self.poor.is_empty()
     }
@@ -150,7 +150,7 @@
         self.fully_connected() && self.lossless()
     }
 
-    /// Whether two processes reach each other in both directions, directly or over a third that runs.
+    /// Whether two processes reach each other in both directions, directly or through a third running process.
     pub fn connected(&self, i: usize, j: usize, running: impl Fn(usize) -> bool, size: usize) -> bool {
         let reaches = |a: usize, b: usize| {
             let through = |k: usize| k != a && k != b && running(k) && self.allows(a, k) && self.allows(k, b);
@@ -159,7 +159,7 @@
         self.fully_connected() || (reaches(i, j) && reaches(j, i))
     }
 
-    /// The latencies of a datagram, in microseconds: none, one or two arrivals.
+    /// Draws the latencies of a datagram, in microseconds, for none, one or two arrivals.
     pub fn draw(&self, random: &mut RandomStream, from: usize, to: usize) -> [Option<u64>; 2] {
         if !self.allows(from, to) || random.bernoulli(self.loss) {
             return [None, None];
@@ -178,6 +178,8 @@
         [Some(once), random.bernoulli(self.doubled).then_some(late)]
     }
 
+    /// Checks all values, for a network of that many processes.
+    ///
     /// # Errors
     /// The first value that is out of its range.
     pub fn check(&self, size: usize) -> Result<(), InvalidLinks> {
@@ -187,14 +189,14 @@
         let more = self.poor.iter().map(|p| p.more_us).fold(self.slow_us, u64::saturating_add);
         let longest = self.way_us[1].saturating_add(more);
         let tests = [
-            (self.groups.is_empty() || self.groups.len() == size, "a part for each proxy"),
-            (self.one_way.iter().all(|(a, b)| exists(a) && exists(b)), "proxies that there are"),
-            (self.unheard.iter().chain(&self.slow).chain(poor).all(exists), "proxies that there are"),
+            (self.groups.is_empty() || self.groups.len() == size, "a group for each proxy"),
+            (self.one_way.iter().all(|(a, b)| exists(a) && exists(b)), "indexes of existing proxies"),
+            (self.unheard.iter().chain(&self.slow).chain(poor).all(exists), "indexes of existing proxies"),
             (
                 fraction(self.loss) && fraction(self.doubled) && self.poor.iter().all(|p| fraction(p.loss)),
-                "parts from 0 to 1",
+                "fractions from 0 to 1",
             ),
-            (self.way_us[0] <= self.way_us[1] && longest <= MAX_DELAY_US, "a way of up to 10 s"),
+            (self.way_us[0] <= self.way_us[1] && longest <= MAX_DELAY_US, "a latency range of at most 10 s"),
         ];
         tests.into_iter().find(|t| !t.0).map_or(Ok(()), |t| Err(InvalidLinks { expected: t.1 }))
     }
@@ -205,30 +207,30 @@
     random: RandomStream,
     in_flight: usize,
     dropped: u64,
-    /// By index: datagrams and bytes that it sent.
+    /// Number of datagrams and bytes that each process sent, by index.
     sent: Vec<(u64, u64)>,
     longest: usize,
     retained: Vec<VecDeque<(usize, Vec<u8>)>>,
-    /// Datagrams to be sent as if from one process to another.
+    /// Injected datagrams: sender, receiver and content.
     inject: VecDeque<(usize, usize, Vec<u8>)>,
 }
 
-/// The relay.
+/// A datagram relay between proxies.
 pub struct DatagramRelay {
     addresses: Vec<SocketAddr>,
     state: Arc<Mutex<RelayState>>,
-    /// Wakes the thread to inject; its end is that of the relay.
+    /// Notifies the thread of injected datagrams; the thread ends when it is dropped.
     injections: Option<watch::Sender<u64>>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-/// Locks a mutex; the state that a panicked thread left is as good as any.
+/// Locks a mutex, also after a thread panicked while holding it.
 pub(crate) fn lock<T>(state: &Mutex<T>) -> MutexGuard<'_, T> {
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl DatagramRelay {
-    /// Starts the relay for proxies at these addresses; its own are on `host`.
+    /// Starts a relay for proxies at these addresses, with its own sockets on `host`.
     ///
     /// # Errors
     /// A socket cannot be bound.
@@ -262,12 +264,12 @@
         Ok(DatagramRelay { addresses, state, injections: Some(notifier), thread: Some(thread) })
     }
 
-    /// The address at which each proxy is reached.
+    /// The address of the relay for each proxy.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
-    /// Changes the network; datagrams in flight arrive.
+    /// Changes the links; datagrams in flight still arrive.
     pub fn set(&self, links: Links) {
         lock(&self.state).links = links;
     }
@@ -277,22 +279,22 @@
         lock(&self.state).sent.clone()
     }
 
-    /// The longest datagram so far.
+    /// Length of the longest datagram so far, in bytes.
     pub fn longest(&self) -> usize {
         lock(&self.state).longest
     }
 
-    /// Datagrams that were dropped since too many were in flight.
+    /// Number of datagrams that were dropped because [`MAX_IN_FLIGHT`] were in flight.
     pub fn dropped(&self) -> u64 {
         lock(&self.state).dropped
     }
 
-    /// The last datagrams of a proxy, with their receivers.
+    /// The most recent datagrams of a proxy, with their receivers.
     pub fn retained(&self, index: usize) -> Vec<(usize, Vec<u8>)> {
         lock(&self.state).retained[index].iter().cloned().collect()
     }
 
-    /// Sends these bytes to a proxy as if another had sent them.
+    /// Sends a datagram to a proxy with the address of another as its source.
     pub fn inject(&self, from: usize, to: usize, bytes: Vec<u8>) {
         lock(&self.state).inject.push_back((from, to, bytes));
         if let Some(notifier) = &self.injections {
@@ -327,7 +329,7 @@
             let mut buffer = [0; 2048];
             loop {
                 let Ok((n, from)) = sockets[to].recv_from(&mut buffer).await else {
-                    tokio::task::yield_now().await; // a proxy that was killed refuses what was sent to it
+                    tokio::task::yield_now().await; // receive error after a killed proxy refused a datagram
                     continue;
                 };
                 let Some(from) = indexes.get(&from).copied() else { continue };
@@ -352,7 +354,7 @@
     }
 }
 
-/// Counts a datagram and draws its arrivals.
+/// Counts and retains a datagram and draws its latencies.
 fn schedule(state: &Mutex<RelayState>, from: usize, to: usize, bytes: &[u8]) -> [Option<u64>; 2] {
     let mut state = lock(state);
     let state = &mut *state;
--- a/crates/gaugesaddle-testbed/src/demo.rs
+++ b/crates/gaugesaddle-testbed/src/demo.rs
@@ -1,4 +1,4 @@
-//! The local demo: a small fleet under disturbances, drawn_at while it runs.
+//! The local demo: a small fleet under disturbances, displayed while it runs.
 
 use gaugesaddle_testbed::scenario::{Clients, ScheduledDisturbance};
 use gaugesaddle_testbed::{program, run, Cast, Disturbance, Event, Live, Program, Scenario};
@@ -23,22 +23,22 @@
     ]
 }
 
-/// A description of a disturbance for people.
+/// A human-readable description of a disturbance.
 fn describe(what: &Disturbance) -> String {
     match what {
         Disturbance::Slow { node, factor, .. } => format!("node n{node} runs {factor} times slower"),
         Disturbance::Crash { node, .. } => format!("node n{node} crashes, a cold one follows"),
         Disturbance::KillProxy { proxy, .. } => format!("proxy p{proxy} is killed"),
         Disturbance::Drain { node, .. } => format!("node n{node} drains, a cold one follows"),
-        Disturbance::Hang { node, .. } => format!("node n{node} takes requests and answers none"),
-        Disturbance::DiscoveryDown { .. } => "discovery falls silent".into(),
+        Disturbance::Hang { node, .. } => format!("node n{node} accepts requests and does not respond"),
+        Disturbance::DiscoveryDown { .. } => "discovery stops responding".into(),
         Disturbance::Deploy { nodes, .. } => format!("a rolling deploy of {nodes} nodes begins"),
-        Disturbance::RestartProxy { proxy } => format!("proxy p{proxy} is restarted in order"),
+        Disturbance::RestartProxy { proxy } => format!("proxy p{proxy} is restarted gracefully"),
         other => format!("{other:?}"),
     }
 }
 
-/// Counts of one second or so, by class.
+/// Counts of the requests of a class, over an interval of about one second or the whole run.
 #[derive(Default, Clone)]
 struct Counts {
     requests: u64,
@@ -50,14 +50,14 @@
 struct Screen {
     scenario: Scenario,
     plain: bool,
-    /// The class of each request that was asked.
+    /// Class of each request without a response, by id.
     class_of: HashMap<u64, usize>,
     now: Vec<Counts>,
     all: Vec<Counts>,
     drawn_at: f64,
 }
 
-/// Plays the demo; true where the rules were kept.
+/// Runs the demo and returns whether the rules were kept.
 pub fn demo(seed: u64, seconds: f64, plain: bool) -> io::Result<bool> {
     let program = Program { path: program::built("gaugesaddle")?, arguments: Vec::new() };
     let defaults = Scenario::default();
@@ -128,7 +128,7 @@
         self.now.iter_mut().for_each(|c| *c = Counts::default());
     }
 
-    /// Descriptions of the disturbances that began within the last seconds.
+    /// Descriptions of the disturbances that began within the last `within` seconds.
     fn recent_disturbances(&self, seconds: f64, within: f64) -> Vec<String> {
         let recent = |e: &&ScheduledDisturbance| (0.0..within).contains(&(seconds - e.at_s));
         self.scenario.events.iter().filter(recent).map(|e| describe(&e.disturbance)).collect()
@@ -152,7 +152,7 @@
     }
 
     fn table(&self, live: &Live, passed: f64) -> String {
-        // Home, and clear what is below: no flicker.
+        // Moves the cursor home and clears the rest of the screen, which avoids flicker.
         let mut text = format!(
             "\x1b[H\x1b[Jgaugesaddle demo, {:.0} of {:.0} s\n\n",
             live.seconds, self.scenario.seconds
--- a/crates/gaugesaddle-testbed/src/faulty.rs
+++ b/crates/gaugesaddle-testbed/src/faulty.rs
@@ -1,5 +1,5 @@
-//! A small relay that breaks a rule on purpose: what the auditor must find. Without a fault it is a plain round
-//! robin that keeps the rules by doing next to nothing.
+//! A small relay that breaks a rule on purpose, to test that the audit finds the violation. Without a fault it is a
+//! round-robin relay that keeps the rules.
 
 use crate::http::{Message, Reader};
 use crate::scenario::{Effect, Scenario};
@@ -14,36 +14,36 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::AbortHandle;
 
-/// The rule that it breaks.
+/// The fault of a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// One request in eight gets no answer.
+    /// One request in eight gets no response.
     Drops,
-    /// One in eight is sent on and its connection closed.
+    /// One request in eight is forwarded, and its client's connection is closed without a response.
     ClosesAfterSending,
-    /// One answer in eight is written twice.
+    /// One response in eight is written twice.
     AnswersTwice,
-    /// One answer in eight comes after its client's time.
+    /// One response in eight comes after the client's deadline.
     AnswersLate,
-    /// One in eight is served with the answer to another request.
+    /// One request in eight is served with the response to another request.
     MixesUp,
-    /// One in eight is sent again after its answer.
+    /// One request in eight is sent again after its response.
     SendsAfterAnswer,
-    /// What may have run is sent again at once, to the next node, whatever its class.
+    /// One keyed or unsafe request in eight is sent again at once, to the next node, though it may have run.
     Repeats,
-    /// What may have run and had no answer in time is refused.
+    /// One request in eight is rejected after it was sent to a node and may have run.
     RefusesAfterRun,
-    /// What drains is sent requests all the same.
+    /// Requests are also sent to draining nodes.
     IgnoresDrains,
-    /// Everything goes to the node that started last.
+    /// All requests go to the node that started last.
     FloodsNewest,
 }
 
-/// One in this many requests meets the fault, where not all do.
+/// Interval of faulty requests, for faults that do not affect every request.
 const FAULT_INTERVAL: u64 = 8;
-/// Fraction of the client's deadline for which it waits for a node.
+/// Fraction of the client's remaining time for which the relay waits for a node.
 const WAIT_FRACTION: f64 = 0.8;
 
 #[derive(Clone)]
@@ -53,13 +53,14 @@
     since_ms: u64,
 }
 
-/// A relay on the thread that made it, in a `LocalSet`.
+/// A relay that runs on the thread that started it, in a `LocalSet`.
 pub struct Faulty {
     fault: Fault,
     effects: HashMap<String, Effect>,
     list: RefCell<Vec<(String, Entry)>>,
-    /// Requests so far, and attempts.
+    /// Number of requests so far.
     requests: Cell<u64>,
+    /// Number of attempts so far, which selects the next node.
     next_node: Cell<u64>,
     last_response: RefCell<Option<Vec<u8>>>,
     tasks: RefCell<Vec<AbortHandle>>,
@@ -139,7 +140,8 @@
             let faulty = n % FAULT_INTERVAL == 0;
             let Some(mut answer) = self.handle(&message, faulty).await else { return };
             if faulty && self.fault == Fault::AnswersTwice {
-                answer.extend_from_within(..); // in one piece, or the second could pass for the next answer
+                // Both copies are in one write, since the client could read a separate copy as the next response.
+                answer.extend_from_within(..);
             }
             if reader.get_mut().write_all(&answer).await.is_err() {
                 return;
@@ -151,7 +153,7 @@
         }
     }
 
-    /// The answer; `None`: the connection is closed without one.
+    /// The response; `None` to close the connection without one.
     async fn handle(&self, message: &Message, faulty: bool) -> Option<Vec<u8>> {
         let time_left = Duration::from_millis(message.number("x-time-left-ms").unwrap_or(500));
         let effect = message.header("x-service-class").and_then(|c| self.effects.get(c)).copied();
@@ -182,7 +184,7 @@
         Some(response.unwrap_or_else(|| encode_response(502, "failed")))
     }
 
-    /// One attempt; a 200 comes back as it is to be passed on.
+    /// Sends one attempt to a node. Returns a 200 as encoded for the client, `None` for every other outcome.
     async fn send(&self, message: &Message, within: Duration) -> Option<Vec<u8>> {
         let to = {
             let list = self.list.borrow();
--- a/crates/gaugesaddle-testbed/src/fleet.rs
+++ b/crates/gaugesaddle-testbed/src/fleet.rs
@@ -1,5 +1,6 @@
-//! A small router fleet on loopback: control processes and proxies as real processes, each machine an address of its
-//! own, and the calls that backends, the operator and clients make. For tests of several processes and the demo.
+//! A small router fleet on loopback: control processes and proxies run as processes, each machine is a loopback
+//! address, and the functions here make the calls of backends, the operator and clients. Used by tests of several
+//! processes and by the demo.
 
 use crate::program;
 use crate::scripted::{read_message, Message};
@@ -11,14 +12,14 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
-/// No call takes so long unless something is wrong.
+/// Timeout of a connect or a read, which no call reaches unless something is wrong.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Name of the program of the data plane, with its argument.
+/// Program of the data plane and its argument.
 const EDGE: (&str, &str) = ("gaugesaddle", "edge");
-/// Name of the program of the control plane, with its argument.
+/// Program of the control plane and its argument.
 const CONTROL: (&str, &str) = ("gaugesaddle-control", "serve");
 
-/// What a process is for.
+/// The role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Control plane.
@@ -27,7 +28,7 @@
     Edge,
 }
 
-/// One process and its machine.
+/// A machine and its process.
 struct Node {
     role: Role,
     ip: Ipv4Addr,
@@ -40,22 +41,22 @@
     folder: PathBuf,
     port: u16,
     nodes: Vec<Node>,
-    /// Whether the processes' logs go to this process's standard error.
+    /// Whether the processes inherit the standard error of this process for their logs.
     inherit_stderr: bool,
-    /// Further lines of every boot file.
+    /// Additional lines of every boot file.
     settings: String,
 }
 
 static FLEETS: AtomicU32 = AtomicU32::new(0);
 
-/// The ports of a machine, from the fleet's first one on.
+// Ports of a machine, as offsets from the fleet's first port.
 const CONTROL_PORT: u16 = 0;
 const FRONT_PORT: u16 = 1;
 const READY_PORT: u16 = 2;
 const FREE_PORTS: u16 = 3;
 
 impl Fleet {
-    /// Starts so many control processes and proxies, each on a machine of its own.
+    /// Starts that many control processes and proxies, each on a machine of its own.
     ///
     /// # Errors
     /// A process cannot be started.
@@ -63,7 +64,8 @@
         Fleet::start_with(controls, edges, false, "")
     }
 
-    /// The same, of a deployment in which no request runs on a key so long after it was taken away, in ms.
+    /// Like [`Fleet::start`], with `bounds.closed`: no request uses an API key later than `revoke_ms` after its
+    /// revocation.
     ///
     /// # Errors
     /// A process cannot be started.
@@ -72,7 +74,8 @@
         Fleet::start_with(controls, edges, false, &settings)
     }
 
-    /// The same, with further lines in every boot file; a inherit_stderr one shows what its processes log.
+    /// Like [`Fleet::start`], with additional lines in every boot file and optionally with the processes' logs on
+    /// standard error.
     ///
     /// # Errors
     /// A process cannot be started.
@@ -95,12 +98,12 @@
         Ok(fleet)
     }
 
-    /// Number of its machines.
+    /// Number of machines.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Whether it has none.
+    /// Whether the fleet has no machines.
     pub fn is_empty(&self) -> bool {
         self.nodes.is_empty()
     }
@@ -141,7 +144,7 @@
         self.folder.join(format!("disk-{at}"))
     }
 
-    /// Starts a process that does not run.
+    /// Starts the process of a machine; it must not be running.
     ///
     /// # Errors
     /// The process cannot be started.
@@ -161,7 +164,7 @@
         Ok(())
     }
 
-    /// Kills a process; its disk is kept.
+    /// Kills a process with SIGKILL and waits for its end; its disk remains.
     pub fn kill(&mut self, at: usize) {
         self.nodes[at].bootstrap = false;
         if let Some(mut child) = self.nodes[at].child.take() {
@@ -170,7 +173,7 @@
         }
     }
 
-    /// Removes a machine's disk; its process must not run.
+    /// Removes a machine's disk; its process must not be running.
     ///
     /// # Errors
     /// The folder cannot be removed.
@@ -178,7 +181,7 @@
         std::fs::remove_dir_all(self.data_folder(at))
     }
 
-    /// Sends SIGTERM.
+    /// Sends SIGTERM to a process.
     ///
     /// # Errors
     /// The signal cannot be sent.
@@ -186,12 +189,13 @@
         self.signal(at, "-TERM")
     }
 
-    /// Ends a process with SIGKILL while others use the fleet; [`Fleet::kill`] must follow before it may run again.
+    /// Kills a process with SIGKILL while other threads use the fleet. [`Fleet::kill`] must follow before
+    /// [`Fleet::start_process`].
     pub fn send_sigkill(&self, at: usize) {
         let _ = self.signal(at, "-KILL");
     }
 
-    /// Stops a process until it is woken.
+    /// Suspends a process with SIGSTOP until [`Fleet::resume`].
     ///
     /// # Errors
     /// The signal cannot be sent.
@@ -199,7 +203,7 @@
         self.signal(at, "-STOP")
     }
 
-    /// Wakes a process that was stopped.
+    /// Resumes a suspended process with SIGCONT.
     ///
     /// # Errors
     /// The signal cannot be sent.
@@ -213,7 +217,7 @@
         Ok(())
     }
 
-    /// Whether a process runs.
+    /// Whether a process is running.
     pub fn is_running(&mut self, at: usize) -> bool {
         self.nodes[at].child.as_mut().is_some_and(|c| matches!(c.try_wait(), Ok(None)))
     }
@@ -222,38 +226,39 @@
         SocketAddrV4::new(self.nodes[at].ip, self.port + port)
     }
 
-    /// Where clients reach a proxy.
+    /// The address of a proxy for clients.
     pub fn front(&self, at: usize) -> SocketAddrV4 {
         self.address(at, FRONT_PORT)
     }
 
-    /// Where backends and the operator reach a control process.
+    /// The address of a control process for backends and the operator.
     pub fn control(&self, at: usize) -> SocketAddrV4 {
         self.address(at, CONTROL_PORT)
     }
 
-    /// Where processes reach a control process.
+    /// The address of a control process for other processes of the fleet.
     pub fn internal(&self, at: usize) -> SocketAddrV4 {
         self.address(at, FREE_PORTS)
     }
 
-    /// The folder of its files, gone with it.
+    /// The folder of the fleet's files, removed with the fleet.
     pub fn folder(&self) -> &std::path::Path {
         &self.folder
     }
 
-    /// Whether a proxy calls itself ready.
+    /// Whether a proxy's readiness endpoint reports ready.
     pub fn is_ready(&self, at: usize) -> bool {
         call(self.address(at, READY_PORT), "GET /ready HTTP/1.1\r\nHost: r\r\n\r\n")
             .is_ok_and(|answer| answer.status() == 200)
     }
 
-    /// Brings a configuration to a control process: the answer's status and text; 0 where there is none.
+    /// Sends a configuration to a control process. Returns the status and body of the response; status 0 if there is
+    /// none.
     pub fn put(&self, at: usize, base: u64, document: &str) -> (u16, String) {
         self.send_configuration(at, "Put", base, document)
     }
 
-    /// Brings changes of named items, likewise.
+    /// Sends a patch of the configuration to a control process; returns the same as [`Fleet::put`].
     pub fn patch(&self, at: usize, base: u64, patch: &str) -> (u16, String) {
         self.send_configuration(at, "Patch", base, patch)
     }
@@ -266,12 +271,12 @@
         self.control_call(at, &text)
     }
 
-    /// Reads the configuration at a control process.
+    /// Reads the configuration from a control process; returns the same as [`Fleet::put`].
     pub fn get(&self, at: usize) -> (u16, String) {
         self.control_call(at, "GET /Config.Get HTTP/1.1\r\nHost: c\r\n\r\n")
     }
 
-    /// A backend's heartbeat; the status of its answer.
+    /// Sends a backend's heartbeat; returns the status of the response.
     pub fn heartbeat(&self, at: usize, id: &str, service: &str, address: SocketAddr, state: &str) -> u16 {
         static SEQUENCE: AtomicU32 = AtomicU32::new(1);
         let sequence = SEQUENCE.fetch_add(1, Ordering::Relaxed);
@@ -302,7 +307,7 @@
     }
 }
 
-/// One call on a connection of its own; the answer has a length or no body.
+/// Sends one request on a new connection. The response must have a `Content-Length` or no body.
 ///
 /// # Errors
 /// The connection fails, or ends before a response.
@@ -313,15 +318,15 @@
     read_message(&mut BufReader::new(stream)).ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
 }
 
-/// An answer in chunks, read as it comes.
+/// A chunked response, read incrementally.
 pub struct Chunked {
     reader: BufReader<TcpStream>,
-    /// Its first line and headers.
+    /// The status line and headers.
     pub head: Message,
 }
 
 impl Chunked {
-    /// Sends a request and reads the head of the answer.
+    /// Sends a request and reads the head of the response.
     ///
     /// # Errors
     /// The connection fails, or ends before the head of a response.
@@ -334,7 +339,7 @@
         Ok(Chunked { reader, head })
     }
 
-    /// The next chunk; `None` at the proper end, an error where the connection breaks off before it.
+    /// Reads the next chunk; `None` after the last one.
     ///
     /// # Errors
     /// The connection ends before the end of the response.
@@ -348,7 +353,7 @@
         Ok((length > 0).then_some(chunk))
     }
 
-    /// All that is left up to the proper end; what came before a break is lost.
+    /// Reads the rest of the body up to the last chunk; after an error, the chunks read so far are lost.
     ///
     /// # Errors
     /// The connection ends before the end of the response.
@@ -362,7 +367,7 @@
 }
 
 /// A configuration with the routes of the tests: `/plain/` (idempotent, two attempts), `/once/` (not idempotent),
-/// `/stream/` (may be resumed) and `/single/` (a stream that runs once), all for the service `s`.
+/// `/stream/` (may be resumed) and `/single/` (a stream with a single attempt), all for the service `s`.
 pub fn document(revision: u64) -> Value {
     let route = |name: &str, kind: &str, attempts: u32, resume: bool| {
         json!({"name": name, "hostname": "h.example", "pathPrefix": format!("/{name}/"), "routeType": kind,
--- a/crates/gaugesaddle-testbed/src/fleet_demo.rs
+++ b/crates/gaugesaddle-testbed/src/fleet_demo.rs
@@ -1,5 +1,5 @@
-//! A whole small router fleet on loopback, to look at: three control processes, two proxies, four stand-in backends that
-//! stream, an operator and clients, while the leader is killed, a backend drains and a configuration changes.
+//! The demo of a small router fleet on loopback: three control processes, two proxies, four streaming stand-in
+//! backends, an operator and clients. A control process is killed, a backend drains and the configuration changes.
 
 use gaugesaddle_testbed::fleet::{document, Chunked, Fleet};
 use gaugesaddle_testbed::scripted::{Backend, Message, Reply};
@@ -11,11 +11,11 @@
 const CONTROLS: u8 = 3;
 const EDGES: u8 = 2;
 const BACKENDS: usize = 4;
-/// Time for the fleet to come up.
+/// Timeout of each step of the start of the fleet.
 const START_TIMEOUT: Duration = Duration::from_secs(15);
-/// Between a backend's heartbeats.
+/// Interval of a backend's heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1200);
-/// Between two requests.
+/// Delay between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(15);
 
 fn stream(message: &Message) -> Reply {
@@ -28,7 +28,7 @@
     ))
 }
 
-/// What the clients have seen.
+/// Outcomes of the clients' requests.
 #[derive(Default)]
 struct Tally {
     outcomes: BTreeMap<String, u64>,
@@ -45,11 +45,11 @@
         let begun = Instant::now();
         let outcome = match Chunked::open(fleet.front(edge), &text) {
             Ok(mut stream) if stream.head.status() == 200 => match stream.rest() {
-                Ok(_) => "whole streams".to_owned(),
-                Err(_) => "broken streams".to_owned(),
+                Ok(_) => "complete streams".to_owned(),
+                Err(_) => "truncated streams".to_owned(),
             },
-            Ok(stream) => format!("answers {}", stream.head.status()),
-            Err(_) => "no answer".to_owned(),
+            Ok(stream) => format!("status {}", stream.head.status()),
+            Err(_) => "no response".to_owned(),
         };
         self.slowest = self.slowest.max(begun.elapsed());
         *self.outcomes.entry(outcome).or_default() += 1;
@@ -61,22 +61,22 @@
     }
 }
 
-/// One thing that happens, and what is printed of it.
+/// Executes a step of the demo and returns its description.
 fn run_step(step: u64, fleet: &mut Fleet, backends: &[(String, SocketAddr)]) -> io::Result<Option<String>> {
     match step {
         1 => {
-            // Whoever leads is among the three; the others elect anew if it is this one.
+            // If this process is the leader, the other two elect a new one.
             fleet.kill(0);
             Ok(Some("control process 0 is killed".to_owned()))
         }
         2 => {
             let (id, address) = &backends[0];
             let status = fleet.heartbeat(1, id, "s", *address, "draining");
-            Ok(Some(format!("backend {id} drains, acknowledged with {status}")))
+            Ok(Some(format!("backend {id} drains, its heartbeat has status {status}")))
         }
         3 => {
             let (status, _) = fleet.put(1, 1, &document(2).to_string());
-            Ok(Some(format!("configuration 2 on top of 1 is answered {status}")))
+            Ok(Some(format!("configuration 2 based on 1 has status {status}")))
         }
         4 => {
             fleet.start_process(0)?;
@@ -85,19 +85,19 @@
         5 => {
             let (status, text) = fleet.get(0);
             let newest = text.contains("\"revision\":2");
-            Ok(Some(format!("control process 0 answers {status}, with configuration 2: {newest}")))
+            Ok(Some(format!("control process 0 has status {status}, configuration 2: {newest}")))
         }
         _ => Ok(None),
     }
 }
 
-/// Plays for so many seconds; whether every stream was whole.
+/// Runs the demo for that many seconds and returns whether every stream was complete.
 pub fn play(seconds: f64) -> io::Result<bool> {
     let mut fleet = Fleet::start(CONTROLS, EDGES)?;
     let servers: Vec<Backend> = (0..BACKENDS).map(|_| Backend::start(stream)).collect();
     let backends: Vec<(String, SocketAddr)> =
         servers.iter().enumerate().map(|(n, b)| (format!("i-{n}"), b.address)).collect();
-    wait_until("a configuration is taken", || fleet.put(0, 0, &document(1).to_string()).0 == 200)?;
+    wait_until("the configuration is accepted", || fleet.put(0, 0, &document(1).to_string()).0 == 200)?;
     for (id, address) in &backends {
         wait_until("a backend is registered", || fleet.heartbeat(0, id, "s", *address, "ready") == 200)?;
     }
@@ -128,14 +128,14 @@
         std::thread::sleep(REQUEST_INTERVAL);
     }
     println!("{number} requests: {}", tally.line());
-    Ok(tally.outcomes.keys().all(|what| what == "whole streams"))
+    Ok(tally.outcomes.keys().all(|what| what == "complete streams"))
 }
 
 fn wait_until(what: &str, mut holds: impl FnMut() -> bool) -> io::Result<()> {
     let end = Instant::now() + START_TIMEOUT;
     while !holds() {
         if Instant::now() >= end {
-            return Err(io::Error::new(io::ErrorKind::TimedOut, format!("it never came that {what}")));
+            return Err(io::Error::new(io::ErrorKind::TimedOut, format!("timed out waiting until {what}")));
         }
         std::thread::sleep(Duration::from_millis(20));
     }
--- a/crates/gaugesaddle-testbed/src/http.rs
+++ b/crates/gaugesaddle-testbed/src/http.rs
@@ -1,19 +1,20 @@
-//! HTTP/1.1 as bytes, for peers that must be able to do it wrong: nothing here decides what is allowed.
+//! A minimal HTTP/1.1 parser for stand-in peers. It accepts malformed messages, since peers must be able to violate the
+//! protocol.
 
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// A head is read up to this size.
+/// Most bytes of a message head.
 const MAX_HEAD_BYTES: usize = 64 << 10;
-/// A body is read up to this size.
+/// Most bytes of a message body.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// A head with its body.
+/// A message with its body.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Message {
-    /// The first line.
+    /// The request line or status line.
     pub start: String,
-    /// Names in lower case, and values.
+    /// Header names in lower case, with their values.
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
@@ -23,17 +24,17 @@
         self.headers.iter().find(|h| h.0 == name).map(|h| h.1.as_str())
     }
 
-    /// A header as a whole number.
+    /// The value of a header as an integer.
     pub fn number(&self, name: &str) -> Option<u64> {
         self.header(name).and_then(|v| v.trim().parse().ok())
     }
 
-    /// The status of an answer.
+    /// The status code of a response.
     pub fn status(&self) -> Option<u16> {
         self.start.split(' ').nth(1).and_then(|s| s.parse().ok())
     }
 
-    /// The second word of a request.
+    /// The target of a request.
     pub fn path(&self) -> &str {
         self.start.split(' ').nth(1).unwrap_or("")
     }
@@ -43,7 +44,7 @@
     }
 }
 
-/// One side of a connection, read message by message.
+/// Reads messages from one direction of a connection.
 pub struct Reader<R> {
     from: R,
     buffer: Vec<u8>,
@@ -62,12 +63,12 @@
         &mut self.from
     }
 
-    /// Bytes that have been read and belong to no message yet.
+    /// Number of buffered bytes that belong to no message yet.
     pub fn unread(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Waits until at least one byte is there; false where the connection ends first.
+    /// Waits until at least one byte is buffered; false if the connection ends before.
     pub async fn first_byte(&mut self) -> io::Result<bool> {
         Ok(!self.buffer.is_empty() || self.read_more().await? > 0)
     }
@@ -76,14 +77,14 @@
         self.from.read_buf(&mut self.buffer).await
     }
 
-    /// Reads a message whole: `Content-Length` or chunks, or nothing where neither stands.
+    /// Reads a complete message. Its body is chunked, has a `Content-Length`, or is empty.
     pub async fn message(&mut self) -> io::Result<Message> {
         let end = loop {
             if let Some(at) = find(&self.buffer, b"\r\n\r\n") {
                 break at;
             }
             if self.buffer.len() > MAX_HEAD_BYTES {
-                return Err(io::Error::new(io::ErrorKind::InvalidData, "a head without end"));
+                return Err(io::Error::new(io::ErrorKind::InvalidData, "message head is too long"));
             }
             if self.read_more().await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
@@ -100,7 +101,7 @@
             message.body = self.read_chunks().await?;
         } else if let Some(length) = message.number("content-length") {
             if length > MAX_BODY_BYTES as u64 {
-                return Err(io::Error::new(io::ErrorKind::InvalidData, "a body that is too long"));
+                return Err(io::Error::new(io::ErrorKind::InvalidData, "message body is too long"));
             }
             message.body = self.read_exactly(length as usize).await?;
         }
@@ -129,10 +130,11 @@
             };
             let size = String::from_utf8_lossy(&line);
             let size = usize::from_str_radix(size.trim().split(';').next().unwrap_or(""), 16);
-            let size =
-                size.map_err(|_| io::Error::new(io::ErrorKind::InvalidData, "a chunk without size"))?;
+            let size = size.map_err(|_| {
+                io::Error::new(io::ErrorKind::InvalidData, "chunk size is not a hexadecimal number")
+            })?;
             if size + body.len() > MAX_BODY_BYTES {
-                return Err(io::Error::new(io::ErrorKind::InvalidData, "a body that is too long"));
+                return Err(io::Error::new(io::ErrorKind::InvalidData, "message body is too long"));
             }
             let mut chunk = self.read_exactly(size + 2).await?;
             if size == 0 {
@@ -144,7 +146,7 @@
     }
 }
 
-/// Where a sequence first stands.
+/// Position of the first occurrence of a byte sequence.
 pub fn find(within: &[u8], what: &[u8]) -> Option<usize> {
     within.windows(what.len()).position(|w| w == what)
 }
--- a/crates/gaugesaddle-testbed/src/hunt.rs
+++ b/crates/gaugesaddle-testbed/src/hunt.rs
@@ -1,9 +1,9 @@
-//! The hunt: combinations of faults drawn from a seed, played over 6 to 30 proxies that know one another, and what breaks
-//! a rule made small enough to be read.
+//! The hunt: random testing with combinations of faults drawn from a seed, on tiers of 6 to 30 proxies, and shrinking
+//! of the scenarios that break a rule.
 //!
-//! Each run ends with [`RECOVERY_S`] without faults, so that both checkers (of the four rules, and of the tier) have a state
-//! that must be right. A finding is played again before it counts, faults are left out one by one as long as it still
-//! shows, and the rest is saved as a scenario that `gaugesaddle-testbed run` replays.
+//! Each run ends with [`RECOVERY_S`] without faults, so that the audits of the four rules and of the tier have a
+//! settled state to check. A finding counts only if a repeated run reproduces it. Faults are then removed one by one
+//! while the finding is still reproduced, and the rest is saved as a scenario for `gaugesaddle-testbed run`.
 
 use crate::datagrams::{lock, Links, LossyPath};
 use crate::random::{mix, RandomStream};
@@ -16,33 +16,33 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// At the end of each run nothing goes wrong for so long: longer than a death may take to be known.
+/// Time without faults at the end of each run, in seconds; longer than the detection of a failed proxy may take.
 pub const RECOVERY_S: f64 = 8.0;
-/// Faults come within this time from the start.
+/// Time from the start within which faults begin, and temporary ones end, in seconds.
 const LAST_FAULT_S: f64 = 10.0;
-/// Before the first fault all have met.
+/// Time before the first fault, in seconds, in which all proxies join the tier.
 const WARM_UP_S: f64 = 2.0;
-/// A finding is played so often again: one that shows in none of these is told, and not made smaller.
+/// Number of repeated runs of a finding. A finding that none of them reproduces is reported but not shrunk.
 const REPLAYS: usize = 2;
-/// Runs whose first mistake is told.
+/// Number of runs whose first false death is reported.
 const MAX_FALSE_DEATH_EXAMPLES: usize = 20;
 
-/// What came of it.
+/// The result of a hunt.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HuntSummary {
-    /// Runs, and proxies in them.
+    /// Number of runs.
     pub runs: u64,
-    /// See `runs`.
+    /// Number of proxies in all runs.
     pub proxies: u64,
-    /// Faults in them.
+    /// Number of faults in all runs.
     pub faults: u64,
-    /// Times that a living process was wrongly held dead for a while.
+    /// Number of times that a running process was temporarily considered dead.
     pub false_deaths: u64,
-    /// The first of each run with such.
+    /// The first false death of each run that had any, up to a limit.
     pub false_death_examples: Vec<String>,
-    /// Findings that did not show again.
+    /// Findings that no repeated run reproduced.
     pub not_reproduced: Vec<String>,
-    /// Scenarios of those that did.
+    /// Scenario files of the reproduced findings.
     pub saved: Vec<PathBuf>,
 }
 
@@ -64,12 +64,12 @@
     }
 }
 
-/// A combination of faults.
+/// Draws a scenario with a combination of faults.
 pub fn draw_scenario(seed: u64) -> Scenario {
     draw_scenario_on(seed, |_| {})
 }
 
-/// The same on a fleet of another shape; the number of proxies is drawn before.
+/// Like [`draw_scenario`], with changes to the fleet by `shape` after the number of proxies has been drawn.
 pub fn draw_scenario_on(seed: u64, shape: impl FnOnce(&mut Scenario)) -> Scenario {
     let mut random = RandomStream::new(seed, "hunt");
     let proxies = 6 + random.below(25);
@@ -83,7 +83,8 @@
         failover: true,
         clients: Clients {
             per_s: 40.0,
-            // Some get three times the mean, and which ones moves.
+            // In half of the runs some proxies get three times the load of others, and the weights rotate over the
+            // proxies.
             uneven: if random.bernoulli(0.5) { vec![3.0, 1.0, 0.5, 0.5, 0.5] } else { Vec::new() },
             moves_every_s: 4.0,
             ..defaults.clients.clone()
@@ -92,7 +93,7 @@
     };
     shape(&mut s);
     let proxies = s.proxies;
-    // Each proxy has one fault of its own at most: what two of them would do to one another is no fault of its.
+    // Each proxy has at most one process fault: interference of two faults would not be an error of the proxy.
     let mut unaffected: Vec<usize> = (0..proxies).collect();
     let mut network_free_at = WARM_UP_S;
     for _ in 0..2 + random.below(5) {
@@ -127,7 +128,7 @@
             s.events.push(ScheduledDisturbance { at_s: at, disturbance: what });
         }
     }
-    // A whole hall, beside all else: none that sees it may send its clients away for that.
+    // The outage of a zone, in addition to other faults: proxies that observe it must not reject their clients for it.
     if random.bernoulli(0.4) {
         let (at_s, zone, for_s) = (WARM_UP_S + 1.0, random.below(s.zones), 1.0 + 3.0 * random.unit());
         s.events.push(ScheduledDisturbance { at_s, disturbance: Disturbance::ZoneOutage { zone, for_s } });
@@ -136,7 +137,7 @@
     s
 }
 
-/// A network that fails, and the halls that are cut with it.
+/// Draws a network fault, and the group of each zone if zones are partitioned with it.
 fn draw_network_fault(random: &mut RandomStream, proxies: usize, zones: usize) -> (Links, Vec<u8>) {
     let (mut links, mut cut) = (Links::default(), Vec::new());
     let any = |random: &mut RandomStream| random.below(proxies);
@@ -145,7 +146,7 @@
             let parts = 2 + random.below(2);
             links.groups = (0..proxies).map(|_| random.below(parts) as u8).collect();
         }
-        // A hall is cut off with its proxies.
+        // A zone is partitioned together with its proxies.
         1 => {
             let lost = random.below(zones);
             links.groups = (0..proxies).map(|p| u8::from(p % zones == lost)).collect();
@@ -169,14 +170,14 @@
     (links, cut)
 }
 
-/// The fewest events of a scenario for which it still fails: each is left out in its turn, until none can be.
+/// Removes events from a scenario while it still fails, until no single event can be removed.
 pub fn shrink(mut s: Scenario, mut fails: impl FnMut(&Scenario) -> bool) -> Scenario {
     let mut at = 0;
     while at < s.events.len() {
         let mut fewer = s.clone();
         fewer.events.remove(at);
         if fails(&fewer) {
-            // What stood before it may go now, too.
+            // Earlier events may be removable now.
             (s, at) = (fewer, 0);
         } else {
             at += 1;
@@ -185,7 +186,7 @@
     s
 }
 
-/// What is wrong with a run, in a line; `None` where nothing is.
+/// Runs a scenario and returns the first line of its failure, `None` if the run is clean.
 fn find_failure(s: &Scenario, cast: &Cast, count: &Mutex<HuntSummary>) -> io::Result<Option<String>> {
     let outcome = run(s, cast, &mut |_| {})?;
     let mut count = lock(count);
@@ -216,10 +217,11 @@
     Ok(Some(first))
 }
 
-/// Plays combinations from a seed on, so many side by side, until the time is up; what is found goes into a folder.
+/// Runs scenarios drawn from a seed, `lanes` of them concurrently, until the time is up. Findings are saved in the
+/// folder `into`.
 ///
 /// # Errors
-/// A scenario cannot be played, or a finding cannot be saved.
+/// A scenario cannot be run, or a finding cannot be saved.
 pub fn hunt(
     cast: &Cast, seed: u64, within: Duration, lanes: usize, into: &Path, report: &(dyn Fn(&str) + Sync),
 ) -> io::Result<HuntSummary> {
@@ -237,20 +239,20 @@
                 hunted.not_reproduced.push(format!("{}: {failure}", s.name));
                 continue;
             }
-            // Made smaller for as long again at most: the time is the caller's.
+            // Shrinking ends at twice the caller's time limit.
             let minimal = shrink(s, |s| Instant::now() < end + within && reproduces(s));
             let path = into.join(format!("{}.toml", minimal.name));
             std::fs::write(&path, toml::to_string(&minimal).map_err(io::Error::other)?)?;
-            report(&format!("{}: {} faults are enough", path.display(), minimal.events.len()));
+            report(&format!("{}: reduced to {} faults", path.display(), minimal.events.len()));
             lock(&hunted).saved.push(path);
         }
         Ok(())
     };
     std::thread::scope(|scope| {
         let lanes: Vec<_> = (0..lanes).map(|_| scope.spawn(lane)).collect();
-        lanes
-            .into_iter()
-            .try_for_each(|l| l.join().unwrap_or_else(|_| Err(io::Error::other("a lane panicked"))))
+        lanes.into_iter().try_for_each(|l| {
+            l.join().unwrap_or_else(|_| Err(io::Error::other("a thread of the hunt panicked")))
+        })
     })?;
     Ok(hunted.into_inner().unwrap_or_else(PoisonError::into_inner))
 }
--- a/crates/gaugesaddle-testbed/src/hunt/tests.rs
+++ b/crates/gaugesaddle-testbed/src/hunt/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
 #[test]
-fn what_is_drawn_can_be_played_saved_and_differs() {
+fn drawn_scenarios_are_valid_serializable_and_varied() {
     let drawn: Vec<Scenario> = (0..500).map(|n| draw_scenario(mix(7, n))).collect();
     for s in &drawn {
         assert!(s.check().is_ok(), "{s:?}");
-        let text = toml::to_string(s).expect("as text");
-        assert_eq!(&Scenario::parse(&text).expect("sound"), s);
+        let text = toml::to_string(s).expect("scenario is serialized");
+        assert_eq!(&Scenario::parse(&text).expect("scenario is parsed"), s);
         let ends = |e: &ScheduledDisturbance| match &e.disturbance {
             Disturbance::Network { for_s, .. } | Disturbance::StopProxy { for_s, .. } => e.at_s + for_s,
             Disturbance::KillProxy { back_after_s, .. } => e.at_s + back_after_s,
@@ -20,11 +20,11 @@
     assert!(faults(|w| matches!(w, Disturbance::LoseProxy { .. })) > 50);
     assert!(faults(|w| matches!(w, Disturbance::JoinProxy { .. })) > 50);
     assert!(faults(|w| matches!(w, Disturbance::Network { zones, .. } if !zones.is_empty())) > 20);
-    assert_eq!(drawn[3], draw_scenario(mix(7, 3)), "a seed means the same");
+    assert_eq!(drawn[3], draw_scenario(mix(7, 3)), "a seed gives the same scenario again");
 }
 
 #[test]
-fn the_fewest_faults_that_still_show_it_are_left() {
+fn shrinking_keeps_only_the_faults_that_reproduce_the_failure() {
     let s = draw_scenario(mix(7, 1));
     let with_stops = (0..8).fold(s, |s, proxy| s.event(3.0, Disturbance::StopProxy { proxy, for_s: 1.0 }));
     let (first, last) =
--- a/crates/gaugesaddle-testbed/src/lib.rs
+++ b/crates/gaugesaddle-testbed/src/lib.rs
@@ -1,17 +1,18 @@
-//! Everything that the tests and measurements of gaugesaddle need round it, and nothing of its insides.
+//! Test harness of gaugesaddle: simulated peers, fault injection and the audit of runs. It uses the proxy only through
+//! its external interfaces.
 //!
-//! - [`Scenario`] says what happens to a fleet; [`run`] plays it: stand-in nodes, discovery and clients on one
-//!   thread, proxies as processes, all from one seed.
-//! - [`audit`] judges the four rules from the stand-ins' [`Record`]s; a [`Fault`]y relay in the proxies' place
-//!   shows that it finds what it is there to find.
-//! - [`scripted`] has peers whose every byte the test words, [`relay`] a link that fails.
-//! - [`authority`] makes certificates for regions under test.
+//! - [`Scenario`] describes the fleet and its disturbances; [`run`] executes it: stand-in nodes, discovery and clients
+//!   on one thread, proxies as processes, everything random drawn from one seed.
+//! - [`audit`] checks the four rules on the stand-ins' [`Record`]s; a [`Fault`]y relay in place of the proxies
+//!   tests that the audit detects violations.
+//! - [`scripted`] has peers whose every byte the test determines, [`relay`] a link that fails.
+//! - [`authority`] issues certificates for regions under test.
 //! - [`fleet`] is a small router fleet of real processes.
 //! - [`program`] finds the built programs.
 //!
 //! Limits: 64 proxies, 512 nodes, 20,000 requests a second in a file, 4 million records. All stand-ins share one
-//! thread; how much it carries was not measured (136 us CPU a request at 290 a second). A node that vanishes still
-//! accepts connections, for its system does; it reads none.
+//! thread; its maximum load is unknown (136 us CPU a request at 290 a second). A node that vanishes still accepts
+//! connections, since the kernel completes the handshake, but reads nothing from them.
 
 mod agent;
 mod audit;
--- a/crates/gaugesaddle-testbed/src/main.rs
+++ b/crates/gaugesaddle-testbed/src/main.rs
@@ -1,4 +1,5 @@
-//! The test bed's command line: the local demo, scenarios from files, and the auditor on records of an earlier run.
+//! The command line of the testbed: the local demo, scenarios from files, and the audit of the records of an earlier
+//! run.
 
 mod demo;
 mod fleet_demo;
@@ -9,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Plays a fleet of gaugesaddle proxies and stand-in nodes on loopback, and judges the four rules.
+/// Runs a fleet of gaugesaddle proxies and stand-in nodes on loopback, and audits the four rules.
 #[derive(Parser)]
 #[command(name = "gaugesaddle-testbed", version)]
 struct Arguments {
@@ -19,81 +20,82 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Three proxies, twelve nodes in three halls and their clients; some are killed, drained and slowed. Draws a
-    /// live table, ends with the auditor's verdict. Exit 0 where the rules were kept, 1 where not.
+    /// Run three proxies, twelve nodes in three zones and their clients; some of them are killed, drained and slowed.
+    /// Prints a live table and then the verdict of the audit. Exit 0 if the rules were kept, 1 if not.
     Demo {
-        /// Everything is drawn from it.
+        /// Seed of everything random.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// For so many seconds.
+        /// Duration in seconds.
         #[arg(long, default_value_t = 24.0, value_parser = seconds)]
         seconds: f64,
-        /// Plain lines, also on a terminal.
+        /// Print plain lines, also on a terminal.
         #[arg(long)]
         plain: bool,
     },
-    /// A whole small router fleet: three control processes, two proxies, four backends that stream, an operator and
-    /// clients; the leader is killed, a backend drains, the configuration changes. Exit 0 where every stream came whole.
+    /// Run a small router fleet: three control processes, two proxies, four streaming backends, an operator and
+    /// clients; a control process is killed, a backend drains, the configuration changes. Exit 0 if every stream was
+    /// complete.
     Fleet {
-        /// For so many seconds.
+        /// Duration in seconds.
         #[arg(long, default_value_t = 12.0, value_parser = seconds)]
         seconds: f64,
     },
-    /// Play a scenario from a TOML file. Exit 0 where the rules were kept, 1 where not.
+    /// Run a scenario from a TOML file. Exit 0 if the rules were kept, 1 if not.
     Run {
         /// The scenario; `example` prints one with every key.
         file: PathBuf,
-        /// In place of the file's seed.
+        /// Seed that overrides the one of the file.
         #[arg(long)]
         seed: Option<u64>,
-        /// Keep the records here, one JSON line each.
+        /// Write the records to this file, one JSON object a line.
         #[arg(long, value_name = "FILE")]
         records: Option<PathBuf>,
-        /// Print the last lines of the proxies' logs, too.
+        /// Print the last lines of the proxies' logs.
         #[arg(long)]
         logs: bool,
-        /// The operator's file that the proxies are started with.
+        /// The operator's file of the proxies.
         #[arg(long, value_name = "FILE", conflicts_with = "fault")]
         config: Option<PathBuf>,
-        /// A relay that breaks a rule in the proxies' place, to see the auditor find it: drops, closes-after-sending,
+        /// Run a relay with this fault in place of the proxies, to test the audit: drops, closes-after-sending,
         /// answers-twice, answers-late, mixes-up, sends-after-answer, repeats, refuses-after-run, ignores-drains,
         /// floods-newest, none.
         #[arg(long, value_parser = fault)]
         fault: Option<Fault>,
     },
-    /// Draw combinations of faults over 6 to 30 proxies that know one another, play them side by side, and save the
-    /// fewest faults that still break a rule as a scenario for `run`. Exit 0 where nothing was found, 1 where not.
+    /// Draw combinations of faults on tiers of 6 to 30 proxies, run them concurrently, and save the fewest faults that
+    /// still break a rule as a scenario for `run`. Exit 0 if nothing was found, 1 if a rule was broken.
     Hunt {
-        /// Everything is drawn from it.
+        /// Seed of everything random.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// No new run begins after so many seconds.
+        /// Time in seconds after which no new run begins.
         #[arg(long, default_value_t = 120.0, value_parser = seconds)]
         seconds: f64,
-        /// Runs side by side; each takes about a core.
+        /// Number of concurrent runs; each takes about a core.
         #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u8).range(1..=64))]
         lanes: u8,
-        /// Findings are saved here.
+        /// Folder in which findings are saved.
         #[arg(long, default_value = ".")]
         into: PathBuf,
     },
-    /// Judge records that `run --records` has kept.
+    /// Audit the records that `run --records` has written.
     Audit {
-        /// The scenario that was played.
+        /// The scenario of the run.
         scenario: PathBuf,
         /// The records.
         records: PathBuf,
     },
-    /// Print the scenario of the defaults, with every key.
+    /// Print the default scenario, with every key.
     Example,
 }
 
-/// Why an argument is invalid.
+/// The reason why an argument is invalid.
 #[derive(Debug, thiserror::Error)]
 enum ArgumentError {
     #[error("expected a number of seconds")]
     NoNumber,
-    #[error("expected 5 to 3600")]
+    #[error("expected 5 to 3600 seconds")]
     OutOfRange,
     #[error("expected one of {0}")]
     UnknownFault(String),
--- a/crates/gaugesaddle-testbed/tests/faulty.rs
+++ b/crates/gaugesaddle-testbed/tests/faulty.rs
@@ -1,11 +1,11 @@
-//! An auditor that finds nothing may see nothing: in the proxies' place stands a relay that breaks one rule in one
-//! way, over real sockets, and must be found, for that and for nothing else.
+//! Guards against an audit that misses violations: a relay with one fault runs in place of the proxies, over real
+//! sockets, and the audit must report exactly the violations of that fault.
 
 use gaugesaddle_testbed::scenario::{Choke, Clients, Kind};
 use gaugesaddle_testbed::{run, Cast, Disturbance, Fault, Scenario, Verdict, Violation};
 use std::collections::BTreeSet;
 
-/// Light load, with what each fault needs to show: drains, a cold node.
+/// A light load; the tests add the drains and cold nodes that a fault needs to take effect.
 fn scenario() -> Scenario {
     let defaults = Scenario::default();
     let clients =
@@ -18,34 +18,34 @@
 }
 
 fn verdict(s: &Scenario, fault: Fault) -> Verdict {
-    run(s, &Cast::Faulty(fault), &mut |_| {}).expect("a run").verdict
+    run(s, &Cast::Faulty(fault), &mut |_| {}).expect("scenario runs").verdict
 }
 
-/// The ways in which rules were broken.
-fn broken(s: &Scenario, fault: Fault) -> BTreeSet<Violation> {
+/// The kinds of violations in a run with a fault.
+fn violations(s: &Scenario, fault: Fault) -> BTreeSet<Violation> {
     let verdict = verdict(s, fault);
     assert!(verdict.inconclusive.is_empty(), "{fault:?}: {verdict}");
     verdict.findings.iter().map(|f| f.violation).collect()
 }
 
-/// Runs side by side: each waits far more than it works.
-fn all(cases: Vec<(Scenario, Fault, &'static [Violation])>) {
+/// Runs the cases concurrently, since each of them is mostly idle.
+fn check_all(cases: Vec<(Scenario, Fault, &'static [Violation])>) {
     let threads: Vec<_> = cases
         .into_iter()
         .map(|(s, fault, expected)| {
             std::thread::spawn(move || {
-                let found = broken(&s, fault);
+                let found = violations(&s, fault);
                 assert_eq!(found, expected.iter().copied().collect(), "{fault:?}");
             })
         })
         .collect();
     let failed = threads.into_iter().filter_map(|t| t.join().err()).count();
-    assert_eq!(failed, 0, "see above");
+    assert_eq!(failed, 0, "cases whose violations differ from the expected ones, printed above");
 }
 
 #[test]
-fn rule_one_broken_in_each_way_is_found_and_only_that() {
-    all(vec![
+fn each_violation_of_rule_one_is_found_and_no_other() {
+    check_all(vec![
         (scenario(), Fault::Drops, &[Violation::Lost]),
         (scenario(), Fault::ClosesAfterSending, &[Violation::Lost]),
         (scenario(), Fault::AnswersTwice, &[Violation::AnsweredTwice]),
@@ -55,11 +55,12 @@
 }
 
 #[test]
-fn rule_two_broken_is_found() {
-    // Sent again after the answer, an unsafe request is repeated and a keyed one leaves its hall.
+fn violations_of_rule_two_are_found() {
+    // A request that is sent again after its response is also a retry of an unsafe request, or of a keyed one outside
+    // its zone.
     let after: &[Violation] =
         &[Violation::SentAfterAnswer, Violation::UnsafeRepeated, Violation::KeyedRepeated];
-    all(vec![
+    check_all(vec![
         (scenario(), Fault::SendsAfterAnswer, after),
         (scenario(), Fault::Repeats, &[Violation::UnsafeRepeated, Violation::KeyedRepeated]),
         (scenario(), Fault::RefusesAfterRun, &[Violation::RefusedAfterRun]),
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn rules_three_and_four_broken_are_found() {
+fn violations_of_rules_three_and_four_are_found() {
     let drain = |s: Scenario| s.event(0.5, Disturbance::Drain { node: 1, over_s: 4.0, back_after_s: None });
     let cold = |s: Scenario| s.event(0.3, Disturbance::Crash { node: 2, back_after_s: Some(0.5) });
     let busy = |mut s: Scenario| {
@@ -75,14 +76,14 @@
         s.discovery.add_s = [0.1, 0.2];
         s
     };
-    let rest = |mut s: Scenario| {
-        // A small cold node gets a sixth of a light load: no fault, and none is found.
+    let early_notice = |mut s: Scenario| {
+        // Without a fault, a small cold node gets a sixth of a light load, which breaks no rule.
         s.discovery.crash_notice_s = [0.1, 0.2];
         s
     };
-    all(vec![
+    check_all(vec![
         (drain(scenario()), Fault::IgnoresDrains, &[Violation::Drain]),
         (busy(cold(scenario())), Fault::FloodsNewest, &[Violation::SlowStartOverload]),
-        (rest(cold(drain(scenario()))), Fault::None, &[]),
+        (early_notice(cold(drain(scenario()))), Fault::None, &[]),
     ]);
 }
--- a/crates/gaugesaddle-testbed/tests/golden_documents.rs
+++ b/crates/gaugesaddle-testbed/tests/golden_documents.rs
@@ -1,8 +1,8 @@
-//! The bytes of scenarios and records: files that an earlier version wrote are read, and written again as they were.
+//! Compatibility of scenario and record files: files written by an earlier version are read and written back unchanged.
 
 use gaugesaddle_testbed::{Record, Scenario};
 
-/// Every event of a run, one JSON object a line.
+/// One record of every kind of event, one JSON object a line.
 const RECORDS: &str = include_str!("data/records.jsonl");
 /// A scenario with every key and every kind of event.
 const SCENARIO: &str = include_str!("data/scenario.toml");
