--- a/crates/gaugesaddle-testbed/src/http.rs
+++ b/crates/gaugesaddle-testbed/src/http.rs
@@ -130,9 +130,8 @@
             };
             let size = String::from_utf8_lossy(&line);
             let size = usize::from_str_radix(size.trim().split(';').next().unwrap_or(""), 16);
-            let size = size.map_err(|_| {
-                io::Error::new(io::ErrorKind::InvalidData, "chunk size is not a hexadecimal number")
-            })?;
+            let size =
+                size.map_err(|_| io::Error::new(io::ErrorKind::InvalidData, "chunk size is invalid"))?;
             if size + body.len() > MAX_BODY_BYTES {
                 return Err(io::Error::new(io::ErrorKind::InvalidData, "message body is too long"));
             }
--- a/crates/gaugesaddle-testbed/src/hunt.rs
+++ b/crates/gaugesaddle-testbed/src/hunt.rs
@@ -250,9 +250,9 @@
     };
     std::thread::scope(|scope| {
         let lanes: Vec<_> = (0..lanes).map(|_| scope.spawn(lane)).collect();
-        lanes.into_iter().try_for_each(|l| {
-            l.join().unwrap_or_else(|_| Err(io::Error::other("a thread of the hunt panicked")))
-        })
+        lanes
+            .into_iter()
+            .try_for_each(|l| l.join().unwrap_or_else(|_| Err(io::Error::other("a worker panicked"))))
     })?;
     Ok(hunted.into_inner().unwrap_or_else(PoisonError::into_inner))
 }
