--- a/crates/gaugesaddle-testbed/src/lib.rs
+++ b/crates/gaugesaddle-testbed/src/lib.rs
@@ -10,8 +10,8 @@
 //! - [`fleet`] is a small router fleet of real processes.
 //! - [`program`] finds the built programs.
 //!
-//! Limits: 64 proxies, 512 nodes, 20,000 requests a second in a file, 4 million records. All stand-ins share one
-//! thread; its maximum load is unknown (136 us CPU a request at 290 a second). A node that vanishes still accepts
+//! Limits: 256 proxies, 64 zones, 512 nodes, 20,000 requests a second in a file, 4 million records. All stand-ins share
+//! one thread; its maximum load is unknown (136 us CPU a request at 290 a second). A node that vanishes still accepts
 //! connections, since the kernel completes the handshake, but reads nothing from them.
 
 mod agent;
