--- a/crates/gaugesaddle-testbed/src/agent.rs
+++ b/crates/gaugesaddle-testbed/src/agent.rs
@@ -1,7 +1,7 @@
-//! Stand-in discovery: late, unresponsive, down or at another address.
+//! Stand-in discovery that can be delayed, unresponsive, down or moved to another address.
 //!
-//! Where lists are pushed there is one agent beside each proxy, with delays of its own; where they are polled the same
-//! calls go to one service. Either way there is one [`Agent`] for each proxy here.
+//! With pushed lists, one agent runs beside each proxy and has its own delays; with polled lists, the same calls go to
+//! one service. In both cases each proxy has its own [`Agent`] here.
 
 use crate::http::{Message, Reader};
 use crate::record::{Boot, Event, Journal, NodeState};
@@ -17,23 +17,24 @@
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
-/// How long the old address keeps its connections after a move.
-const MOVED: Duration = Duration::from_millis(1500);
-/// Longest wait of a call.
-const WAIT_MS: u64 = 60_000;
-/// Most departed nodes that are kept for changes; a proxy that lacks older ones needs a snapshot.
+/// Time after a move for which connections to the old address stay open.
+const OLD_ADDRESS_GRACE: Duration = Duration::from_millis(1500);
+/// Longest long poll, in milliseconds.
+const MAX_WAIT_MS: u64 = 60_000;
+/// Most departed nodes that are retained for incremental updates. A proxy that missed an evicted departure needs a
+/// snapshot.
 const MAX_DEPARTED: usize = 1024;
 
-/// A node's process in the list.
+/// The list entry of a node's process.
 #[derive(Clone, Debug)]
 pub struct ListEntry {
     pub boot: Boot,
     pub name: String,
-    /// Its address for this proxy.
+    /// Address at which this proxy reaches the node.
     pub address: SocketAddr,
     pub zone: String,
     pub kind: String,
-    /// Its start, in Unix milliseconds; 0: long ago.
+    /// Start of the process, in Unix milliseconds; 0 if long ago.
     pub since_ms: u64,
     pub state: NodeState,
 }
@@ -50,23 +51,23 @@
     }
 }
 
-/// The agent of one proxy.
+/// The discovery agent of one proxy.
 pub struct Agent {
     proxy: usize,
     journal: Journal,
     address: Cell<SocketAddr>,
-    /// By name, with the version that brought it.
+    /// Entries by name, each with the version of the list that last changed it.
     entries: RefCell<BTreeMap<String, (u64, ListEntry)>>,
     version: Cell<u64>,
     down: Cell<bool>,
-    /// Number of outages: a call that was pending when one began is never answered.
+    /// Number of outages. A call that was pending at the start of one is never answered.
     outages: Cell<u64>,
-    /// Changes during an outage, published at its end.
-    missed: RefCell<Vec<ListEntry>>,
+    /// Changes during the present outage; they are published at its end.
+    deferred: RefCell<Vec<ListEntry>>,
     changed: Notify,
-    listening: RefCell<Option<AbortHandle>>,
-    open: RefCell<Vec<AbortHandle>>,
-    /// Processes that the present process of the proxy knows.
+    accept_task: RefCell<Option<AbortHandle>>,
+    connection_tasks: RefCell<Vec<AbortHandle>>,
+    /// Node processes that were delivered to the present process of the proxy and have not departed.
     delivered: RefCell<BTreeSet<Boot>>,
 }
 
@@ -80,10 +81,10 @@
             version: Cell::new(1),
             down: Cell::default(),
             outages: Cell::default(),
-            missed: RefCell::default(),
+            deferred: RefCell::default(),
             changed: Notify::new(),
-            listening: RefCell::default(),
-            open: RefCell::default(),
+            accept_task: RefCell::default(),
+            connection_tasks: RefCell::default(),
             delivered: RefCell::default(),
         });
         agent.clone().listen(bind).await?;
@@ -94,7 +95,7 @@
         self.address.get()
     }
 
-    /// Listens at a new address; the old one accepts no more connections.
+    /// Listens at a new address and stops accepting connections at the old one.
     pub async fn listen(self: Rc<Self>, bind: SocketAddr) -> io::Result<()> {
         let listener = TcpListener::bind(bind).await?;
         self.address.set(listener.local_addr()?);
@@ -102,37 +103,37 @@
         let accepting = tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let handle = tokio::task::spawn_local(this.clone().serve(stream)).abort_handle();
-                let mut open = this.open.borrow_mut();
+                let mut open = this.connection_tasks.borrow_mut();
                 open.retain(|t| !t.is_finished());
                 open.push(handle);
             }
         });
-        if let Some(old) = self.listening.replace(Some(accepting.abort_handle())) {
+        if let Some(old) = self.accept_task.replace(Some(accepting.abort_handle())) {
             old.abort();
-            let open = std::mem::take(&mut *self.open.borrow_mut());
+            let open = std::mem::take(&mut *self.connection_tasks.borrow_mut());
             tokio::task::spawn_local(async move {
-                tokio::time::sleep(MOVED).await;
+                tokio::time::sleep(OLD_ADDRESS_GRACE).await;
                 open.iter().for_each(AbortHandle::abort);
             });
         }
         Ok(())
     }
 
-    /// Unresponsive while true; changes in between are published at the end.
+    /// Starts or ends an outage. During an outage the agent does not respond; changes are published at its end.
     pub fn set_down(&self, down: bool) {
         self.down.set(down);
         if down {
             self.outages.set(self.outages.get() + 1);
         } else {
-            self.missed.take().into_iter().for_each(|entry| self.put(entry));
+            self.deferred.take().into_iter().for_each(|entry| self.publish(entry));
         }
         self.changed.notify_waiters();
     }
 
-    /// Publishes a change of a node's process, unless a newer one of the same name is known.
-    pub fn put(&self, entry: ListEntry) {
+    /// Publishes a change of a node's process, unless a newer process of the same name is listed.
+    pub fn publish(&self, entry: ListEntry) {
         if self.down.get() {
-            return self.missed.borrow_mut().push(entry);
+            return self.deferred.borrow_mut().push(entry);
         }
         let mut entries = self.entries.borrow_mut();
         if let Some((_, listed)) = entries.get(&entry.name) {
@@ -160,8 +161,8 @@
         self.changed.notify_waiters();
     }
 
-    /// The list as a starting proxy has it in its configuration; it counts as delivered.
-    pub fn known(&self) -> Value {
+    /// The list in the configuration of a starting proxy; its entries count as delivered.
+    pub fn initial_list(&self) -> Value {
         self.delivered.borrow_mut().clear();
         let (entries, listed) = self.snapshot();
         self.record_delivery(&listed, true);
@@ -175,7 +176,7 @@
         (listed.iter().map(ListEntry::json).collect(), listed)
     }
 
-    /// Records what was just delivered to the proxy.
+    /// Records the delivery of these entries to the proxy; a snapshot also removes all other entries.
     fn record_delivery(&self, entries: &[ListEntry], snapshot: bool) {
         let mut delivered = self.delivered.borrow_mut();
         let record = |boot: Boot, state: NodeState| {
@@ -202,8 +203,8 @@
         let mut reader = Reader::new(stream);
         while let Ok(message) = reader.message().await {
             let Some((body, entries, snapshot)) = self.answer(&message).await else {
-                let missing = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
-                if reader.get_mut().write_all(missing).await.is_err() {
+                let not_found = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
+                if reader.get_mut().write_all(not_found).await.is_err() {
                     return;
                 }
                 continue;
@@ -216,7 +217,7 @@
         }
     }
 
-    /// The body, its entries, and whether it is a snapshot.
+    /// The body of the response, its entries, and whether it is a snapshot; `None` for an unknown path.
     async fn answer(&self, message: &Message) -> Option<(String, Vec<ListEntry>, bool)> {
         let (path, query) = message.path().split_once('?').unwrap_or((message.path(), ""));
         if path != "/api/targets" {
@@ -228,12 +229,12 @@
             pairs.find(|p| p.0 == name).and_then(|p| p.1.parse::<u64>().ok())
         };
         let after = number("after").filter(|v| *v <= self.version.get());
-        let wait = Duration::from_millis(number("wait_ms").unwrap_or(0).min(WAIT_MS));
+        let wait = Duration::from_millis(number("wait_ms").unwrap_or(0).min(MAX_WAIT_MS));
         let end = tokio::time::Instant::now() + wait;
-        let silences = self.outages.get();
+        let outages_before = self.outages.get();
         loop {
-            // Like a connection whose other side is partitioned: a call that came then is never answered.
-            if self.down.get() || self.outages.get() != silences {
+            // As on a connection to a partitioned host, a call that was pending during an outage is never answered.
+            if self.down.get() || self.outages.get() != outages_before {
                 std::future::pending::<()>().await;
             }
             let changed = self.changed.notified();
--- a/crates/gaugesaddle-testbed/src/audit/repeats.rs
+++ b/crates/gaugesaddle-testbed/src/audit/repeats.rs
@@ -1,11 +1,11 @@
-//! Rule 2: what may have run is sent again, or rejected, only as its class allows.
+//! Rule 2: a request that may have run is retried, or rejected, only as its class allows.
 
-use super::{Attempt, Auditor, Broken};
+use super::{Attempt, Auditor, Violation};
 use crate::record::{Event, Moment};
 use crate::scenario::Effect;
 
 impl Auditor<'_> {
-    /// Rule 2.
+    /// Checks rule 2.
     pub(super) fn check_repeats(&mut self) {
         let mut found = Vec::new();
         for (id, client_attempts) in &self.client_attempts {
@@ -19,13 +19,13 @@
                     if !may_have_run(earlier, later.arriving.at) {
                         continue;
                     }
-                    let shown = || vec![client_attempts[0].sent, earlier.arriving, later.arriving];
+                    let evidence = || vec![client_attempts[0].sent, earlier.arriving, later.arriving];
                     match class.effect {
                         Effect::Safe => {}
                         Effect::Unsafe => {
                             let text =
                                 format!("unsafe request {id:016x} was sent again though it may have run");
-                            found.push((Broken::UnsafeRepeated, text, shown()));
+                            found.push((Violation::UnsafeRepeated, text, evidence()));
                         }
                         Effect::Keyed => {
                             let zone = |a: &Attempt| self.nodes.get(&a.boot).map(|n| n.zone);
@@ -38,7 +38,7 @@
                                     zone(later),
                                     passed as f64 / 1e3
                                 );
-                                found.push((Broken::KeyedRepeated, text, shown()));
+                                found.push((Violation::KeyedRepeated, text, evidence()));
                             }
                         }
                     }
@@ -50,15 +50,15 @@
                 if let (Some(ran), true) = (ran, class.effect != Effect::Safe) {
                     let text = format!("request {id:016x} was refused though it may have run");
                     found.push((
-                        Broken::RefusedAfterRun,
+                        Violation::RefusedAfterRun,
                         text,
                         vec![client_attempts[0].sent, ran.arriving, end],
                     ));
                 }
             }
         }
-        for (broken, text, records) in found {
-            self.record_finding(broken, text, records);
+        for (violation, text, records) in found {
+            self.record_finding(violation, text, records);
         }
     }
 }
--- a/crates/gaugesaddle-testbed/src/faulty.rs
+++ b/crates/gaugesaddle-testbed/src/faulty.rs
@@ -1,5 +1,5 @@
-//! A small relay that breaks a rule on purpose: what the auditor must find. Without a fault it is a plain round
-//! robin that keeps the rules by doing next to nothing.
+//! A small relay that breaks a rule on purpose, to test that the audit finds the violation. Without a fault it is a
+//! round-robin relay that keeps the rules.
 
 use crate::http::{Message, Reader};
 use crate::scenario::{Effect, Scenario};
@@ -14,36 +14,36 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::AbortHandle;
 
-/// The rule that it breaks.
+/// The fault of a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// One request in eight gets no answer.
+    /// One request in eight gets no response.
     Drops,
-    /// One in eight is sent on and its connection closed.
+    /// One request in eight is forwarded, and its client's connection is closed without a response.
     ClosesAfterSending,
-    /// One answer in eight is written twice.
+    /// One response in eight is written twice.
     AnswersTwice,
-    /// One answer in eight comes after its client's time.
+    /// One response in eight comes after the client's deadline.
     AnswersLate,
-    /// One in eight is served with the answer to another request.
+    /// One request in eight is served with the response to another request.
     MixesUp,
-    /// One in eight is sent again after its answer.
+    /// One request in eight is sent again after its response.
     SendsAfterAnswer,
-    /// What may have run is sent again at once, to the next node, whatever its class.
+    /// One keyed or unsafe request in eight is sent again at once, to the next node, though it may have run.
     Repeats,
-    /// What may have run and had no answer in time is refused.
+    /// One request in eight is rejected after it was sent to a node and may have run.
     RefusesAfterRun,
-    /// What drains is sent requests all the same.
+    /// Requests are also sent to draining nodes.
     IgnoresDrains,
-    /// Everything goes to the node that started last.
+    /// All requests go to the node that started last.
     FloodsNewest,
 }
 
-/// One in this many requests meets the fault, where not all do.
-const ONE_IN: u64 = 8;
-/// Fraction of the client's deadline for which it waits for a node.
+/// Interval of faulty requests, for faults that do not affect every request.
+const FAULT_INTERVAL: u64 = 8;
+/// Fraction of the client's remaining time for which the relay waits for a node.
 const WAIT_FRACTION: f64 = 0.8;
 
 #[derive(Clone)]
@@ -53,15 +53,16 @@
     since_ms: u64,
 }
 
-/// A relay on the thread that made it, in a `LocalSet`.
+/// A relay that runs on the thread that started it, in a `LocalSet`.
 pub struct Faulty {
     fault: Fault,
     effects: HashMap<String, Effect>,
     list: RefCell<Vec<(String, Entry)>>,
-    /// Requests so far, and attempts.
+    /// Number of requests so far.
     requests: Cell<u64>,
-    turn: Cell<u64>,
-    last: RefCell<Option<Vec<u8>>>,
+    /// Number of attempts so far, which selects the next node.
+    next_node: Cell<u64>,
+    last_response: RefCell<Option<Vec<u8>>>,
     tasks: RefCell<Vec<AbortHandle>>,
 }
 
@@ -75,14 +76,14 @@
             effects: s.classes.iter().map(|c| (c.name.clone(), c.effect)).collect(),
             list: RefCell::default(),
             requests: Cell::default(),
-            turn: Cell::default(),
-            last: RefCell::default(),
+            next_node: Cell::default(),
+            last_response: RefCell::default(),
             tasks: RefCell::default(),
         });
         let watch = this.clone();
         let watching = tokio::task::spawn_local(async move {
             loop {
-                let _ = watch.watch(discovery).await;
+                let _ = watch.poll_discovery(discovery).await;
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         });
@@ -104,7 +105,7 @@
         self.list.borrow().iter().any(|e| e.1.ready)
     }
 
-    async fn watch(&self, discovery: SocketAddr) -> io::Result<Infallible> {
+    async fn poll_discovery(&self, discovery: SocketAddr) -> io::Result<Infallible> {
         let mut reader = Reader::new(TcpStream::connect(discovery).await?);
         let mut path = "/api/targets".to_string();
         loop {
@@ -136,59 +137,60 @@
         while let Ok(message) = reader.message().await {
             let n = self.requests.get();
             self.requests.set(n + 1);
-            let hit = n % ONE_IN == 0;
-            let Some(mut answer) = self.handle(&message, hit).await else { return };
-            if hit && self.fault == Fault::AnswersTwice {
-                answer.extend_from_within(..); // in one piece, or the second could pass for the next answer
+            let faulty = n % FAULT_INTERVAL == 0;
+            let Some(mut answer) = self.handle(&message, faulty).await else { return };
+            if faulty && self.fault == Fault::AnswersTwice {
+                // Both copies are in one write, since the client could read a separate copy as the next response.
+                answer.extend_from_within(..);
             }
             if reader.get_mut().write_all(&answer).await.is_err() {
                 return;
             }
-            if hit && self.fault == Fault::SendsAfterAnswer {
+            if faulty && self.fault == Fault::SendsAfterAnswer {
                 tokio::time::sleep(Duration::from_millis(150)).await;
                 let _ = self.send(&message, Duration::from_millis(500)).await;
             }
         }
     }
 
-    /// The answer; `None`: the connection is closed without one.
-    async fn handle(&self, message: &Message, hit: bool) -> Option<Vec<u8>> {
-        let left = Duration::from_millis(message.number("x-time-left-ms").unwrap_or(500));
+    /// The response; `None` to close the connection without one.
+    async fn handle(&self, message: &Message, faulty: bool) -> Option<Vec<u8>> {
+        let time_left = Duration::from_millis(message.number("x-time-left-ms").unwrap_or(500));
         let effect = message.header("x-service-class").and_then(|c| self.effects.get(c)).copied();
         let safe = effect == Some(Effect::Safe);
-        if hit && self.fault == Fault::Drops {
-            tokio::time::sleep(left * 4).await;
+        if faulty && self.fault == Fault::Drops {
+            tokio::time::sleep(time_left * 4).await;
             return None;
         }
-        let got = self.send(message, left.mul_f64(WAIT_FRACTION)).await;
+        let response = self.send(message, time_left.mul_f64(WAIT_FRACTION)).await;
         match self.fault {
-            Fault::ClosesAfterSending if hit => return None,
-            Fault::AnswersLate if hit => tokio::time::sleep(left + Duration::from_millis(200)).await,
-            Fault::MixesUp if hit => {
-                if let Some(other) = self.last.borrow().clone() {
+            Fault::ClosesAfterSending if faulty => return None,
+            Fault::AnswersLate if faulty => tokio::time::sleep(time_left + Duration::from_millis(200)).await,
+            Fault::MixesUp if faulty => {
+                if let Some(other) = self.last_response.borrow().clone() {
                     return Some(other);
                 }
             }
-            Fault::Repeats if !safe && hit => {
-                let again = self.send(message, left.mul_f64(WAIT_FRACTION / 4.0)).await;
-                return Some(again.or(got).unwrap_or_else(|| answer(502, "failed")));
+            Fault::Repeats if !safe && faulty => {
+                let again = self.send(message, time_left.mul_f64(WAIT_FRACTION / 4.0)).await;
+                return Some(again.or(response).unwrap_or_else(|| encode_response(502, "failed")));
             }
-            Fault::RefusesAfterRun if hit => return Some(answer(503, "refused")),
+            Fault::RefusesAfterRun if faulty => return Some(encode_response(503, "refused")),
             _ => {}
         }
-        if let Some(got) = &got {
-            *self.last.borrow_mut() = Some(got.clone());
+        if let Some(response) = &response {
+            *self.last_response.borrow_mut() = Some(response.clone());
         }
-        Some(got.unwrap_or_else(|| answer(502, "failed")))
+        Some(response.unwrap_or_else(|| encode_response(502, "failed")))
     }
 
-    /// One attempt; a 200 comes back as it is to be passed on.
+    /// Sends one attempt to a node. Returns a 200 as encoded for the client, `None` for every other outcome.
     async fn send(&self, message: &Message, within: Duration) -> Option<Vec<u8>> {
         let to = {
             let list = self.list.borrow();
             let ready: Vec<&Entry> = list.iter().map(|e| &e.1).filter(|e| e.ready).collect();
-            let n = self.turn.get() as usize;
-            self.turn.set(self.turn.get() + 1);
+            let n = self.next_node.get() as usize;
+            self.next_node.set(self.next_node.get() + 1);
             match self.fault {
                 Fault::FloodsNewest => ready.iter().max_by_key(|e| e.since_ms)?.address,
                 _ => ready.get(n % ready.len().max(1))?.address,
@@ -205,11 +207,12 @@
             reader.get_mut().write_all(&text).await?;
             reader.message().await
         };
-        let got = tokio::time::timeout(within, exchange).await.ok()?.ok()?;
-        (got.status() == Some(200)).then(|| answer(200, &String::from_utf8_lossy(&got.body)))
+        let response = tokio::time::timeout(within, exchange).await.ok()?.ok()?;
+        (response.status() == Some(200))
+            .then(|| encode_response(200, &String::from_utf8_lossy(&response.body)))
     }
 }
 
-fn answer(status: u16, body: &str) -> Vec<u8> {
+fn encode_response(status: u16, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status} x\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
--- a/crates/gaugesaddle-testbed/src/hunt.rs
+++ b/crates/gaugesaddle-testbed/src/hunt.rs
@@ -1,9 +1,9 @@
-//! The hunt: combinations of faults drawn from a seed, played over 6 to 30 proxies that know one another, and what breaks
-//! a rule made small enough to be read.
+//! The hunt: random testing with combinations of faults drawn from a seed, on tiers of 6 to 30 proxies, and shrinking
+//! of the scenarios that break a rule.
 //!
-//! Each run ends with [`CALM_S`] without faults, so that both checkers (of the four rules, and of the tier) have a state
-//! that must be right. A finding is played again before it counts, faults are left out one by one as long as it still
-//! shows, and the rest is saved as a scenario that `gaugesaddle-testbed run` replays.
+//! Each run ends with [`RECOVERY_S`] without faults, so that the audits of the four rules and of the tier have a
+//! settled state to check. A finding counts only if a repeated run reproduces it. Faults are then removed one by one
+//! while the finding is still reproduced, and the rest is saved as a scenario for `gaugesaddle-testbed run`.
 
 use crate::datagrams::{lock, Links, LossyPath};
 use crate::random::{mix, RandomStream};
@@ -16,40 +16,40 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// At the end of each run nothing goes wrong for so long: longer than a death may take to be known.
-pub const CALM_S: f64 = 8.0;
-/// Faults come within this time from the start.
-const FAULTS_S: f64 = 10.0;
-/// Before the first fault all have met.
-const QUIET_S: f64 = 2.0;
-/// A finding is played so often again: one that shows in none of these is told, and not made smaller.
-const AGAIN: usize = 2;
-/// Runs whose first mistake is told.
-const SHOWN: usize = 20;
+/// Time without faults at the end of each run, in seconds; longer than the detection of a failed proxy may take.
+pub const RECOVERY_S: f64 = 8.0;
+/// Time from the start within which faults begin, and temporary ones end, in seconds.
+const LAST_FAULT_S: f64 = 10.0;
+/// Time before the first fault, in seconds, in which all proxies join the tier.
+const WARM_UP_S: f64 = 2.0;
+/// Number of repeated runs of a finding. A finding that none of them reproduces is reported but not shrunk.
+const REPLAYS: usize = 2;
+/// Number of runs whose first false death is reported.
+const MAX_FALSE_DEATH_EXAMPLES: usize = 20;
 
-/// What came of it.
+/// The result of a hunt.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Hunted {
-    /// Runs, and proxies in them.
+pub struct HuntSummary {
+    /// Number of runs.
     pub runs: u64,
-    /// See `runs`.
+    /// Number of proxies in all runs.
     pub proxies: u64,
-    /// Faults in them.
+    /// Number of faults in all runs.
     pub faults: u64,
-    /// Times that a living process was wrongly held dead for a while.
+    /// Number of times that a running process was temporarily considered dead.
     pub false_deaths: u64,
-    /// The first of each run with such.
-    pub mistakes: Vec<String>,
-    /// Findings that did not show again.
-    pub once: Vec<String>,
-    /// Scenarios of those that did.
+    /// The first false death of each run that had any, up to a limit.
+    pub false_death_examples: Vec<String>,
+    /// Findings that no repeated run reproduced.
+    pub not_reproduced: Vec<String>,
+    /// Scenario files of the reproduced findings.
     pub saved: Vec<PathBuf>,
 }
 
-impl fmt::Display for Hunted {
+impl fmt::Display for HuntSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.mistakes.iter().try_for_each(|what| writeln!(f, "held dead for a while: {what}"))?;
-        self.once.iter().try_for_each(|what| writeln!(f, "seen once, not again: {what}"))?;
+        self.false_death_examples.iter().try_for_each(|what| writeln!(f, "held dead for a while: {what}"))?;
+        self.not_reproduced.iter().try_for_each(|what| writeln!(f, "seen once, not again: {what}"))?;
         self.saved.iter().try_for_each(|path| writeln!(f, "FOUND: {}", path.display()))?;
         write!(
             f,
@@ -58,32 +58,33 @@
             self.proxies,
             self.faults,
             self.saved.len(),
-            self.once.len(),
+            self.not_reproduced.len(),
             self.false_deaths
         )
     }
 }
 
-/// A combination of faults.
-pub fn draw(seed: u64) -> Scenario {
-    draw_on(seed, |_| {})
+/// Draws a scenario with a combination of faults.
+pub fn draw_scenario(seed: u64) -> Scenario {
+    draw_scenario_on(seed, |_| {})
 }
 
-/// The same on a fleet of another shape; the number of proxies is drawn before.
-pub fn draw_on(seed: u64, shape: impl FnOnce(&mut Scenario)) -> Scenario {
+/// Like [`draw_scenario`], with changes to the fleet by `shape` after the number of proxies has been drawn.
+pub fn draw_scenario_on(seed: u64, shape: impl FnOnce(&mut Scenario)) -> Scenario {
     let mut random = RandomStream::new(seed, "hunt");
     let proxies = 6 + random.below(25);
     let defaults = Scenario::default();
     let mut s = Scenario {
         name: format!("hunt-{seed:x}"),
         seed,
-        seconds: FAULTS_S + CALM_S,
+        seconds: LAST_FAULT_S + RECOVERY_S,
         proxies,
         peers: true,
         failover: true,
         clients: Clients {
             per_s: 40.0,
-            // Some get three times the mean, and which ones moves.
+            // In half of the runs some proxies get three times the load of others, and the weights rotate over the
+            // proxies.
             uneven: if random.bernoulli(0.5) { vec![3.0, 1.0, 0.5, 0.5, 0.5] } else { Vec::new() },
             moves_every_s: 4.0,
             ..defaults.clients.clone()
@@ -92,29 +93,30 @@
     };
     shape(&mut s);
     let proxies = s.proxies;
-    // Each proxy has one fault of its own at most: what two of them would do to one another is no fault of its.
-    let mut free: Vec<usize> = (0..proxies).collect();
-    let mut network_free = QUIET_S;
+    // Each proxy has at most one process fault: interference of two faults would not be an error of the proxy.
+    let mut unaffected: Vec<usize> = (0..proxies).collect();
+    let mut network_free_at = WARM_UP_S;
     for _ in 0..2 + random.below(5) {
-        let at = QUIET_S + random.unit() * (FAULTS_S - QUIET_S - 1.0);
-        let for_s = 0.5 + random.unit() * (FAULTS_S - at - 0.5);
+        let at = WARM_UP_S + random.unit() * (LAST_FAULT_S - WARM_UP_S - 1.0);
+        let for_s = 0.5 + random.unit() * (LAST_FAULT_S - at - 0.5);
         let kind = random.below(9);
         if kind >= 6 {
-            let (at, for_s) = (network_free, (FAULTS_S - network_free).min(0.5 + random.unit() * 5.0));
+            let (at, for_s) =
+                (network_free_at, (LAST_FAULT_S - network_free_at).min(0.5 + random.unit() * 5.0));
             if for_s < 0.4 {
                 continue;
             }
-            network_free = at + for_s + 0.5;
-            let (links, zones) = network(&mut random, proxies, s.zones);
+            network_free_at = at + for_s + 0.5;
+            let (links, zones) = draw_network_fault(&mut random, proxies, s.zones);
             s.events.push(ScheduledDisturbance {
                 at_s: at,
                 disturbance: Disturbance::Network { links, zones, for_s },
             });
             continue;
         }
-        let several = if random.bernoulli(0.2) { proxies / 2 } else { 1 };
-        for _ in 0..several.min(free.len().saturating_sub(1)) {
-            let proxy = free.swap_remove(random.below(free.len()));
+        let affected = if random.bernoulli(0.2) { proxies / 2 } else { 1 };
+        for _ in 0..affected.min(unaffected.len().saturating_sub(1)) {
+            let proxy = unaffected.swap_remove(random.below(unaffected.len()));
             let what = match kind {
                 0 => Disturbance::KillProxy { proxy, back_after_s: 0.05 + for_s * random.unit() },
                 1 => Disturbance::LoseProxy { proxy },
@@ -126,17 +128,17 @@
             s.events.push(ScheduledDisturbance { at_s: at, disturbance: what });
         }
     }
-    // A whole hall, beside all else: none that sees it may send its clients away for that.
+    // The outage of a zone, in addition to other faults: proxies that observe it must not reject their clients for it.
     if random.bernoulli(0.4) {
-        let (at_s, zone, for_s) = (QUIET_S + 1.0, random.below(s.zones), 1.0 + 3.0 * random.unit());
+        let (at_s, zone, for_s) = (WARM_UP_S + 1.0, random.below(s.zones), 1.0 + 3.0 * random.unit());
         s.events.push(ScheduledDisturbance { at_s, disturbance: Disturbance::ZoneOutage { zone, for_s } });
     }
     s.events.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
     s
 }
 
-/// A network that fails, and the halls that are cut with it.
-fn network(random: &mut RandomStream, proxies: usize, zones: usize) -> (Links, Vec<u8>) {
+/// Draws a network fault, and the group of each zone if zones are partitioned with it.
+fn draw_network_fault(random: &mut RandomStream, proxies: usize, zones: usize) -> (Links, Vec<u8>) {
     let (mut links, mut cut) = (Links::default(), Vec::new());
     let any = |random: &mut RandomStream| random.below(proxies);
     match random.below(9) {
@@ -144,7 +146,7 @@
             let parts = 2 + random.below(2);
             links.groups = (0..proxies).map(|_| random.below(parts) as u8).collect();
         }
-        // A hall is cut off with its proxies.
+        // A zone is partitioned together with its proxies.
         1 => {
             let lost = random.below(zones);
             links.groups = (0..proxies).map(|p| u8::from(p % zones == lost)).collect();
@@ -168,14 +170,14 @@
     (links, cut)
 }
 
-/// The fewest events of a scenario for which it still fails: each is left out in its turn, until none can be.
+/// Removes events from a scenario while it still fails, until no single event can be removed.
 pub fn shrink(mut s: Scenario, mut fails: impl FnMut(&Scenario) -> bool) -> Scenario {
     let mut at = 0;
     while at < s.events.len() {
         let mut fewer = s.clone();
         fewer.events.remove(at);
         if fails(&fewer) {
-            // What stood before it may go now, too.
+            // Earlier events may be removable now.
             (s, at) = (fewer, 0);
         } else {
             at += 1;
@@ -184,8 +186,8 @@
     s
 }
 
-/// What is wrong with a run, in a line; `None` where nothing is.
-fn wrong(s: &Scenario, cast: &Cast, count: &Mutex<Hunted>) -> io::Result<Option<String>> {
+/// Runs a scenario and returns the first line of its failure, `None` if the run is clean.
+fn find_failure(s: &Scenario, cast: &Cast, count: &Mutex<HuntSummary>) -> io::Result<Option<String>> {
     let outcome = run(s, cast, &mut |_| {})?;
     let mut count = lock(count);
     count.runs += 1;
@@ -193,13 +195,17 @@
     count.faults += s.events.len() as u64;
     if let Some(tier) = &outcome.tier {
         count.false_deaths += tier.false_deaths;
-        if let Some(m) = tier.first_false_deaths.first().filter(|_| count.mistakes.len() < SHOWN) {
+        if let Some(m) = tier
+            .first_false_deaths
+            .first()
+            .filter(|_| count.false_death_examples.len() < MAX_FALSE_DEATH_EXAMPLES)
+        {
             let ((viewer, of), at) = (m.pair, m.at as f64 / 1e6);
             let text = format!(
                 "{}: {} times, at {at:.2} s {viewer} of {of}: {}",
                 s.name, tier.false_deaths, m.description
             );
-            count.mistakes.push(text);
+            count.false_death_examples.push(text);
         }
     }
     if outcome.is_clean() {
@@ -211,30 +217,33 @@
     Ok(Some(first))
 }
 
-/// Plays combinations from a seed on, so many side by side, until the time is up; what is found goes into a folder.
+/// Runs scenarios drawn from a seed, `lanes` of them concurrently, until the time is up. Findings are saved in the
+/// folder `into`.
 ///
 /// # Errors
-/// A scenario cannot be played, or a finding cannot be saved.
+/// A scenario cannot be run, or a finding cannot be saved.
 pub fn hunt(
-    cast: &Cast, seed: u64, within: Duration, lanes: usize, into: &Path, tell: &(dyn Fn(&str) + Sync),
-) -> io::Result<Hunted> {
-    let (hunted, next, end) = (Mutex::new(Hunted::default()), AtomicU64::new(0), Instant::now() + within);
+    cast: &Cast, seed: u64, within: Duration, lanes: usize, into: &Path, report: &(dyn Fn(&str) + Sync),
+) -> io::Result<HuntSummary> {
+    let (hunted, next, end) =
+        (Mutex::new(HuntSummary::default()), AtomicU64::new(0), Instant::now() + within);
     let lane = || -> io::Result<()> {
         while Instant::now() < end {
-            let s = draw(mix(seed, next.fetch_add(1, Ordering::Relaxed)));
-            let Some(first) = wrong(&s, cast, &hunted)? else { continue };
-            tell(&format!("{}: {first}", s.name));
-            let again = |s: &Scenario| (0..AGAIN).any(|_| matches!(wrong(s, cast, &hunted), Ok(Some(_))));
-            if !again(&s) {
+            let s = draw_scenario(mix(seed, next.fetch_add(1, Ordering::Relaxed)));
+            let Some(failure) = find_failure(&s, cast, &hunted)? else { continue };
+            report(&format!("{}: {failure}", s.name));
+            let reproduces =
+                |s: &Scenario| (0..REPLAYS).any(|_| matches!(find_failure(s, cast, &hunted), Ok(Some(_))));
+            if !reproduces(&s) {
                 let mut hunted = lock(&hunted);
-                hunted.once.push(format!("{}: {first}", s.name));
+                hunted.not_reproduced.push(format!("{}: {failure}", s.name));
                 continue;
             }
-            // Made smaller for as long again at most: the time is the caller's.
-            let small = shrink(s, |s| Instant::now() < end + within && again(s));
-            let path = into.join(format!("{}.toml", small.name));
-            std::fs::write(&path, toml::to_string(&small).map_err(io::Error::other)?)?;
-            tell(&format!("{}: {} faults are enough", path.display(), small.events.len()));
+            // Shrinking ends at twice the caller's time limit.
+            let minimal = shrink(s, |s| Instant::now() < end + within && reproduces(s));
+            let path = into.join(format!("{}.toml", minimal.name));
+            std::fs::write(&path, toml::to_string(&minimal).map_err(io::Error::other)?)?;
+            report(&format!("{}: reduced to {} faults", path.display(), minimal.events.len()));
             lock(&hunted).saved.push(path);
         }
         Ok(())
@@ -243,7 +252,7 @@
         let lanes: Vec<_> = (0..lanes).map(|_| scope.spawn(lane)).collect();
         lanes
             .into_iter()
-            .try_for_each(|l| l.join().unwrap_or_else(|_| Err(io::Error::other("a lane panicked"))))
+            .try_for_each(|l| l.join().unwrap_or_else(|_| Err(io::Error::other("a worker panicked"))))
     })?;
     Ok(hunted.into_inner().unwrap_or_else(PoisonError::into_inner))
 }
