--- a/crates/gaugesaddle-measure/src/allocation.rs
+++ b/crates/gaugesaddle-measure/src/allocation.rs
@@ -67,7 +67,7 @@
     let lost = (0..proxies).filter(|p| p % 3 != 0);
     let s = lost.fold(s, |s, proxy| s.event(3.0, Disturbance::LoseProxy { proxy }));
     let traffic: Vec<f64> = (0..proxies).map(|p| 1.0 + (p % 5) as f64).collect();
-    let fixed_limits = Policy::Module(LimitBounds { learned: false, ..LimitBounds::default() });
+    let fixed_limits = Policy::Balancer(LimitBounds { learned: false, ..LimitBounds::default() });
     let service = |by_demand: bool| -> io::Result<f64> {
         let s = Scenario { peers: by_demand, demand_allocation: by_demand, ..s.clone() };
         simulate(&s, fixed_limits, &traffic).map(|report| report.g).map_err(io::Error::other)
--- a/crates/gaugesaddle-measure/src/limits.rs
+++ b/crates/gaugesaddle-measure/src/limits.rs
@@ -13,7 +13,7 @@
 /// Constants that are tried by hand in each cell.
 const BY_HAND: [f64; 8] = [2.0, 4.0, 6.0, 12.0, 24.0, 64.0, 128.0, 300.0];
 /// What is measured.
-const LEARNED: Policy = Policy::Module(LimitBounds { learned: true, min: 1.0, max: 1000.0 });
+const LEARNED: Policy = Policy::Balancer(LimitBounds { learned: true, min: 1.0, max: 1000.0 });
 /// Loads up to which the learned limits may not lose to the plain relay.
 const RELAY_LOAD: f64 = 0.8;
 /// What may be lost to it.
@@ -124,7 +124,7 @@
 }
 
 fn figures(cell: &Cell, seeds: u64) -> io::Result<Figures> {
-    let constant = |limit: f64| Policy::Module(LimitBounds { learned: false, min: limit, max: limit });
+    let constant = |limit: f64| Policy::Balancer(LimitBounds { learned: false, min: limit, max: limit });
     let learned = play(cell, LEARNED, seeds)?;
     let (mut best, mut four) = ((0.0, 0.0, 0.0), (0.0, 0.0));
     for limit in BY_HAND {
--- a/crates/gaugesaddle-measure/src/tier/foca.rs
+++ b/crates/gaugesaddle-measure/src/tier/foca.rs
@@ -5,7 +5,7 @@
     AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, OwnedNotification, PeriodicParams,
     PostcardCodec, Timer,
 };
-use gaugesaddle_proxy_simulation::tier::{Kind, Process, Sent};
+use gaugesaddle_proxy_simulation::tier::{OutgoingDatagrams, Process, ProcessFactory};
 use gaugesaddle_testbed::random::RandomStream;
 use rand_pcg_10::rand_core::SeedableRng;
 use rand_pcg_10::Pcg64Mcg;
@@ -72,7 +72,7 @@
     NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN)
 }
 
-impl Kind for Library {
+impl ProcessFactory for Library {
     fn start(&self, size: usize, index: usize, boot: u32, seed: u64, now: u64) -> Box<dyn Process> {
         let start = self.starts.fetch_add(1, Ordering::Relaxed) + 1;
         let id = Id { index: index as u16, boot, start, renewed: 0 };
@@ -107,7 +107,7 @@
 }
 
 impl Member {
-    fn carry(&mut self, now: u64, out: &mut Sent) {
+    fn carry(&mut self, now: u64, out: &mut OutgoingDatagrams) {
         while let Some((to, bytes)) = self.runtime.to_send() {
             out.push((usize::from(to.index), bytes.to_vec()));
         }
@@ -132,13 +132,13 @@
 }
 
 impl Process for Member {
-    fn datagram(&mut self, now: u64, _: usize, bytes: &[u8], out: &mut Sent) {
+    fn datagram(&mut self, now: u64, _: usize, bytes: &[u8], out: &mut OutgoingDatagrams) {
         // What it can't use it says so of; here everything comes from others of its kind.
         let _ = self.foca.handle_data(bytes, &mut self.runtime);
         self.carry(now, out);
     }
 
-    fn run_timers(&mut self, now: u64, out: &mut Sent) {
+    fn run_timers(&mut self, now: u64, out: &mut OutgoingDatagrams) {
         if now >= self.join {
             self.join = if self.foca.num_members() == 0 { now + AGAIN_US } else { u64::MAX };
             for _ in 0..if self.foca.num_members() == 0 { SEEDS } else { 0 } {
@@ -164,7 +164,7 @@
         self.timers.first_key_value().map_or(u64::MAX, |t| t.0 .0).min(self.join)
     }
 
-    fn leave(&mut self, now: u64, out: &mut Sent) {
+    fn leave(&mut self, now: u64, out: &mut OutgoingDatagrams) {
         let _ = self.foca.leave_cluster(&mut self.runtime);
         self.carry(now, out);
     }
--- a/crates/gaugesaddle-measure/src/tier/mod.rs
+++ b/crates/gaugesaddle-measure/src/tier/mod.rs
@@ -7,7 +7,9 @@
 use crate::proc::children_cpu_seconds;
 use crate::runs::{cast, play as play_scenario, play_all, play_with, round};
 use gaugesaddle_proxy_simulation::fuzz::fuzz;
-use gaugesaddle_proxy_simulation::tier::{play, started, Kind, Links, MembershipKind, Report, Step};
+use gaugesaddle_proxy_simulation::tier::{
+    play, script_with_starts, Links, MembershipFactory, ProcessFactory, Report, Step,
+};
 use gaugesaddle_testbed::scenario::{Clients, Kind as Nodes};
 use gaugesaddle_testbed::tier::quantile;
 use gaugesaddle_testbed::{hunt, Disturbance, Event, Outcome, Scenario};
@@ -76,8 +78,8 @@
 }
 
 /// Bytes and datagrams a second of each process when nothing happens: the most of any.
-fn peace(kind: &dyn Kind, n: usize) -> (u64, u64) {
-    let end = |s: u64| play(kind, n, &started(n, &[]), s * S, 1).sent;
+fn peace(kind: &dyn ProcessFactory, n: usize) -> (u64, u64) {
+    let end = |s: u64| play(kind, n, &script_with_starts(n, &[]), s * S, 1).sent;
     let (early, late) = (end(5), end(8));
     let most = early.iter().zip(&late).map(|(a, b)| ((b.1 - a.1) / 3, (b.0 - a.0) / 3));
     most.fold((0, 0), |m, x| (m.0.max(x.0), m.1.max(x.1)))
@@ -88,8 +90,8 @@
     for n in [30, 300] {
         let mut of = serde_json::Map::new();
         for (name, script, end) in cases(n) {
-            let script = started(n, &script);
-            let report = play(&MembershipKind::default(), n, &script, end, 1);
+            let script = script_with_starts(n, &script);
+            let report = play(&MembershipFactory::default(), n, &script, end, 1);
             let deaths = report.death_known.is_empty() || in_time(&report.death_known);
             held &= deaths && report.regressions.is_empty() && report.disagreements.is_empty();
             held &= report.converged_after as f64 <= AGREED_S * S as f64 || !report.death_known.is_empty();
@@ -107,7 +109,7 @@
             of.insert(name.into(), json!({"peers": report_json(&report, true), "foca": theirs}));
         }
         let ((bytes, datagrams), library) = (
-            peace(&MembershipKind::default(), n),
+            peace(&MembershipFactory::default(), n),
             peace(&foca::Library::new(Duration::from_millis(2400)), n),
         );
         held &= n != 300 || bytes < BYTES_AT_300;
@@ -119,7 +121,7 @@
         figures.insert(n.to_string(), Value::Object(of));
     }
     let kills: Vec<_> = (0..10).map(|k| (4 * S, Step::Kill(k * 97))).collect();
-    let report = play(&MembershipKind::default(), 1000, &started(1000, &kills), 10 * S, 1);
+    let report = play(&MembershipFactory::default(), 1000, &script_with_starts(1000, &kills), 10 * S, 1);
     held &= in_time(&report.death_known) && report.false_deaths == 0 && report.regressions.is_empty();
     println!("1000 in virtual time, ten killed at once: {}", report_json(&report, true));
     figures.insert("1000".into(), report_json(&report, true));
--- a/crates/gaugesaddle-proxy-simulation/src/lib.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/lib.rs
@@ -9,11 +9,11 @@
 //! Covered: arrivals, classes, retries, processor sharing, queues, chokes, cold ramps, crashes, drains, deploys,
 //! slow and hung nodes, late news of the list, proxies with unequal traffic. Not covered (a scenario that asks for
 //! it is refused): cut or delayed links, spoilt answers and resets, discovery that is down or moves, proxies that
-//! end, crowds. Cold nodes never fall over here: the rules are the test bed's to judge. A hop takes [`HOP_US`].
+//! end, crowds. Cold nodes never fall over here: the rules are the test bed's to judge. A hop takes [`ONE_WAY_DELAY_US`].
 
 pub mod fuzz;
 mod host;
 pub mod tier;
 mod world;
 
-pub use world::{simulate, ModelError, Policy, Report, HOP_US};
+pub use world::{simulate, Policy, Report, SimulationError, ONE_WAY_DELAY_US};
--- a/crates/gaugesaddle-proxy-simulation/src/tier.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/tier.rs
@@ -1,19 +1,19 @@
 //! A tier of proxies in virtual time: processes that start, die, are suspended and leave, on a network that partitions, loses,
 //! duplicates, delays and reorders datagrams. Each process's view of the others is compared with the truth.
 //!
-//! - [`play`] plays a script of [`Step`]s over processes of a [`Kind`] and returns a [`Report`].
-//! - [`MembershipKind`] starts processes of `gaugesaddle-membership`; others may be compared with it under the same scripts.
+//! - [`play`] plays a script of [`Step`]s over processes of a [`ProcessFactory`] and returns a [`Report`].
+//! - [`MembershipFactory`] starts processes of `gaugesaddle-membership`; others may be compared with it under the same scripts.
 //!
 //! Every process has a clock of its own, hours from the others'. All pairs are observed each [`OBSERVATION_INTERVAL_US`]: times
 //! are exact to that. Bounds: events by the script's end, datagrams for a suspended process as a socket's buffer holds them.
 
 pub use gaugesaddle_testbed::datagrams::{Links, LossyPath};
-mod membership_kind;
+mod membership_factory;
 mod observation;
 
 use gaugesaddle_testbed::random::{mix, RandomStream};
 pub use gaugesaddle_testbed::tier::Fact;
-pub use membership_kind::{address, MembershipKind};
+pub use membership_factory::{address, MembershipFactory};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
@@ -25,18 +25,18 @@
 const MAX_CLOCK_OFFSET_US: u64 = 36_000_000_000;
 
 /// Datagrams to send, each with the index of its receiver.
-pub type Sent = Vec<(usize, Vec<u8>)>;
+pub type OutgoingDatagrams = Vec<(usize, Vec<u8>)>;
 
 /// A process of the tier.
 pub trait Process {
     /// A datagram was received.
-    fn datagram(&mut self, now: u64, from: usize, bytes: &[u8], out: &mut Sent);
+    fn datagram(&mut self, now: u64, from: usize, bytes: &[u8], out: &mut OutgoingDatagrams);
     /// Runs what is due.
-    fn run_timers(&mut self, now: u64, out: &mut Sent);
+    fn run_timers(&mut self, now: u64, out: &mut OutgoingDatagrams);
     /// When it must run next.
     fn wake_at(&self) -> u64;
     /// It leaves the tier.
-    fn leave(&mut self, now: u64, out: &mut Sent);
+    fn leave(&mut self, now: u64, out: &mut OutgoingDatagrams);
     /// The boot number of the process that it believes to be live at an index.
     fn live_boot(&self, index: usize) -> Option<u32>;
     /// Its log since the last call.
@@ -50,7 +50,7 @@
 }
 
 /// Starts processes.
-pub trait Kind {
+pub trait ProcessFactory {
     /// Starts a process.
     fn start(&self, members: usize, index: usize, boot: u32, seed: u64, now: u64) -> Box<dyn Process>;
 }
@@ -132,7 +132,7 @@
 }
 
 struct Tier<'a> {
-    kind: &'a dyn Kind,
+    kind: &'a dyn ProcessFactory,
     seed: u64,
     members: usize,
     now: u64,
@@ -157,7 +157,7 @@
 }
 
 /// A script that starts all within a second, followed by the rest.
-pub fn started(members: usize, rest: &[(u64, Step)]) -> Vec<(u64, Step)> {
+pub fn script_with_starts(members: usize, rest: &[(u64, Step)]) -> Vec<(u64, Step)> {
     let start = |p: usize| (p as u64 * 1_000_000 / members as u64, Step::Start(p));
     let mut script: Vec<_> = (0..members).map(start).collect();
     script.extend(rest.iter().cloned());
@@ -165,7 +165,9 @@
 }
 
 /// Plays a script (in the order of its times) to its end, on a tier of so many members, none of which runs at first.
-pub fn play(kind: &dyn Kind, members: usize, script: &[(u64, Step)], end_us: u64, seed: u64) -> Report {
+pub fn play(
+    kind: &dyn ProcessFactory, members: usize, script: &[(u64, Step)], end_us: u64, seed: u64,
+) -> Report {
     let mut tier = Tier {
         kind,
         seed,
@@ -349,7 +351,7 @@
     }
 
     /// Sends a process's datagrams and schedules its next wake-up.
-    fn send(&mut self, from: usize, out: Sent) {
+    fn send(&mut self, from: usize, out: OutgoingDatagrams) {
         if self.now / 1_000_000 != self.second {
             self.second = self.now / 1_000_000;
             self.in_second.fill(0);
--- a/crates/gaugesaddle-proxy-simulation/src/tier/membership_kind.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/tier/membership_factory.rs
@@ -1,21 +1,21 @@
 //! Processes of `gaugesaddle-membership` in a simulated tier.
 
-use super::{Kind, Process, Sent};
+use super::{OutgoingDatagrams, Process, ProcessFactory};
 use gaugesaddle_balancer::Time;
 use gaugesaddle_membership::{Authenticator, Boot, Membership, Output, Settings, Signals, TierConfig};
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// Starts processes of `gaugesaddle-membership`, which publish a record of the usual size twice a second.
-pub struct MembershipKind {
+pub struct MembershipFactory {
     /// Settings of all processes.
     pub settings: Settings,
     /// Whether datagrams are authenticated.
     pub keyed: bool,
 }
 
-impl Default for MembershipKind {
-    fn default() -> MembershipKind {
-        MembershipKind { settings: Settings::default(), keyed: true }
+impl Default for MembershipFactory {
+    fn default() -> MembershipFactory {
+        MembershipFactory { settings: Settings::default(), keyed: true }
     }
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-impl Kind for MembershipKind {
+impl ProcessFactory for MembershipFactory {
     fn start(&self, members: usize, index: usize, boot: u32, seed: u64, now: u64) -> Box<dyn Process> {
         let config = TierConfig {
             addresses: (0..members).map(address).collect(),
@@ -63,7 +63,7 @@
 }
 
 impl MembershipProcess {
-    fn drain_outputs(&mut self, out: &mut Sent) {
+    fn drain_outputs(&mut self, out: &mut OutgoingDatagrams) {
         for output in self.outputs.drain(..) {
             match output {
                 Output::Send { to, bytes } => out.push((index_of(to), bytes)),
@@ -76,12 +76,12 @@
 }
 
 impl Process for MembershipProcess {
-    fn datagram(&mut self, now: u64, from: usize, bytes: &[u8], out: &mut Sent) {
+    fn datagram(&mut self, now: u64, from: usize, bytes: &[u8], out: &mut OutgoingDatagrams) {
         self.peers.handle_datagram(Time(now), address(from), bytes, &mut self.outputs);
         self.drain_outputs(out);
     }
 
-    fn run_timers(&mut self, now: u64, out: &mut Sent) {
+    fn run_timers(&mut self, now: u64, out: &mut OutgoingDatagrams) {
         if now >= self.next {
             self.next = now + self.publish;
             let zone = gaugesaddle_membership::ZoneSignal {
@@ -101,7 +101,7 @@
         self.peers.next_timer_at().0.min(self.next)
     }
 
-    fn leave(&mut self, _: u64, out: &mut Sent) {
+    fn leave(&mut self, _: u64, out: &mut OutgoingDatagrams) {
         self.peers.leave(&mut self.outputs);
         self.drain_outputs(out);
     }
--- a/crates/gaugesaddle-proxy-simulation/src/world.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/world.rs
@@ -19,7 +19,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 /// One way between a proxy and a node, in microseconds: loopback and a stand-in's turn.
-pub const HOP_US: u64 = 300;
+pub const ONE_WAY_DELAY_US: u64 = 300;
 /// Maximum number of proxies: as many as a tier may have.
 const MAX_PROXIES: usize = 4096;
 /// The first moment: the module's clock is Unix time and a node that booted at 0 means long ago.
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Policy {
     /// The balancer, with these bounds of a backend's limit; equal bounds make it constant.
-    Module(LimitBounds),
+    Balancer(LimitBounds),
     /// Round robin over the ready nodes, one attempt.
     Relay,
 }
@@ -66,7 +66,7 @@
 
 /// Why a scenario cannot be simulated.
 #[derive(Debug, thiserror::Error)]
-pub enum ModelError {
+pub enum SimulationError {
     /// The scenario is invalid.
     #[error("{0}")]
     Scenario(#[from] gaugesaddle_testbed::ScenarioError),
@@ -78,7 +78,7 @@
     Config(#[from] ConfigError),
     /// It has events that the simulation does not cover.
     #[error("events: expected only what the model covers, got {0}")]
-    Uncovered(String),
+    Unsupported(String),
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -204,7 +204,7 @@
 ///
 /// # Errors
 /// The scenario is invalid, or has what the simulation does not cover.
-pub fn simulate(s: &Scenario, policy: Policy, traffic: &[f64]) -> Result<Report, ModelError> {
+pub fn simulate(s: &Scenario, policy: Policy, traffic: &[f64]) -> Result<Report, SimulationError> {
     s.check_up_to(MAX_PROXIES)?;
     let drawn = plan(s);
     let covered = |step: &Step| {
@@ -221,7 +221,7 @@
         )
     };
     if let Some((_, step)) = drawn.steps.iter().find(|(_, step)| !covered(step)) {
-        return Err(ModelError::Uncovered(format!("{step:?}")));
+        return Err(SimulationError::Unsupported(format!("{step:?}")));
     }
     let hosts = (0..s.proxies).map(|position| host(s, policy, position)).collect::<Result<_, _>>()?;
     let kinds = s.kinds.iter().flat_map(|k| std::iter::repeat_n(k, k.count));
@@ -263,10 +263,10 @@
 }
 
 /// A proxy that has just started.
-fn host(s: &Scenario, policy: Policy, position: usize) -> Result<Host, ModelError> {
+fn host(s: &Scenario, policy: Policy, position: usize) -> Result<Host, SimulationError> {
     let told = s.settings(position);
     let (mut config, _) = settings::read(&Key::root(&told))?;
-    config.limits = if let Policy::Module(bounds) = policy { bounds } else { LimitBounds::default() };
+    config.limits = if let Policy::Balancer(bounds) = policy { bounds } else { LimitBounds::default() };
     Ok(Host::new(config, mix(s.seed, position as u64))?)
 }
 
@@ -276,7 +276,7 @@
         self.heap.push(Reverse((at.max(self.now), self.order, what)));
     }
 
-    fn run(&mut self) -> Result<(), ModelError> {
+    fn run(&mut self) -> Result<(), SimulationError> {
         let all: Vec<Backend> = (0..self.nodes.len()).map(|n| self.entry(n, READY)).collect();
         for proxy in 0..self.hosts.len() {
             self.hosts[proxy].list(ListUpdate::Full, all.clone());
--- a/crates/gaugesaddle-proxy-simulation/src/world/nodes.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/world/nodes.rs
@@ -21,7 +21,7 @@
         self.advance(node);
         let (n, s) = (&mut self.nodes[node], &self.sent[sent]);
         let Some(machine) = n.machine.as_mut().filter(|_| n.boots == s.boots) else {
-            return self.at(self.now + HOP_US, WorldEvent::Outcome(sent, NO_CONNECTION));
+            return self.at(self.now + ONE_WAY_DELAY_US, WorldEvent::Outcome(sent, NO_CONNECTION));
         };
         if s.abandoned {
             return;
@@ -31,7 +31,7 @@
             self.report.max_in_flight[node] = self.report.max_in_flight[node].max(n.in_flight);
             self.plan_run(node);
         } else {
-            self.at(self.now + HOP_US, WorldEvent::Outcome(sent, FULL));
+            self.at(self.now + ONE_WAY_DELAY_US, WorldEvent::Outcome(sent, FULL));
         }
     }
 
@@ -67,11 +67,11 @@
         }
         self.nodes[s.node].in_flight -= 1;
         if !s.abandoned {
-            self.at(self.now + HOP_US, WorldEvent::Outcome(sent, OK));
+            self.at(self.now + ONE_WAY_DELAY_US, WorldEvent::Outcome(sent, OK));
         }
     }
 
-    pub(super) fn step(&mut self, step: usize) -> Result<(), ModelError> {
+    pub(super) fn step(&mut self, step: usize) -> Result<(), SimulationError> {
         let d = &self.s.discovery;
         match self.plan.steps[step].1 {
             Step::NodeStart(node) => {
@@ -112,7 +112,8 @@
         self.nodes[node].machine = None;
         let boots = self.nodes[node].boots;
         let held = self.awaited(|s| s.node == node && s.boots == boots);
-        held.into_iter().for_each(|sent| self.at(self.now + HOP_US, WorldEvent::Outcome(sent, RESET)));
+        held.into_iter()
+            .for_each(|sent| self.at(self.now + ONE_WAY_DELAY_US, WorldEvent::Outcome(sent, RESET)));
     }
 
     pub(super) fn publish(&mut self, node: usize, standing: u8, within_s: [f64; 2]) {
--- a/crates/gaugesaddle-proxy-simulation/src/world/proxies.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/world/proxies.rs
@@ -62,7 +62,7 @@
     }
 
     /// A proxy's process starts, with the present list.
-    pub(super) fn start(&mut self, proxy: usize) -> Result<(), ModelError> {
+    pub(super) fn start(&mut self, proxy: usize) -> Result<(), SimulationError> {
         let (host, now) = (host(self.s, self.policy, proxy)?, self.now);
         self.hosts[proxy] = host;
         self.proxies[proxy] = ProxyState { since: now, ..ProxyState::new() };
@@ -154,7 +154,7 @@
             done,
         });
         self.by_attempt.insert((proxy, request, no), sent);
-        self.at(self.now + HOP_US, WorldEvent::Reach(sent));
+        self.at(self.now + ONE_WAY_DELAY_US, WorldEvent::Reach(sent));
         sent
     }
 
--- a/crates/gaugesaddle-proxy-simulation/tests/fleet.rs
+++ b/crates/gaugesaddle-proxy-simulation/tests/fleet.rs
@@ -16,7 +16,7 @@
 
 fn play(s: &Scenario) -> Report {
     let four = LimitBounds { learned: false, ..LimitBounds::default() };
-    simulate(s, Policy::Module(four), &[]).expect("covered")
+    simulate(s, Policy::Balancer(four), &[]).expect("covered")
 }
 
 /// A hall's twenty nodes die at three seconds and come back cold at six; hung ones take requests and answer none.
@@ -61,7 +61,7 @@
     let s = killed.iter().fold(s, |s, proxy| s.event(3.0, Disturbance::LoseProxy { proxy: *proxy }));
     let traffic: Vec<f64> = (0..proxies).map(|p| 1.0 + (p % 5) as f64).collect();
     let four = LimitBounds { learned: false, ..LimitBounds::default() };
-    simulate(&s, Policy::Module(four), &traffic).expect("covered")
+    simulate(&s, Policy::Balancer(four), &traffic).expect("covered")
 }
 
 #[test]
--- a/crates/gaugesaddle-proxy-simulation/tests/tier.rs
+++ b/crates/gaugesaddle-proxy-simulation/tests/tier.rs
@@ -3,7 +3,8 @@
 
 use gaugesaddle_membership::wire;
 use gaugesaddle_proxy_simulation::tier::{
-    play, started, Kind, Links, LossyPath, MembershipKind, Process, Report, Sent, Step,
+    play, script_with_starts, Links, LossyPath, MembershipFactory, OutgoingDatagrams, Process,
+    ProcessFactory, Report, Step,
 };
 use gaugesaddle_testbed::random::RandomStream;
 use gaugesaddle_testbed::tier::{audit_tier, quantile, TierViolation};
@@ -115,7 +116,7 @@
                 for seed in (thread..SCRIPTS).step_by(threads as usize) {
                     let (places, steps) = script(seed);
                     let end = steps.last().expect("steps").0 + 2 * SETTLED;
-                    let report = play(&MembershipKind::default(), places, &steps, end, seed);
+                    let report = play(&MembershipFactory::default(), places, &steps, end, seed);
                     sound(&report, &format!("seed {seed}, {places} processes, {steps:?}"));
                     let longest = report.longest_false_death;
                     assert!(longest <= FALSE_DEATH, "seed {seed}: held dead for {longest} us, {steps:?}");
@@ -132,10 +133,10 @@
 struct BelievesAll(Box<dyn Process>, Vec<Option<u32>>, Vec<String>);
 
 impl Process for NeverForgets {
-    fn datagram(&mut self, now: u64, from: usize, bytes: &[u8], out: &mut Sent) {
+    fn datagram(&mut self, now: u64, from: usize, bytes: &[u8], out: &mut OutgoingDatagrams) {
         self.0.datagram(now, from, bytes, out);
     }
-    fn run_timers(&mut self, now: u64, out: &mut Sent) {
+    fn run_timers(&mut self, now: u64, out: &mut OutgoingDatagrams) {
         self.0.run_timers(now, out);
         for (place, last) in self.1.iter_mut().enumerate() {
             *last = self.0.live_boot(place).or(*last);
@@ -144,7 +145,7 @@
     fn wake_at(&self) -> u64 {
         self.0.wake_at()
     }
-    fn leave(&mut self, now: u64, out: &mut Sent) {
+    fn leave(&mut self, now: u64, out: &mut OutgoingDatagrams) {
         self.0.leave(now, out);
     }
     fn live_boot(&self, place: usize) -> Option<u32> {
@@ -156,7 +157,7 @@
 }
 
 impl Process for BelievesAll {
-    fn datagram(&mut self, now: u64, from: usize, bytes: &[u8], out: &mut Sent) {
+    fn datagram(&mut self, now: u64, from: usize, bytes: &[u8], out: &mut OutgoingDatagrams) {
         self.0.datagram(now, from, bytes, out);
         let Ok(header) = wire::decode_header(bytes) else { return };
         let boot = header.boot.0;
@@ -164,7 +165,7 @@
             self.2.push(format!("peers: {from} is alive after x, boot {boot:08x}, incarnation 0: it wrote"));
         }
     }
-    fn run_timers(&mut self, now: u64, out: &mut Sent) {
+    fn run_timers(&mut self, now: u64, out: &mut OutgoingDatagrams) {
         self.0.run_timers(now, out);
         for (place, seen) in self.1.iter_mut().enumerate() {
             *seen = seen.filter(|_| self.0.live_boot(place).is_some());
@@ -173,7 +174,7 @@
     fn wake_at(&self) -> u64 {
         self.0.wake_at()
     }
-    fn leave(&mut self, now: u64, out: &mut Sent) {
+    fn leave(&mut self, now: u64, out: &mut OutgoingDatagrams) {
         self.0.leave(now, out);
     }
     fn live_boot(&self, place: usize) -> Option<u32> {
@@ -194,10 +195,10 @@
     None,
 }
 
-impl Kind for Faulty {
+impl ProcessFactory for Faulty {
     fn start(&self, places: usize, place: usize, boot: u32, seed: u64, now: u64) -> Box<dyn Process> {
         let boot = if matches!(self, Faulty::OldBoot) && place == 1 { 77 } else { boot };
-        let good = MembershipKind::default().start(places, place, boot, seed, now);
+        let good = MembershipFactory::default().start(places, place, boot, seed, now);
         match self {
             Faulty::NeverForgets if place == 0 => Box::new(NeverForgets(good, vec![None; places])),
             Faulty::BelievesAll if place == 0 => Box::new(BelievesAll(good, vec![None; places], Vec::new())),
@@ -218,7 +219,7 @@
     steps.push((9 * S, healed()));
     steps.push((12 * S, Step::Kill(2)));
     let play = |kind: Faulty| {
-        let report = play(&kind, 4, &started(4, &steps), 24 * S, 3);
+        let report = play(&kind, 4, &script_with_starts(4, &steps), 24 * S, 3);
         let verdict = audit_tier(4, &report.facts, &report.logs, 24 * S);
         (report, verdict)
     };
@@ -240,7 +241,7 @@
     for seed in 0..300 {
         let (places, steps) = script(seed);
         let end = steps.last().expect("steps").0 + 3 * SETTLED;
-        let report = play(&MembershipKind::default(), places, &steps, end, seed);
+        let report = play(&MembershipFactory::default(), places, &steps, end, seed);
         let verdict = audit_tier(places, &report.facts, &report.logs, end);
         assert!(verdict.is_clean(), "seed {seed}, {places} processes, {steps:?}:\n{verdict}");
     }
@@ -251,7 +252,7 @@
 fn thirty_hold_true_through_each_hard_case() {
     const N: usize = 30;
     let calm = |what: &str, rest: &[(u64, Step)], end: u64| {
-        let report = play(&MembershipKind::default(), N, &started(N, rest), end, 5);
+        let report = play(&MembershipFactory::default(), N, &script_with_starts(N, rest), end, 5);
         sound(&report, what);
         assert_eq!(report.false_deaths, 0, "{what}: held dead for {} us", report.longest_false_death);
         report
@@ -288,7 +289,7 @@
 #[test]
 fn thirty_of_three_hundred_told_know_one_another_and_the_rest_costs_little() {
     let start: Vec<_> = (0..30).map(|p| (p as u64 * S / 30, Step::Start(p * 10))).collect();
-    let report = play(&MembershipKind::default(), 300, &start, 12 * S, 5);
+    let report = play(&MembershipFactory::default(), 300, &start, 12 * S, 5);
     sound(&report, "30 of 300 told");
     assert_eq!(report.start_known.len(), 30 * 29 / 2, "each is met by those before it");
     assert!(report.sent.iter().all(|s| s.1 < 12 * 16_000), "{:?}", report.sent);
@@ -301,14 +302,14 @@
     steps.push((3 * S, Step::Links(lone)));
     steps.extend((3..30).map(|p| (4 * S + p as u64 * S / 10, Step::Start(p))));
     steps.push((12 * S, healed()));
-    sound(&play(&MembershipKind::default(), 30, &steps, 18 * S, 5), "3 grow to 30");
+    sound(&play(&MembershipFactory::default(), 30, &steps, 18 * S, 5), "3 grow to 30");
 }
 
 /// Deaths at 300, and what each proxy sends when nothing happens: the difference of two plays.
 #[test]
 fn three_hundred_learn_of_deaths_in_time_and_send_less_than_16_kb_a_second() {
     const N: usize = 300;
-    let end = |s: u64| play(&MembershipKind::default(), N, &started(N, &[]), s * S, 5);
+    let end = |s: u64| play(&MembershipFactory::default(), N, &script_with_starts(N, &[]), s * S, 5);
     let (early, late) = std::thread::scope(|scope| {
         let early = scope.spawn(|| end(6));
         (early.join().expect("plays"), end(10))
@@ -322,7 +323,7 @@
         );
     }
     let kills: Vec<_> = (0..20).map(|p| (6 * S + p * S / 20, Step::Kill(p as usize * 15))).collect();
-    let report = play(&MembershipKind::default(), N, &started(N, &kills), 11 * S, 5);
+    let report = play(&MembershipFactory::default(), N, &script_with_starts(N, &kills), 11 * S, 5);
     sound(&report, "300, twenty of them killed");
     assert_eq!(report.false_deaths, 0);
     let (most, worst) = (quantile(&report.death_known, 0.95), quantile(&report.death_known, 1.0));
--- a/crates/gaugesaddle-proxy-simulation/tests/world.rs
+++ b/crates/gaugesaddle-proxy-simulation/tests/world.rs
@@ -1,10 +1,10 @@
 //! A model that is not the same twice, that passes over what it does not cover, or that serves what nothing can.
 
 use gaugesaddle_balancer::LimitBounds;
-use gaugesaddle_proxy_simulation::{simulate, ModelError, Policy};
+use gaugesaddle_proxy_simulation::{simulate, Policy, SimulationError};
 use gaugesaddle_testbed::{Disturbance, Scenario};
 
-const MODULE: Policy = Policy::Module(LimitBounds { learned: true, min: 1.0, max: 1000.0 });
+const MODULE: Policy = Policy::Balancer(LimitBounds { learned: true, min: 1.0, max: 1000.0 });
 
 fn short() -> Scenario {
     Scenario { seconds: 3.0, ..Scenario::default() }
@@ -22,7 +22,7 @@
 #[test]
 fn what_is_not_covered_is_refused() {
     let s = short().event(1.0, Disturbance::LinkPartition { proxy: 0, node: 0, for_s: 1.0 });
-    assert!(matches!(simulate(&s, MODULE, &[]), Err(ModelError::Uncovered(_))));
+    assert!(matches!(simulate(&s, MODULE, &[]), Err(SimulationError::Unsupported(_))));
 }
 
 #[test]
