--- a/crates/gaugesaddle-proxy-simulation/src/fuzz.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/fuzz.rs
@@ -10,12 +10,12 @@
 use gaugesaddle_testbed::random::RandomStream;
 use std::net::SocketAddr;
 
-/// Members of the tier; two of them are live.
+/// Configured members of the tier, two of which are live.
 const MEMBERS: usize = 5;
-/// Maximum datagrams in reply to one: 256 bytes hold up to 14 ping requests, each with a receipt and a ping.
+/// Maximum datagrams sent in reply to one datagram: 256 bytes hold up to 14 ping requests, each answered by a receipt and a ping.
 const MAX_REPLIES: usize = 32;
 
-/// What must not occur.
+/// Why a fuzz run failed.
 #[derive(Debug, thiserror::Error)]
 pub enum FuzzError {
     /// The key of the tier is invalid.
@@ -24,50 +24,51 @@
     /// The configuration of the tier is invalid.
     #[error(transparent)]
     Config(#[from] TierConfigError),
-    /// The two live members did not meet.
-    #[error("two live members did not meet")]
+    /// The two live members did not discover each other.
+    #[error("the two live members did not discover each other")]
     NotMet,
-    /// A datagram had an effect that it must not have.
+    /// A datagram had a forbidden effect.
     #[error("datagram {number}: {effect}: {bytes:02x?} from {from}")]
     Datagram {
-        /// Number of the datagram.
+        /// Number of the datagram, from 1.
         number: u64,
         /// The effect.
         effect: &'static str,
         /// The datagram.
         bytes: Vec<u8>,
-        /// Index of the member whose address it came from.
+        /// Index of the member whose address was the source address.
         from: usize,
     },
-    /// A live member is not held alive after the last datagram.
-    #[error("{tier}: the live member is not held alive afterwards")]
+    /// After the last datagram the process under test does not consider its live peer alive.
+    #[error("{tier}: the live peer is not considered alive after the last datagram")]
     NotAlive {
-        /// The tier: with a key or without.
+        /// Whether the tier has a key.
         tier: &'static str,
     },
 }
 
-/// The result.
+/// The counts of a fuzz run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FuzzReport {
     /// Datagrams sent.
     pub sent: u64,
-    /// Datagrams in reply.
+    /// Datagrams sent in reply.
     pub replies: u64,
-    /// The counters of the proxy with the key.
+    /// Counters of the process that has a key.
     pub counts: Counters,
 }
 
 struct Pair {
-    /// The process under test, at index 0, and a peer at index 1.
+    /// The process under test, at index 0.
     target: Membership,
+    /// Its live peer, at index 1.
     peer: Membership,
     now: Time,
     captured: Vec<Vec<u8>>,
 }
 
-fn address(place: usize) -> SocketAddr {
-    crate::tier::address(place)
+fn address(index: usize) -> SocketAddr {
+    crate::tier::address(index)
 }
 
 impl Pair {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Advances both, and delivers what they send to each other.
+    /// Advances both processes by 10 ms and delivers the datagrams that they send to each other.
     fn exchange(&mut self) {
         self.now = self.now + Micros(10_000);
         let (mut first, mut second) = (Vec::new(), Vec::new());
@@ -125,90 +126,90 @@
     }
 }
 
-fn status(dice: &mut RandomStream) -> MemberStatus {
+fn status(rng: &mut RandomStream) -> MemberStatus {
     let all = [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Departed];
-    let incarnation = if dice.bernoulli(0.1) { 1 << 30 } else { dice.below(5) as u32 };
-    MemberStatus { boot: Boot(1 + dice.below(300) as u32), incarnation, state: all[dice.below(4)] }
+    let incarnation = if rng.bernoulli(0.1) { 1 << 30 } else { rng.below(5) as u32 };
+    MemberStatus { boot: Boot(1 + rng.below(300) as u32), incarnation, state: all[rng.below(4)] }
 }
 
-fn section(dice: &mut RandomStream) -> Section {
-    let place = |dice: &mut RandomStream| {
-        if dice.bernoulli(0.1) {
+fn section(rng: &mut RandomStream) -> Section {
+    let index = |rng: &mut RandomStream| {
+        if rng.bernoulli(0.1) {
             BROADCAST
         } else {
-            dice.below(MEMBERS + 2) as u16
+            rng.below(MEMBERS + 2) as u16
         }
     };
-    let nonce = dice.below(1 << 20) as u32;
-    let known = dice.bernoulli(0.5).then(|| status(dice));
-    let boot = Boot(1 + dice.below(300) as u32);
-    let subject = place(dice);
-    match dice.below(11) {
+    let nonce = rng.below(1 << 20) as u32;
+    let known = rng.bernoulli(0.5).then(|| status(rng));
+    let boot = Boot(1 + rng.below(300) as u32);
+    let subject = index(rng);
+    match rng.below(11) {
         0 => Section::Ping { nonce, status: known },
         1 => Section::Ack { nonce },
         2 => Section::PingRequest { target: subject, nonce, status: known },
         3 => Section::PingRequestReceipt { nonce },
         4 => Section::IndirectPing { origin: subject, nonce, status: known },
         5 => Section::IndirectAck { origin: subject, nonce },
-        6 => Section::ForwardedAck { subject, boot, incarnation: dice.below(9) as u32, nonce },
-        7 => Section::Update { subject, reporter: place(dice), status: status(dice) },
+        6 => Section::ForwardedAck { subject, boot, incarnation: rng.below(9) as u32, nonce },
+        7 => Section::Update { subject, reporter: index(rng), status: status(rng) },
         8 => {
-            let body = (0..dice.below(121)).map(|_| dice.below(256) as u8).collect();
-            Section::Record { subject, boot, version: nonce, age_ms: dice.below(1 << 16) as u16, body }
+            let body = (0..rng.below(121)).map(|_| rng.below(256) as u8).collect();
+            Section::Record { subject, boot, version: nonce, age_ms: rng.below(1 << 16) as u16, body }
         }
         9 => Section::RecordRequest { subject },
-        _ => Section::Hello { name: "x".repeat(dice.below(33)), zone: String::new() },
+        _ => Section::Hello { name: "x".repeat(rng.below(33)), zone: String::new() },
     }
 }
 
 /// A well-formed datagram with random contents.
-fn random_datagram(dice: &mut RandomStream, from: u16) -> Vec<u8> {
-    let to = if dice.bernoulli(0.1) { BROADCAST } else { dice.below(3) as u16 };
-    let (boot, counter) = (Boot(1 + dice.below(300) as u32), dice.bits() >> dice.below(64));
+fn random_datagram(rng: &mut RandomStream, from: u16) -> Vec<u8> {
+    let to = if rng.bernoulli(0.1) { BROADCAST } else { rng.below(3) as u16 };
+    let (boot, counter) = (Boot(1 + rng.below(300) as u32), rng.bits() >> rng.below(64));
     let mut datagram =
-        DatagramBuilder::new(Header { to, from, boot, incarnation: dice.below(4) as u32, counter }, 0);
-    for _ in 0..dice.below(20) {
-        datagram.push(&section(dice));
+        DatagramBuilder::new(Header { to, from, boot, incarnation: rng.below(4) as u32, counter }, 0);
+    for _ in 0..rng.below(20) {
+        datagram.push(&section(rng));
     }
     datagram.finish()
 }
 
-fn mutate(dice: &mut RandomStream, good: &[u8]) -> Vec<u8> {
+fn mutate(rng: &mut RandomStream, good: &[u8]) -> Vec<u8> {
     let mut bytes = good.to_vec();
-    match dice.below(4) {
-        0 => bytes.truncate(dice.below(bytes.len())),
-        1 => bytes.extend((0..dice.below(MAX_DATAGRAM_BYTES)).map(|_| dice.below(256) as u8)),
+    match rng.below(4) {
+        0 => bytes.truncate(rng.below(bytes.len())),
+        1 => bytes.extend((0..rng.below(MAX_DATAGRAM_BYTES)).map(|_| rng.below(256) as u8)),
         _ => {
-            for _ in 0..=dice.below(4) {
-                let at = dice.below(bytes.len());
-                bytes[at] ^= 1 << dice.below(8);
+            for _ in 0..=rng.below(4) {
+                let at = rng.below(bytes.len());
+                bytes[at] ^= 1 << rng.below(8);
             }
         }
     }
     bytes
 }
 
-/// Sends so many datagrams, half of them to a proxy with a key and half to one without.
+/// Sends `count` datagrams, alternately to a process with a key and to one without.
 ///
 /// # Errors
-/// The first effect that must not occur.
+/// The first forbidden effect.
 pub fn fuzz(count: u64, seed: u64) -> Result<FuzzReport, FuzzError> {
-    let mut dice = RandomStream::new(seed, "strange datagrams");
+    let mut rng = RandomStream::new(seed, "strange datagrams");
     let auth = Authenticator::from_secret(&[3; 40])?;
     let (mut keyed, mut open) = (Pair::new(&auth, seed)?, Pair::new(&Authenticator::disabled(), seed)?);
     let (mut report, mut out) = (FuzzReport::default(), Vec::new());
     while report.sent < count {
-        let with_key = report.sent % 2 == 0;
-        let pair = if with_key { &mut keyed } else { &mut open };
-        let from = dice.below(MEMBERS + 1);
-        let bytes = match dice.below(4) {
-            0 => (0..dice.below(300)).map(|_| dice.below(256) as u8).collect(),
-            1 => random_datagram(&mut dice, from as u16),
+        let has_key = report.sent % 2 == 0;
+        let pair = if has_key { &mut keyed } else { &mut open };
+        let from = rng.below(MEMBERS + 1);
+        let bytes = match rng.below(4) {
+            0 => (0..rng.below(300)).map(|_| rng.below(256) as u8).collect(),
+            1 => random_datagram(&mut rng, from as u16),
             2 => {
-                let good = dice.below(pair.captured.len());
-                mutate(&mut dice, &pair.captured[good])
+                let choice = rng.below(pair.captured.len());
+                mutate(&mut rng, &pair.captured[choice])
             }
-            _ => pair.captured[dice.below(pair.captured.len())].clone(),
+            _ => pair.captured[rng.below(pair.captured.len())].clone(),
         };
         let before = pair.target.members(pair.now);
         let received = pair.target.counters().received;
@@ -217,23 +218,23 @@
         let sent = out.iter().filter(|o| matches!(o, Output::Send { .. })).count();
         report.replies += sent as u64;
         let number = report.sent;
-        let forbidden =
+        let violation =
             |effect: &'static str| Err(FuzzError::Datagram { number, effect, bytes: bytes.clone(), from });
         if sent > MAX_REPLIES {
-            return forbidden("too many answers");
+            return violation("too many replies");
         }
         if out.iter().any(|o| matches!(o, Output::Send { bytes, .. } if bytes.len() > MAX_DATAGRAM_BYTES)) {
-            return forbidden("too long an answer");
+            return violation("reply longer than the datagram limit");
         }
         if pair.target.counters().received != received + 1 {
-            return forbidden("not counted");
+            return violation("not counted as received");
         }
-        // With a key none of this is authenticated: no member's state may change.
-        let stands = |all: &[gaugesaddle_membership::MemberView]| -> Vec<_> {
+        // With a key, none of these datagrams is authenticated: no member's state may change.
+        let member_states = |all: &[gaugesaddle_membership::MemberView]| -> Vec<_> {
             all.iter().map(|p| (p.state, p.boot, p.incarnation, p.name.clone(), p.record_age)).collect()
         };
-        if with_key && stands(&before) != stands(&pair.target.members(pair.now)) {
-            return forbidden("believed");
+        if has_key && member_states(&before) != member_states(&pair.target.members(pair.now)) {
+            return violation("unauthenticated datagram changed the state of a member");
         }
         out.clear();
         if report.sent % 64 == 0 {
@@ -241,7 +242,7 @@
         }
     }
     for (tier, pair) in [("with a key", &mut keyed), ("without", &mut open)] {
-        // Whatever was claimed of it in between, the peer is known again.
+        // Forged updates may have declared the peer dead; it must be considered alive again.
         (0..1500).for_each(|_| pair.exchange());
         if pair.target.live_boot(1) != Some(pair.peer.local_member().boot) {
             return Err(FuzzError::NotAlive { tier });
--- a/crates/gaugesaddle-proxy-simulation/src/host.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/host.rs
@@ -1,23 +1,23 @@
-//! One proxy's host in virtual time: what the real driver does for the balancer.
+//! The host of one proxy's balancer in virtual time; performs the work of the proxy's real driver.
 
 use gaugesaddle_balancer::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-/// What a host requires of the simulated fleet.
+/// An action that a host requests from the simulated fleet.
 pub enum HostAction {
-    /// Send an attempt, named by its number among all of the run.
+    /// Send an attempt.
     Send { request: RequestId, attempt: AttemptNo, backend: BackendId },
     /// Cancel an attempt.
     Cancel { request: RequestId, attempt: AttemptNo },
-    /// The final answer of a request: served (200), refused (503) or failed (502).
+    /// The final response of a request: served (200), rejected (503) or failed (502).
     Answer { request: RequestId, status: u16 },
 }
 
 struct OpenRequest {
     deadline: Time,
     answered: bool,
-    /// When each attempt in flight was sent.
+    /// The time at which each attempt in flight was sent.
     attempts: BTreeMap<AttemptNo, Time>,
     attempt_count: u32,
 }
@@ -48,26 +48,26 @@
         })
     }
 
-    /// When to call [`Host::run`] next.
+    /// The time of the next call of [`Host::run`].
     pub fn wake_at(&self) -> Option<Time> {
         let timer = self.timers.peek().map(|t| t.0 .0);
-        let due = if self.events.is_empty() { timer } else { Some(self.next_tick) };
-        let due = due.map(|d| d.max(self.next_tick));
+        let next_work = if self.events.is_empty() { timer } else { Some(self.next_tick) };
+        let next_work = next_work.map(|d| d.max(self.next_tick));
         let deadline = self.deadlines.first().map(|d| d.0);
-        due.into_iter().chain(deadline).min()
+        next_work.into_iter().chain(deadline).min()
     }
 
-    pub fn list(&mut self, update: ListUpdate, backends: Vec<Backend>) {
+    pub fn update_backends(&mut self, update: ListUpdate, backends: Vec<Backend>) {
         self.events.push(Event::Members { update, backends });
     }
 
-    /// Events of the tier for the balancer.
-    pub fn report(&mut self, events: impl IntoIterator<Item = Event>) {
+    /// Queues tier events for the balancer.
+    pub fn push_events(&mut self, events: impl IntoIterator<Item = Event>) {
         self.events.extend(events);
     }
 
-    /// Its process ends; returns the open requests, which get no answer.
-    pub fn end(&mut self) -> Vec<RequestId> {
+    /// Ends the process; returns the open requests, which get no response.
+    pub fn end_process(&mut self) -> Vec<RequestId> {
         (self.events, self.timers, self.deadlines) = Default::default();
         let open = std::mem::take(&mut self.open);
         open.into_iter().filter(|(_, r)| !r.answered).map(|(id, _)| id).collect()
@@ -83,37 +83,31 @@
         self.events.push(Event::Request(arrival));
     }
 
-    /// An attempt ended; one that was cancelled before is ignored.
+    /// Handles the end of an attempt; cancelled attempts are ignored.
     pub fn finish_attempt(
         &mut self, now: Time, request: RequestId, attempt: AttemptNo, outcome: Outcome,
-        asks: &mut Vec<HostAction>,
+        host_actions: &mut Vec<HostAction>,
     ) {
         let Some(r) = self.open.get_mut(&request) else { return };
         let Some(sent) = r.attempts.remove(&attempt) else { return };
         if outcome == Outcome::Ok && !std::mem::replace(&mut r.answered, true) {
-            asks.push(HostAction::Answer { request, status: 200 });
+            host_actions.push(HostAction::Answer { request, status: 200 });
         }
-        let (latency, settled) = (now - sent, r.answered);
-        self.events.push(Event::AttemptEnded(AttemptEnd {
-            request,
-            attempt,
-            outcome,
-            latency,
-            answered: settled,
-        }));
+        let (latency, answered) = (now - sent, r.answered);
+        self.events.push(Event::AttemptEnded(AttemptEnd { request, attempt, outcome, latency, answered }));
         self.ended_requests.push(request);
     }
 
-    /// Does what is due: deadlines, and the balancer's tick.
-    pub fn run(&mut self, now: Time, asks: &mut Vec<HostAction>) {
+    /// Expires deadlines that have passed and runs the balancer's tick if it is due.
+    pub fn run(&mut self, now: Time, host_actions: &mut Vec<HostAction>) {
         while let Some((_, request)) = self.deadlines.first().filter(|d| d.0 <= now).copied() {
             self.deadlines.pop_first();
             let Some(r) = self.open.get_mut(&request) else { continue };
-            let settled = r.answered;
+            let answered = r.answered;
             for (attempt, sent) in std::mem::take(&mut r.attempts) {
                 let (outcome, latency) = (Outcome::TimedOut, now - sent);
-                asks.push(HostAction::Cancel { request, attempt });
-                let end = AttemptEnd { request, attempt, outcome, latency, answered: settled };
+                host_actions.push(HostAction::Cancel { request, attempt });
+                let end = AttemptEnd { request, attempt, outcome, latency, answered };
                 self.events.push(Event::AttemptEnded(end));
             }
             self.ended_requests.push(request);
@@ -136,7 +130,7 @@
             }
             self.balancer.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.execute(now, action, asks);
+                self.execute(now, action, host_actions);
             }
         }
         for request in std::mem::take(&mut self.ended_requests) {
@@ -148,41 +142,41 @@
         }
     }
 
-    fn execute(&mut self, now: Time, action: Action, asks: &mut Vec<HostAction>) {
+    fn execute(&mut self, now: Time, action: Action, host_actions: &mut Vec<HostAction>) {
         match action {
             Action::Dispatch { request, backend } => {
                 let Some(r) = self.open.get_mut(&request) else { return };
                 let attempt = AttemptNo(r.attempt_count);
                 r.attempt_count += 1;
                 if r.answered || r.deadline <= now {
-                    let (outcome, latency, settled) = (Outcome::NeverSent, Micros(0), r.answered);
-                    let end = AttemptEnd { request, attempt, outcome, latency, answered: settled };
+                    let (outcome, latency, answered) = (Outcome::NeverSent, Micros(0), r.answered);
+                    let end = AttemptEnd { request, attempt, outcome, latency, answered };
                     return self.events.push(Event::AttemptEnded(end));
                 }
                 r.attempts.insert(attempt, now);
-                asks.push(HostAction::Send { request, attempt, backend });
+                host_actions.push(HostAction::Send { request, attempt, backend });
             }
-            Action::Refuse { request } => self.answer(request, 503, asks),
-            Action::Fail { request } => self.answer(request, 502, asks),
+            Action::Refuse { request } => self.answer_request(request, 503, host_actions),
+            Action::Fail { request } => self.answer_request(request, 502, host_actions),
             Action::Cancel { request, attempt } => {
                 let Some(r) = self.open.get_mut(&request) else { return };
                 let Some(sent) = r.attempts.remove(&attempt) else { return };
-                asks.push(HostAction::Cancel { request, attempt });
-                let (outcome, latency, settled) = (Outcome::Cancelled, now - sent, r.answered);
-                let end = AttemptEnd { request, attempt, outcome, latency, answered: settled };
+                host_actions.push(HostAction::Cancel { request, attempt });
+                let (outcome, latency, answered) = (Outcome::Cancelled, now - sent, r.answered);
+                let end = AttemptEnd { request, attempt, outcome, latency, answered };
                 self.events.push(Event::AttemptEnded(end));
                 self.ended_requests.push(request);
             }
             Action::SetTimer { token, after } => self.timers.push(Reverse((now + after, token))),
-            // There are no other regions, so none is ever offered.
+            // The simulated fleet has one region, so the balancer never forwards.
             Action::SubscribeBackends | Action::Log(_) | Action::Forward { .. } => {}
         }
     }
 
-    fn answer(&mut self, request: RequestId, status: u16, asks: &mut Vec<HostAction>) {
+    fn answer_request(&mut self, request: RequestId, status: u16, host_actions: &mut Vec<HostAction>) {
         if let Some(r) = self.open.get_mut(&request).filter(|r| !r.answered) {
             r.answered = true;
-            asks.push(HostAction::Answer { request, status });
+            host_actions.push(HostAction::Answer { request, status });
             self.ended_requests.push(request);
         }
     }
--- a/crates/gaugesaddle-proxy-simulation/src/lib.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/lib.rs
@@ -1,15 +1,16 @@
-//! A fleet in virtual time: the test bed's scenarios, plans and nodes around the real balancer, without sockets, threads or a
-//! clock. The same scenario and policy give the same [`Report`] on every machine.
+//! Discrete-event simulation of a fleet: the scenarios, plans and nodes of `gaugesaddle-testbed` around the real balancer, without
+//! sockets, threads or a wall clock. The same scenario and policy give the same [`Report`] on every machine.
 //!
-//! - [`simulate`] plays a [`Scenario`](gaugesaddle_testbed::Scenario) under a [`Policy`].
-//! - [`tier`] has proxies that know one another, on a network that partitions, loses, duplicates and delays.
-//! - [`fuzz`] sends malformed and forged datagrams to a proxy's membership.
-//! - [`Report`] has the weight that was served in time, by class too, and the load of the nodes.
+//! - [`simulate`] runs a [`Scenario`](gaugesaddle_testbed::Scenario) under a [`Policy`].
+//! - [`tier`] simulates the membership protocol of a proxy tier on a network that partitions, loses, duplicates and delays datagrams.
+//! - [`fuzz`] sends malformed and forged datagrams to a proxy's membership process.
+//! - [`Report`] contains the weight served in time, in total and by class, and the load of the nodes.
 //!
-//! Covered: arrivals, classes, retries, processor sharing, queues, chokes, cold ramps, crashes, drains, deploys,
-//! slow and hung nodes, late news of the list, proxies with unequal traffic. Not covered (a scenario that asks for
-//! it is refused): cut or delayed links, spoilt answers and resets, discovery that is down or moves, proxies that
-//! end, crowds. Cold nodes never fall over here: the rules are the test bed's to judge. A hop takes [`ONE_WAY_DELAY_US`].
+//! Simulated: arrivals, classes, retries, processor sharing, queues, choked nodes, cold ramps, crashes, drains, deploys, slow and
+//! hung nodes, delayed discovery updates, proxies that are killed and started, uneven traffic over proxies. Not simulated (a
+//! scenario with such an event is rejected): partitioned or delayed links, corrupted responses and resets, discovery outages and
+//! moves, proxies that leave gracefully, connection storms. Overload does not crash cold nodes, and the auditor's rules are not
+//! checked; the test bed does both. A message takes [`ONE_WAY_DELAY_US`] in each direction.
 
 pub mod fuzz;
 mod host;
--- a/crates/gaugesaddle-proxy-simulation/src/world.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/world.rs
@@ -1,4 +1,4 @@
-//! A fleet in virtual time: an event queue, nodes, clients and changes of the list.
+//! The simulated fleet: the event queue, the nodes, the clients and changes of the backend list.
 
 mod nodes;
 mod proxies;
@@ -18,49 +18,49 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-/// One way between a proxy and a node, in microseconds: loopback and a stand-in's turn.
+/// Delay of a message between a proxy and a node, in microseconds: loopback and the scheduling of a simulated node's thread.
 pub const ONE_WAY_DELAY_US: u64 = 300;
-/// Maximum number of proxies: as many as a tier may have.
+/// Maximum number of proxies: the maximum size of a tier.
 const MAX_PROXIES: usize = 4096;
-/// The first moment: the module's clock is Unix time and a node that booted at 0 means long ago.
+/// Start of the simulation, in microseconds: the balancer's clock is Unix time, in which a boot time of 0 is far in the past.
 const START: u64 = 1_000_000_000_000;
-/// The plain relay waits for a node for this fraction of the client's time.
+/// Fraction of the client's timeout for which the plain relay waits for a node.
 const RELAY_TIMEOUT_FRACTION: f64 = 0.8;
-/// Interval of each proxy's observations of its tier.
+/// Interval at which each proxy observes its tier.
 const OBSERVATION_INTERVAL_US: u64 = 500_000;
-/// Time until a death is known, and a start: as measured on a tier of processes.
+/// Time until the other proxies detect the death or the start of a proxy, as on a tier of real processes.
 const DEATH_KNOWN_US: u64 = 1_700_000;
 const START_KNOWN_US: u64 = 200_000;
-/// A run continues for this long after the last arrival: the longest deadline of any scenario and some retries.
+/// Time for which a run continues after the last arrival; covers the longest deadline of any scenario and some retries.
 const DRAIN_US: u64 = 10_000_000;
-/// A client that respects `Retry-After` waits for this long: the program rounds to full seconds.
+/// Delay of a retry by a client that honours `Retry-After`; the proxy rounds the header to whole seconds.
 const RETRY_AFTER_US: u64 = 2_000_000;
 
-/// What decides where requests go.
+/// How requests are assigned to nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Policy {
-    /// The balancer, with these bounds of a backend's limit; equal bounds make it constant.
+    /// The balancer, with these bounds on each backend's concurrency limit; equal bounds make the limit constant.
     Balancer(LimitBounds),
-    /// Round robin over the ready nodes, one attempt.
+    /// Round robin over the ready nodes, one attempt per request.
     Relay,
 }
 
 /// The result of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Weight of the requests served in time over that of all requests; retries count to their request.
+    /// Weight of the requests served in time divided by that of all requests; a request and its retries count once.
     pub g: f64,
     /// Fraction served in time, by class.
     pub in_time: Vec<f64>,
-    /// The same as `g`, by second of arrival.
+    /// `g` by second of arrival.
     pub seconds: Vec<f64>,
-    /// Answers by status, of all attempts of clients.
+    /// Number of responses by status, over all attempts of clients.
     pub statuses: BTreeMap<u16, u64>,
-    /// How often a node choked.
+    /// Number of times that a node choked.
     pub chokes: u64,
-    /// Maximum requests at a node, waits included, by index.
+    /// Maximum number of requests at each node, including requests in their wait time, by index.
     pub max_in_flight: Vec<usize>,
-    /// Each proxy's last view of each backend's limit.
+    /// Each proxy's final view of each backend's limit.
     pub limits: Vec<Vec<gaugesaddle_balancer::LimitView>>,
 }
 
@@ -70,46 +70,46 @@
     /// The scenario is invalid.
     #[error("{0}")]
     Scenario(#[from] gaugesaddle_testbed::ScenarioError),
-    /// Its settings are invalid.
+    /// The settings of the scenario are invalid.
     #[error("{0}")]
     Settings(#[from] settings::KeyError),
-    /// The balancer rejects them.
+    /// The balancer rejects the settings.
     #[error("{0}")]
     Config(#[from] ConfigError),
-    /// It has events that the simulation does not cover.
-    #[error("events: expected only what the model covers, got {0}")]
+    /// The scenario has an event that the simulation does not support.
+    #[error("events: expected only events that the simulation supports, got {0}")]
     Unsupported(String),
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum WorldEvent {
     /// A client sends a request: its index in the plan, and the number of the attempt.
-    Try(usize, u32),
-    /// A proxy's tick.
-    Turn(usize),
+    SendRequest(usize, u32),
+    /// A proxy's tick is due.
+    ProxyTick(usize),
     /// A request arrives at a node.
-    Reach(usize),
-    /// Something is due at a node.
-    Run(usize),
-    /// An attempt's wait at its node is over: the answer is sent.
-    Reply(usize),
-    /// An outcome arrives at a proxy.
-    Outcome(usize, u8),
-    /// A step of the plan.
-    Step(usize),
-    /// A proxy learns of a change of a node.
+    ArriveAtNode(usize),
+    /// Work is due at a node.
+    AdvanceNode(usize),
+    /// An attempt's wait time at its node ends; the node sends the response.
+    SendResponse(usize),
+    /// The outcome of an attempt arrives at its proxy.
+    AttemptOutcome(usize, u8),
+    /// A step of the plan is due.
+    PlanStep(usize),
+    /// A proxy receives a change of the backend list: proxy, node, state and boot time.
     ListChange(usize, usize, u8, u64),
-    /// The plain relay gives up.
-    Expire(usize),
+    /// The plain relay's timeout for an attempt expires.
+    RelayTimeout(usize),
     /// A proxy reports its demand and observes the tier.
-    Tier(usize),
+    ObserveTier(usize),
 }
 
 const OK: u8 = 0;
 const FULL: u8 = 1;
 const RESET: u8 = 2;
 const NO_CONNECTION: u8 = 3;
-/// A client whose connection is reset has no answer at all.
+/// Status recorded for a client that receives no response because its connection is reset.
 const RESET_STATUS: u16 = 0;
 const READY: u8 = 0;
 const DRAINING: u8 = 1;
@@ -118,75 +118,75 @@
 struct Node {
     kind: Kind,
     machine: Option<Processor>,
-    /// The start of the process, and its number: what belongs to an older one is dropped.
+    /// Start time and number of the present process; attempts sent to an earlier process are discarded.
     booted: u64,
     boots: u32,
     next_run: u64,
-    /// Attempts at it, waits included.
+    /// Attempts at the node, including those in their wait time.
     in_flight: usize,
 }
 
-/// An attempt, by its number among all.
+/// An attempt sent to a node, identified by its index in `World::node_attempts`.
 struct SentAttempt {
     proxy: usize,
     request: RequestId,
-    no: AttemptNo,
+    attempt_number: AttemptNo,
     node: usize,
     boots: u32,
     work_us: u64,
     wait_us: u64,
-    /// Nobody waits for it any more.
+    /// The proxy no longer waits for the attempt.
     abandoned: bool,
     done: bool,
 }
 
-/// A proxy of the tier.
+/// The state of a proxy as a member of the tier.
 struct ProxyState {
-    /// Since when it runs, or does not.
+    /// Time of the last start or end of the process.
     since: u64,
     up: bool,
     allocator: Allocator,
     demand: DemandEstimator,
     arrivals: u32,
-    /// Its last two reports: others may still have the older one.
+    /// The last two demand reports, newest first; other proxies may still have the older one.
     reported: [Option<f64>; 2],
 }
 
 impl ProxyState {
     fn new() -> ProxyState {
-        let dealer = Allocator::new(AllocatorSettings::default());
+        let allocator = Allocator::new(AllocatorSettings::default());
         ProxyState {
             since: 0,
             up: true,
-            allocator: dealer,
+            allocator,
             demand: DemandEstimator::default(),
             arrivals: 0,
             reported: [None; 2],
         }
     }
 
-    /// Whether others know that it is live.
+    /// Whether the other proxies consider this proxy alive.
     fn is_known_alive(&self, now: u64) -> bool {
-        let known = if self.up { START_KNOWN_US } else { DEATH_KNOWN_US };
-        self.up == (self.since == 0 || now >= self.since + known)
+        let detection_us = if self.up { START_KNOWN_US } else { DEATH_KNOWN_US };
+        self.up == (self.since == 0 || now >= self.since + detection_us)
     }
 }
 
 struct World<'a> {
-    s: &'a Scenario,
+    scenario: &'a Scenario,
     plan: Plan,
     policy: Policy,
     now: u64,
-    heap: BinaryHeap<Reverse<(u64, u64, WorldEvent)>>,
-    order: u64,
+    event_queue: BinaryHeap<Reverse<(u64, u64, WorldEvent)>>,
+    next_order: u64,
     nodes: Vec<Node>,
     hosts: Vec<Host>,
     ticks: Vec<u64>,
-    sent: Vec<SentAttempt>,
+    node_attempts: Vec<SentAttempt>,
     by_attempt: BTreeMap<(usize, RequestId, AttemptNo), usize>,
-    /// Of each client attempt: its request in the plan and its number.
-    attempts: BTreeMap<RequestId, (usize, u32)>,
-    /// Of each request of the plan: served in time.
+    /// For each client attempt, the index of its request in the plan and the number of the attempt.
+    client_attempts: BTreeMap<RequestId, (usize, u32)>,
+    /// For each request of the plan, whether it was served in time.
     served: Vec<bool>,
     answered: BTreeSet<RequestId>,
     ready: Vec<Vec<bool>>,
@@ -199,15 +199,15 @@
     report: Report,
 }
 
-/// Plays a scenario. `traffic` has the relative weight of each proxy's requests; where it is empty, clients use the proxies of
+/// Runs a scenario. `traffic` contains the relative weight of each proxy's traffic; if it is empty, clients use the proxies of
 /// their zone evenly.
 ///
 /// # Errors
-/// The scenario is invalid, or has what the simulation does not cover.
+/// The scenario is invalid, or has an event that the simulation does not support.
 pub fn simulate(s: &Scenario, policy: Policy, traffic: &[f64]) -> Result<Report, SimulationError> {
     s.check_up_to(MAX_PROXIES)?;
-    let drawn = plan(s);
-    let covered = |step: &Step| {
+    let scenario_plan = plan(s);
+    let is_supported = |step: &Step| {
         matches!(
             step,
             Step::NodeStart(_)
@@ -220,10 +220,10 @@
                 | Step::ProxyStart(_)
         )
     };
-    if let Some((_, step)) = drawn.steps.iter().find(|(_, step)| !covered(step)) {
+    if let Some((_, step)) = scenario_plan.steps.iter().find(|(_, step)| !is_supported(step)) {
         return Err(SimulationError::Unsupported(format!("{step:?}")));
     }
-    let hosts = (0..s.proxies).map(|position| host(s, policy, position)).collect::<Result<_, _>>()?;
+    let hosts = (0..s.proxies).map(|position| start_host(s, policy, position)).collect::<Result<_, _>>()?;
     let kinds = s.kinds.iter().flat_map(|k| std::iter::repeat_n(k, k.count));
     let node = |kind: &Kind| Node {
         kind: kind.clone(),
@@ -235,17 +235,17 @@
     };
     let nodes: Vec<Node> = kinds.map(node).collect();
     let mut world = World {
-        s,
+        scenario: s,
         policy,
         now: START,
-        heap: BinaryHeap::new(),
-        order: 0,
+        event_queue: BinaryHeap::new(),
+        next_order: 0,
         hosts,
         ticks: vec![u64::MAX; s.proxies],
-        sent: Vec::new(),
+        node_attempts: Vec::new(),
         by_attempt: BTreeMap::new(),
-        attempts: BTreeMap::new(),
-        served: vec![false; drawn.requests.len()],
+        client_attempts: BTreeMap::new(),
+        served: vec![false; scenario_plan.requests.len()],
         answered: BTreeSet::new(),
         ready: vec![vec![true; nodes.len()]; s.proxies],
         proxies: (0..s.proxies).map(|_| ProxyState::new()).collect(),
@@ -256,113 +256,113 @@
         delivered: BTreeMap::new(),
         report: Report { max_in_flight: vec![0; nodes.len()], ..Report::default() },
         nodes,
-        plan: drawn,
+        plan: scenario_plan,
     };
     world.run()?;
     Ok(world.finish())
 }
 
-/// A proxy that has just started.
-fn host(s: &Scenario, policy: Policy, position: usize) -> Result<Host, SimulationError> {
-    let told = s.settings(position);
-    let (mut config, _) = settings::read(&Key::root(&told))?;
+/// The host of a proxy that has just started.
+fn start_host(s: &Scenario, policy: Policy, position: usize) -> Result<Host, SimulationError> {
+    let proxy_settings = s.settings(position);
+    let (mut config, _) = settings::read(&Key::root(&proxy_settings))?;
     config.limits = if let Policy::Balancer(bounds) = policy { bounds } else { LimitBounds::default() };
     Ok(Host::new(config, mix(s.seed, position as u64))?)
 }
 
 impl World<'_> {
-    pub(super) fn at(&mut self, at: u64, what: WorldEvent) {
-        self.order += 1;
-        self.heap.push(Reverse((at.max(self.now), self.order, what)));
+    pub(super) fn schedule(&mut self, at: u64, event: WorldEvent) {
+        self.next_order += 1;
+        self.event_queue.push(Reverse((at.max(self.now), self.next_order, event)));
     }
 
     fn run(&mut self) -> Result<(), SimulationError> {
-        let all: Vec<Backend> = (0..self.nodes.len()).map(|n| self.entry(n, READY)).collect();
+        let all: Vec<Backend> = (0..self.nodes.len()).map(|n| self.backend_entry(n, READY)).collect();
         for proxy in 0..self.hosts.len() {
-            self.hosts[proxy].list(ListUpdate::Full, all.clone());
-            self.plan_tick(proxy);
-            if self.s.demand_allocation {
+            self.hosts[proxy].update_backends(ListUpdate::Full, all.clone());
+            self.schedule_tick(proxy);
+            if self.scenario.demand_allocation {
                 let phase = (self.views.unit() * OBSERVATION_INTERVAL_US as f64) as u64;
-                self.at(START + phase, WorldEvent::Tier(proxy));
+                self.schedule(START + phase, WorldEvent::ObserveTier(proxy));
             }
         }
         for i in 0..self.plan.requests.len() {
-            self.at(START + self.plan.requests[i].at_us, WorldEvent::Try(i, 0));
+            self.schedule(START + self.plan.requests[i].at_us, WorldEvent::SendRequest(i, 0));
         }
         for i in 0..self.plan.steps.len() {
-            self.at(START + self.plan.steps[i].0, WorldEvent::Step(i));
+            self.schedule(START + self.plan.steps[i].0, WorldEvent::PlanStep(i));
         }
-        let end = START + (self.s.seconds * 1e6) as u64 + DRAIN_US;
-        while let Some(Reverse((at, _, what))) = self.heap.pop() {
+        let end = START + (self.scenario.seconds * 1e6) as u64 + DRAIN_US;
+        while let Some(Reverse((at, _, event))) = self.event_queue.pop() {
             if at > end {
                 break;
             }
             self.now = at;
-            match what {
-                WorldEvent::Try(ask, number) => self.send_request(ask, number),
-                WorldEvent::Turn(proxy) if self.ticks[proxy] == at => {
+            match event {
+                WorldEvent::SendRequest(planned, number) => self.send_request(planned, number),
+                WorldEvent::ProxyTick(proxy) if self.ticks[proxy] == at => {
                     self.ticks[proxy] = u64::MAX;
-                    let mut asks = Vec::new();
-                    self.hosts[proxy].run(Time(at), &mut asks);
-                    self.carry_out(proxy, asks);
-                    self.plan_tick(proxy);
+                    let mut host_actions = Vec::new();
+                    self.hosts[proxy].run(Time(at), &mut host_actions);
+                    self.execute_actions(proxy, host_actions);
+                    self.schedule_tick(proxy);
                 }
-                WorldEvent::Turn(_) => {}
-                WorldEvent::Reach(sent) => self.reach(sent),
-                WorldEvent::Run(node) if self.nodes[node].next_run == at => {
+                WorldEvent::ProxyTick(_) => {}
+                WorldEvent::ArriveAtNode(sent) => self.arrive_at_node(sent),
+                WorldEvent::AdvanceNode(node) if self.nodes[node].next_run == at => {
                     self.nodes[node].next_run = u64::MAX;
-                    self.advance(node);
+                    self.advance_node(node);
                 }
-                WorldEvent::Run(_) => {}
-                WorldEvent::Reply(sent) => self.reply(sent),
-                WorldEvent::Outcome(sent, how) => self.outcome(sent, how),
-                WorldEvent::Step(step) => self.step(step)?,
-                WorldEvent::ListChange(proxy, node, standing, booted) => {
-                    self.deliver_change(proxy, node, standing, booted);
+                WorldEvent::AdvanceNode(_) => {}
+                WorldEvent::SendResponse(sent) => self.send_response(sent),
+                WorldEvent::AttemptOutcome(sent, outcome_code) => self.handle_outcome(sent, outcome_code),
+                WorldEvent::PlanStep(step) => self.apply_step(step)?,
+                WorldEvent::ListChange(proxy, node, state, booted) => {
+                    self.deliver_change(proxy, node, state, booted);
                 }
-                WorldEvent::Expire(sent) => self.expire(sent),
-                WorldEvent::Tier(proxy) => self.observe_tier(proxy),
+                WorldEvent::RelayTimeout(sent) => self.time_out_relay(sent),
+                WorldEvent::ObserveTier(proxy) => self.observe_tier(proxy),
             }
         }
         Ok(())
     }
 
-    pub(super) fn answer(&mut self, request: RequestId, status: u16) {
+    pub(super) fn answer_request(&mut self, request: RequestId, status: u16) {
         if !self.answered.insert(request) {
             return;
         }
-        let (index, number) = self.attempts[&request];
-        let ask = &self.plan.requests[index];
+        let (request_index, number) = self.client_attempts[&request];
+        let planned = &self.plan.requests[request_index];
         *self.report.statuses.entry(status).or_default() += 1;
-        let class = &self.s.classes[ask.class];
-        self.served[index] |=
-            status == 200 && self.now <= START + ask.at_us + (class.objective_ms * 1e3) as u64;
-        if number < ask.retries && may_retry(class.effect, status, true) {
-            let advised = (status == 503 && ask.honours).then_some(RETRY_AFTER_US);
-            let wait = advised.unwrap_or(ask.backoff_us << number.min(8));
-            self.at(self.now + wait, WorldEvent::Try(index, number + 1));
+        let class = &self.scenario.classes[planned.class];
+        self.served[request_index] |=
+            status == 200 && self.now <= START + planned.at_us + (class.objective_ms * 1e3) as u64;
+        if number < planned.retries && may_retry(class.effect, status, true) {
+            let retry_after = (status == 503 && planned.honours).then_some(RETRY_AFTER_US);
+            let wait = retry_after.unwrap_or(planned.backoff_us << number.min(8));
+            self.schedule(self.now + wait, WorldEvent::SendRequest(request_index, number + 1));
         }
     }
 
     fn finish(mut self) -> Report {
-        let s = self.s;
+        let s = self.scenario;
         let mut classes = vec![(0.0, 0.0); s.classes.len()];
         let mut seconds = vec![(0.0, 0.0); s.seconds.ceil() as usize];
-        for (ask, served) in self.plan.requests.iter().zip(&self.served) {
-            let worth = s.classes[ask.class].priority_weight;
+        for (planned, served) in self.plan.requests.iter().zip(&self.served) {
+            let weight = s.classes[planned.class].priority_weight;
             let last = seconds.len() - 1;
-            let second = &mut seconds[((ask.at_us / 1_000_000) as usize).min(last)];
-            let class = &mut classes[ask.class];
-            for (sum, worth) in [(class, 1.0), (second, worth)] {
-                sum.0 += worth;
-                sum.1 += if *served { worth } else { 0.0 };
+            let second = &mut seconds[((planned.at_us / 1_000_000) as usize).min(last)];
+            let class = &mut classes[planned.class];
+            for (sum, weight) in [(class, 1.0), (second, weight)] {
+                sum.0 += weight;
+                sum.1 += if *served { weight } else { 0.0 };
             }
         }
-        let part = |(all, good): &(f64, f64)| if *all > 0.0 { good / all } else { 1.0 };
+        let fraction = |(total, in_time): &(f64, f64)| if *total > 0.0 { in_time / total } else { 1.0 };
         let all = seconds.iter().fold((0.0, 0.0), |n, s| (n.0 + s.0, n.1 + s.1));
-        self.report.g = part(&all);
-        self.report.in_time = classes.iter().map(part).collect();
-        self.report.seconds = seconds.iter().map(part).collect();
+        self.report.g = fraction(&all);
+        self.report.in_time = classes.iter().map(fraction).collect();
+        self.report.seconds = seconds.iter().map(fraction).collect();
         self.report.limits = self.hosts.iter().map(|h| h.balancer.limits()).collect();
         self.report
     }
--- a/crates/gaugesaddle-proxy-simulation/src/world/proxies.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/world/proxies.rs
@@ -1,185 +1,190 @@
-//! The proxies of the simulated fleet: requests of clients, attempts, and what each proxy knows of its tier.
+//! The proxies of the simulated fleet: client requests, attempts, and each proxy's view of its tier.
 
 use super::*;
 use crate::host::HostAction;
 
 impl World<'_> {
-    /// A proxy observes its tier: of each other one it has the newest report or the one before, and it learns late of starts
-    /// and ends.
+    /// Observes the tier from a proxy: it has the last report or the one before of each other proxy, and detects starts and ends
+    /// with a delay.
     pub(super) fn observe_tier(&mut self, proxy: usize) {
-        self.at(self.now + OBSERVATION_INTERVAL_US, WorldEvent::Tier(proxy));
+        self.schedule(self.now + OBSERVATION_INTERVAL_US, WorldEvent::ObserveTier(proxy));
         if !self.proxies[proxy].up {
             return;
         }
         let own = &mut self.proxies[proxy];
-        let need = own.demand.record(std::mem::take(&mut own.arrivals), OBSERVATION_INTERVAL_US as f64 / 1e6);
-        own.reported = [need, own.reported[0]];
+        let demand =
+            own.demand.record(std::mem::take(&mut own.arrivals), OBSERVATION_INTERVAL_US as f64 / 1e6);
+        own.reported = [demand, own.reported[0]];
         let (now, since) = (self.now, own.since.max(START));
-        let known = (0..self.proxies.len()).filter(|p| *p == proxy || self.proxies[*p].is_known_alive(now));
-        let living: Vec<u16> = known.map(|p| p as u16).collect();
+        let live_proxies =
+            (0..self.proxies.len()).filter(|p| *p == proxy || self.proxies[*p].is_known_alive(now));
+        let live_indices: Vec<u16> = live_proxies.map(|p| p as u16).collect();
         let views = &mut self.views;
-        let needs: Vec<Option<f64>> = living
+        let demands: Vec<Option<f64>> = live_indices
             .iter()
             .map(|p| self.proxies[usize::from(*p)].reported[usize::from(views.bernoulli(0.5))])
             .collect();
-        let position = living.iter().position(|p| usize::from(*p) == proxy).unwrap_or(0);
-        // It learns of later starts and ends late, but it knows all others from the beginning.
-        let awake = Micros(now - since);
-        let told = self.proxies.len();
-        let seen = TierView {
-            configured: told,
-            uptime: awake,
-            unchanged_for: awake,
+        let position = live_indices.iter().position(|p| usize::from(*p) == proxy).unwrap_or(0);
+        // Starts and ends are detected with a delay; the proxies that run initially are known at once.
+        let uptime = Micros(now - since);
+        let configured = self.proxies.len();
+        let view = TierView {
+            configured,
+            uptime,
+            unchanged_for: uptime,
             own: position,
-            indices: &living,
-            demands: &needs,
+            indices: &live_indices,
+            demands: &demands,
         };
-        let (dealer, host) = (&mut self.proxies[proxy].allocator, &mut self.hosts[proxy]);
-        if let Allocation::ByDemand(tier) = dealer.observe(Time(now), &seen, host.balancer.listed()) {
-            host.report([Event::Tier(tier), Event::Assignments(dealer.uses().to_vec())]);
-            self.plan_tick(proxy);
+        let (allocator, host) = (&mut self.proxies[proxy].allocator, &mut self.hosts[proxy]);
+        if let Allocation::ByDemand(tier) = allocator.observe(Time(now), &view, host.balancer.listed()) {
+            host.push_events([Event::Tier(tier), Event::Assignments(allocator.uses().to_vec())]);
+            self.schedule_tick(proxy);
         }
     }
 
-    /// A proxy's process ends, and its connections with it.
-    pub(super) fn kill(&mut self, proxy: usize) {
+    /// Kills a proxy's process, which closes its connections.
+    pub(super) fn kill_proxy(&mut self, proxy: usize) {
         if !std::mem::replace(&mut self.proxies[proxy].up, false) {
             return;
         }
         self.proxies[proxy].since = self.now;
         self.ticks[proxy] = u64::MAX;
-        for request in self.hosts[proxy].end() {
-            self.answer(request, RESET_STATUS);
+        for request in self.hosts[proxy].end_process() {
+            self.answer_request(request, RESET_STATUS);
         }
-        self.awaited(|s| s.proxy == proxy).into_iter().for_each(|sent| self.abandon(sent));
+        self.pending_attempts(|s| s.proxy == proxy).into_iter().for_each(|sent| self.abandon_attempt(sent));
     }
 
-    /// Attempts that somebody waits for, the newest first.
-    pub(super) fn awaited(&self, of: impl Fn(&SentAttempt) -> bool) -> Vec<usize> {
-        // Older ones are past every deadline.
-        let newest = (0..self.sent.len()).rev().take(20_000);
-        newest.filter(|i| !self.sent[*i].abandoned && of(&self.sent[*i])).collect()
+    /// Attempts that have not been abandoned and match a filter, newest first.
+    pub(super) fn pending_attempts(&self, filter: impl Fn(&SentAttempt) -> bool) -> Vec<usize> {
+        // Older attempts are past every deadline.
+        let newest = (0..self.node_attempts.len()).rev().take(20_000);
+        newest.filter(|i| !self.node_attempts[*i].abandoned && filter(&self.node_attempts[*i])).collect()
     }
 
-    /// A proxy's process starts, with the present list.
-    pub(super) fn start(&mut self, proxy: usize) -> Result<(), SimulationError> {
-        let (host, now) = (host(self.s, self.policy, proxy)?, self.now);
+    /// Starts a proxy's process with its current backend list.
+    pub(super) fn start_proxy(&mut self, proxy: usize) -> Result<(), SimulationError> {
+        let (host, now) = (start_host(self.scenario, self.policy, proxy)?, self.now);
         self.hosts[proxy] = host;
         self.proxies[proxy] = ProxyState { since: now, ..ProxyState::new() };
-        let standing = |n: usize| if self.ready[proxy][n] { READY } else { DEPARTED };
-        let all = (0..self.nodes.len()).map(|n| self.entry(n, standing(n))).collect();
-        self.hosts[proxy].list(ListUpdate::Full, all);
-        self.plan_tick(proxy);
+        let state = |n: usize| if self.ready[proxy][n] { READY } else { DEPARTED };
+        let all = (0..self.nodes.len()).map(|n| self.backend_entry(n, state(n))).collect();
+        self.hosts[proxy].update_backends(ListUpdate::Full, all);
+        self.schedule_tick(proxy);
         Ok(())
     }
 
-    pub(super) fn plan_tick(&mut self, proxy: usize) {
+    pub(super) fn schedule_tick(&mut self, proxy: usize) {
         if let Some(next) = self.hosts[proxy].wake_at() {
             let next = next.0.max(self.now);
             if next < self.ticks[proxy] {
                 self.ticks[proxy] = next;
-                self.at(next, WorldEvent::Turn(proxy));
+                self.schedule(next, WorldEvent::ProxyTick(proxy));
             }
         }
     }
 
     pub(super) fn send_request(&mut self, index: usize, number: u32) {
-        let ask = self.plan.requests[index].clone();
-        let id = RequestId(if number == 0 { ask.id } else { retry_id(ask.id, number) });
-        let drawn = mix(ask.id, u64::from(number));
-        let proxies = self.s.proxies;
+        let planned = self.plan.requests[index].clone();
+        let id = RequestId(if number == 0 { planned.id } else { retry_id(planned.id, number) });
+        let hash = mix(planned.id, u64::from(number));
+        let proxies = self.scenario.proxies;
         let up = |p: &usize| self.proxies[*p].up;
-        let near: Vec<usize> = (0..proxies).filter(|p| p % self.s.zones == ask.zone).filter(up).collect();
+        let same_zone: Vec<usize> =
+            (0..proxies).filter(|p| p % self.scenario.zones == planned.zone).filter(up).collect();
         let traffic = |p: usize| if up(&p) { self.traffic.get(p).copied().unwrap_or(0.0) } else { 0.0 };
-        let all: f64 = (0..proxies).map(traffic).sum();
-        let proxy = if all > 0.0 {
-            let mut point = (drawn >> 11) as f64 / (1u64 << 53) as f64 * all;
-            let hit = (0..proxies).position(|p| {
+        let total: f64 = (0..proxies).map(traffic).sum();
+        let proxy = if total > 0.0 {
+            let mut point = (hash >> 11) as f64 / (1u64 << 53) as f64 * total;
+            let selected = (0..proxies).position(|p| {
                 point -= traffic(p);
                 point < 0.0
             });
-            hit.unwrap_or(0)
-        } else if near.is_empty() {
-            let left: Vec<usize> = (0..proxies).filter(up).collect();
-            if left.is_empty() {
-                self.attempts.insert(id, (index, number));
-                return self.answer(id, RESET_STATUS);
+            selected.unwrap_or(0)
+        } else if same_zone.is_empty() {
+            let running: Vec<usize> = (0..proxies).filter(up).collect();
+            if running.is_empty() {
+                self.client_attempts.insert(id, (index, number));
+                return self.answer_request(id, RESET_STATUS);
             }
-            left[(drawn % left.len() as u64) as usize]
+            running[(hash % running.len() as u64) as usize]
         } else {
-            near[(drawn % near.len() as u64) as usize]
+            same_zone[(hash % same_zone.len() as u64) as usize]
         };
-        self.attempts.insert(id, (index, number));
+        self.client_attempts.insert(id, (index, number));
         if self.policy == Policy::Relay {
             let nodes = self.nodes.len();
             for _ in 0..nodes {
                 self.next_relay_node = (self.next_relay_node + 1) % nodes;
                 if self.ready[proxy][self.next_relay_node] {
-                    let sent = self.send(proxy, id, AttemptNo(0), self.next_relay_node);
-                    let wait = (ask.patience_us as f64 * RELAY_TIMEOUT_FRACTION) as u64;
-                    return self.at(self.now + wait, WorldEvent::Expire(sent));
+                    let sent = self.send_attempt(proxy, id, AttemptNo(0), self.next_relay_node);
+                    let wait = (planned.patience_us as f64 * RELAY_TIMEOUT_FRACTION) as u64;
+                    return self.schedule(self.now + wait, WorldEvent::RelayTimeout(sent));
                 }
             }
-            return self.answer(id, 502);
+            return self.answer_request(id, 502);
         }
         let arrival = Arrival {
             request: id,
-            class: ClassId(ask.class),
+            class: ClassId(planned.class),
             tenant: None,
-            remaining: Micros(ask.patience_us),
+            remaining: Micros(planned.patience_us),
             work_hint: None,
-            repeat: number > 0 && self.s.clients.label_retries,
+            repeat: number > 0 && self.scenario.clients.label_retries,
             retried_early: false,
             from_other_region: false,
         };
         self.proxies[proxy].arrivals += 1;
         self.hosts[proxy].add_request(Time(self.now), arrival);
-        self.plan_tick(proxy);
+        self.schedule_tick(proxy);
     }
 
-    pub(super) fn send(&mut self, proxy: usize, request: RequestId, no: AttemptNo, node: usize) -> usize {
-        let (index, _) = self.attempts[&request];
+    pub(super) fn send_attempt(
+        &mut self, proxy: usize, request: RequestId, attempt_number: AttemptNo, node: usize,
+    ) -> usize {
+        let (index, _) = self.client_attempts[&request];
         let (work_us, wait_us) = (self.plan.requests[index].work_us, self.plan.requests[index].wait_us);
-        let sent = self.sent.len();
-        let (boots, dropped, done) = (self.nodes[node].boots, false, false);
-        self.sent.push(SentAttempt {
+        let sent = self.node_attempts.len();
+        let (boots, abandoned, done) = (self.nodes[node].boots, false, false);
+        self.node_attempts.push(SentAttempt {
             proxy,
             request,
-            no,
+            attempt_number,
             node,
             boots,
             work_us,
             wait_us,
-            abandoned: dropped,
+            abandoned,
             done,
         });
-        self.by_attempt.insert((proxy, request, no), sent);
-        self.at(self.now + ONE_WAY_DELAY_US, WorldEvent::Reach(sent));
+        self.by_attempt.insert((proxy, request, attempt_number), sent);
+        self.schedule(self.now + ONE_WAY_DELAY_US, WorldEvent::ArriveAtNode(sent));
         sent
     }
 
-    pub(super) fn carry_out(&mut self, proxy: usize, asks: Vec<HostAction>) {
-        for ask in asks {
-            match ask {
+    pub(super) fn execute_actions(&mut self, proxy: usize, actions: Vec<HostAction>) {
+        for action in actions {
+            match action {
                 HostAction::Send { request, attempt, backend } => {
                     let node = (0..self.nodes.len()).find(|n| BackendId(mix(7, *n as u64)) == backend);
                     if let Some(node) = node {
-                        self.send(proxy, request, attempt, node);
+                        self.send_attempt(proxy, request, attempt, node);
                     }
                 }
                 HostAction::Cancel { request, attempt } => {
                     if let Some(&sent) = self.by_attempt.get(&(proxy, request, attempt)) {
-                        self.abandon(sent);
+                        self.abandon_attempt(sent);
                     }
                 }
-                HostAction::Answer { request, status } => self.answer(request, status),
+                HostAction::Answer { request, status } => self.answer_request(request, status),
             }
         }
     }
 
-    /// Nobody waits for an attempt any more: if it is queued at its node it is dropped, if it runs it continues.
-    pub(super) fn abandon(&mut self, sent: usize) {
-        let s = &mut self.sent[sent];
+    /// Marks an attempt as abandoned by its proxy: it is removed if queued at its node, and continues if it is running.
+    pub(super) fn abandon_attempt(&mut self, sent: usize) {
+        let s = &mut self.node_attempts[sent];
         s.abandoned = true;
         let n = &mut self.nodes[s.node];
         if !s.done && n.boots == s.boots {
@@ -192,29 +197,30 @@
         }
     }
 
-    pub(super) fn outcome(&mut self, sent: usize, how: u8) {
-        let s = &mut self.sent[sent];
+    pub(super) fn handle_outcome(&mut self, sent: usize, outcome_code: u8) {
+        let s = &mut self.node_attempts[sent];
         if std::mem::replace(&mut s.abandoned, true) {
             return;
         }
-        let (proxy, request, no) = (s.proxy, s.request, s.no);
+        let (proxy, request, attempt_number) = (s.proxy, s.request, s.attempt_number);
         if self.policy == Policy::Relay {
-            return self.answer(request, if how == OK { 200 } else { 502 });
+            return self.answer_request(request, if outcome_code == OK { 200 } else { 502 });
         }
-        let outcome = [Outcome::Ok, Outcome::Full, Outcome::Reset, Outcome::ConnectFailed][how as usize];
-        let mut asks = Vec::new();
+        let outcome =
+            [Outcome::Ok, Outcome::Full, Outcome::Reset, Outcome::ConnectFailed][outcome_code as usize];
+        let mut actions = Vec::new();
         if !self.proxies[proxy].up {
             return;
         }
-        self.hosts[proxy].finish_attempt(Time(self.now), request, no, outcome, &mut asks);
-        self.carry_out(proxy, asks);
-        self.plan_tick(proxy);
+        self.hosts[proxy].finish_attempt(Time(self.now), request, attempt_number, outcome, &mut actions);
+        self.execute_actions(proxy, actions);
+        self.schedule_tick(proxy);
     }
 
-    pub(super) fn expire(&mut self, sent: usize) {
-        if !self.sent[sent].abandoned {
-            self.abandon(sent);
-            self.answer(self.sent[sent].request, 502);
+    pub(super) fn time_out_relay(&mut self, sent: usize) {
+        if !self.node_attempts[sent].abandoned {
+            self.abandon_attempt(sent);
+            self.answer_request(self.node_attempts[sent].request, 502);
         }
     }
 }
