--- a/crates/gaugesaddle-proxy-simulation/src/lib.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/lib.rs
@@ -8,8 +8,8 @@
 //!
 //! Simulated: arrivals, classes, retries, processor sharing, queues, choked nodes, cold ramps, crashes, drains, deploys, slow and
 //! hung nodes, delayed discovery updates, proxies that are killed and started, uneven traffic over proxies. Not simulated (a
-//! scenario with such an event is rejected): partitioned or delayed links, corrupted responses and resets, discovery outages and
-//! moves, proxies that leave gracefully, connection storms. Overload does not crash cold nodes, and the auditor's rules are not
+//! scenario with such an event is rejected): partitioned or delayed links, corrupted responses and resets, nodes that
+//! vanish, discovery outages and moves, proxies that are suspended, restarted or leave gracefully. Overload does not crash cold nodes, and the auditor's rules are not
 //! checked; the test bed does both. A message takes [`ONE_WAY_DELAY_US`] in each direction.
 
 pub mod fuzz;
--- a/crates/gaugesaddle-proxy-simulation/src/tier/membership_factory.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/tier/membership_factory.rs
@@ -5,7 +5,7 @@
 use gaugesaddle_membership::{Authenticator, Boot, Membership, Output, Settings, Signals, TierConfig};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Starts processes of `gaugesaddle-membership`, which publish a record of the usual size twice a second.
+/// Starts processes of `gaugesaddle-membership`, which publish a record of typical size at the configured interval.
 pub struct MembershipFactory {
     /// Settings of all processes.
     pub settings: Settings,
@@ -20,14 +20,14 @@
 }
 
 struct MembershipProcess {
-    peers: Membership,
-    publish: u64,
-    next: u64,
+    membership: Membership,
+    publish_interval: u64,
+    next_publish: u64,
     outputs: Vec<Output>,
     log: Vec<String>,
 }
 
-/// The address of a member; in a simulation only its index counts.
+/// The address of a member, which encodes its index.
 pub fn address(index: usize) -> SocketAddr {
     (Ipv4Addr::from(0x7f00_0001 + index as u32), 7946).into()
 }
@@ -53,12 +53,18 @@
         } else {
             Authenticator::disabled()
         };
-        let peers = Membership::new(self.settings.clone(), auth, config, Boot(boot), seed, Time(now));
-        let peers = peers.expect("a sound tier");
-        let publish = self.settings.publish_interval.0;
+        let membership = Membership::new(self.settings.clone(), auth, config, Boot(boot), seed, Time(now));
+        let membership = membership.expect("the tier configuration is valid");
+        let publish_interval = self.settings.publish_interval.0;
         let log =
             vec![format!("peers: this is {index} of {members}, boot {boot:08x}, at {}", address(index))];
-        Box::new(MembershipProcess { peers, publish, next: now, outputs: Vec::new(), log })
+        Box::new(MembershipProcess {
+            membership,
+            publish_interval,
+            next_publish: now,
+            outputs: Vec::new(),
+            log,
+        })
     }
 }
 
@@ -67,7 +73,7 @@
         for output in self.outputs.drain(..) {
             match output {
                 Output::Send { to, bytes } => out.push((index_of(to), bytes)),
-                Output::MessageReceived { .. } => {} // no host here handles messages
+                Output::MessageReceived { .. } => {} // the simulated host does not handle messages
                 Output::StateChanged(transition) => self.log.push(format!("peers: {transition}")),
                 _ => {}
             }
@@ -77,13 +83,13 @@
 
 impl Process for MembershipProcess {
     fn datagram(&mut self, now: u64, from: usize, bytes: &[u8], out: &mut OutgoingDatagrams) {
-        self.peers.handle_datagram(Time(now), address(from), bytes, &mut self.outputs);
+        self.membership.handle_datagram(Time(now), address(from), bytes, &mut self.outputs);
         self.drain_outputs(out);
     }
 
     fn run_timers(&mut self, now: u64, out: &mut OutgoingDatagrams) {
-        if now >= self.next {
-            self.next = now + self.publish;
+        if now >= self.next_publish {
+            self.next_publish = now + self.publish_interval;
             let zone = gaugesaddle_membership::ZoneSignal {
                 backends: 10.0,
                 capacity_per_s: 300.0,
@@ -91,23 +97,23 @@
             };
             let signals =
                 Signals { arrivals_per_s: vec![10.0; 3], zones: vec![zone; 3], ..Signals::default() };
-            self.peers.publish(Time(now), &signals.encode());
+            self.membership.publish(Time(now), &signals.encode());
         }
-        self.peers.run_due_timers(Time(now), &mut self.outputs);
+        self.membership.run_due_timers(Time(now), &mut self.outputs);
         self.drain_outputs(out);
     }
 
     fn wake_at(&self) -> u64 {
-        self.peers.next_timer_at().0.min(self.next)
+        self.membership.next_timer_at().0.min(self.next_publish)
     }
 
     fn leave(&mut self, _: u64, out: &mut OutgoingDatagrams) {
-        self.peers.leave(&mut self.outputs);
+        self.membership.leave(&mut self.outputs);
         self.drain_outputs(out);
     }
 
     fn live_boot(&self, index: usize) -> Option<u32> {
-        self.peers.live_boot(index as u16).map(|b| b.0)
+        self.membership.live_boot(index as u16).map(|b| b.0)
     }
 
     fn log(&mut self) -> Vec<String> {
@@ -115,6 +121,6 @@
     }
 
     fn record(&self, index: usize) -> Option<(u32, u32)> {
-        self.peers.record(index as u16).map(|r| (r.boot.0, r.version))
+        self.membership.record(index as u16).map(|r| (r.boot.0, r.version))
     }
 }
--- a/crates/gaugesaddle-proxy-simulation/src/tier/observation.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/tier/observation.rs
@@ -1,41 +1,43 @@
-//! Compares what each process knows of the others with the truth.
+//! Compares each process's view of the others with the actual state.
 
 use super::{Tier, OBSERVATION_INTERVAL_US};
 
 impl Tier<'_> {
     pub(super) fn observe(&mut self) {
         for viewer in 0..self.members {
-            for of in (0..self.members).filter(|of| *of != viewer) {
-                self.observe_pair(viewer, of);
+            for subject in (0..self.members).filter(|subject| *subject != viewer) {
+                self.observe_pair(viewer, subject);
             }
         }
         self.observe_notices();
     }
 
-    /// What one running member holds of another, against the truth and against what it held before.
-    fn observe_pair(&mut self, viewer: usize, of: usize) {
+    /// Compares a running process's view of another with the actual state and with its previous view.
+    fn observe_pair(&mut self, viewer: usize, subject: usize) {
         let now = self.now;
         let Some(process) = self.running[viewer].as_ref().filter(|r| !r.is_suspended) else { return };
-        let live_boot = process.process.live_boot(of);
-        let record = process.process.record(of);
-        let mut pair = self.pairs[viewer * self.members + of];
+        let live_boot = process.process.live_boot(subject);
+        let record = process.process.record(subject);
+        let mut pair = self.pairs[viewer * self.members + subject];
         if let Some(boot) = live_boot {
             let number = self.boots.get(&boot).copied().unwrap_or(0);
             if number < pair.boot {
-                self.report.regressions.push(format!("{viewer} saw an earlier process of {of} at {now}"));
+                self.report
+                    .regressions
+                    .push(format!("{viewer} considers an earlier process of {subject} alive at {now}"));
             }
             pair.boot = number;
         }
         if let Some((boot, version)) = record {
             let version = (self.boots.get(&boot).copied().unwrap_or(0), version);
             if pair.record.is_some_and(|last| version < last) {
-                self.report.regressions.push(format!("{viewer} has an older record of {of} at {now}"));
+                self.report.regressions.push(format!("{viewer} has an older record of {subject} at {now}"));
             }
             pair.record = Some(version);
         }
-        let is_partitioned = !self.connected(viewer, of);
+        let is_partitioned = !self.is_connected(viewer, subject);
         let report = &mut self.report;
-        match self.running[of].as_ref().filter(|r| !r.is_suspended) {
+        match self.running[subject].as_ref().filter(|r| !r.is_suspended) {
             Some(other) if live_boot == Some(other.boot) => {
                 if let Some(since) = pair.lost.take() {
                     report.longest_false_death = report.longest_false_death.max(now - since);
@@ -59,24 +61,24 @@
             None if live_boot.is_some() => report.converged_after = now,
             None => {}
         }
-        self.pairs[viewer * self.members + of] = pair;
+        self.pairs[viewer * self.members + subject] = pair;
     }
 
-    /// Which members have learned of deaths and starts since the last observation.
+    /// Records which processes have detected deaths and starts since the last observation.
     fn observe_notices(&mut self) {
         let now = self.now;
         let (running, report) = (&self.running, &mut self.report);
-        let holds = |i: usize, boot: u32| {
+        let considers_alive = |i: usize, boot: u32| {
             let r = running[i].as_ref();
             r.is_some_and(|r| (0..running.len()).any(|j| r.process.live_boot(j) == Some(boot)))
         };
-        for (boot, at, knew) in &mut self.deaths_to_notice {
-            knew.retain(|i| {
-                let still = holds(*i, *boot);
-                if !still {
+        for (boot, at, observers) in &mut self.deaths_to_notice {
+            observers.retain(|i| {
+                let remains = considers_alive(*i, *boot);
+                if !remains {
                     report.death_known.push(now - *at);
                 }
-                still
+                remains
             });
         }
         for (index, boot, at, others) in &mut self.starts_to_notice {
@@ -94,14 +96,16 @@
 
     pub(super) fn disagreements(&self) -> Vec<String> {
         let mut found = Vec::new();
-        for i in 0..self.members {
-            let Some(r) = self.running[i].as_ref().filter(|r| !r.is_suspended) else { continue };
-            for j in (0..self.members).filter(|j| *j != i) {
-                let there = self.running[j].as_ref().filter(|r| !r.is_suspended && self.connected(i, j));
-                let (sees, is) = (r.process.live_boot(j), there.map(|r| r.boot));
-                if sees != is && self.running[j].as_ref().is_none_or(|r| !r.is_suspended) {
-                    let since = there.map_or(0, |t| t.started);
-                    found.push(format!("{i} sees {sees:?} at {j}, where {is:?} runs since {since}"));
+        for viewer in 0..self.members {
+            let Some(r) = self.running[viewer].as_ref().filter(|r| !r.is_suspended) else { continue };
+            for subject in (0..self.members).filter(|subject| *subject != viewer) {
+                let running = self.running[subject]
+                    .as_ref()
+                    .filter(|r| !r.is_suspended && self.is_connected(viewer, subject));
+                let (viewed, actual) = (r.process.live_boot(subject), running.map(|r| r.boot));
+                if viewed != actual && self.running[subject].as_ref().is_none_or(|r| !r.is_suspended) {
+                    let since = running.map_or(0, |t| t.started);
+                    found.push(format!("{viewer} considers boot {viewed:?} of {subject} alive, expected boot {actual:?}, running since {since}"));
                 }
             }
         }
