--- a/crates/gaugesaddle-measure/src/bare.rs
+++ b/crates/gaugesaddle-measure/src/bare.rs
@@ -1,5 +1,5 @@
-//! The bare relay: hyper on both sides, nodes in turn, connections kept, bodies read whole, and nothing decided. What
-//! any proxy built on hyper and one thread must cost.
+//! The bare relay: a single-threaded reverse proxy on hyper that selects nodes round robin, reuses connections and buffers bodies,
+//! without load balancing. Its cost is the minimum of any proxy built on hyper and one thread.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -15,42 +15,44 @@
 use std::rc::Rc;
 use tokio::net::{TcpListener, TcpStream};
 
-type Sender = SendRequest<Full<Bytes>>;
+type UpstreamSender = SendRequest<Full<Bytes>>;
 
-struct Bare {
-    nodes: Vec<(SocketAddr, RefCell<Vec<Sender>>)>,
-    turn: Cell<usize>,
+struct BareRelay {
+    nodes: Vec<(SocketAddr, RefCell<Vec<UpstreamSender>>)>,
+    next_node: Cell<usize>,
 }
 
-/// Serves until it is killed.
+/// Serves until the process is killed.
 pub fn serve(listen: SocketAddr, nodes: Vec<SocketAddr>) -> ExitCode {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let Ok(runtime) = runtime else { return ExitCode::from(2) };
     let served = tokio::task::LocalSet::new().block_on(&runtime, async move {
         let listener = TcpListener::bind(listen).await?;
         let nodes = nodes.into_iter().map(|n| (n, RefCell::default())).collect();
-        let bare = Rc::new(Bare { nodes, turn: Cell::default() });
+        let relay = Rc::new(BareRelay { nodes, next_node: Cell::default() });
         loop {
             let (stream, _) = listener.accept().await?;
             stream.set_nodelay(true)?;
-            let bare = bare.clone();
+            let relay = relay.clone();
             tokio::task::spawn_local(async move {
-                let service = hyper::service::service_fn(move |r| bare.clone().pass(r));
+                let service = hyper::service::service_fn(move |r| relay.clone().handle_request(r));
                 let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
             });
         }
     });
     let served: std::io::Result<()> = served;
-    eprintln!("bare relay: {served:?}");
+    eprintln!("bare relay: serving ended: {served:?}");
     ExitCode::FAILURE
 }
 
-impl Bare {
-    async fn pass(self: Rc<Self>, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
+impl BareRelay {
+    async fn handle_request(
+        self: Rc<Self>, request: Request<Incoming>,
+    ) -> Result<Response<Full<Bytes>>, Infallible> {
         let empty = |status| {
-            let mut answer = Response::new(Full::default());
-            *answer.status_mut() = status;
-            answer
+            let mut response = Response::new(Full::default());
+            *response.status_mut() = status;
+            response
         };
         if request.uri().path() == "/-/ready" {
             return Ok(empty(StatusCode::OK));
@@ -63,10 +65,10 @@
     ) -> Result<Response<Full<Bytes>>, Box<dyn std::error::Error>> {
         let (head, body) = request.into_parts();
         let body = body.collect().await?.to_bytes();
-        let (address, idle) = &self.nodes[self.turn.get() % self.nodes.len()];
-        self.turn.set(self.turn.get() + 1);
-        let kept = idle.borrow_mut().pop().filter(hyper::client::conn::http1::SendRequest::is_ready);
-        let mut sender = match kept {
+        let (address, idle) = &self.nodes[self.next_node.get() % self.nodes.len()];
+        self.next_node.set(self.next_node.get() + 1);
+        let reused = idle.borrow_mut().pop().filter(hyper::client::conn::http1::SendRequest::is_ready);
+        let mut sender = match reused {
             Some(sender) => sender,
             None => {
                 let stream = TcpStream::connect(address).await?;
@@ -76,8 +78,8 @@
                 sender
             }
         };
-        let answer = sender.send_request(Request::from_parts(head, Full::new(body))).await?;
-        let (head, body) = answer.into_parts();
+        let response = sender.send_request(Request::from_parts(head, Full::new(body))).await?;
+        let (head, body) = response.into_parts();
         let body = body.collect().await?.to_bytes();
         if sender.ready().await.is_ok() {
             idle.borrow_mut().push(sender);
--- a/crates/gaugesaddle-measure/src/main.rs
+++ b/crates/gaugesaddle-measure/src/main.rs
@@ -1,6 +1,6 @@
-//! Measurements of gaugesaddle. Each prints what it does, then as its last line one JSON object with its figures and
-//! whether they hold their bounds (`"held"`); the exit code is 0 where they do, 1 where not, 2 where it could not
-//! measure. Figures in time are ratios within one call, from runs that alternate: a machine's speed drops out.
+//! Measurements of gaugesaddle. Each prints its progress, and as its last line one JSON object with its figures and whether they
+//! are within their bounds (`"held"`). The exit code is 0 if they are, 1 if not, and 2 if the measurement failed. Durations are
+//! compared as ratios between alternating runs of one call, so that the speed of the machine cancels out.
 
 mod allocation;
 mod bare;
@@ -30,18 +30,18 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// CPU a request, throughput of one core, added latency and memory of the proxy, against a bare relay that
-    /// decides nothing, on the same stand-ins.
+    /// CPU per request, throughput of one core, added latency and memory of the proxy, compared with a bare relay
+    /// without load balancing, on the same simulated nodes.
     Relay {
-        /// Pairs of runs at the steady rate.
+        /// Pairs of runs at the constant rate.
         #[arg(long, default_value_t = 5)]
         pairs: usize,
-        /// Seconds a run.
+        /// Seconds of each run.
         #[arg(long, default_value_t = 6.0)]
         seconds: f64,
     },
-    /// Learned limits against the plain relay, the constant of 4 and the best constant of each cell, over a grid of
-    /// fleets (cores, waits, spread of work, proxies, load) in virtual time.
+    /// Learned limits compared with the plain relay, a constant limit of 4 and the best constant limit of each cell, over a
+    /// grid of fleets (cores, wait times, variation of work, proxies, load) in virtual time.
     Limits {
         /// Seeds of each cell.
         #[arg(long, default_value_t = 5)]
@@ -52,51 +52,51 @@
         /// Only the cells whose names contain this.
         #[arg(long)]
         only: Option<String>,
-        /// Show each cell second by second, too.
+        /// Also print each cell second by second.
         #[arg(long)]
         detail: bool,
     },
-    /// What a fleet of proxies did in each second, counted over their own logs (one *.log file each, level info).
+    /// Activity of a fleet of proxies in each second, summed over their logs (one *.log file per proxy, level info).
     Fleet {
         /// The folder of the logs.
         logs: std::path::PathBuf,
     },
-    /// Another region as last resort, two and three regions of real processes: worth with and without it, the hard cases
-    /// under the auditor, keys replaced under load, the price of a hop.
+    /// Failover to other regions, with two and three regions of real processes: service with and without it, the fault cases
+    /// checked by the auditor, keys replaced under load, the CPU cost of forwarding.
     Region {
-        /// Seeds with the halls of a region lost, each with and without the other.
+        /// Seeds of the loss of all zones of a region, each run with and without the other region.
         #[arg(long, default_value_t = 10)]
         seeds: u64,
-        /// Scenarios of the hard cases, ten cases by turns.
+        /// Scenarios of the fault cases, ten cases in turn.
         #[arg(long, default_value_t = 100)]
         scenarios: u64,
-        /// Changes of keys under load.
+        /// Key changes under load.
         #[arg(long, default_value_t = 50)]
         keys: u32,
-        /// Runs side by side; each takes about two cores.
+        /// Concurrent runs; each uses about two cores.
         #[arg(long, default_value_t = 1)]
         lanes: usize,
     },
-    /// Proxies that know one another: times to know of deaths, returns and heals, false deaths, what it costs, a hunt for
-    /// combinations of faults; as processes, and in virtual time beside the library foca.
+    /// Membership of the proxy tier: detection times of deaths, restarts and healed partitions, false deaths, cost, and a
+    /// search over combinations of faults; with real processes, and in virtual time compared with the library foca.
     Tier {
-        /// Kills in each tier of 3, 10 and 30 processes.
+        /// Kills in each of the tiers of 3, 10 and 30 processes.
         #[arg(long, default_value_t = 30)]
         kills: usize,
-        /// Minutes in which nobody dies, idle and loaded.
+        /// Minutes of the runs without faults, idle and loaded.
         #[arg(long, default_value_t = 10.0)]
         minutes: f64,
-        /// Seconds of the hunt.
+        /// Seconds of the search.
         #[arg(long, default_value_t = 120.0)]
         hunt: f64,
         /// Pairs of runs with and without peers.
         #[arg(long, default_value_t = 5)]
         pairs: usize,
-        /// Runs of the hunt side by side.
+        /// Concurrent runs of the search.
         #[arg(long, default_value_t = 2)]
         lanes: usize,
     },
-    /// Parts by need beside even parts of the told number: proxies killed, uneven traffic, growth under load.
+    /// Allocation by demand compared with even allocation: proxies killed, uneven traffic, growth under load.
     #[command(name = "shares")]
     Allocation {
         /// Seeds of each case.
@@ -105,40 +105,40 @@
         /// Seeded combinations of faults.
         #[arg(long, default_value_t = 100)]
         scenarios: u64,
-        /// Of these so many side by side.
+        /// Concurrent runs of the combinations.
         #[arg(long, default_value_t = 2)]
         lanes: usize,
-        /// Of the cases so many side by side.
+        /// Concurrent runs of the cases.
         #[arg(long, default_value_t = 1)]
         beside: usize,
-        /// Only cases whose names hold this, without a verdict.
+        /// Only the cases whose names contain this, without a verdict.
         #[arg(long)]
         only: Option<String>,
     },
-    /// Told is told: a tier whose discovery is lost and comes back into a release with most proxies killed, and what the
-    /// largest lists and tiers take.
+    /// Drains: a tier whose discovery fails and returns during a deploy while most proxies are killed, and the resources
+    /// that the largest lists and tiers need.
     Drains {
         /// Seeds of the tier.
         #[arg(long, default_value_t = 50)]
         seeds: u64,
-        /// Of these so many side by side; each takes about two cores.
+        /// Concurrent runs; each uses about two cores.
         #[arg(long, default_value_t = 1)]
         lanes: usize,
     },
-    /// The cost of the stand-ins themselves: what no other measurement may mistake for the proxy's.
+    /// CPU cost and lateness of the simulated clients and nodes themselves, as a baseline of the other measurements.
     Testbed,
-    /// The bare relay itself, as a process of its own; `relay` starts it.
+    /// Runs the bare relay as a process; started by `relay`.
     #[command(hide = true)]
     Bare {
-        /// Where it listens.
+        /// The address to listen on.
         listen: SocketAddr,
-        /// The nodes that it passes on to, in turn.
+        /// The nodes to forward to, round robin.
         nodes: Vec<SocketAddr>,
     },
 }
 
 fn main() -> ExitCode {
-    let done = match Arguments::parse().command {
+    let result = match Arguments::parse().command {
         Command::Relay { pairs, seconds } => relay::measure(pairs.max(1), seconds.max(1.0)),
         Command::Limits { seeds, seconds, only, detail } => {
             limits::measure(seeds.max(1), seconds.max(2.0), only.as_deref(), detail)
@@ -167,7 +167,7 @@
         Command::Testbed => rig::measure(),
         Command::Bare { listen, nodes } => return bare::serve(listen, nodes),
     };
-    match done {
+    match result {
         Ok(figures) => {
             println!("{figures}");
             match figures.get("held").and_then(Value::as_bool) {
--- a/crates/gaugesaddle-measure/src/proc/tests.rs
+++ b/crates/gaugesaddle-measure/src/proc/tests.rs
@@ -1,5 +1,5 @@
 #[test]
-fn this_process_has_used_some_memory_and_time_passes_for_it() {
+fn cpu_time_grows_with_work_and_peak_memory_is_positive() {
     let before = super::own_cpu_seconds().unwrap();
     let mut x = 1u64;
     while super::own_cpu_seconds().unwrap() < before + 0.02 {
--- a/crates/gaugesaddle-measure/src/runs.rs
+++ b/crates/gaugesaddle-measure/src/runs.rs
@@ -1,26 +1,26 @@
-//! Scenarios played with the proxy, one or many, and what many runs come to.
+//! Running one or many scenarios with the proxy, and statistics over runs.
 
 use gaugesaddle_testbed::{program, run, Cast, Outcome, Program, Scenario};
 use std::io;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// The proxy, brought up to date.
+/// The proxy's program, built if it is not up to date.
 pub fn cast() -> io::Result<Cast> {
     Ok(Cast::Program(Program { path: program::built("gaugesaddle")?, arguments: Vec::new() }))
 }
 
-/// Plays a scenario with it.
+/// Runs a scenario with the proxy.
 pub fn play(s: &Scenario) -> io::Result<Outcome> {
     play_with(&cast()?, s)
 }
 
-/// The same with what [`cast`] gave: what it takes to bring the proxy up to date is no part of the run.
+/// Runs a scenario with the result of [`cast`], so that the build of the proxy is not part of a measurement.
 pub fn play_with(cast: &Cast, s: &Scenario) -> io::Result<Outcome> {
     run(s, cast, &mut |_| {})
 }
 
-/// Plays all of them, so many side by side; the outcomes in their order.
+/// Runs all scenarios, `lanes` at a time; returns the outcomes in the order of the scenarios.
 pub fn play_all(all: &[Scenario], lanes: usize) -> io::Result<Vec<Outcome>> {
     let (cast, next, done) = (cast()?, AtomicUsize::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|s| {
@@ -38,14 +38,14 @@
     done.into_iter().map(|d| d.1).collect()
 }
 
-/// Mean and half the width of its 95% interval (Student's t for the usual counts of seeds).
+/// Mean and half the width of its 95% confidence interval (Student's t for the usual numbers of seeds).
 pub fn interval(all: &[f64]) -> (f64, f64) {
     let n = all.len() as f64;
     let mean = all.iter().sum::<f64>() / n.max(1.0);
     if all.len() < 2 {
         return (mean, f64::INFINITY);
     }
-    let spread = (all.iter().map(|x| (x - mean).powi(2)).sum::<f64>() / (n - 1.0)).sqrt();
+    let deviation = (all.iter().map(|x| (x - mean).powi(2)).sum::<f64>() / (n - 1.0)).sqrt();
     let t = match all.len() {
         2 => 12.7,
         3 => 4.30,
@@ -55,10 +55,10 @@
         9..=12 => 2.26,
         _ => 2.09,
     };
-    (mean, t * spread / n.sqrt())
+    (mean, t * deviation / n.sqrt())
 }
 
-/// To a thousandth.
+/// Rounds to three decimal places.
 pub fn round(x: f64) -> f64 {
     (x * 1000.0).round() / 1000.0
 }
