--- a/crates/gaugesaddle-measure/src/drains.rs
+++ b/crates/gaugesaddle-measure/src/drains.rs
@@ -1,5 +1,5 @@
-//! Told is told, by processes: a tier whose discovery is lost and comes back into a release with most proxies killed, judged
-//! by the records of all stand-ins; and what lists and tiers of the largest sizes take.
+//! Drains, with real processes: a tier whose discovery fails and returns during a deploy while most proxies are killed, audited by
+//! the records of all simulated clients and nodes; and the resources that the largest lists and tiers need.
 
 use crate::proc::{cpu_seconds, peak_kb};
 use crate::runs::{interval, play_all, round};
@@ -14,20 +14,21 @@
 const PROXIES: usize = 24;
 const NODES: usize = 24;
 const SECONDS: f64 = 12.0;
-/// Whole figures of a run: under it a service was lost, not a rule kept.
+/// Minimum service of a run; below it the loss of service hides violations of the drain rule.
 const MIN_SERVICE: f64 = 0.5;
-/// The sizes: today's, the trial's, and what must be no cap.
+/// Sizes, as proxies and backends: the deployment, the trial, and one that must not exceed any limit.
 const SIZES: [(u32, usize); 3] = [(300, 200), (350, 600), (1024, 1024)];
-/// At the largest size, with 32 MB and 192 descriptors told.
-const PEAK_KB: u64 = 16 << 10;
-const READY_MS: f64 = 1_000.0;
-/// A change of one backend, the whole list of which is chosen from anew.
-const CHANGE_MS: f64 = 10.0;
-const CHANGES: usize = 100;
+/// Maximum peak memory at the largest size, with limits of 32 MB and 192 descriptors.
+const MAX_PEAK_KB: u64 = 16 << 10;
+/// Maximum time from start to readiness.
+const MAX_READY_MS: f64 = 1_000.0;
+/// Maximum CPU time per change of one backend; each change selects the subset from the whole list again.
+const MAX_CHANGE_MS: f64 = 10.0;
+const CHANGE_COUNT: usize = 100;
 
-/// Discovery is silent for some seconds; two in three proxies are killed meanwhile and start in the silence or after it;
-/// a release begins in the moment of its return, and a move of discovery follows on some seeds.
-fn lost_and_back(seed: u64) -> Scenario {
+/// Discovery is down for some seconds; two of three proxies are killed meanwhile and start during the outage or after it; a deploy
+/// begins when discovery returns, and on some seeds discovery moves afterwards.
+fn discovery_outage_with_deploy(seed: u64) -> Scenario {
     let kinds = vec![
         Kind { name: "fast".into(), count: NODES / 3, speed: 1.8, ..Kind::default() },
         Kind { name: "slow".into(), count: NODES - NODES / 3, speed: 0.9, ..Kind::default() },
@@ -37,33 +38,33 @@
         .seed(seed)
         .named("discovery lost and back into a release");
     s.discovery.notice_s = [0.05, 0.4];
-    let silent = 1.0 + 0.13 * (seed % 17) as f64;
-    let (from, back) = (1.5, 1.5 + silent);
-    s = s.event(from, Disturbance::DiscoveryDown { for_s: silent });
+    let outage_s = 1.0 + 0.13 * (seed % 17) as f64;
+    let (fails_at, returns_at) = (1.5, 1.5 + outage_s);
+    s = s.event(fails_at, Disturbance::DiscoveryDown { for_s: outage_s });
     for proxy in (0..PROXIES).filter(|p| (p + seed as usize) % 3 != 0) {
         let back_after_s = 0.3 + 0.11 * ((proxy as u64 + seed) % 29) as f64;
-        s = s.event(from + 0.4, Disturbance::KillProxy { proxy, back_after_s });
+        s = s.event(fails_at + 0.4, Disturbance::KillProxy { proxy, back_after_s });
     }
-    // The drains of a release begin before the return, in its moment, and after it.
-    let lead = 0.25 * (seed % 3) as f64;
-    s = s.event(back - lead, Disturbance::Deploy { nodes: NODES / 2, group: 4, every_s: 0.9 });
+    // The drains of the deploy begin 0, 0.25 or 0.5 s before discovery returns.
+    let deploy_lead_s = 0.25 * (seed % 3) as f64;
+    s = s.event(returns_at - deploy_lead_s, Disturbance::Deploy { nodes: NODES / 2, group: 4, every_s: 0.9 });
     if seed % 4 == 0 {
-        s = s.event(back + 1.0, Disturbance::DiscoveryMove {});
+        s = s.event(returns_at + 1.0, Disturbance::DiscoveryMove {});
     }
     s
 }
 
-/// One proxy told of so many others and so many backends, on few listeners: the list is what is tried.
-fn size(proxies: u32, backends: usize) -> io::Result<Value> {
+/// Starts one proxy of a tier of `proxies` with a list of `backends` entries that share eight listeners, and measures its resources.
+fn measure_size(proxies: u32, backends: usize) -> io::Result<Value> {
     let nodes: Vec<Backend> = (0..8).map(|_| Backend::start(|_| ok("x"))).collect();
-    let place = |n: usize| -> SocketAddr { nodes[n % nodes.len()].address };
-    let named = |n: usize, state: &str| {
-        let mut line = line(&format!("s-{n:08x}"), place(n), state, 0);
+    let address_of = |n: usize| -> SocketAddr { nodes[n % nodes.len()].address };
+    let entry = |n: usize, state: &str| {
+        let mut line = line(&format!("s-{n:08x}"), address_of(n), state, 0);
         line["zone"] = json!(["east", "west"][n % 2]);
         line["type"] = json!(["fast", "slow", "wide"][n % 3]);
         line
     };
-    let all: Vec<Value> = (0..backends).map(|n| named(n, "ready")).collect();
+    let all: Vec<Value> = (0..backends).map(|n| entry(n, "ready")).collect();
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &all);
     config["settings"]["group_size"] = json!(proxies);
@@ -77,15 +78,15 @@
     discovery.publish(true, &all);
     let served = (0..400).filter(|_| ask(&proxy, &request("read", 5_000)).status() == 200).count();
     let before = cpu_seconds(proxy.id())?;
-    for n in 0..CHANGES {
+    for n in 0..CHANGE_COUNT {
         let state = if n % 2 == 0 { "draining" } else { "ready" };
-        discovery.publish(false, &[named(n / 2, state)]);
+        discovery.publish(false, &[entry(n / 2, state)]);
     }
-    let change_ms = (cpu_seconds(proxy.id())? - before) * 1e3 / CHANGES as f64;
+    let change_ms = (cpu_seconds(proxy.id())? - before) * 1e3 / CHANGE_COUNT as f64;
     let descriptors = std::fs::read_dir(format!("/proc/{}/fd", proxy.id()))?.count();
     let peak = peak_kb(proxy.id())?;
-    // All of them leave in one list: nothing is taken any more, and it says so.
-    let departed: Vec<Value> = (0..backends).map(|n| named(n, "draining")).collect();
+    // All backends start draining in one update: the proxy must report that it is not ready.
+    let departed: Vec<Value> = (0..backends).map(|n| entry(n, "draining")).collect();
     discovery.publish(false, &departed);
     until("not ready", || proxy.ready() == 503);
     println!(
@@ -93,9 +94,9 @@
          {descriptors} descriptors, {change_ms:.2} ms CPU a change"
     );
     let held = served == 400
-        && peak <= PEAK_KB
-        && ready_ms <= READY_MS
-        && change_ms <= CHANGE_MS
+        && peak <= MAX_PEAK_KB
+        && ready_ms <= MAX_READY_MS
+        && change_ms <= MAX_CHANGE_MS
         && descriptors <= 192;
     Ok(json!({
         "proxies": proxies, "backends": backends, "ready_ms": round(ready_ms), "served_of_400": served,
@@ -103,34 +104,36 @@
     }))
 }
 
-/// The measurement.
+/// Runs the measurement.
 pub fn measure(seeds: u64, lanes: usize) -> io::Result<Value> {
     program::built("gaugesaddle")?;
-    println!("sizes, with 32 MB and 192 descriptors told:");
-    let sizes = SIZES.iter().map(|(p, b)| size(*p, *b)).collect::<io::Result<Vec<_>>>()?;
-    println!("{PROXIES} proxies with an agent each, discovery lost and back, {seeds} seeds:");
-    let scenarios: Vec<Scenario> = (0..seeds).map(lost_and_back).collect();
+    println!("sizes, with limits of 32 MB and 192 descriptors:");
+    let sizes = SIZES.iter().map(|(p, b)| measure_size(*p, *b)).collect::<io::Result<Vec<_>>>()?;
+    println!("{PROXIES} proxies with an agent each, discovery down and back, {seeds} seeds:");
+    let scenarios: Vec<Scenario> = (0..seeds).map(discovery_outage_with_deploy).collect();
     let outcomes = play_all(&scenarios, lanes)?;
     let (mut drains, mut others, mut served) = (0, 0, Vec::new());
     for (s, outcome) in scenarios.iter().zip(&outcomes) {
         let verdict = &outcome.verdict;
-        let of_drains = verdict.findings.iter().filter(|f| f.broken == Broken::Drain).count();
-        drains += of_drains;
-        others += verdict.findings.len() - of_drains;
+        let drain_findings = verdict.findings.iter().filter(|f| f.broken == Broken::Drain).count();
+        drains += drain_findings;
+        others += verdict.findings.len() - drain_findings;
         served.push(verdict.g);
         if !verdict.is_clean() {
             println!("seed {}:\n{verdict}", s.seed);
         }
     }
-    let (mean, half) = interval(&served);
+    let (mean, half_width) = interval(&served);
     let worst = served.iter().copied().fold(1.0, f64::min);
-    println!("G {mean:.3} +- {half:.3}, worst {worst:.3}; {drains} drains broken, {others} other findings");
-    let sound = sizes.iter().all(|s| s["held"] == true);
-    let held = sound && drains == 0 && others == 0 && worst >= MIN_SERVICE;
+    println!(
+        "G {mean:.3} +- {half_width:.3}, worst {worst:.3}; {drains} violations of drains, {others} other findings"
+    );
+    let sizes_held = sizes.iter().all(|s| s["held"] == true);
+    let held = sizes_held && drains == 0 && others == 0 && worst >= MIN_SERVICE;
     Ok(json!({
         "measure": "drains", "seeds": seeds, "drains_broken": drains, "other_findings": others,
-        "g": round(mean), "g_half_width": round(half), "g_worst": round(worst), "g_bound": MIN_SERVICE,
-        "sizes": sizes, "peak_kb_bound": PEAK_KB, "ready_ms_bound": READY_MS, "change_ms_bound": CHANGE_MS,
+        "g": round(mean), "g_half_width": round(half_width), "g_worst": round(worst), "g_bound": MIN_SERVICE,
+        "sizes": sizes, "peak_kb_bound": MAX_PEAK_KB, "ready_ms_bound": MAX_READY_MS, "change_ms_bound": MAX_CHANGE_MS,
         "held": held,
     }))
 }
--- a/crates/gaugesaddle-measure/src/fleet/tests.rs
+++ b/crates/gaugesaddle-measure/src/fleet/tests.rs
@@ -1,20 +1,20 @@
 use super::*;
 
-fn counted(log: &str, seconds: &mut BTreeMap<u64, Second>) {
-    count(log.lines().map(String::from), seconds);
+fn add_text(log: &str, seconds: &mut BTreeMap<u64, Second>) {
+    add_log(log.lines().map(String::from), seconds);
 }
 
 #[test]
-fn proxies_are_added_up_by_the_second_and_a_restarted_one_counts_from_anew() {
+fn figures_are_aggregated_by_second_and_counters_restart_with_their_proxy() {
     let mut seconds = BTreeMap::new();
-    counted(
+    add_text(
         "1.2 T INFO x: standing: rate=5.0 arrivals=6.0 admit=0.5 pool=4 out=2 held=1 ready=12 shed=3 late=1\n\
          1.3 T INFO x: backend 7 ejected: TimedOut\n\
          2.2 T INFO x: standing: rate=5.0 arrivals=6.0 admit=1.0 pool=4 out=2 held=0 ready=12 shed=5 late=1\n\
          3.1 T INFO x: standing: rate=1.0 arrivals=1.0 admit=1.0 pool=4 out=0 held=0 ready=12 shed=1 late=0\n",
             &mut seconds,
         );
-    counted(
+    add_text(
         "1.9 T INFO x: standing: rate=2.0 arrivals=2.0 admit=1.0 pool=4 out=1 held=0 ready=10 shed=1\n\
          2.0 T WARN x: discovery: status 503\nno time at all\n",
         &mut seconds,
@@ -26,9 +26,9 @@
 }
 
 #[test]
-fn a_time_of_day_is_a_second_and_a_folder_without_figures_an_error() {
-    assert_eq!(second("2026-01-02T03:04:05.9Z INFO x"), Some(11_045));
-    assert_eq!((second("-1 x"), second("words"), second("")), (None, None, None));
+fn timestamps_are_parsed_and_a_folder_without_figures_is_an_error() {
+    assert_eq!(second_of("2026-01-02T03:04:05.9Z INFO x"), Some(11_045));
+    assert_eq!((second_of("-1 x"), second_of("words"), second_of("")), (None, None, None));
     let none = std::env::temp_dir().join(format!("gaugesaddle-no-logs-{}", std::process::id()));
     assert!(measure(&none).is_err_and(|e| e.to_string().starts_with("logs: ")));
 }
