--- a/crates/gaugesaddle-measure/src/allocation.rs
+++ b/crates/gaugesaddle-measure/src/allocation.rs
@@ -1,6 +1,6 @@
-//! Allocation by demand against even allocation, as processes: proxies killed for good, traffic as uneven as 1 to 5, a
-//! tier that grows and shrinks under load; and in virtual time at 300 and 1,000 proxies. The sub-command is `shares`, after
-//! the section of the operator's file.
+//! Allocation by demand compared with even allocation, with real processes: proxies killed without restart, traffic that differs by
+//! up to 1 to 5, a tier that grows and shrinks under load; and in virtual time with 300 and 1,000 proxies. The sub-command is
+//! `shares`, after the section of the operator's configuration file.
 
 mod scenarios;
 mod service;
@@ -10,56 +10,56 @@
 use gaugesaddle_balancer::LimitBounds;
 use gaugesaddle_proxy_simulation::{simulate, Policy};
 use gaugesaddle_testbed::{Disturbance, Outcome, Scenario};
-use scenarios::{cases, hard, region, REGIONS};
+use scenarios::{cases, fault_combination, region, REGIONS};
 use serde_json::{json, Value};
 use service::{print_lost_seconds, Service};
 use std::collections::{BTreeMap, HashMap};
 use std::io;
 
-/// Least service by demand with 32 of 48 proxies killed.
+/// Minimum service of allocation by demand with 32 of 48 proxies killed.
 const MIN_SERVICE_KILLED: f64 = 0.99;
-/// Most that uneven traffic may cost beside even traffic.
+/// Maximum loss of service with uneven traffic, compared with even traffic.
 const MAX_UNEVEN_COST: f64 = 0.01;
-/// Most that any window may lose while the tier grows and shrinks.
+/// Maximum loss of service in any window while the tier grows and shrinks.
 const MAX_DIP: f64 = 0.02;
-/// Least fairness over proxies, by Jain's index.
+/// Minimum fairness over proxies, by Jain's index.
 const MIN_JAIN: f64 = 0.98;
-/// Most that the worst proxy may be behind the mean.
+/// Maximum difference in service between the mean and the worst proxy.
 const MAX_BEHIND: f64 = 0.05;
-/// Most load of a backend, relative to the mean.
+/// Maximum load of a backend, relative to the mean.
 const MAX_LOAD: f64 = 1.15;
-/// Most links that move when one proxy or backend goes, relative to the least possible.
+/// Maximum number of links that move when one proxy or backend is removed, relative to the minimum possible.
 const MAX_MOVED: f64 = 2.0;
-/// Least fraction of its service that a lost region keeps with two of its three proxies killed.
+/// Minimum fraction of its service that a lost region retains with two of its three proxies killed.
 const MIN_REGION_SERVICE: f64 = 0.95;
 
-/// How much is measured.
+/// The extent of the measurement.
 pub struct Extent {
     /// Seeds of each case.
     pub seeds: u64,
-    /// Drawn combinations of faults.
+    /// Number of random combinations of faults.
     pub scenarios: u64,
-    /// Combinations that are played concurrently.
+    /// Combinations that run concurrently.
     pub lanes: usize,
-    /// Cases that are played concurrently. Three of 48 proxies on twelve cores read G 0.9979, 0.9973 and 0.9976 where one
-    /// alone reads 0.9976; the worst proxy, where that has few requests, reads 0.92 to 0.995 either way.
+    /// Cases that run concurrently. Three concurrent cases of 48 proxies on twelve cores yield G 0.9979, 0.9973 and 0.9976, a
+    /// single one 0.9976; the worst proxy's service, if it has few requests, is 0.92 to 0.995 either way.
     pub beside: usize,
-    /// Only the cases whose names contain this, without a verdict.
+    /// If set, runs only the cases whose names contain this, without a verdict.
     pub only: Option<String>,
 }
 
-/// Mean and half the width of its interval; of one seed there is no interval.
+/// Mean and half the width of its confidence interval; with one seed there is no interval.
 fn with_interval(all: &[f64]) -> Value {
-    let (mean, by) = interval(all);
-    json!({"mean": round(mean), "half": by.is_finite().then(|| round(by)), "n": all.len()})
+    let (mean, half_width) = interval(all);
+    json!({"mean": round(mean), "half": half_width.is_finite().then(|| round(half_width)), "n": all.len()})
 }
 
 fn mean(all: &[f64]) -> f64 {
     all.iter().sum::<f64>() / all.len().max(1) as f64
 }
 
-/// Many proxies in virtual time, two of three killed at 3 s of 8, traffic as uneven as 1 to 5. The service by even
-/// allocation and by demand.
+/// Simulates a large tier in virtual time, two of three proxies killed at 3 s of 8, with traffic that differs by up to 1 to 5. Returns
+/// the service of even allocation and of allocation by demand.
 fn simulate_many(proxies: usize, nodes: usize) -> io::Result<[f64; 2]> {
     let mut s = Scenario { seconds: 8.0, proxies, ..Scenario::default() };
     (s.kinds[0].count, s.kinds[1].count) = (nodes / 3, nodes - nodes / 3);
@@ -75,7 +75,7 @@
     Ok([service(false)?, service(true)?])
 }
 
-/// Plays the cases whose names contain a text.
+/// Runs the cases whose names contain a text.
 fn measure_only(seeds: u64, only: &str) -> io::Result<Value> {
     let mut service: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
     for seed in 1..=seeds {
@@ -97,13 +97,13 @@
 /// The figures of all runs so far.
 #[derive(Default)]
 struct Results {
-    /// By case.
+    /// Service of each run, by case.
     runs: HashMap<&'static str, Vec<Service>>,
     /// The service of the lost region, by allocation (by demand or not) and by whether two of its three proxies were killed.
     regions: HashMap<(bool, bool), Vec<f64>>,
-    /// Most requests that left a region within a second.
+    /// Maximum number of requests forwarded out of a region within a second.
     max_spilled_per_s: usize,
-    /// Whether some run broke a rule.
+    /// Whether any run violated a rule.
     has_findings: bool,
 }
 
@@ -116,7 +116,7 @@
         }
     }
 
-    fn play_cases(&mut self, seed: u64, lanes: usize) -> io::Result<()> {
+    fn run_cases(&mut self, seed: u64, lanes: usize) -> io::Result<()> {
         let (names, runs): (Vec<&str>, Vec<Scenario>) = cases(seed).into_iter().unzip();
         let outcomes = play_all(&runs, lanes)?;
         for ((name, s), outcome) in names.into_iter().zip(&runs).zip(&outcomes) {
@@ -128,12 +128,12 @@
         Ok(())
     }
 
-    fn play_regions(&mut self, seed: u64, lanes: usize) -> io::Result<()> {
+    fn run_regions(&mut self, seed: u64, lanes: usize) -> io::Result<()> {
         let runs = REGIONS.map(|(_, by_demand, killed)| region(seed, by_demand, killed));
         for ((name, by_demand, killed), outcome) in REGIONS.into_iter().zip(&play_all(&runs, lanes)?) {
             let lost = &outcome.verdict.regions[0];
             let (g, spilled) = (lost.g, lost.max_spilled_per_s);
-            println!("seed {seed}, {name}: G {g:.4}, at most {spilled} left in a second");
+            println!("seed {seed}, {name}: G {g:.4}, at most {spilled} forwarded in a second");
             self.check(outcome);
             self.max_spilled_per_s = self.max_spilled_per_s.max(spilled);
             self.regions.entry((by_demand, killed)).or_default().push(g);
@@ -141,7 +141,7 @@
         Ok(())
     }
 
-    /// One figure of all runs of a case.
+    /// One figure of each run of a case.
     fn figures(&self, name: &str, pick: fn(&Service) -> f64) -> Vec<f64> {
         self.runs.get(name).map(|runs| runs.iter().map(pick).collect()).unwrap_or_default()
     }
@@ -154,7 +154,7 @@
         mean(self.regions.get(&(by_demand, killed)).map_or(&[][..], Vec::as_slice))
     }
 
-    /// What a lost region keeps of its service with two of its three proxies killed.
+    /// Fraction of its service that a lost region retains with two of its three proxies killed.
     fn region_service_ratio(&self, by_demand: bool) -> f64 {
         self.region_service(by_demand, true) / self.region_service(by_demand, false).max(1e-9)
     }
@@ -179,13 +179,13 @@
     }
 }
 
-/// Virtual time: the figures, and whether allocation by demand is at least as good as even allocation.
+/// Measures in virtual time; returns the figures and whether allocation by demand is at least as good as even allocation.
 fn measure_virtual_time() -> io::Result<(Value, bool)> {
     let mut figures = serde_json::Map::new();
     let mut is_better = true;
     for (proxies, nodes) in [(300, 200), (1000, 400)] {
         let [even, demand] = simulate_many(proxies, nodes)?;
-        println!("{proxies} in virtual time, {nodes} nodes, two of three killed: {even:.4} by even parts, {demand:.4} by need");
+        println!("{proxies} in virtual time, {nodes} nodes, two of three killed: {even:.4} by even allocation, {demand:.4} by demand");
         is_better &= demand >= even;
         figures
             .insert(format!("{proxies} over {nodes}"), json!({"even": round(even), "need": round(demand)}));
@@ -193,11 +193,11 @@
     Ok((Value::Object(figures), is_better))
 }
 
-/// Drawn combinations of faults.
+/// Runs random combinations of faults.
 fn measure_combinations(extent: &Extent, results: &mut Results) -> io::Result<Value> {
-    let drawn: Vec<Scenario> = (0..extent.scenarios).map(hard).collect();
+    let combinations: Vec<Scenario> = (0..extent.scenarios).map(fault_combination).collect();
     let (mut not_clean, mut faults, mut proxies) = (0, 0, 0);
-    for (s, outcome) in drawn.iter().zip(&play_all(&drawn, extent.lanes)?) {
+    for (s, outcome) in combinations.iter().zip(&play_all(&combinations, extent.lanes)?) {
         faults += s.events.len();
         proxies += s.proxies;
         if !outcome.is_clean() {
@@ -206,15 +206,15 @@
         }
         results.check(outcome);
     }
-    let played = extent.scenarios;
-    println!("{played} scenarios with {proxies} proxies and {faults} faults: {not_clean} not clean");
-    Ok(json!({"played": played, "proxies": proxies, "faults": faults, "not_clean": not_clean}))
+    let scenarios = extent.scenarios;
+    println!("{scenarios} scenarios with {proxies} proxies and {faults} faults: {not_clean} not clean");
+    Ok(json!({"played": scenarios, "proxies": proxies, "faults": faults, "not_clean": not_clean}))
 }
 
 /// Runs the measurement.
 ///
 /// # Errors
-/// A scenario could not be played.
+/// A scenario could not be run.
 pub fn measure(extent: &Extent) -> io::Result<Value> {
     if let Some(only) = &extent.only {
         return measure_only(extent.seeds, only);
@@ -223,21 +223,22 @@
     let (virtual_time, is_better) = measure_virtual_time()?;
     let mut results = Results::default();
     for seed in 1..=extent.seeds {
-        results.play_cases(seed, extent.beside)?;
+        results.run_cases(seed, extent.beside)?;
     }
     for seed in 1..=extent.seeds {
-        results.play_regions(seed, extent.beside)?;
+        results.run_regions(seed, extent.beside)?;
     }
     let scenarios = measure_combinations(extent, &mut results)?;
     let (uneven, even) = ("uneven traffic, by need", "even traffic, by need");
-    let cost = results.mean_service(even) - results.mean_service(uneven);
-    let behind = results.mean_service(uneven) - mean(&results.figures(uneven, |service| service.worst_proxy));
+    let uneven_cost = results.mean_service(even) - results.mean_service(uneven);
+    let worst_proxy_behind =
+        results.mean_service(uneven) - mean(&results.figures(uneven, |service| service.worst_proxy));
     let dip = 1.0 - mean(&results.figures("growing, by need", |service| service.worst_window));
     let jain = mean(&results.figures(uneven, |service| service.jain));
     let checks = [
         ("killed", results.mean_service("killed, by need") >= MIN_SERVICE_KILLED),
-        ("uneven", cost <= MAX_UNEVEN_COST),
-        ("worst proxy", behind <= MAX_BEHIND),
+        ("uneven", uneven_cost <= MAX_UNEVEN_COST),
+        ("worst proxy", worst_proxy_behind <= MAX_BEHIND),
         ("growth", dip <= MAX_DIP),
         ("fair", jain >= MIN_JAIN),
         ("subset", subset_held),
@@ -248,8 +249,8 @@
     let parts_held: serde_json::Map<String, Value> =
         checks.iter().map(|(name, held)| ((*name).to_string(), json!(held))).collect();
     Ok(json!({
-        "runs": results.runs_json(), "beside": extent.beside, "uneven_costs": round(cost),
-        "worst_proxy_behind": round(behind), "dip": round(dip), "jain": round(jain), "subsets": subsets,
+        "runs": results.runs_json(), "beside": extent.beside, "uneven_costs": round(uneven_cost),
+        "worst_proxy_behind": round(worst_proxy_behind), "dip": round(dip), "jain": round(jain), "subsets": subsets,
         "virtual_time": virtual_time, "scenarios": scenarios, "region": results.regions_json(),
         "parts_held": parts_held, "held": checks.iter().all(|check| check.1),
     }))
--- a/crates/gaugesaddle-measure/src/allocation/scenarios.rs
+++ b/crates/gaugesaddle-measure/src/allocation/scenarios.rs
@@ -1,4 +1,4 @@
-//! The scenarios of the measurement: proxies killed, uneven traffic, growth, a lost region, and drawn combinations.
+//! The scenarios of the measurement: proxies killed, uneven traffic, growth, a lost region, and random combinations of faults.
 
 use gaugesaddle_testbed::hunt;
 use gaugesaddle_testbed::random::mix;
@@ -29,8 +29,8 @@
     s
 }
 
-/// Two regions of three proxies and six nodes each, some 70 requests a second each and as many that may cross; all halls
-/// of the first fall silent for 10 s. `killed`: of its three proxies two are killed before.
+/// Two regions of three proxies and six nodes each, with about 70 requests a second each and a forwarding limit of the same rate;
+/// all zones of the first fail for 10 s. With `killed`, two of its three proxies are killed before.
 pub(super) fn region(seed: u64, by_demand: bool, killed: bool) -> Scenario {
     let kinds = vec![
         Kind { name: "fast".into(), count: 4, speed: 1.8, ..Kind::default() },
@@ -50,22 +50,22 @@
         demand_allocation: by_demand,
         ..Scenario::default()
     };
-    let halls = (0..4).filter(|h| h % 2 == 0);
-    let s = halls.fold(s, |s, zone| s.event(12.0, Disturbance::ZoneOutage { zone, for_s: 10.0 }));
+    let zones = (0..4).filter(|h| h % 2 == 0);
+    let s = zones.fold(s, |s, zone| s.event(12.0, Disturbance::ZoneOutage { zone, for_s: 10.0 }));
     let lost = [2, 4].into_iter().filter(|_| killed);
     lost.fold(s, |s, proxy| s.event(8.0, Disturbance::LoseProxy { proxy }))
 }
 
-/// From 3 to 30 proxies over nine seconds, and back to 3.
+/// A tier that grows from 3 to 30 proxies over nine seconds, and shrinks back to 3.
 fn growing(seed: u64, by_demand: bool) -> Scenario {
     let s = Scenario { proxies: 30, seconds: 32.0, ..base(seed, by_demand, 250.0) };
     let s = (3..30).fold(s, |s, proxy| s.event(5.0 + proxy as f64 / 3.0, Disturbance::JoinProxy { proxy }));
     (3..30).fold(s, |s, proxy| s.event(18.0 + proxy as f64 / 3.0, Disturbance::LeaveProxy { proxy }))
 }
 
-/// A combination of faults for what may never be exceeded: every other one has two regions, of which one loses its halls;
-/// in a third all nodes start cold.
-pub(super) fn hard(seed: u64) -> Scenario {
+/// A random combination of faults, to check the limits that must never be exceeded. Every second seed has two regions, one of which
+/// loses its zones; on every third seed half of the nodes crash at about 3 s and restart cold 1 s later.
+pub(super) fn fault_combination(seed: u64) -> Scenario {
     let regions = seed % 2 == 1;
     let mut s = hunt::draw_on(mix(77, seed), |s| {
         s.demand_allocation = true;
@@ -77,8 +77,8 @@
     });
     s.name = format!("hard-{seed}");
     if regions {
-        let halls = [0, 2].map(|zone| Disturbance::ZoneOutage { zone, for_s: 5.0 });
-        s = halls.into_iter().fold(s, |s, disturbance| s.event(4.0, disturbance));
+        let zones = [0, 2].map(|zone| Disturbance::ZoneOutage { zone, for_s: 5.0 });
+        s = zones.into_iter().fold(s, |s, disturbance| s.event(4.0, disturbance));
     }
     if seed % 3 == 0 {
         let nodes: usize = s.kinds.iter().map(|k| k.count).sum();
@@ -89,7 +89,7 @@
     s
 }
 
-/// A lost region: by need, and two of its three proxies killed.
+/// The cases of a lost region: name, allocation by demand, and whether two of its three proxies are killed.
 pub(super) const REGIONS: [(&str, bool, bool); 4] = [
     ("region lost, even parts, all alive", false, false),
     ("region lost, even parts, two of three killed", false, true),
@@ -97,7 +97,7 @@
     ("region lost, by need, two of three killed", true, true),
 ];
 
-/// The cases that are measured by what is in time.
+/// The cases measured by the weight served in time.
 pub(super) fn cases(seed: u64) -> [(&'static str, Scenario); 7] {
     let evenly = [1.0, 1.0];
     let one_to_five = [1.0, 2.0, 3.0, 4.0, 5.0];
--- a/crates/gaugesaddle-measure/src/allocation/service.rs
+++ b/crates/gaugesaddle-measure/src/allocation/service.rs
@@ -1,12 +1,12 @@
-//! What the clients of a run were served: in time, by window and by proxy.
+//! Service of a run: the weight of requests served in time, by window and by proxy.
 
 use super::MAX_DIP;
 use gaugesaddle_testbed::{Event, Outcome, Scenario};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Length of the windows of which the worst is reported.
+/// Length of the windows; the worst one is reported.
 const WINDOW_US: u64 = 5_000_000;
-/// Windows and proxies with less than this fraction of the largest demand are left out: too few requests to be a measure.
+/// Windows and proxies with less than this fraction of the largest demand are excluded, because they have too few requests.
 const MIN_DEMAND: f64 = 1.0 / 20.0;
 
 /// One request: the time and the proxy of its first attempt, its weight, and whether it was served in time.
@@ -46,15 +46,15 @@
 
 /// The service of a run, over time and over proxies.
 pub struct Service {
-    /// Fraction of all weight that was served in time.
+    /// Fraction of the total weight that was served in time.
     pub g: f64,
-    /// The least fraction of any window.
+    /// The lowest fraction of any window.
     pub worst_window: f64,
-    /// The least fraction of any proxy.
+    /// The lowest fraction of any proxy.
     pub worst_proxy: f64,
     /// Jain's fairness index over the proxies' fractions.
     pub jain: f64,
-    /// Windows that lost more than [`MAX_DIP`]: their first second, and their fraction.
+    /// Windows that lost more than [`MAX_DIP`]: the first second and the fraction served in time.
     pub dips: Vec<(u64, f64)>,
 }
 
@@ -67,13 +67,13 @@
             proxies.entry(request.proxy as u64).or_default().add(&request);
         }
         let (windows, proxies) = (fractions(windows), fractions(proxies));
-        let least = |all: &[(u64, f64)]| all.iter().fold(1.0, |least: f64, x| least.min(x.1));
+        let lowest = |all: &[(u64, f64)]| all.iter().fold(1.0, |lowest: f64, x| lowest.min(x.1));
         let (sum, squares) =
             proxies.iter().fold((0.0, 0.0), |(sum, squares), (_, x)| (sum + x, squares + x * x));
         Service {
             g: outcome.verdict.g,
-            worst_window: least(&windows),
-            worst_proxy: least(&proxies),
+            worst_window: lowest(&windows),
+            worst_proxy: lowest(&proxies),
             jain: sum * sum / (proxies.len() as f64 * squares).max(1e-9),
             dips: windows
                 .into_iter()
@@ -93,7 +93,7 @@
     }
 }
 
-/// Weight that was requested, and that was served in time.
+/// Weight requested and weight served in time.
 #[derive(Default)]
 struct Weights {
     requested: f64,
@@ -107,7 +107,7 @@
     }
 }
 
-/// The fraction served in time of each window or proxy with enough demand.
+/// The fraction served in time, for each window or proxy with enough demand.
 fn fractions(all: BTreeMap<u64, Weights>) -> Vec<(u64, f64)> {
     let highest = all.values().fold(0.0, |highest: f64, weights| highest.max(weights.requested));
     all.into_iter()
@@ -116,7 +116,7 @@
         .collect()
 }
 
-/// Prints the seconds in which requests were not served in time: how many of how many, at how many proxies.
+/// Prints the seconds with requests not served in time: their number, the total, and the number of proxies affected.
 pub fn print_lost_seconds(s: &Scenario, outcome: &Outcome) {
     #[derive(Default)]
     struct Second {
--- a/crates/gaugesaddle-measure/src/subsets.rs
+++ b/crates/gaugesaddle-measure/src/subsets.rs
@@ -1,5 +1,5 @@
-//! Ways to deal out backends among many proxies, beside one another: how even the load is, how much moves when one proxy
-//! or backend goes, and in how many zones of a kind a proxy has no backend at all.
+//! Comparison of subsetting algorithms, which assign backends to many proxies: evenness of load, number of links that move when a
+//! proxy or backend is removed, and the fraction of combinations of kind and zone in which a proxy has no backend.
 
 use crate::runs::round;
 use gaugesaddle_allocation::{allocate_by_demand, assign, AllocationLimits, BackendKey, Member, SubsetSize};
@@ -9,19 +9,19 @@
 
 const KINDS: u64 = 3;
 const ZONES: u64 = 3;
-/// So many proxies, and as many backends, are taken away in turn.
-const TAKEN: usize = 10;
+/// Number of proxies, and of backends, that are removed one at a time.
+const REMOVED_COUNT: usize = 10;
 
-/// Of each member its backends, with weights.
-type Rows = Vec<Vec<(usize, f64)>>;
-type Way = fn(&[Member], &[BackendKey]) -> Rows;
+/// The backends of each member, as indices with weights.
+type Assignment = Vec<Vec<(usize, f64)>>;
+type Algorithm = fn(&[Member], &[BackendKey]) -> Assignment;
 
-/// Needs from 1 to 5.
+/// Members with demands from 1 to 5.
 fn members(count: u64, seed: u64) -> Vec<Member> {
-    let needs: Vec<Option<f64>> =
+    let demands: Vec<Option<f64>> =
         (0..count).map(|n| Some(1.0 + (mix(n ^ mix(seed)) % 1000) as f64 / 250.0)).collect();
-    let parts = allocate_by_demand(&AllocationLimits::default(), &needs);
-    (0..count).zip(parts).map(|(mark, part)| Member { hash_key: mark, fraction: part }).collect()
+    let fractions = allocate_by_demand(&AllocationLimits::default(), &demands);
+    (0..count).zip(fractions).map(|(hash_key, fraction)| Member { hash_key, fraction }).collect()
 }
 
 fn servers(count: u64, seed: u64) -> Vec<BackendKey> {
@@ -30,13 +30,13 @@
     (0..count).map(server).collect()
 }
 
-fn by_draw(members: &[Member], servers: &[BackendKey]) -> Rows {
+fn by_draw(members: &[Member], servers: &[BackendKey]) -> Assignment {
     let rows = assign(members, servers, &SubsetSize::default());
     rows.into_iter().map(|row| row.into_iter().map(|l| (l.backend, l.weight)).collect()).collect()
 }
 
-/// As the module deals them out by itself: in rounds, by the number of proxies and their positions.
-fn rounds(members: &[Member], servers: &[BackendKey]) -> Rows {
+/// The balancer's default subsetting: in rounds, by the number of proxies and their positions.
+fn rounds(members: &[Member], servers: &[BackendKey]) -> Assignment {
     let listed: Vec<_> =
         servers.iter().map(|s| (BackendId(s.hash_key), KindId(s.kind), ZoneId(s.zone))).collect();
     let row = |position: usize| {
@@ -46,8 +46,9 @@
     (0..members.len()).map(row).collect()
 }
 
-/// Deterministic aperture: backends on a ring, zones and kinds in turn; each member an arc as long as its part is due.
-fn aperture(members: &[Member], servers: &[BackendKey]) -> Rows {
+/// Deterministic aperture: backends on a ring, alternating between zones and kinds; each member has an arc proportional to its fraction
+/// of the demand.
+fn aperture(members: &[Member], servers: &[BackendKey]) -> Assignment {
     let mut ring: Vec<usize> = (0..servers.len()).collect();
     ring.sort_by_key(|s| mix(servers[*s].hash_key));
     let mut turns = std::collections::HashMap::<(u64, u64), u64>::new();
@@ -70,8 +71,8 @@
     rows
 }
 
-/// Each backend draws its users, by weighted rendezvous hashing.
-fn drawn_by_backends(members: &[Member], servers: &[BackendKey]) -> Rows {
+/// Each backend selects its users by weighted rendezvous hashing.
+fn drawn_by_backends(members: &[Member], servers: &[BackendKey]) -> Assignment {
     let mut rows = vec![Vec::new(); members.len()];
     for (s, server) in servers.iter().enumerate() {
         let draw = |(i, m): (usize, &Member)| {
@@ -88,27 +89,28 @@
     rows
 }
 
-/// The same where none of them takes more than a tenth over its part: the next in order does.
-fn drawn_and_bounded(members: &[Member], servers: &[BackendKey]) -> Rows {
+/// Each backend selects its users by rendezvous hashing with bounded loads: a member takes at most 10% more than its fraction, and
+/// the next members in the order of hashes take the rest.
+fn drawn_and_bounded(members: &[Member], servers: &[BackendKey]) -> Assignment {
     let users = SubsetSize::default().users_per_backend as usize;
-    let most: Vec<usize> = members
+    let max_backends: Vec<usize> = members
         .iter()
         .map(|m| (1.1 * m.fraction * users as f64 * servers.len() as f64).ceil().max(1.0) as usize)
         .collect();
-    let mut rows: Rows = vec![Vec::new(); members.len()];
+    let mut rows: Assignment = vec![Vec::new(); members.len()];
     for (s, server) in servers.iter().enumerate() {
         let draw = |(i, m): (usize, &Member)| (mix(server.hash_key ^ mix(m.hash_key)), i);
         let mut drawn: Vec<(u64, usize)> = members.iter().enumerate().map(draw).collect();
         drawn.sort_unstable();
         let free: Vec<usize> =
-            drawn.iter().map(|d| d.1).filter(|i| rows[*i].len() < most[*i]).take(users).collect();
+            drawn.iter().map(|d| d.1).filter(|i| rows[*i].len() < max_backends[*i]).take(users).collect();
         free.into_iter().for_each(|i| rows[i].push((s, 1.0)));
     }
     rows
 }
 
-/// The greatest load of a backend beside the mean.
-fn greatest(members: &[Member], servers: &[BackendKey], rows: &Rows) -> f64 {
+/// The greatest load of a backend, relative to the mean.
+fn greatest_load(members: &[Member], servers: &[BackendKey], rows: &Assignment) -> f64 {
     let mut load = vec![0.0; servers.len()];
     let of_kind = |kind: u64| servers.iter().filter(|s| s.kind == kind).count() as f64;
     for (member, row) in members.iter().zip(rows) {
@@ -122,41 +124,42 @@
     load.iter().fold(0.0, |m: f64, l| m.max(l / mean))
 }
 
-fn links(members: &[Member], servers: &[BackendKey], rows: &Rows) -> HashSet<(u64, u64)> {
+fn links(members: &[Member], servers: &[BackendKey], rows: &Assignment) -> HashSet<(u64, u64)> {
     let of = |(m, row): (&Member, &Vec<(usize, f64)>)| {
         row.iter().map(|r| (m.hash_key, servers[r.0].hash_key)).collect()
     };
     members.iter().zip(rows).flat_map(|pair| -> Vec<(u64, u64)> { of(pair) }).collect()
 }
 
-/// Links that others win or lose when each of some goes, whichever is more, beside those that it had.
+/// Number of links that the others gain or lose when a member or backend is removed, whichever is greater, relative to the links that
+/// it had.
 fn moved(
-    before: &HashSet<(u64, u64)>, after: &HashSet<(u64, u64)>, its: impl Fn(&(u64, u64)) -> bool,
+    before: &HashSet<(u64, u64)>, after: &HashSet<(u64, u64)>, is_removed: impl Fn(&(u64, u64)) -> bool,
 ) -> f64 {
-    let had = before.iter().filter(|l| its(l)).count();
-    let won = after.difference(before).count();
-    let lost = before.difference(after).filter(|l| !its(l)).count();
-    won.max(lost) as f64 / had.max(1) as f64
+    let links_before = before.iter().filter(|l| is_removed(l)).count();
+    let gained = after.difference(before).count();
+    let lost = before.difference(after).filter(|l| !is_removed(l)).count();
+    gained.max(lost) as f64 / links_before.max(1) as f64
 }
 
-fn one(way: Way, proxies: u64, backends: u64) -> Value {
+fn measure_algorithm(algorithm: Algorithm, proxies: u64, backends: u64) -> Value {
     let (members, servers) = (members(proxies, 5), servers(backends, 5));
-    let rows = way(&members, &servers);
+    let rows = algorithm(&members, &servers);
     let before = links(&members, &servers, &rows);
-    let without = |at: usize| {
+    let moved_without_proxy = |at: usize| {
         let mut fewer = members.clone();
-        let gone = fewer.remove(at);
-        fewer.iter_mut().for_each(|m| m.fraction /= 1.0 - gone.fraction);
-        let after = links(&fewer, &servers, &way(&fewer, &servers));
-        moved(&before, &after, |l| l.0 == gone.hash_key)
+        let removed = fewer.remove(at);
+        fewer.iter_mut().for_each(|m| m.fraction /= 1.0 - removed.fraction);
+        let after = links(&fewer, &servers, &algorithm(&fewer, &servers));
+        moved(&before, &after, |l| l.0 == removed.hash_key)
     };
-    let bare = |at: usize| {
+    let moved_without_backend = |at: usize| {
         let mut fewer = servers.clone();
-        let gone = fewer.remove(at);
-        let after = links(&members, &fewer, &way(&members, &fewer));
-        moved(&before, &after, |l| l.1 == gone.hash_key)
+        let removed = fewer.remove(at);
+        let after = links(&members, &fewer, &algorithm(&members, &fewer));
+        moved(&before, &after, |l| l.1 == removed.hash_key)
     };
-    let some = |of: usize| (0..TAKEN).map(move |n| n * of / TAKEN);
+    let removal_indices = |of: usize| (0..REMOVED_COUNT).map(move |n| n * of / REMOVED_COUNT);
     let mean = |all: Vec<f64>| all.iter().sum::<f64>() / all.len() as f64;
     let empty = rows.iter().map(|row| {
         let has: HashSet<(u64, u64)> = row.iter().map(|r| (servers[r.0].kind, servers[r.0].zone)).collect();
@@ -164,16 +167,17 @@
     });
     let cells = (rows.len() as u64 * KINDS * ZONES) as f64;
     json!({
-        "greatest_load": round(greatest(&members, &servers, &rows)),
-        "moved_by_a_proxy": round(mean(some(members.len()).map(without).collect())),
-        "moved_by_a_backend": round(mean(some(servers.len()).map(bare).collect())),
+        "greatest_load": round(greatest_load(&members, &servers, &rows)),
+        "moved_by_a_proxy": round(mean(removal_indices(members.len()).map(moved_without_proxy).collect())),
+        "moved_by_a_backend": round(mean(removal_indices(servers.len()).map(moved_without_backend).collect())),
         "empty": round(empty.sum::<usize>() as f64 / cells),
     })
 }
 
-/// All of it, and whether the way that is used keeps its bounds: `load`, and links moved beside the least.
-pub fn measure(load: f64, most_moved: f64) -> (Value, bool) {
-    let ways: [(&str, Way); 5] = [
+/// Measures all algorithms; returns the figures and whether the one in use (`by draw`) is within its bounds: the greatest load, and the
+/// links moved relative to the minimum.
+pub fn measure(max_load: f64, max_moved: f64) -> (Value, bool) {
+    let algorithms: [(&str, Algorithm); 5] = [
         ("by draw", by_draw),
         ("rounds", rounds),
         ("aperture", aperture),
@@ -183,15 +187,15 @@
     let (mut all, mut held) = (serde_json::Map::new(), true);
     for (proxies, backends) in [(100, 1000), (300, 200), (1000, 1000)] {
         let mut figures = serde_json::Map::new();
-        for (name, way) in ways {
-            let found = one(way, proxies, backends);
-            println!("{proxies} proxies, {backends} backends, {name}: {found}");
+        for (name, algorithm) in algorithms {
+            let figures_of_algorithm = measure_algorithm(algorithm, proxies, backends);
+            println!("{proxies} proxies, {backends} backends, {name}: {figures_of_algorithm}");
             if name == "by draw" {
-                let least = |key: &str| found[key].as_f64().unwrap_or(f64::INFINITY);
-                held &= least("greatest_load") <= load;
-                held &= least("moved_by_a_proxy") <= most_moved && least("moved_by_a_backend") <= most_moved;
+                let figure = |key: &str| figures_of_algorithm[key].as_f64().unwrap_or(f64::INFINITY);
+                held &= figure("greatest_load") <= max_load;
+                held &= figure("moved_by_a_proxy") <= max_moved && figure("moved_by_a_backend") <= max_moved;
             }
-            figures.insert(name.into(), found);
+            figures.insert(name.into(), figures_of_algorithm);
         }
         all.insert(format!("{proxies} over {backends}"), figures.into());
     }
--- a/crates/gaugesaddle-measure/src/tier/mod.rs
+++ b/crates/gaugesaddle-measure/src/tier/mod.rs
@@ -1,6 +1,6 @@
-//! Proxies that know one another: how soon they know of a death, of a return, and agree after a heal; whom they wrongly
-//! hold dead; what it costs; whether combinations of faults or malformed datagrams break it. Processes and virtual time,
-//! the latter beside the library foca under the same scripts and draws.
+//! Membership of the proxy tier: detection times of deaths and restarts, convergence after a partition heals, false deaths, cost,
+//! and robustness against combinations of faults and malformed datagrams. Measured with real processes and in virtual time; the
+//! latter is compared with the library foca under the same scripts and random draws.
 
 mod foca;
 
@@ -18,23 +18,30 @@
 use std::time::Duration;
 
 const S: u64 = 1_000_000;
-/// Bounds of the issue: a death is known within these (95%, all), all agree after a heal within that.
-const KNOWN_S: f64 = 3.0;
-const KNOWN_WORST_S: f64 = 6.0;
-const AGREED_S: f64 = 3.0;
-/// What a proxy of 300 sends, in bytes a second.
-const BYTES_AT_300: u64 = 16_000;
-/// p99 of votes with peers on against off.
-const VOTES: f64 = 1.1;
-/// Datagrams of any content.
+/// Maximum 95th percentile of the time to detect a death.
+const MAX_DETECTION_P95_S: f64 = 3.0;
+/// Maximum time to detect a death.
+const MAX_DETECTION_S: f64 = 6.0;
+/// Maximum time until all processes agree after a partition heals.
+const MAX_CONVERGENCE_S: f64 = 3.0;
+/// Maximum traffic sent by each of 300 proxies without faults, in bytes per second.
+const MAX_BYTES_PER_S_AT_300: u64 = 16_000;
+/// Maximum 99th percentile latency of votes with membership enabled, relative to disabled.
+const MAX_VOTES_RATIO: f64 = 1.1;
+/// Number of malformed datagrams sent to a process.
 const MALFORMED_DATAGRAMS: u64 = 100_000;
 
-/// What is asked for.
+/// The extent of the measurement.
 pub struct Extent {
+    /// Kills in each tier of processes.
     pub kills: usize,
+    /// Minutes of the runs without faults.
     pub minutes: f64,
+    /// Seconds of the search over combinations of faults.
     pub hunt_s: f64,
+    /// Pairs of runs with and without membership.
     pub pairs: usize,
+    /// Concurrent runs of the search.
     pub lanes: usize,
 }
 
@@ -42,16 +49,18 @@
     (us as f64 / 1e4).round() / 100.0
 }
 
-fn times(all: &[u64]) -> Value {
+fn detection_times(all: &[u64]) -> Value {
     json!({"n": all.len(), "p50_s": secs(quantile(all, 0.5)), "p95_s": secs(quantile(all, 0.95)),
            "worst_s": secs(quantile(all, 1.0))})
 }
 
-fn in_time(all: &[u64]) -> bool {
-    !all.is_empty() && secs(quantile(all, 0.95)) <= KNOWN_S && secs(quantile(all, 1.0)) <= KNOWN_WORST_S
+fn detected_in_time(all: &[u64]) -> bool {
+    !all.is_empty()
+        && secs(quantile(all, 0.95)) <= MAX_DETECTION_P95_S
+        && secs(quantile(all, 1.0)) <= MAX_DETECTION_S
 }
 
-/// A case of virtual time: its name, what happens after the start, and until when.
+/// A case in virtual time: name, steps after the start, and end time.
 type Case = (&'static str, Vec<(u64, Step)>, u64);
 
 fn cases(n: usize) -> Vec<Case> {
@@ -71,15 +80,15 @@
 }
 
 fn report_json(report: &Report, settles: bool) -> Value {
-    json!({"death_known": times(&report.death_known), "start_known": times(&report.start_known),
+    json!({"death_known": detection_times(&report.death_known), "start_known": detection_times(&report.start_known),
            "settled_after_s": settles.then(|| secs(report.converged_after)), "false_deaths": report.false_deaths,
            "longest_false_s": secs(report.longest_false_death), "unsettled": report.disagreements.len(),
            "went_back": report.regressions.len()})
 }
 
-/// Bytes and datagrams a second of each process when nothing happens: the most of any.
-fn peace(kind: &dyn ProcessFactory, n: usize) -> (u64, u64) {
-    let end = |s: u64| play(kind, n, &script_with_starts(n, &[]), s * S, 1).sent;
+/// Maximum over processes of the bytes and datagrams sent per second without faults.
+fn idle_traffic(factory: &dyn ProcessFactory, n: usize) -> (u64, u64) {
+    let end = |s: u64| play(factory, n, &script_with_starts(n, &[]), s * S, 1).sent;
     let (early, late) = (end(5), end(8));
     let most = early.iter().zip(&late).map(|(a, b)| ((b.1 - a.1) / 3, (b.0 - a.0) / 3));
     most.fold((0, 0), |m, x| (m.0.max(x.0), m.1.max(x.1)))
@@ -92,37 +101,39 @@
         for (name, script, end) in cases(n) {
             let script = script_with_starts(n, &script);
             let report = play(&MembershipFactory::default(), n, &script, end, 1);
-            let deaths = report.death_known.is_empty() || in_time(&report.death_known);
+            let deaths = report.death_known.is_empty() || detected_in_time(&report.death_known);
             held &= deaths && report.regressions.is_empty() && report.disagreements.is_empty();
-            held &= report.converged_after as f64 <= AGREED_S * S as f64 || !report.death_known.is_empty();
+            held &= report.converged_after as f64 <= MAX_CONVERGENCE_S * S as f64
+                || !report.death_known.is_empty();
             held &= name.contains("lost") || report.false_deaths == 0;
-            let theirs: Vec<Value> = [800, 2400]
+            let foca_figures: Vec<Value> = [800, 2400]
                 .into_iter()
                 .map(|ms| {
-                    let library = foca::Library::new(Duration::from_millis(ms));
-                    let report = play(&library, n, &script, end, 1);
+                    let factory = foca::FocaFactory::new(Duration::from_millis(ms));
+                    let report = play(&factory, n, &script, end, 1);
                     json!({"suspect_ms": ms, "figures": report_json(&report, true)})
                 })
                 .collect();
             println!("{n} in virtual time, {name}: {}", report_json(&report, true));
-            theirs.iter().for_each(|t| println!("    foca: {t}"));
-            of.insert(name.into(), json!({"peers": report_json(&report, true), "foca": theirs}));
+            foca_figures.iter().for_each(|t| println!("    foca: {t}"));
+            of.insert(name.into(), json!({"peers": report_json(&report, true), "foca": foca_figures}));
         }
-        let ((bytes, datagrams), library) = (
-            peace(&MembershipFactory::default(), n),
-            peace(&foca::Library::new(Duration::from_millis(2400)), n),
+        let ((bytes, datagrams), foca_traffic) = (
+            idle_traffic(&MembershipFactory::default(), n),
+            idle_traffic(&foca::FocaFactory::new(Duration::from_millis(2400)), n),
         );
-        held &= n != 300 || bytes < BYTES_AT_300;
-        println!("{n} at peace: {bytes} bytes and {datagrams} datagrams a second with records; foca {library:?} without");
+        held &= n != 300 || bytes < MAX_BYTES_PER_S_AT_300;
+        println!("{n} without faults: {bytes} bytes and {datagrams} datagrams a second with records; foca {foca_traffic:?} without");
         of.insert(
             "peace".into(),
-            json!({"bytes_per_s": bytes, "datagrams_per_s": datagrams, "foca_bytes_per_s": library.0}),
+            json!({"bytes_per_s": bytes, "datagrams_per_s": datagrams, "foca_bytes_per_s": foca_traffic.0}),
         );
         figures.insert(n.to_string(), Value::Object(of));
     }
     let kills: Vec<_> = (0..10).map(|k| (4 * S, Step::Kill(k * 97))).collect();
     let report = play(&MembershipFactory::default(), 1000, &script_with_starts(1000, &kills), 10 * S, 1);
-    held &= in_time(&report.death_known) && report.false_deaths == 0 && report.regressions.is_empty();
+    held &=
+        detected_in_time(&report.death_known) && report.false_deaths == 0 && report.regressions.is_empty();
     println!("1000 in virtual time, ten killed at once: {}", report_json(&report, true));
     figures.insert("1000".into(), report_json(&report, true));
     (Value::Object(figures), held)
@@ -133,8 +144,8 @@
     Scenario { proxies, peers: true, seconds, clients, ..Scenario::default() }
 }
 
-/// Kills with returns, then cuts with heals.
-fn deaths(proxies: usize, kills: usize) -> Scenario {
+/// Kills with restarts, followed by partitions that heal.
+fn kills_and_partitions(proxies: usize, kills: usize) -> Scenario {
     let (each, heals) = (6.0, 5);
     let end = 3.0 + each * kills as f64;
     let s = base(proxies, 5.0, end + 8.0 * f64::from(heals) + 8.0).named(&format!("{proxies} proxies"));
@@ -148,15 +159,16 @@
 }
 
 fn processes(kills: usize) -> io::Result<(Value, bool)> {
-    let all = [3, 10, 30].map(|n| deaths(n, kills));
+    let all = [3, 10, 30].map(|n| kills_and_partitions(n, kills));
     let (mut figures, mut held) = (serde_json::Map::new(), true);
     for (s, outcome) in all.iter().zip(play_all(&all, all.len())?) {
         let Some(tier) = &outcome.tier else { continue };
         let agreed = quantile(&tier.agreed, 1.0);
-        let sound = outcome.is_clean() && in_time(&tier.death_known) && secs(agreed) <= AGREED_S;
-        held &= sound && tier.false_deaths == 0;
-        let report_json = json!({"death_known": times(&tier.death_known), "return_known": times(&tier.start_known),
-            "agreed_after_heal": times(&tier.agreed), "false_deaths": tier.false_deaths, "clean": outcome.is_clean()});
+        let is_good =
+            outcome.is_clean() && detected_in_time(&tier.death_known) && secs(agreed) <= MAX_CONVERGENCE_S;
+        held &= is_good && tier.false_deaths == 0;
+        let report_json = json!({"death_known": detection_times(&tier.death_known), "return_known": detection_times(&tier.start_known),
+            "agreed_after_heal": detection_times(&tier.agreed), "false_deaths": tier.false_deaths, "clean": outcome.is_clean()});
         println!("{} as processes: {report_json}", s.name);
         if !outcome.is_clean() {
             println!("{}{tier}", outcome.verdict);
@@ -166,8 +178,8 @@
     Ok((Value::Object(figures), held))
 }
 
-/// Nobody dies for so long: with few requests, and near all that the nodes can do.
-fn peaceful(minutes: f64) -> io::Result<(Value, bool)> {
+/// Runs without faults for some minutes: with few requests, and near the capacity of the nodes.
+fn measure_without_faults(minutes: f64) -> io::Result<(Value, bool)> {
     let seconds = minutes * 60.0;
     let all = [base(10, 5.0, seconds).named("idle"), base(10, 260.0, seconds).named("loaded")];
     let (mut figures, mut held) = (serde_json::Map::new(), true);
@@ -188,8 +200,8 @@
     Ok((Value::Object(figures), held))
 }
 
-/// CPU of a proxy of 30 for its peers, in thousandths of a core: the same run with and without them.
-fn cpu() -> io::Result<Value> {
+/// CPU of the membership protocol per proxy in a tier of 30, in thousandths of a core: the difference of runs with and without it.
+fn measure_cpu() -> io::Result<Value> {
     let cast = cast()?;
     let spent = |peers: bool| -> io::Result<f64> {
         let before = children_cpu_seconds()?;
@@ -198,23 +210,23 @@
     };
     let (off, on) = (spent(false)?, spent(true)?);
     let each = (on - off) / 30.0 / 20.0 * 1000.0;
-    println!("30 proxies for 20 s: {off:.2} s of CPU without peers, {on:.2} s with: {each:.2} thousandths of a core each");
+    println!("30 proxies for 20 s: {off:.2} s of CPU without membership, {on:.2} s with it: {each:.2} thousandths of a core each");
     Ok(
         json!({"off_cpu_s": off, "on_cpu_s": on, "thousandths_of_a_core_each": (each * 100.0).round() / 100.0}),
     )
 }
 
 fn votes_p99(outcome: &Outcome, class: usize) -> u64 {
-    let mut asked = std::collections::HashMap::new();
-    let mut took = Vec::new();
+    let mut sent_at = std::collections::HashMap::new();
+    let mut delays = Vec::new();
     for r in &outcome.records {
         match &r.event {
-            Event::RequestSent { id, class: c, .. } if *c == class => _ = asked.insert(*id, r.at),
-            Event::Answered { id, status: 200, .. } => took.extend(asked.remove(id).map(|at| r.at - at)),
+            Event::RequestSent { id, class: c, .. } if *c == class => _ = sent_at.insert(*id, r.at),
+            Event::Answered { id, status: 200, .. } => delays.extend(sent_at.remove(id).map(|at| r.at - at)),
             _ => {}
         }
     }
-    quantile(&took, 0.99)
+    quantile(&delays, 0.99)
 }
 
 fn votes(pairs: usize) -> io::Result<(Value, bool)> {
@@ -227,14 +239,16 @@
             p99[usize::from(on)].push(votes_p99(&play_scenario(&s)?, class));
         }
     }
-    let middle = |all: &[u64]| quantile(all, 0.5);
-    let (off, on) = (middle(&p99[0]), middle(&p99[1]));
+    let median = |all: &[u64]| quantile(all, 0.5);
+    let (off, on) = (median(&p99[0]), median(&p99[1]));
     let ratio = on as f64 / off.max(1) as f64;
-    println!("p99 of votes, middle of {pairs} runs: {off} us without peers, {on} us with: {ratio:.3}");
-    Ok((json!({"off_us": off, "on_us": on, "ratio": round(ratio)}), ratio <= VOTES))
+    println!(
+        "p99 of votes, median of {pairs} runs: {off} us without membership, {on} us with it: {ratio:.3}"
+    );
+    Ok((json!({"off_us": off, "on_us": on, "ratio": round(ratio)}), ratio <= MAX_VOTES_RATIO))
 }
 
-/// All of it.
+/// Runs the measurement.
 pub fn measure(extent: &Extent) -> io::Result<Value> {
     let fuzz = fuzz(MALFORMED_DATAGRAMS, 1).map_err(io::Error::other);
     let (malformed, malformed_held) = match &fuzz {
@@ -249,19 +263,20 @@
     let (in_virtual, virtual_held) = virtual_time();
     let (as_processes, processes_held) = processes(extent.kills)?;
     let (votes, votes_held) = votes(extent.pairs)?;
-    let cpu = cpu()?;
-    let (peaceful, peaceful_held) = peaceful(extent.minutes)?;
+    let cpu = measure_cpu()?;
+    let (without_faults, without_faults_held) = measure_without_faults(extent.minutes)?;
     let within = Duration::from_secs_f64(extent.hunt_s);
-    let hunted =
+    let search =
         hunt::hunt(&cast()?, 11, within, extent.lanes, &std::env::temp_dir(), &|line| println!("{line}"))?;
-    println!("{hunted}");
-    let found = hunted.saved.len() + hunted.once.len();
-    let held = malformed_held && virtual_held && processes_held && votes_held && peaceful_held && found == 0;
+    println!("{search}");
+    let found = search.saved.len() + search.once.len();
+    let held =
+        malformed_held && virtual_held && processes_held && votes_held && without_faults_held && found == 0;
     Ok(
-        json!({"virtual": in_virtual, "processes": as_processes, "votes_p99": votes, "cpu": cpu, "peace": peaceful,
-        "hunt": {"runs": hunted.runs, "proxies": hunted.proxies, "faults": hunted.faults, "findings": found,
-                 "false_deaths": hunted.false_deaths},
+        json!({"virtual": in_virtual, "processes": as_processes, "votes_p99": votes, "cpu": cpu, "peace": without_faults,
+        "hunt": {"runs": search.runs, "proxies": search.proxies, "faults": search.faults, "findings": found,
+                 "false_deaths": search.false_deaths},
         "malformed": malformed, "parts_held": {"malformed": malformed_held, "virtual": virtual_held,
-        "processes": processes_held, "votes": votes_held, "peace": peaceful_held, "hunt": found == 0}, "held": held}),
+        "processes": processes_held, "votes": votes_held, "peace": without_faults_held, "hunt": found == 0}, "held": held}),
     )
 }
