--- a/crates/gaugesaddle-measure/src/allocation.rs
+++ b/crates/gaugesaddle-measure/src/allocation.rs
@@ -1,6 +1,6 @@
-//! Allocation by demand compared with even allocation, with real processes: proxies killed without restart, traffic that differs by
-//! up to 1 to 5, a tier that grows and shrinks under load; and in virtual time with 300 and 1,000 proxies. The sub-command is
-//! `shares`, after the section of the operator's configuration file.
+//! Allocation by demand compared with even allocation, with real processes: proxies killed without restart, traffic
+//! that differs by up to 1 to 5, a tier that grows and shrinks under load; and in virtual time with 300 and 1,000
+//! proxies. The sub-command is `shares`, after the section of the operator's configuration file.
 
 mod scenarios;
 mod service;
@@ -41,8 +41,8 @@
     pub scenarios: u64,
     /// Combinations that run concurrently.
     pub lanes: usize,
-    /// Cases that run concurrently. Three concurrent cases of 48 proxies on twelve cores yield G 0.9979, 0.9973 and 0.9976, a
-    /// single one 0.9976; the worst proxy's service, if it has few requests, is 0.92 to 0.995 either way.
+    /// Cases that run concurrently. Three concurrent cases of 48 proxies on twelve cores yield G 0.9979, 0.9973 and
+    /// 0.9976, a single one 0.9976; the worst proxy's service, if it has few requests, is 0.92 to 0.995 either way.
     pub beside: usize,
     /// If set, runs only the cases whose names contain this, without a verdict.
     pub only: Option<String>,
@@ -58,8 +58,8 @@
     all.iter().sum::<f64>() / all.len().max(1) as f64
 }
 
-/// Simulates a large tier in virtual time, two of three proxies killed at 3 s of 8, with traffic that differs by up to 1 to 5. Returns
-/// the service of even allocation and of allocation by demand.
+/// Simulates a large tier in virtual time, two of three proxies killed at 3 s of 8, with traffic that differs by up to
+/// 1 to 5. Returns the service of even allocation and of allocation by demand.
 fn simulate_many(proxies: usize, nodes: usize) -> io::Result<[f64; 2]> {
     let mut s = Scenario { seconds: 8.0, proxies, ..Scenario::default() };
     (s.kinds[0].count, s.kinds[1].count) = (nodes / 3, nodes - nodes / 3);
@@ -99,7 +99,8 @@
 struct Results {
     /// Service of each run, by case.
     runs: HashMap<&'static str, Vec<Service>>,
-    /// The service of the lost region, by allocation (by demand or not) and by whether two of its three proxies were killed.
+    /// The service of the lost region, by allocation (by demand or not) and by whether two of its three proxies were
+    /// killed.
     regions: HashMap<(bool, bool), Vec<f64>>,
     /// Maximum number of requests forwarded out of a region within a second.
     max_spilled_per_s: usize,
@@ -179,7 +180,8 @@
     }
 }
 
-/// Measures in virtual time; returns the figures and whether allocation by demand is at least as good as even allocation.
+/// Measures in virtual time; returns the figures and whether allocation by demand is at least as good as even
+/// allocation.
 fn measure_virtual_time() -> io::Result<(Value, bool)> {
     let mut figures = serde_json::Map::new();
     let mut is_better = true;
--- a/crates/gaugesaddle-measure/src/allocation/scenarios.rs
+++ b/crates/gaugesaddle-measure/src/allocation/scenarios.rs
@@ -1,4 +1,5 @@
-//! The scenarios of the measurement: proxies killed, uneven traffic, growth, a lost region, and random combinations of faults.
+//! The scenarios of the measurement: proxies killed, uneven traffic, growth, a lost region, and random combinations of
+//! faults.
 
 use gaugesaddle_testbed::hunt;
 use gaugesaddle_testbed::random::mix;
@@ -29,8 +30,8 @@
     s
 }
 
-/// Two regions of three proxies and six nodes each, with about 70 requests a second each and a forwarding limit of the same rate;
-/// all zones of the first fail for 10 s. With `killed`, two of its three proxies are killed before.
+/// Two regions of three proxies and six nodes each, with about 70 requests a second each and a forwarding limit of the
+/// same rate; all zones of the first fail for 10 s. With `killed`, two of its three proxies are killed before.
 pub(super) fn region(seed: u64, by_demand: bool, killed: bool) -> Scenario {
     let kinds = vec![
         Kind { name: "fast".into(), count: 4, speed: 1.8, ..Kind::default() },
@@ -63,8 +64,8 @@
     (3..30).fold(s, |s, proxy| s.event(18.0 + proxy as f64 / 3.0, Disturbance::LeaveProxy { proxy }))
 }
 
-/// A random combination of faults, to check the limits that must never be exceeded. Every second seed has two regions, one of which
-/// loses its zones; on every third seed half of the nodes crash at about 3 s and restart cold 1 s later.
+/// A random combination of faults, to check the limits that must never be exceeded. Every second seed has two regions,
+/// one of which loses its zones; on every third seed half of the nodes crash at about 3 s and restart cold 1 s later.
 pub(super) fn fault_combination(seed: u64) -> Scenario {
     let regions = seed % 2 == 1;
     let mut s = hunt::draw_on(mix(77, seed), |s| {
--- a/crates/gaugesaddle-measure/src/allocation/service.rs
+++ b/crates/gaugesaddle-measure/src/allocation/service.rs
@@ -6,7 +6,8 @@
 
 /// Length of the windows; the worst one is reported.
 const WINDOW_US: u64 = 5_000_000;
-/// Windows and proxies with less than this fraction of the largest demand are excluded, because they have too few requests.
+/// Windows and proxies with less than this fraction of the largest demand are excluded, because they have too few
+/// requests.
 const MIN_DEMAND: f64 = 1.0 / 20.0;
 
 /// One request: the time and the proxy of its first attempt, its weight, and whether it was served in time.
--- a/crates/gaugesaddle-measure/src/bare.rs
+++ b/crates/gaugesaddle-measure/src/bare.rs
@@ -1,5 +1,5 @@
-//! The bare relay: a single-threaded reverse proxy on hyper that selects nodes round robin, reuses connections and buffers bodies,
-//! without load balancing. Its cost is the minimum of any proxy built on hyper and one thread.
+//! The bare relay: a single-threaded reverse proxy on hyper that selects nodes round robin, reuses connections and
+//! buffers bodies, without load balancing. Its cost is the minimum of any proxy built on hyper and one thread.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
--- a/crates/gaugesaddle-measure/src/drains.rs
+++ b/crates/gaugesaddle-measure/src/drains.rs
@@ -1,5 +1,5 @@
-//! Drains, with real processes: a tier whose discovery fails and returns during a deploy while most proxies are killed, audited by
-//! the records of all simulated clients and nodes; and the resources that the largest lists and tiers need.
+//! Drains, with real processes: a tier whose discovery fails and returns during a deploy while most proxies are killed,
+//! audited by the records of all simulated clients and nodes; and the resources that the largest lists and tiers need.
 
 use crate::proc::{cpu_seconds, peak_kb};
 use crate::runs::{interval, play_all, round};
@@ -26,8 +26,8 @@
 const MAX_CHANGE_MS: f64 = 10.0;
 const CHANGE_COUNT: usize = 100;
 
-/// Discovery is down for some seconds; two of three proxies are killed meanwhile and start during the outage or after it; a deploy
-/// begins when discovery returns, and on some seeds discovery moves afterwards.
+/// Discovery is down for some seconds; two of three proxies are killed meanwhile and start during the outage or after
+/// it; a deploy begins when discovery returns, and on some seeds discovery moves afterwards.
 fn discovery_outage_with_deploy(seed: u64) -> Scenario {
     let kinds = vec![
         Kind { name: "fast".into(), count: NODES / 3, speed: 1.8, ..Kind::default() },
@@ -54,7 +54,8 @@
     s
 }
 
-/// Starts one proxy of a tier of `proxies` with a list of `backends` entries that share eight listeners, and measures its resources.
+/// Starts one proxy of a tier of `proxies` with a list of `backends` entries that share eight listeners, and measures
+/// its resources.
 fn measure_size(proxies: u32, backends: usize) -> io::Result<Value> {
     let nodes: Vec<Backend> = (0..8).map(|_| Backend::start(|_| ok("x"))).collect();
     let address_of = |n: usize| -> SocketAddr { nodes[n % nodes.len()].address };
--- a/crates/gaugesaddle-measure/src/fleet.rs
+++ b/crates/gaugesaddle-measure/src/fleet.rs
@@ -1,4 +1,5 @@
-//! Activity of a fleet of proxies in each second, aggregated over their logs; shows effects that no single proxy's log shows.
+//! Activity of a fleet of proxies in each second, aggregated over their logs; shows effects that no single proxy's log
+//! shows.
 
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
--- a/crates/gaugesaddle-measure/src/limits.rs
+++ b/crates/gaugesaddle-measure/src/limits.rs
@@ -1,5 +1,5 @@
-//! Learned concurrency limits compared with the plain relay, a constant limit of 4 and the best constant limit of each cell, over
-//! a grid of fleets in virtual time.
+//! Learned concurrency limits compared with the plain relay, a constant limit of 4 and the best constant limit of each
+//! cell, over a grid of fleets in virtual time.
 
 use gaugesaddle_balancer::LimitBounds;
 use gaugesaddle_proxy_simulation::{simulate, Policy, Report};
@@ -33,7 +33,8 @@
     load: f64,
 }
 
-/// A fleet of nodes with `cores` cores each (0: a mix of 1, 2, 8 and 64), whose requests wait `wait_ms` in addition to their work.
+/// A fleet of nodes with `cores` cores each (0: a mix of 1, 2, 8 and 64), whose requests wait `wait_ms` in addition to
+/// their work.
 fn cell(cores: usize, wait_ms: f64, cv: f64, proxies: usize, load: f64, seconds: f64) -> Cell {
     let kind =
         |cores: usize, count: usize| Kind { name: format!("c{cores}"), count, cores, ..Kind::default() };
@@ -44,7 +45,8 @@
         8 => vec![kind(8, 4)],
         _ => vec![kind(cores, 2)],
     };
-    // Many cores with short requests would need tens of thousands of requests a second, so work and objectives are longer.
+    // Many cores with short requests would need tens of thousands of requests a second, so work and objectives are
+    // longer.
     let wide = cores == 0 || cores > 8;
     let work_ms = if wide {
         100.0
@@ -83,7 +85,8 @@
     Cell { name, scenario, load }
 }
 
-/// The grid: every fleet at every load with three proxies, and for some fleets other numbers of proxies and variations of work.
+/// The grid: every fleet at every load with three proxies, and for some fleets other numbers of proxies and variations
+/// of work.
 fn grid(seconds: f64) -> Vec<Cell> {
     let mut cells = Vec::new();
     for cores in [1, 2, 8, 64, 0] {
--- a/crates/gaugesaddle-measure/src/load.rs
+++ b/crates/gaugesaddle-measure/src/load.rs
@@ -1,5 +1,5 @@
-//! Simulated nodes and clients for measurements: nodes respond at once, and clients use raw sockets, to cost little compared with
-//! the process under measurement. All nodes share one thread; each client has its own.
+//! Simulated nodes and clients for measurements: nodes respond at once, and clients use raw sockets, to cost little
+//! compared with the process under measurement. All nodes share one thread; each client has its own.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -147,7 +147,8 @@
         Ok(Client { to, stream, buffer: Vec::with_capacity(4096) })
     }
 
-    /// Sends a request and records its result, with the latency counted from `since`; opens a new connection after an error.
+    /// Sends a request and records its result, with the latency counted from `since`; opens a new connection after an
+    /// error.
     fn send_and_record(&mut self, results: &mut LoadResults, text: &str, since: Instant) -> io::Result<()> {
         match self.send_request(text) {
             Ok(200) => results.latencies.push(since.elapsed().as_micros() as u64),
@@ -179,8 +180,8 @@
     }
 }
 
-/// Sends requests at a constant rate from several threads with staggered schedules. Latencies count from the scheduled time of a
-/// request, so that delays by a busy thread are included (no coordinated omission).
+/// Sends requests at a constant rate from several threads with staggered schedules. Latencies count from the scheduled
+/// time of a request, so that delays by a busy thread are included (no coordinated omission).
 pub fn run_at_rate(to: SocketAddr, per_s: f64, seconds: f64) -> io::Result<LoadResults> {
     let threads = 8;
     let start = Instant::now();
--- a/crates/gaugesaddle-measure/src/main.rs
+++ b/crates/gaugesaddle-measure/src/main.rs
@@ -1,6 +1,7 @@
-//! Measurements of gaugesaddle. Each prints its progress, and as its last line one JSON object with its figures and whether they
-//! are within their bounds (`"held"`). The exit code is 0 if they are, 1 if not, and 2 if the measurement failed. Durations are
-//! compared as ratios between alternating runs of one call, so that the speed of the machine cancels out.
+//! Measurements of gaugesaddle. Each prints its progress, and as its last line one JSON object with its figures and
+//! whether they are within their bounds (`"held"`). The exit code is 0 if they are, 1 if not, and 2 if the measurement
+//! failed. Durations are compared as ratios between alternating runs of one call, so that the speed of the machine
+//! cancels out.
 
 mod allocation;
 mod bare;
@@ -40,8 +41,8 @@
         #[arg(long, default_value_t = 6.0)]
         seconds: f64,
     },
-    /// Learned limits compared with the plain relay, a constant limit of 4 and the best constant limit of each cell, over a
-    /// grid of fleets (cores, wait times, variation of work, proxies, load) in virtual time.
+    /// Learned limits compared with the plain relay, a constant limit of 4 and the best constant limit of each cell,
+    /// over a grid of fleets (cores, wait times, variation of work, proxies, load) in virtual time.
     Limits {
         /// Seeds of each cell.
         #[arg(long, default_value_t = 5)]
@@ -61,8 +62,8 @@
         /// The folder of the logs.
         logs: std::path::PathBuf,
     },
-    /// Failover to other regions, with two and three regions of real processes: service with and without it, the fault cases
-    /// checked by the auditor, keys replaced under load, the CPU cost of forwarding.
+    /// Failover to other regions, with two and three regions of real processes: service with and without it, the fault
+    /// cases checked by the auditor, keys replaced under load, the CPU cost of forwarding.
     Region {
         /// Seeds of the loss of all zones of a region, each run with and without the other region.
         #[arg(long, default_value_t = 10)]
@@ -77,8 +78,8 @@
         #[arg(long, default_value_t = 1)]
         lanes: usize,
     },
-    /// Membership of the proxy tier: detection times of deaths, restarts and healed partitions, false deaths, cost, and a
-    /// search over combinations of faults; with real processes, and in virtual time compared with the library foca.
+    /// Membership of the proxy tier: detection times of deaths, restarts and healed partitions, false deaths, cost, and
+    /// a search over combinations of faults; with real processes, and in virtual time compared with the library foca.
     Tier {
         /// Kills in each of the tiers of 3, 10 and 30 processes.
         #[arg(long, default_value_t = 30)]
@@ -115,8 +116,8 @@
         #[arg(long)]
         only: Option<String>,
     },
-    /// Drains: a tier whose discovery fails and returns during a deploy while most proxies are killed, and the resources
-    /// that the largest lists and tiers need.
+    /// Drains: a tier whose discovery fails and returns during a deploy while most proxies are killed, and the
+    /// resources that the largest lists and tiers need.
     Drains {
         /// Seeds of the tier.
         #[arg(long, default_value_t = 50)]
--- a/crates/gaugesaddle-measure/src/proc.rs
+++ b/crates/gaugesaddle-measure/src/proc.rs
@@ -6,8 +6,8 @@
 /// Clock ticks per second in /proc (`USER_HZ`, which Linux fixes at 100 for user space).
 const TICKS_PER_S: f64 = 100.0;
 
-/// User and system CPU seconds of a process so far: with the scheduler's nanosecond resolution if it has a single thread, in clock
-/// ticks otherwise.
+/// User and system CPU seconds of a process so far: with the scheduler's nanosecond resolution if it has a single
+/// thread, in clock ticks otherwise.
 pub fn cpu_seconds(pid: u32) -> io::Result<f64> {
     let threads = std::fs::read_dir(format!("/proc/{pid}/task"))?.count();
     if let (1, Ok(text)) = (threads, std::fs::read_to_string(format!("/proc/{pid}/schedstat"))) {
--- a/crates/gaugesaddle-measure/src/region.rs
+++ b/crates/gaugesaddle-measure/src/region.rs
@@ -1,6 +1,6 @@
-//! Failover between regions: service during the loss of all zones of a region, with and without the other region; the loss of
-//! service in the region that takes over; the time until requests are forwarded and until they return; fault cases checked by the
-//! auditor; key changes under load; and the CPU cost of forwarding.
+//! Failover between regions: service during the loss of all zones of a region, with and without the other region; the
+//! loss of service in the region that takes over; the time until requests are forwarded and until they return; fault
+//! cases checked by the auditor; key changes under load; and the CPU cost of forwarding.
 
 mod scenarios;
 
@@ -158,8 +158,8 @@
     Ok((clean, not_clean))
 }
 
-/// Replaces the keys `keys` times while all requests are forwarded; returns whether no rule was violated, and how often proxies
-/// adopted new keys.
+/// Replaces the keys `keys` times while all requests are forwarded; returns whether no rule was violated, and how often
+/// proxies adopted new keys.
 fn run_key_changes(keys: u32) -> io::Result<(bool, usize)> {
     println!("{keys} key changes while all requests are forwarded");
     let mut s = base(77, 2);
@@ -181,8 +181,8 @@
     [round(mean), round(half.min(MAX_HALF_WIDTH))]
 }
 
-/// Runs the measurement: the loss of a region for `seeds` seeds, with and without the other region; `scenarios` scenarios of the
-/// fault cases; and `keys` key changes.
+/// Runs the measurement: the loss of a region for `seeds` seeds, with and without the other region; `scenarios`
+/// scenarios of the fault cases; and `keys` key changes.
 ///
 /// # Errors
 /// A scenario could not be run.
--- a/crates/gaugesaddle-measure/src/rig.rs
+++ b/crates/gaugesaddle-measure/src/rig.rs
@@ -1,5 +1,5 @@
-//! The cost of the test bed's simulated clients and nodes: a scenario at the rate of the deployment, measuring the CPU time of this
-//! process. If the test bed is late or busy, measured latencies are its own and not the proxy's.
+//! The cost of the test bed's simulated clients and nodes: a scenario at the rate of the deployment, measuring the CPU
+//! time of this process. If the test bed is late or busy, measured latencies are its own and not the proxy's.
 
 use crate::load::{run_at_max_rate, run_at_rate, Nodes};
 use crate::proc::own_cpu_seconds;
--- a/crates/gaugesaddle-measure/src/subsets.rs
+++ b/crates/gaugesaddle-measure/src/subsets.rs
@@ -1,5 +1,6 @@
-//! Comparison of subsetting algorithms, which assign backends to many proxies: evenness of load, number of links that move when a
-//! proxy or backend is removed, and the fraction of combinations of kind and zone in which a proxy has no backend.
+//! Comparison of subsetting algorithms, which assign backends to many proxies: evenness of load, number of links that
+//! move when a proxy or backend is removed, and the fraction of combinations of kind and zone in which a proxy has no
+//! backend.
 
 use crate::runs::round;
 use gaugesaddle_allocation::{allocate_by_demand, assign, AllocationLimits, BackendKey, Member, SubsetSize};
@@ -46,8 +47,8 @@
     (0..members.len()).map(row).collect()
 }
 
-/// Deterministic aperture: backends on a ring, alternating between zones and kinds; each member has an arc proportional to its fraction
-/// of the demand.
+/// Deterministic aperture: backends on a ring, alternating between zones and kinds; each member has an arc proportional
+/// to its fraction of the demand.
 fn aperture(members: &[Member], servers: &[BackendKey]) -> Assignment {
     let mut ring: Vec<usize> = (0..servers.len()).collect();
     ring.sort_by_key(|s| mix(servers[*s].hash_key));
@@ -89,8 +90,8 @@
     rows
 }
 
-/// Each backend selects its users by rendezvous hashing with bounded loads: a member takes at most 10% more than its fraction, and
-/// the next members in the order of hashes take the rest.
+/// Each backend selects its users by rendezvous hashing with bounded loads: a member takes at most 10% more than its
+/// fraction, and the next members in the order of hashes take the rest.
 fn drawn_and_bounded(members: &[Member], servers: &[BackendKey]) -> Assignment {
     let users = SubsetSize::default().users_per_backend as usize;
     let max_backends: Vec<usize> = members
@@ -131,8 +132,8 @@
     members.iter().zip(rows).flat_map(|pair| -> Vec<(u64, u64)> { of(pair) }).collect()
 }
 
-/// Number of links that the others gain or lose when a member or backend is removed, whichever is greater, relative to the links that
-/// it had.
+/// Number of links that the others gain or lose when a member or backend is removed, whichever is greater, relative to
+/// the links that it had.
 fn moved(
     before: &HashSet<(u64, u64)>, after: &HashSet<(u64, u64)>, is_removed: impl Fn(&(u64, u64)) -> bool,
 ) -> f64 {
@@ -174,8 +175,8 @@
     })
 }
 
-/// Measures all algorithms; returns the figures and whether the one in use (`by draw`) is within its bounds: the greatest load, and the
-/// links moved relative to the minimum.
+/// Measures all algorithms; returns the figures and whether the one in use (`by draw`) is within its bounds: the
+/// greatest load, and the links moved relative to the minimum.
 pub fn measure(max_load: f64, max_moved: f64) -> (Value, bool) {
     let algorithms: [(&str, Algorithm); 5] = [
         ("by draw", by_draw),
--- a/crates/gaugesaddle-measure/src/tier/foca.rs
+++ b/crates/gaugesaddle-measure/src/tier/foca.rs
@@ -1,6 +1,6 @@
-//! The library foca as a process of the simulated tier, configured as close to `gaugesaddle-membership` as possible: the same probe
-//! interval and number of indirect probes, gossip every 200 ms, and announcements to dead members every 1.5 s. It disseminates no
-//! records here.
+//! The library foca as a process of the simulated tier, configured as close to `gaugesaddle-membership` as possible:
+//! the same probe interval and number of indirect probes, gossip every 200 ms, and announcements to dead members every
+//! 1.5 s. It disseminates no records here.
 
 use ::foca::{
     AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, OwnedNotification, PeriodicParams,
@@ -23,7 +23,8 @@
 /// Interval of these announcements.
 const JOIN_INTERVAL_US: u64 = 500_000;
 
-/// Identity of a process: its index and boot number, and the start number by which the library orders processes of the same index.
+/// Identity of a process: its index and boot number, and the start number by which the library orders processes of the
+/// same index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ProcessId {
     index: u16,
--- a/crates/gaugesaddle-measure/src/tier/mod.rs
+++ b/crates/gaugesaddle-measure/src/tier/mod.rs
@@ -1,6 +1,6 @@
-//! Membership of the proxy tier: detection times of deaths and restarts, convergence after a partition heals, false deaths, cost,
-//! and robustness against combinations of faults and malformed datagrams. Measured with real processes and in virtual time; the
-//! latter is compared with the library foca under the same scripts and random draws.
+//! Membership of the proxy tier: detection times of deaths and restarts, convergence after a partition heals, false
+//! deaths, cost, and robustness against combinations of faults and malformed datagrams. Measured with real processes
+//! and in virtual time; the latter is compared with the library foca under the same scripts and random draws.
 
 mod foca;
 
@@ -200,7 +200,8 @@
     Ok((Value::Object(figures), held))
 }
 
-/// CPU of the membership protocol per proxy in a tier of 30, in thousandths of a core: the difference of runs with and without it.
+/// CPU of the membership protocol per proxy in a tier of 30, in thousandths of a core: the difference of runs with and
+/// without it.
 fn measure_cpu() -> io::Result<Value> {
     let cast = cast()?;
     let spent = |peers: bool| -> io::Result<f64> {
--- a/crates/gaugesaddle-proxy-simulation/src/fuzz.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/fuzz.rs
@@ -1,5 +1,5 @@
-//! Fuzzes a proxy's membership with datagrams: random bytes, valid ones that are mutated, truncated, replayed or sent from other
-//! addresses, and arbitrary combinations of sections. The effects of each are checked.
+//! Fuzzes a proxy's membership with datagrams: random bytes, valid ones that are mutated, truncated, replayed or sent
+//! from other addresses, and arbitrary combinations of sections. The effects of each are checked.
 
 use gaugesaddle_balancer::{Micros, Time};
 use gaugesaddle_membership::wire::{DatagramBuilder, Header, Section, BROADCAST};
@@ -12,7 +12,8 @@
 
 /// Configured members of the tier, two of which are live.
 const MEMBERS: usize = 5;
-/// Maximum datagrams sent in reply to one datagram: 256 bytes hold up to 14 ping requests, each answered by a receipt and a ping.
+/// Maximum datagrams sent in reply to one datagram: 256 bytes hold up to 14 ping requests, each answered by a receipt
+/// and a ping.
 const MAX_REPLIES: usize = 32;
 
 /// Why a fuzz run failed.
--- a/crates/gaugesaddle-proxy-simulation/src/tier.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/tier.rs
@@ -1,14 +1,16 @@
-//! Discrete-event simulation of a tier of proxies: processes start, die, are suspended and leave, on a network that partitions,
-//! loses, duplicates, delays and reorders datagrams. Each process's view of the others is compared with the actual state.
+//! Discrete-event simulation of a tier of proxies: processes start, die, are suspended and leave, on a network that
+//! partitions, loses, duplicates, delays and reorders datagrams. Each process's view of the others is compared with the
+//! actual state.
 //!
 //! - [`play`] runs a script of [`Step`]s over processes of a [`ProcessFactory`] and returns a [`Report`].
-//! - [`MembershipFactory`] starts processes of `gaugesaddle-membership`; other implementations can run the same scripts.
+//! - [`MembershipFactory`] starts processes of `gaugesaddle-membership`; other implementations can run the same
+//!   scripts.
 //!
 //! Each process has its own clock, which differs from the others' by hours. All pairs are observed at intervals of
 //! [`OBSERVATION_INTERVAL_US`], which is the resolution of all reported times.
 //!
-//! **Bounds.** The number of events is bounded by the end of the script; the datagrams queued for a suspended process are bounded
-//! like a socket's receive buffer.
+//! **Bounds.** The number of events is bounded by the end of the script; the datagrams queued for a suspended process
+//! are bounded like a socket's receive buffer.
 
 pub use gaugesaddle_testbed::datagrams::{Links, LossyPath};
 mod membership_factory;
@@ -82,8 +84,9 @@
     pub death_known: Vec<u64>,
     /// Time from each start to its detection, for each process that was running.
     pub start_known: Vec<u64>,
-    /// Time from the last change of processes or links to the last observation of a disagreement: of two connected processes, one
-    /// did not consider the other alive, or an ended, suspended or partitioned process was considered alive.
+    /// Time from the last change of processes or links to the last observation of a disagreement: of two connected
+    /// processes, one did not consider the other alive, or an ended, suspended or partitioned process was considered
+    /// alive.
     pub converged_after: u64,
     /// Disagreements at the end of the run.
     pub disagreements: Vec<String>,
--- a/crates/gaugesaddle-proxy-simulation/src/world.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/world.rs
@@ -18,11 +18,13 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-/// Delay of a message between a proxy and a node, in microseconds: loopback and the scheduling of a simulated node's thread.
+/// Delay of a message between a proxy and a node, in microseconds: loopback and the scheduling of a simulated node's
+/// thread.
 pub const ONE_WAY_DELAY_US: u64 = 300;
 /// Maximum number of proxies: the maximum size of a tier.
 const MAX_PROXIES: usize = 4096;
-/// Start of the simulation, in microseconds: the balancer's clock is Unix time, in which a boot time of 0 is far in the past.
+/// Start of the simulation, in microseconds: the balancer's clock is Unix time, in which a boot time of 0 is far in the
+/// past.
 const START: u64 = 1_000_000_000_000;
 /// Fraction of the client's timeout for which the plain relay waits for a node.
 const RELAY_TIMEOUT_FRACTION: f64 = 0.8;
@@ -199,8 +201,8 @@
     report: Report,
 }
 
-/// Runs a scenario. `traffic` contains the relative weight of each proxy's traffic; if it is empty, clients use the proxies of
-/// their zone evenly.
+/// Runs a scenario. `traffic` contains the relative weight of each proxy's traffic; if it is empty, clients use the
+/// proxies of their zone evenly.
 ///
 /// # Errors
 /// The scenario is invalid, or has an event that the simulation does not support.
--- a/crates/gaugesaddle-proxy-simulation/src/world/proxies.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/world/proxies.rs
@@ -4,8 +4,8 @@
 use crate::host::HostAction;
 
 impl World<'_> {
-    /// Observes the tier from a proxy: it has the last report or the one before of each other proxy, and detects starts and ends
-    /// with a delay.
+    /// Observes the tier from a proxy: it has the last report or the one before of each other proxy, and detects starts
+    /// and ends with a delay.
     pub(super) fn observe_tier(&mut self, proxy: usize) {
         self.schedule(self.now + OBSERVATION_INTERVAL_US, WorldEvent::ObserveTier(proxy));
         if !self.proxies[proxy].up {
--- a/crates/gaugesaddle-proxy-simulation/tests/fleet.rs
+++ b/crates/gaugesaddle-proxy-simulation/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! Guards against proxies that together overload the remaining nodes: each proxy's own load is harmless, but after a third of the
-//! nodes fails, a hundred proxies on sixty nodes can send the rest more than they can process until they choke.
+//! Guards against proxies that together overload the remaining nodes: each proxy's own load is harmless, but after a
+//! third of the nodes fails, a hundred proxies on sixty nodes can send the rest more than they can process until they
+//! choke.
 
 use gaugesaddle_balancer::settings::{read, Key};
 use gaugesaddle_balancer::LimitBounds;
@@ -57,7 +58,8 @@
     }
 }
 
-/// Runs proxies whose traffic differs by up to 1 to 5, with allocation by demand or even allocation, some killed at 3 s.
+/// Runs proxies whose traffic differs by up to 1 to 5, with allocation by demand or even allocation. The `killed` ones
+/// end at 3 s.
 fn simulate_uneven_traffic(proxies: usize, per_s: f64, by_demand: bool, killed: &[usize]) -> Report {
     let mut s = large_fleet(Scenario {
         proxies,
--- a/crates/gaugesaddle-proxy-simulation/tests/fuzz.rs
+++ b/crates/gaugesaddle-proxy-simulation/tests/fuzz.rs
@@ -1,5 +1,5 @@
-//! Guards against a malformed, forged or replayed datagram that panics the membership process, changes its state without the key,
-//! or makes it ignore valid datagrams afterwards.
+//! Guards against a malformed, forged or replayed datagram that panics the membership process, changes its state
+//! without the key, or makes it ignore valid datagrams afterwards.
 
 use gaugesaddle_proxy_simulation::fuzz::fuzz;
 
--- a/crates/gaugesaddle-proxy-simulation/tests/tier.rs
+++ b/crates/gaugesaddle-proxy-simulation/tests/tier.rs
@@ -14,7 +14,8 @@
 const SCRIPT_COUNT: u64 = 2_000;
 /// Maximum time after the last fault until all processes agree, in microseconds.
 const MAX_CONVERGENCE_US: u64 = 3 * S;
-/// Maximum time for which a live, connected process is considered dead, in microseconds, unless all its datagrams are lost.
+/// Maximum time for which a live, connected process is considered dead, in microseconds, unless all its datagrams are
+/// lost.
 const MAX_FALSE_DEATH_US: u64 = 3 * S;
 
 fn assert_converged(report: &Report, case: &str) {
@@ -214,8 +215,8 @@
     }
 }
 
-/// Guards against a check that detects nothing: both the comparison with the actual state and the audit of the logs must find
-/// each injected fault.
+/// Guards against a check that detects nothing: both the comparison with the actual state and the audit of the logs
+/// must find each injected fault.
 #[test]
 fn observation_and_log_audit_find_each_injected_fault_and_none_in_correct_processes() {
     let late = Links { doubled: 1.0, way_us: [100, 8000], ..Links::default() };
@@ -243,7 +244,8 @@
     assert!(verdict.count(TierViolation::OldBoot) > 0, "{verdict}");
 }
 
-/// Guards against false findings of the log audit: the same random scripts converge in the comparison with the actual state.
+/// Guards against false findings of the log audit: the same random scripts converge in the comparison with the actual
+/// state.
 #[test]
 fn log_audit_reports_no_violation_by_correct_processes() {
     for seed in 0..300 {
@@ -334,7 +336,8 @@
     assert_converged(&play(&MembershipFactory::default(), 30, &steps, 18 * S, 5), "3 grow to 30");
 }
 
-/// Detection of deaths among 300 processes, and each one's traffic without faults: the difference of two runs of 6 and 10 s.
+/// Detection of deaths among 300 processes, and each one's traffic without faults: the difference of two runs of 6 and
+/// 10 s.
 #[test]
 fn three_hundred_processes_detect_deaths_in_time_and_send_less_than_16_kb_a_second() {
     const N: usize = 300;
--- a/crates/gaugesaddle-proxy-simulation/tests/world.rs
+++ b/crates/gaugesaddle-proxy-simulation/tests/world.rs
@@ -1,4 +1,5 @@
-//! Guards against a simulation that is not deterministic, that ignores unsupported events, or that serves requests on hung nodes.
+//! Guards against a simulation that is not deterministic, that ignores unsupported events, or that serves requests on
+//! hung nodes.
 
 use gaugesaddle_balancer::LimitBounds;
 use gaugesaddle_proxy_simulation::{simulate, Policy, SimulationError};
--- a/crates/gaugesaddle-repository-checks/src/dependencies.rs
+++ b/crates/gaugesaddle-repository-checks/src/dependencies.rs
@@ -1,14 +1,14 @@
-//! Dependencies that nobody uses.
+//! Unused dependencies of the workspace's packages.
 
 use crate::files::{files_below, packages, read};
 use crate::CheckError;
 use std::fmt;
 use std::path::Path;
 
-/// Packages whose library has another name than the package.
+/// Packages whose library name differs from the package name.
 const LIBRARY_NAMES: [(&str, &str); 1] = [("spdlog-rs", "spdlog")];
 
-/// A dependency that no source of its package names.
+/// A dependency that no source file of its package refers to.
 #[derive(Debug, PartialEq, Eq)]
 pub struct UnusedDependency {
     /// The package that declares it.
@@ -28,7 +28,7 @@
 /// Looks for unused dependencies in all packages of the workspace.
 ///
 /// # Errors
-/// A file that cannot be read, or a manifest that is not TOML.
+/// A file cannot be read, or a manifest is not valid TOML.
 pub fn unused(root: &Path) -> Result<Vec<UnusedDependency>, CheckError> {
     let mut findings = Vec::new();
     for package in packages(root)? {
@@ -41,7 +41,7 @@
         for (table, text) in [("dependencies", &sources), ("dev-dependencies", &all_sources)] {
             let declared = manifest.get(table).and_then(|value| value.as_table());
             for dependency in declared.into_iter().flat_map(|table| table.keys()) {
-                if !names(text, &library_name(dependency)) {
+                if !contains_identifier(text, &library_name(dependency)) {
                     let package = package.file_name().unwrap_or_default().to_string_lossy().into_owned();
                     findings.push(UnusedDependency { package, table, dependency: dependency.clone() });
                 }
@@ -66,8 +66,8 @@
     renamed.map_or_else(|| dependency.replace('-', "_"), |(_, library)| (*library).to_owned())
 }
 
-/// Whether a text holds an identifier.
-fn names(text: &str, identifier: &str) -> bool {
+/// Whether a text contains an identifier as a whole word.
+fn contains_identifier(text: &str, identifier: &str) -> bool {
     let is_part = |c: char| c.is_alphanumeric() || c == '_';
     text.match_indices(identifier).any(|(at, _)| {
         let before = text[..at].chars().next_back();
--- a/crates/gaugesaddle-repository-checks/src/documents.rs
+++ b/crates/gaugesaddle-repository-checks/src/documents.rs
@@ -6,20 +6,20 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// Extensions by which a word in backticks is taken for a file.
+/// Extensions by which a word in backticks is recognized as a file.
 const EXTENSIONS: [&str; 4] = [".rs", ".md", ".toml", ".txt"];
 
-/// A word in backticks with this many underscores is taken for the name of a test.
-const TEST_NAME_UNDERSCORES: usize = 4;
+/// Minimum number of underscores by which a word in backticks is recognized as the name of a test.
+const MIN_TEST_NAME_UNDERSCORES: usize = 4;
 
-/// A file or test that a document names and that does not exist.
+/// A reference of a document to a file or test that does not exist.
 #[derive(Debug, PartialEq, Eq)]
 pub struct BrokenReference {
     /// The document.
     pub document: PathBuf,
     /// Line of the reference, from 1.
     pub line: usize,
-    /// The file or test as it is named there.
+    /// The name of the file or test in the document.
     pub target: String,
 }
 
@@ -29,14 +29,14 @@
     }
 }
 
-/// Looks for broken references in the documents at the root and below `docs`, but for the change log, which speaks of the
-/// past.
+/// Finds broken references in the documents at the root and below `docs`, except the change log, which refers to past
+/// versions.
 ///
-/// Checked are links to files, and paths in backticks with a slash and an extension of source, document or settings. A path
-/// may be given from the root, from the document's folder, from `docs`, from `crates`, or from a package or its sources.
+/// It checks links to files, and paths in backticks that contain a slash and end with one of the known extensions. A
+/// path may be relative to the root, the document's folder, `docs`, `crates`, or a package, its sources or its tests.
 ///
 /// # Errors
-/// A file that cannot be read.
+/// A file cannot be read.
 pub fn broken_references(root: &Path) -> Result<Vec<BrokenReference>, CheckError> {
     let mut bases = vec![root.to_owned(), root.join("docs"), root.join("crates")];
     for package in packages(root)? {
@@ -59,10 +59,10 @@
     Ok(findings)
 }
 
-/// Looks for names of tests in backticks (four underscores and more) that no source holds.
+/// Finds names of tests in backticks (words with at least four underscores) that no source file contains.
 ///
 /// # Errors
-/// A file that cannot be read.
+/// A file cannot be read.
 pub fn unknown_tests(root: &Path) -> Result<Vec<BrokenReference>, CheckError> {
     let mut known = HashSet::new();
     for source in files_below(&root.join("crates"), "rs")? {
@@ -85,7 +85,7 @@
     Ok(findings)
 }
 
-/// The documents that are checked.
+/// The documents to check.
 fn documents(root: &Path) -> Result<Vec<PathBuf>, CheckError> {
     let mut documents = files_below(&root.join("docs"), "md")?;
     documents.extend(["README.md", "CONTRIBUTING.md"].map(|name| root.join(name)));
@@ -99,10 +99,10 @@
 
 fn is_test_name(word: &str) -> bool {
     let is_lower_case = !word.chars().any(|c| c.is_ascii_uppercase());
-    is_lower_case && word.matches('_').count() >= TEST_NAME_UNDERSCORES
+    is_lower_case && word.matches('_').count() >= MIN_TEST_NAME_UNDERSCORES
 }
 
-/// The files that a line names.
+/// The files that a line refers to.
 fn references(line: &str) -> Vec<String> {
     let links = line.split("](").skip(1).filter_map(|rest| rest.split(')').next());
     let links = links.filter(|target| !target.contains("://") && !target.starts_with('#'));
--- a/crates/gaugesaddle-repository-checks/src/files.rs
+++ b/crates/gaugesaddle-repository-checks/src/files.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why a check could not be made.
+/// An error that prevents a check.
 #[derive(Debug, Error)]
 pub enum CheckError {
     /// A file or folder could not be read.
@@ -16,7 +16,7 @@
         /// The system's error.
         source: io::Error,
     },
-    /// A manifest is not TOML.
+    /// A manifest is not valid TOML.
     #[error("parsing {path}: {source}")]
     Manifest {
         /// The manifest.
@@ -26,7 +26,7 @@
     },
 }
 
-/// The root of the repository that this package was built in.
+/// The root of the repository in which this package was built.
 pub fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
@@ -35,7 +35,7 @@
     fs::read_to_string(path).map_err(|source| CheckError::Read { path: path.to_owned(), source })
 }
 
-/// The entries of a folder, in order; none where there is no such folder.
+/// The sorted entries of a folder; empty if the folder does not exist.
 pub(crate) fn entries(folder: &Path) -> Result<Vec<PathBuf>, CheckError> {
     if !folder.is_dir() {
         return Ok(Vec::new());
@@ -49,7 +49,7 @@
     Ok(paths)
 }
 
-/// All files below a folder with an extension.
+/// All files with an extension below a folder, recursively.
 pub(crate) fn files_below(folder: &Path, extension: &str) -> Result<Vec<PathBuf>, CheckError> {
     let mut files = Vec::new();
     for path in entries(folder)? {
--- a/crates/gaugesaddle-repository-checks/src/lib.rs
+++ b/crates/gaugesaddle-repository-checks/src/lib.rs
@@ -1,8 +1,8 @@
 //! Checks of the repository itself, run with the other tests.
 //!
-//! - [`dependencies::unused`]: dependencies that a package declares and no source of it names.
-//! - [`documents::broken_references`]: files that a document names and that do not exist.
-//! - [`documents::unknown_tests`]: tests that a document names and that do not exist.
+//! - [`dependencies::unused`]: dependencies that a package declares and none of its source files refers to.
+//! - [`documents::broken_references`]: files that a document refers to and that do not exist.
+//! - [`documents::unknown_tests`]: tests that a document refers to and that do not exist.
 //! - [`sources::inline_test_modules`]: test modules inside source files.
 //!
 //! ```no_run
@@ -13,8 +13,8 @@
 //! # Ok::<(), gaugesaddle_repository_checks::CheckError>(())
 //! ```
 //!
-//! **Guarantees.** A check reads files and nothing else; it changes nothing and needs no network. **Bounds.** Files are read
-//! whole, one at a time.
+//! **Guarantees.** A check only reads files; it changes nothing and needs no network. **Bounds.** One file at a time is
+//! read into memory; the dependency check keeps the sources of one package.
 
 pub mod dependencies;
 pub mod documents;
--- a/crates/gaugesaddle-repository-checks/src/sources.rs
+++ b/crates/gaugesaddle-repository-checks/src/sources.rs
@@ -1,13 +1,13 @@
-//! Habits of the sources that no linter checks.
+//! Conventions for source files that no linter checks.
 
 use crate::files::{files_below, packages, read};
 use crate::CheckError;
 use std::path::{Path, PathBuf};
 
-/// Source files that hold the body of a test module; tests live in `tests/` or in `NAME/tests.rs`.
+/// Finds source files that contain the body of a test module; tests belong in `tests/` or in `NAME/tests.rs`.
 ///
 /// # Errors
-/// A file that cannot be read.
+/// A file cannot be read.
 pub fn inline_test_modules(root: &Path) -> Result<Vec<PathBuf>, CheckError> {
     let mut findings = Vec::new();
     for package in packages(root)? {
--- a/crates/gaugesaddle-repository-checks/tests/repository.rs
+++ b/crates/gaugesaddle-repository-checks/tests/repository.rs
@@ -1,5 +1,5 @@
-//! Guards against: a dependency that only costs build time, a document that names a file which has moved, tests inside
-//! sources.
+//! Guards against unused dependencies, which only cost build time, documents that refer to moved or renamed files and
+//! tests, and test modules inside source files.
 
 use gaugesaddle_repository_checks::{dependencies, documents, repository_root, sources};
 use std::fmt::Display;
@@ -12,36 +12,37 @@
 
 #[test]
 fn every_dependency_is_used() {
-    let findings = dependencies::unused(&repository_root()).expect("manifests and sources are read");
+    let findings = dependencies::unused(&repository_root()).expect("manifests and sources are readable");
     assert_eq!(lines(findings), "");
 }
 
 #[test]
 fn every_file_that_a_document_names_exists() {
-    let findings = documents::broken_references(&repository_root()).expect("documents are read");
+    let findings = documents::broken_references(&repository_root()).expect("documents are readable");
     assert_eq!(lines(findings), "");
 }
 
 #[test]
 fn every_test_that_a_document_names_exists() {
-    let findings = documents::unknown_tests(&repository_root()).expect("documents are read");
+    let findings = documents::unknown_tests(&repository_root()).expect("documents are readable");
     assert_eq!(lines(findings), "");
 }
 
 #[test]
-fn no_test_module_stands_inside_a_source() {
-    let findings = sources::inline_test_modules(&repository_root()).expect("sources are read");
+fn source_files_contain_no_test_modules() {
+    let findings = sources::inline_test_modules(&repository_root()).expect("sources are readable");
     assert_eq!(findings, Vec::<PathBuf>::new());
 }
 
-/// A repository of one package with one of each fault.
+/// Creates a repository of one package that contains each fault once.
 fn faulty_repository() -> PathBuf {
     let root = Path::new(env!("CARGO_TARGET_TMPDIR")).join("faulty-repository");
     let _ = fs::remove_dir_all(&root);
     let write = |path: &str, text: &str| {
         let path = root.join(path);
-        fs::create_dir_all(path.parent().expect("a folder")).expect("it is made");
-        fs::write(path, text).expect("it is written");
+        fs::create_dir_all(path.parent().expect("the path has a parent folder"))
+            .expect("the folder is created");
+        fs::write(path, text).expect("the file is written");
     };
     let manifest = "[package]\nname = \"one\"\n[dependencies]\nbytes = \"1\"\nspdlog-rs = \"0.5\"\n[dev-dependencies]\nproptest = \"1\"\n";
     write("crates/one/Cargo.toml", manifest);
@@ -51,19 +52,19 @@
 }
 
 #[test]
-fn faults_are_found_with_their_place() {
+fn each_fault_is_reported_with_its_location() {
     let root = faulty_repository();
-    let unused = lines(dependencies::unused(&root).expect("read"));
+    let unused = lines(dependencies::unused(&root).expect("the files are readable"));
     assert_eq!(
         unused,
         "one: bytes is in [dependencies] and unused\none: proptest is in [dev-dependencies] and unused\n"
     );
-    let broken = documents::broken_references(&root).expect("read");
+    let broken = documents::broken_references(&root).expect("the files are readable");
     let broken: Vec<(usize, &str)> = broken.iter().map(|b| (b.line, b.target.as_str())).collect();
     assert_eq!(broken, [(2, "missing.md"), (2, "one/src/gone.rs")]);
-    let unknown = documents::unknown_tests(&root).expect("read");
+    let unknown = documents::unknown_tests(&root).expect("the files are readable");
     let unknown: Vec<(usize, &str)> = unknown.iter().map(|b| (b.line, b.target.as_str())).collect();
     assert_eq!(unknown, [(3, "a_test_that_was_renamed_lately")]);
-    let inline = sources::inline_test_modules(&root).expect("read");
+    let inline = sources::inline_test_modules(&root).expect("the files are readable");
     assert_eq!(inline, [root.join("crates/one/src/lib.rs")]);
 }
