--- a/crates/gaugesaddle-measure/src/allocation.rs
+++ b/crates/gaugesaddle-measure/src/allocation.rs
@@ -43,7 +43,7 @@
     pub lanes: usize,
     /// Cases that run concurrently. Three concurrent cases of 48 proxies on twelve cores yield G 0.9979, 0.9973 and
     /// 0.9976, a single one 0.9976; the worst proxy's service, if it has few requests, is 0.92 to 0.995 either way.
-    pub beside: usize,
+    pub concurrent_cases: usize,
     /// If set, runs only the cases whose names contain this, without a verdict.
     pub only: Option<String>,
 }
@@ -221,14 +221,14 @@
     if let Some(only) = &extent.only {
         return measure_only(extent.seeds, only);
     }
-    let (subsets, subset_held) = subsets::measure(MAX_LOAD, MAX_MOVED);
+    let (subsets, subsets_within_bounds) = subsets::measure(MAX_LOAD, MAX_MOVED);
     let (virtual_time, is_better) = measure_virtual_time()?;
     let mut results = Results::default();
     for seed in 1..=extent.seeds {
-        results.run_cases(seed, extent.beside)?;
+        results.run_cases(seed, extent.concurrent_cases)?;
     }
     for seed in 1..=extent.seeds {
-        results.run_regions(seed, extent.beside)?;
+        results.run_regions(seed, extent.concurrent_cases)?;
     }
     let scenarios = measure_combinations(extent, &mut results)?;
     let (uneven, even) = ("uneven traffic, by need", "even traffic, by need");
@@ -243,17 +243,19 @@
         ("worst proxy", worst_proxy_behind <= MAX_BEHIND),
         ("growth", dip <= MAX_DIP),
         ("fair", jain >= MIN_JAIN),
-        ("subset", subset_held),
+        ("subset", subsets_within_bounds),
         ("many", is_better),
         ("region", results.region_service_ratio(true) >= MIN_REGION_SERVICE),
         ("rules", !results.has_findings),
     ];
-    let parts_held: serde_json::Map<String, Value> =
-        checks.iter().map(|(name, held)| ((*name).to_string(), json!(held))).collect();
+    let verdicts: serde_json::Map<String, Value> = checks
+        .iter()
+        .map(|(name, is_within_bounds)| ((*name).to_string(), json!(is_within_bounds)))
+        .collect();
     Ok(json!({
-        "runs": results.runs_json(), "beside": extent.beside, "uneven_costs": round(uneven_cost),
+        "runs": results.runs_json(), "beside": extent.concurrent_cases, "uneven_costs": round(uneven_cost),
         "worst_proxy_behind": round(worst_proxy_behind), "dip": round(dip), "jain": round(jain), "subsets": subsets,
         "virtual_time": virtual_time, "scenarios": scenarios, "region": results.regions_json(),
-        "parts_held": parts_held, "held": checks.iter().all(|check| check.1),
+        "parts_held": verdicts, "held": checks.iter().all(|check| check.1),
     }))
 }
--- a/crates/gaugesaddle-measure/src/drains.rs
+++ b/crates/gaugesaddle-measure/src/drains.rs
@@ -94,14 +94,14 @@
         "{proxies} proxies, {backends} backends: ready after {ready_ms:.0} ms, {served} of 400 served, peak {peak} KB, \
          {descriptors} descriptors, {change_ms:.2} ms CPU a change"
     );
-    let held = served == 400
+    let within_bounds = served == 400
         && peak <= MAX_PEAK_KB
         && ready_ms <= MAX_READY_MS
         && change_ms <= MAX_CHANGE_MS
         && descriptors <= 192;
     Ok(json!({
         "proxies": proxies, "backends": backends, "ready_ms": round(ready_ms), "served_of_400": served,
-        "peak_kb": peak, "descriptors": descriptors, "cpu_ms_a_change": round(change_ms), "held": held,
+        "peak_kb": peak, "descriptors": descriptors, "cpu_ms_a_change": round(change_ms), "held": within_bounds,
     }))
 }
 
@@ -129,12 +129,12 @@
     println!(
         "G {mean:.3} +- {half_width:.3}, worst {worst:.3}; {drains} violations of drains, {others} other findings"
     );
-    let sizes_held = sizes.iter().all(|s| s["held"] == true);
-    let held = sizes_held && drains == 0 && others == 0 && worst >= MIN_SERVICE;
+    let sizes_within_bounds = sizes.iter().all(|s| s["held"] == true);
+    let within_bounds = sizes_within_bounds && drains == 0 && others == 0 && worst >= MIN_SERVICE;
     Ok(json!({
         "measure": "drains", "seeds": seeds, "drains_broken": drains, "other_findings": others,
         "g": round(mean), "g_half_width": round(half_width), "g_worst": round(worst), "g_bound": MIN_SERVICE,
         "sizes": sizes, "peak_kb_bound": MAX_PEAK_KB, "ready_ms_bound": MAX_READY_MS, "change_ms_bound": MAX_CHANGE_MS,
-        "held": held,
+        "held": within_bounds,
     }))
 }
--- a/crates/gaugesaddle-measure/src/limits.rs
+++ b/crates/gaugesaddle-measure/src/limits.rs
@@ -204,7 +204,7 @@
     let done = done.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
     let all: Vec<CellResult> = done.into_iter().collect::<io::Result<_>>()?;
     let relative_to_best = |f: &CellResult| if f.best.1 > 0.0 { f.learned.0 / f.best.1 } else { 1.0 };
-    let good = all.iter().filter(|f| relative_to_best(f) >= MIN_OF_BEST).count();
+    let cells_near_best = all.iter().filter(|f| relative_to_best(f) >= MIN_OF_BEST).count();
     let worst = all.iter().map(relative_to_best).fold(f64::MAX, f64::min);
     let is_behind_relay =
         |f: &&CellResult| f.load <= MAX_RELAY_LOAD && f.learned.0 < f.relay.0 - MAX_RELAY_LOSS;
@@ -212,18 +212,18 @@
     let choked = |f: &&CellResult| f.best.2 == 0.0 && f.learned.1 > 0.0;
     let choked: Vec<&str> = all.iter().filter(choked).map(|f| f.name.as_str()).collect();
     let round = |x: f64| (x * 1000.0).round() / 1000.0;
-    let held = !all.is_empty()
-        && good as f64 >= MIN_CELL_FRACTION * all.len() as f64
+    let within_bounds = !all.is_empty()
+        && cells_near_best as f64 >= MIN_CELL_FRACTION * all.len() as f64
         && worst >= MIN_OF_BEST_IN_ALL
         && relay.is_empty()
         && choked.is_empty();
     Ok(json!({
         "measure": "limits", "cells": all.len(), "seeds": seeds, "seconds": seconds,
-        "cells_at_0.97_of_best": good, "cells_bound": MIN_CELL_FRACTION, "worst_part_of_best": round(worst),
+        "cells_at_0.97_of_best": cells_near_best, "cells_bound": MIN_CELL_FRACTION, "worst_part_of_best": round(worst),
         "worst_bound": MIN_OF_BEST_IN_ALL, "behind_the_relay": relay, "choked_where_the_best_is_not": choked,
         "mean_learned": round(all.iter().map(|f| f.learned.0).sum::<f64>() / all.len().max(1) as f64),
         "mean_four": round(all.iter().map(|f| f.four.0).sum::<f64>() / all.len().max(1) as f64),
         "mean_best": round(all.iter().map(|f| f.best.1).sum::<f64>() / all.len().max(1) as f64),
-        "held": held,
+        "held": within_bounds,
     }))
 }
--- a/crates/gaugesaddle-measure/src/main.rs
+++ b/crates/gaugesaddle-measure/src/main.rs
@@ -160,7 +160,7 @@
                 seeds: seeds.max(1),
                 scenarios,
                 lanes: lanes.clamp(1, 16),
-                beside: beside.clamp(1, 16),
+                concurrent_cases: beside.clamp(1, 16),
                 only,
             })
         }
--- a/crates/gaugesaddle-measure/src/region.rs
+++ b/crates/gaugesaddle-measure/src/region.rs
@@ -198,7 +198,7 @@
     let mean_cpu =
         |pick: fn(&(f64, f64)) -> f64| cpu_costs.iter().map(pick).sum::<f64>() / cpu_costs.len() as f64;
     let fuzz_failed = fuzz();
-    let held = !losses.has_findings
+    let within_bounds = !losses.has_findings
         && (gain - gain_half > MIN_GAIN || seeds < 3)
         && helper_loss <= MAX_HELPER_LOSS
         && clean == scenarios
@@ -217,6 +217,6 @@
         "scenarios": scenarios, "clean": clean, "not_clean": not_clean,
         "key_changes": keys, "keys_taken": keys_used, "keys_clean": keys_clean,
         "cpu_us_at_home": round(mean_cpu(|p| p.0)), "cpu_us_half_over_the_hop": round(mean_cpu(|p| p.1)),
-        "fuzzed": FUZZED_HEADERS, "fuzz_failed": fuzz_failed, "held": held,
+        "fuzzed": FUZZED_HEADERS, "fuzz_failed": fuzz_failed, "held": within_bounds,
     }))
 }
--- a/crates/gaugesaddle-measure/src/rig.rs
+++ b/crates/gaugesaddle-measure/src/rig.rs
@@ -45,7 +45,7 @@
         max_throughput.rate()
     );
     let core_fraction = cpu / (SECONDS + 4.0);
-    let held =
+    let within_bounds =
         core_fraction <= MAX_CORE_FRACTION && late_p99_us <= MAX_LATENESS_US && outcome.verdict.is_clean();
     let round = |x: f64| (x * 1000.0).round() / 1000.0;
     Ok(json!({
@@ -55,6 +55,6 @@
         "rig_late_p99_us": round(late_p99_us), "rig_late_bound_us": MAX_LATENESS_US,
         "plain_cpu_us_per_request": round(plain_cpu_us), "plain_p99_us": round(results.quantile(0.99)),
         "plain_flat_out_per_s": round(max_throughput.rate()),
-        "g": round(outcome.verdict.g), "clean": outcome.verdict.is_clean(), "held": held,
+        "g": round(outcome.verdict.g), "clean": outcome.verdict.is_clean(), "held": within_bounds,
     }))
 }
--- a/crates/gaugesaddle-measure/src/subsets.rs
+++ b/crates/gaugesaddle-measure/src/subsets.rs
@@ -185,7 +185,7 @@
         ("drawn by backends", drawn_by_backends),
         ("drawn and bounded", drawn_and_bounded),
     ];
-    let (mut all, mut held) = (serde_json::Map::new(), true);
+    let (mut all, mut within_bounds) = (serde_json::Map::new(), true);
     for (proxies, backends) in [(100, 1000), (300, 200), (1000, 1000)] {
         let mut figures = serde_json::Map::new();
         for (name, algorithm) in algorithms {
@@ -193,12 +193,13 @@
             println!("{proxies} proxies, {backends} backends, {name}: {figures_of_algorithm}");
             if name == "by draw" {
                 let figure = |key: &str| figures_of_algorithm[key].as_f64().unwrap_or(f64::INFINITY);
-                held &= figure("greatest_load") <= max_load;
-                held &= figure("moved_by_a_proxy") <= max_moved && figure("moved_by_a_backend") <= max_moved;
+                within_bounds &= figure("greatest_load") <= max_load;
+                within_bounds &=
+                    figure("moved_by_a_proxy") <= max_moved && figure("moved_by_a_backend") <= max_moved;
             }
             figures.insert(name.into(), figures_of_algorithm);
         }
         all.insert(format!("{proxies} over {backends}"), figures.into());
     }
-    (all.into(), held)
+    (all.into(), within_bounds)
 }
--- a/crates/gaugesaddle-measure/src/tier/foca.rs
+++ b/crates/gaugesaddle-measure/src/tier/foca.rs
@@ -123,7 +123,7 @@
             match notification {
                 OwnedNotification::MemberUp(id) => self.view[slot(&id)] = Some(id),
                 OwnedNotification::MemberDown(id) => {
-                    self.view[slot(&id)] = self.view[slot(&id)].filter(|known| known.boot != id.boot);
+                    self.view[slot(&id)] = self.view[slot(&id)].filter(|member| member.boot != id.boot);
                 }
                 OwnedNotification::Rename(old, new) if self.view[slot(&old)] == Some(old) => {
                     self.view[slot(&new)] = Some(new);
--- a/crates/gaugesaddle-measure/src/tier/mod.rs
+++ b/crates/gaugesaddle-measure/src/tier/mod.rs
@@ -95,17 +95,17 @@
 }
 
 fn virtual_time() -> (Value, bool) {
-    let (mut figures, mut held) = (serde_json::Map::new(), true);
+    let (mut figures, mut within_bounds) = (serde_json::Map::new(), true);
     for n in [30, 300] {
         let mut of = serde_json::Map::new();
         for (name, script, end) in cases(n) {
             let script = script_with_starts(n, &script);
             let report = play(&MembershipFactory::default(), n, &script, end, 1);
             let deaths = report.death_known.is_empty() || detected_in_time(&report.death_known);
-            held &= deaths && report.regressions.is_empty() && report.disagreements.is_empty();
-            held &= report.converged_after as f64 <= MAX_CONVERGENCE_S * S as f64
+            within_bounds &= deaths && report.regressions.is_empty() && report.disagreements.is_empty();
+            within_bounds &= report.converged_after as f64 <= MAX_CONVERGENCE_S * S as f64
                 || !report.death_known.is_empty();
-            held &= name.contains("lost") || report.false_deaths == 0;
+            within_bounds &= name.contains("lost") || report.false_deaths == 0;
             let foca_figures: Vec<Value> = [800, 2400]
                 .into_iter()
                 .map(|ms| {
@@ -122,7 +122,7 @@
             idle_traffic(&MembershipFactory::default(), n),
             idle_traffic(&foca::FocaFactory::new(Duration::from_millis(2400)), n),
         );
-        held &= n != 300 || bytes < MAX_BYTES_PER_S_AT_300;
+        within_bounds &= n != 300 || bytes < MAX_BYTES_PER_S_AT_300;
         println!("{n} without faults: {bytes} bytes and {datagrams} datagrams a second with records; foca {foca_traffic:?} without");
         of.insert(
             "peace".into(),
@@ -132,11 +132,11 @@
     }
     let kills: Vec<_> = (0..10).map(|k| (4 * S, Step::Kill(k * 97))).collect();
     let report = play(&MembershipFactory::default(), 1000, &script_with_starts(1000, &kills), 10 * S, 1);
-    held &=
+    within_bounds &=
         detected_in_time(&report.death_known) && report.false_deaths == 0 && report.regressions.is_empty();
     println!("1000 in virtual time, ten killed at once: {}", report_json(&report, true));
     figures.insert("1000".into(), report_json(&report, true));
-    (Value::Object(figures), held)
+    (Value::Object(figures), within_bounds)
 }
 
 fn base(proxies: usize, per_s: f64, seconds: f64) -> Scenario {
@@ -160,13 +160,13 @@
 
 fn processes(kills: usize) -> io::Result<(Value, bool)> {
     let all = [3, 10, 30].map(|n| kills_and_partitions(n, kills));
-    let (mut figures, mut held) = (serde_json::Map::new(), true);
+    let (mut figures, mut within_bounds) = (serde_json::Map::new(), true);
     for (s, outcome) in all.iter().zip(play_all(&all, all.len())?) {
         let Some(tier) = &outcome.tier else { continue };
         let agreed = quantile(&tier.agreed, 1.0);
-        let is_good =
+        let is_within_bounds =
             outcome.is_clean() && detected_in_time(&tier.death_known) && secs(agreed) <= MAX_CONVERGENCE_S;
-        held &= is_good && tier.false_deaths == 0;
+        within_bounds &= is_within_bounds && tier.false_deaths == 0;
         let report_json = json!({"death_known": detection_times(&tier.death_known), "return_known": detection_times(&tier.start_known),
             "agreed_after_heal": detection_times(&tier.agreed), "false_deaths": tier.false_deaths, "clean": outcome.is_clean()});
         println!("{} as processes: {report_json}", s.name);
@@ -175,20 +175,20 @@
         }
         figures.insert(s.proxies.to_string(), report_json);
     }
-    Ok((Value::Object(figures), held))
+    Ok((Value::Object(figures), within_bounds))
 }
 
 /// Runs without faults for some minutes: with few requests, and near the capacity of the nodes.
 fn measure_without_faults(minutes: f64) -> io::Result<(Value, bool)> {
     let seconds = minutes * 60.0;
     let all = [base(10, 5.0, seconds).named("idle"), base(10, 260.0, seconds).named("loaded")];
-    let (mut figures, mut held) = (serde_json::Map::new(), true);
+    let (mut figures, mut within_bounds) = (serde_json::Map::new(), true);
     for (s, outcome) in all.iter().zip(play_all(&all, all.len())?) {
         let Some(tier) = &outcome.tier else { continue };
         let per_s = |pick: fn(&(u64, u64)) -> u64| {
             outcome.datagrams.iter().map(pick).max().unwrap_or(0) as f64 / (s.seconds + 3.0)
         };
-        held &= outcome.is_clean() && tier.false_deaths == 0;
+        within_bounds &= outcome.is_clean() && tier.false_deaths == 0;
         let report_json = json!({"minutes": minutes, "false_deaths": tier.false_deaths, "clean": outcome.is_clean(),
             "datagrams_per_s": per_s(|d| d.0).round(), "bytes_per_s": per_s(|d| d.1).round(), "g": outcome.verdict.g});
         println!("10 proxies, {}: {report_json}", s.name);
@@ -197,7 +197,7 @@
         }
         figures.insert(s.name.clone(), report_json);
     }
-    Ok((Value::Object(figures), held))
+    Ok((Value::Object(figures), within_bounds))
 }
 
 /// CPU of the membership protocol per proxy in a tier of 30, in thousandths of a core: the difference of runs with and
@@ -252,32 +252,36 @@
 /// Runs the measurement.
 pub fn measure(extent: &Extent) -> io::Result<Value> {
     let fuzz = fuzz(MALFORMED_DATAGRAMS, 1).map_err(io::Error::other);
-    let (malformed, malformed_held) = match &fuzz {
-        Ok(report_json) => (
-            json!({"tried": report_json.sent, "answered": report_json.replies, "garbled": report_json.counts.malformed,
-            "foreign": report_json.counts.misaddressed, "forged": report_json.counts.unauthenticated, "replayed": report_json.counts.replayed}),
+    let (malformed, malformed_within_bounds) = match &fuzz {
+        Ok(report) => (
+            json!({"tried": report.sent, "answered": report.replies, "garbled": report.counts.malformed,
+            "foreign": report.counts.misaddressed, "forged": report.counts.unauthenticated, "replayed": report.counts.replayed}),
             true,
         ),
         Err(e) => (json!({"failed": e.to_string()}), false),
     };
     println!("malformed datagrams: {malformed}");
-    let (in_virtual, virtual_held) = virtual_time();
-    let (as_processes, processes_held) = processes(extent.kills)?;
-    let (votes, votes_held) = votes(extent.pairs)?;
+    let (in_virtual, virtual_within_bounds) = virtual_time();
+    let (as_processes, processes_within_bounds) = processes(extent.kills)?;
+    let (votes, votes_within_bounds) = votes(extent.pairs)?;
     let cpu = measure_cpu()?;
-    let (without_faults, without_faults_held) = measure_without_faults(extent.minutes)?;
+    let (without_faults, without_faults_within_bounds) = measure_without_faults(extent.minutes)?;
     let within = Duration::from_secs_f64(extent.hunt_s);
     let search =
         hunt::hunt(&cast()?, 11, within, extent.lanes, &std::env::temp_dir(), &|line| println!("{line}"))?;
     println!("{search}");
     let found = search.saved.len() + search.once.len();
-    let held =
-        malformed_held && virtual_held && processes_held && votes_held && without_faults_held && found == 0;
+    let within_bounds = malformed_within_bounds
+        && virtual_within_bounds
+        && processes_within_bounds
+        && votes_within_bounds
+        && without_faults_within_bounds
+        && found == 0;
     Ok(
         json!({"virtual": in_virtual, "processes": as_processes, "votes_p99": votes, "cpu": cpu, "peace": without_faults,
         "hunt": {"runs": search.runs, "proxies": search.proxies, "faults": search.faults, "findings": found,
                  "false_deaths": search.false_deaths},
-        "malformed": malformed, "parts_held": {"malformed": malformed_held, "virtual": virtual_held,
-        "processes": processes_held, "votes": votes_held, "peace": without_faults_held, "hunt": found == 0}, "held": held}),
+        "malformed": malformed, "parts_held": {"malformed": malformed_within_bounds, "virtual": virtual_within_bounds,
+        "processes": processes_within_bounds, "votes": votes_within_bounds, "peace": without_faults_within_bounds, "hunt": found == 0}, "held": within_bounds}),
     )
 }
--- a/crates/gaugesaddle-proxy-simulation/src/fuzz.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/fuzz.rs
@@ -142,15 +142,15 @@
         }
     };
     let nonce = rng.below(1 << 20) as u32;
-    let known = rng.bernoulli(0.5).then(|| status(rng));
+    let member_status = rng.bernoulli(0.5).then(|| status(rng));
     let boot = Boot(1 + rng.below(300) as u32);
     let subject = index(rng);
     match rng.below(11) {
-        0 => Section::Ping { nonce, status: known },
+        0 => Section::Ping { nonce, status: member_status },
         1 => Section::Ack { nonce },
-        2 => Section::PingRequest { target: subject, nonce, status: known },
+        2 => Section::PingRequest { target: subject, nonce, status: member_status },
         3 => Section::PingRequestReceipt { nonce },
-        4 => Section::IndirectPing { origin: subject, nonce, status: known },
+        4 => Section::IndirectPing { origin: subject, nonce, status: member_status },
         5 => Section::IndirectAck { origin: subject, nonce },
         6 => Section::ForwardedAck { subject, boot, incarnation: rng.below(9) as u32, nonce },
         7 => Section::Update { subject, reporter: index(rng), status: status(rng) },
@@ -175,8 +175,8 @@
     datagram.finish()
 }
 
-fn mutate(rng: &mut RandomStream, good: &[u8]) -> Vec<u8> {
-    let mut bytes = good.to_vec();
+fn mutate(rng: &mut RandomStream, valid: &[u8]) -> Vec<u8> {
+    let mut bytes = valid.to_vec();
     match rng.below(4) {
         0 => bytes.truncate(rng.below(bytes.len())),
         1 => bytes.extend((0..rng.below(MAX_DATAGRAM_BYTES)).map(|_| rng.below(256) as u8)),
--- a/crates/gaugesaddle-proxy-simulation/src/tier.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/tier.rs
@@ -112,7 +112,7 @@
     started: u64,
     is_suspended: bool,
     inbox: VecDeque<(usize, Vec<u8>)>,
-    wake: u64,
+    next_run: u64,
     clock_offset: u64,
 }
 
@@ -133,7 +133,7 @@
 enum EventKind {
     Step(usize),
     Deliver { to: usize, from: usize, bytes: Vec<u8> },
-    Wake { index: usize, boot: u32 },
+    RunTimers { index: usize, boot: u32 },
     Observe,
 }
 
@@ -207,7 +207,7 @@
         match tier.pending_events.remove(&id) {
             Some(EventKind::Step(i)) => tier.apply_step(&script[i].1),
             Some(EventKind::Deliver { to, from, bytes }) => tier.deliver(to, from, bytes),
-            Some(EventKind::Wake { index, boot }) => tier.run_due_timers(index, boot),
+            Some(EventKind::RunTimers { index, boot }) => tier.run_due_timers(index, boot),
             Some(EventKind::Observe) => {
                 tier.observe();
                 tier.schedule(at + OBSERVATION_INTERVAL_US, EventKind::Observe);
@@ -251,7 +251,7 @@
             Step::Resume(index) => {
                 let Some(r) = self.running[*index].as_mut().filter(|r| r.is_suspended) else { return };
                 self.report.facts.push((self.now, Fact::Continued(*index)));
-                (r.is_suspended, r.wake) = (false, u64::MAX);
+                (r.is_suspended, r.next_run) = (false, u64::MAX);
                 let (now, mut out) = (self.now + r.clock_offset, Vec::new());
                 // A host handles all received datagrams before timers.
                 for (from, bytes) in r.inbox.drain(..) {
@@ -283,7 +283,7 @@
         let process = self.factory.start(self.members, index, boot, seed, self.now + clock_offset);
         let (is_suspended, inbox, started) = (false, VecDeque::new(), self.now);
         self.running[index] =
-            Some(Running { process, boot, started, is_suspended, inbox, wake: u64::MAX, clock_offset });
+            Some(Running { process, boot, started, is_suspended, inbox, next_run: u64::MAX, clock_offset });
         let others = (0..self.members).filter(|p| *p != index && self.is_running(*p)).collect();
         self.starts_to_notice.push((index, boot, self.now, others));
         self.reset_pairs(|i, j| i == index || j == index);
@@ -333,7 +333,7 @@
             return;
         };
         let now = self.now + r.clock_offset;
-        r.wake = u64::MAX;
+        r.next_run = u64::MAX;
         if r.process.wake_at() <= now {
             r.process.run_timers(now, &mut out);
         }
@@ -375,11 +375,11 @@
         let Some(r) = self.running[from].as_mut() else { return };
         self.report.logs[from].extend(r.process.log().into_iter().map(|line| (self.now, line)));
         // Timers of real hosts have a resolution of 1 ms: 500 us late on average.
-        let wake = r.process.wake_at().saturating_sub(r.clock_offset).max(self.now) + 500;
-        if wake < r.wake {
-            r.wake = wake;
+        let next_run = r.process.wake_at().saturating_sub(r.clock_offset).max(self.now) + 500;
+        if next_run < r.next_run {
+            r.next_run = next_run;
             let boot = r.boot;
-            self.schedule(wake, EventKind::Wake { index: from, boot });
+            self.schedule(next_run, EventKind::RunTimers { index: from, boot });
         }
     }
 
--- a/crates/gaugesaddle-proxy-simulation/src/tier/observation.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/tier/observation.rs
@@ -83,11 +83,12 @@
         }
         for (index, boot, at, others) in &mut self.starts_to_notice {
             others.retain(|i| {
-                let known = running[*i].as_ref().is_some_and(|r| r.process.live_boot(*index) == Some(*boot));
-                if known {
+                let is_detected =
+                    running[*i].as_ref().is_some_and(|r| r.process.live_boot(*index) == Some(*boot));
+                if is_detected {
                     report.start_known.push(now - *at);
                 }
-                !known
+                !is_detected
             });
         }
         self.deaths_to_notice.retain(|d| !d.2.is_empty());
