--- a/crates/gaugesaddle-measure/src/drains.rs
+++ b/crates/gaugesaddle-measure/src/drains.rs
@@ -4,7 +4,9 @@
 use crate::proc::{cpu_seconds, peak_kb};
 use crate::runs::{interval, play_all, round};
 use gaugesaddle_testbed::scenario::{Clients, Kind};
-use gaugesaddle_testbed::scripted::{ask, config, line, ok, request, until, Backend, Discovery, Proxy};
+use gaugesaddle_testbed::scripted::{
+    config, endpoint, ok, request, send_request, until, Backend, Discovery, Proxy,
+};
 use gaugesaddle_testbed::{program, Broken, Disturbance, Scenario};
 use serde_json::{json, Value};
 use std::io;
@@ -58,7 +60,7 @@
     let nodes: Vec<Backend> = (0..8).map(|_| Backend::start(|_| ok("x"))).collect();
     let place = |n: usize| -> SocketAddr { nodes[n % nodes.len()].address };
     let named = |n: usize, state: &str| {
-        let mut line = line(&format!("s-{n:08x}"), place(n), state, 0);
+        let mut line = endpoint(&format!("s-{n:08x}"), place(n), state, 0);
         line["zone"] = json!(["east", "west"][n % 2]);
         line["type"] = json!(["fast", "slow", "wide"][n % 3]);
         line
@@ -75,7 +77,7 @@
     let ready_ms = start.elapsed().as_secs_f64() * 1e3;
     discovery.indent();
     discovery.publish(true, &all);
-    let served = (0..400).filter(|_| ask(&proxy, &request("read", 5_000)).status() == 200).count();
+    let served = (0..400).filter(|_| send_request(&proxy, &request("read", 5_000)).status() == 200).count();
     let before = cpu_seconds(proxy.id())?;
     for n in 0..CHANGES {
         let state = if n % 2 == 0 { "draining" } else { "ready" };
@@ -105,7 +107,7 @@
 
 /// The measurement.
 pub fn measure(seeds: u64, lanes: usize) -> io::Result<Value> {
-    program::built("gaugesaddle")?;
+    program::build("gaugesaddle")?;
     println!("sizes, with 32 MB and 192 descriptors told:");
     let sizes = SIZES.iter().map(|(p, b)| size(*p, *b)).collect::<io::Result<Vec<_>>>()?;
     println!("{PROXIES} proxies with an agent each, discovery lost and back, {seeds} seeds:");
--- a/crates/gaugesaddle-measure/src/relay.rs
+++ b/crates/gaugesaddle-measure/src/relay.rs
@@ -112,7 +112,7 @@
 
 /// The measurement.
 pub fn measure(pairs: usize, seconds: f64) -> io::Result<Value> {
-    let program = program::built("gaugesaddle")?;
+    let program = program::build("gaugesaddle")?;
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     // The last core for what is measured; the rig has the others.
     let core = (cores > 1 && Command::new("taskset").arg("-V").output().is_ok()).then(|| cores - 1);
--- a/crates/gaugesaddle-measure/src/rig.rs
+++ b/crates/gaugesaddle-measure/src/rig.rs
@@ -4,7 +4,7 @@
 use crate::load::{flat_out, steady, Nodes};
 use crate::proc::own_cpu_seconds;
 use gaugesaddle_testbed::scenario::Clients;
-use gaugesaddle_testbed::{program, run, Cast, Event, Program, Scenario};
+use gaugesaddle_testbed::{program, run, Event, Program, ProxyImplementation, Scenario};
 use serde_json::{json, Value};
 use std::io;
 
@@ -21,9 +21,9 @@
     let defaults = Scenario::default();
     let clients = Clients { per_s: PER_S, leaving: 0.0, ..defaults.clients.clone() };
     let s = Scenario { seconds: SECONDS, clients, ..defaults }.named("rig");
-    let program = Program { path: program::built("gaugesaddle")?, arguments: Vec::new() };
+    let program = Program { path: program::build("gaugesaddle")?, arguments: Vec::new() };
     let before = own_cpu_seconds()?;
-    let outcome = run(&s, &Cast::Program(program), &mut |_| {})?;
+    let outcome = run(&s, &ProxyImplementation::Program(program), &mut |_| {})?;
     let cpu = own_cpu_seconds()? - before;
     let asked = outcome.records.iter().filter(|r| matches!(r.event, Event::RequestSent { .. })).count();
     let late = outcome.late_p99_us as f64;
--- a/crates/gaugesaddle-measure/src/runs.rs
+++ b/crates/gaugesaddle-measure/src/runs.rs
@@ -1,13 +1,13 @@
 //! Scenarios played with the proxy, one or many, and what many runs come to.
 
-use gaugesaddle_testbed::{program, run, Cast, Outcome, Program, Scenario};
+use gaugesaddle_testbed::{program, run, Outcome, Program, ProxyImplementation, Scenario};
 use std::io;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
 /// The proxy, brought up to date.
-pub fn cast() -> io::Result<Cast> {
-    Ok(Cast::Program(Program { path: program::built("gaugesaddle")?, arguments: Vec::new() }))
+pub fn cast() -> io::Result<ProxyImplementation> {
+    Ok(ProxyImplementation::Program(Program { path: program::build("gaugesaddle")?, arguments: Vec::new() }))
 }
 
 /// Plays a scenario with it.
@@ -16,7 +16,7 @@
 }
 
 /// The same with what [`cast`] gave: what it takes to bring the proxy up to date is no part of the run.
-pub fn play_with(cast: &Cast, s: &Scenario) -> io::Result<Outcome> {
+pub fn play_with(cast: &ProxyImplementation, s: &Scenario) -> io::Result<Outcome> {
     run(s, cast, &mut |_| {})
 }
 
--- a/crates/gaugesaddle-proxy-simulation/src/tier.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/tier.rs
@@ -12,7 +12,7 @@
 mod observation;
 
 use gaugesaddle_testbed::random::{mix, RandomStream};
-pub use gaugesaddle_testbed::tier::Fact;
+pub use gaugesaddle_testbed::tier::TierEvent;
 pub use membership_kind::{address, MembershipKind};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -95,7 +95,7 @@
     /// Maximum bytes that one process sent in one second.
     pub max_bytes_per_second: u64,
     /// What happened, to compare with logs.
-    pub facts: Vec<(u64, Fact)>,
+    pub facts: Vec<(u64, TierEvent)>,
     /// The logs, by index.
     pub logs: Vec<Vec<(u64, String)>>,
 }
@@ -228,7 +228,7 @@
                 let mut out = Vec::new();
                 if let Some(r) = &mut self.running[*index] {
                     r.process.leave(self.now + r.clock, &mut out);
-                    self.report.facts.push((self.now, Fact::Terminated(*index)));
+                    self.report.facts.push((self.now, TierEvent::Terminated(*index)));
                 }
                 self.send(*index, out);
                 self.end(*index);
@@ -236,13 +236,13 @@
             Step::Suspend(index) => {
                 if let Some(r) = &mut self.running[*index] {
                     r.is_suspended = true;
-                    self.report.facts.push((self.now, Fact::Stopped(*index)));
+                    self.report.facts.push((self.now, TierEvent::Stopped(*index)));
                 }
                 self.due(|i, j| i == *index || j == *index);
             }
             Step::Resume(index) => {
                 let Some(r) = self.running[*index].as_mut().filter(|r| r.is_suspended) else { return };
-                self.report.facts.push((self.now, Fact::Continued(*index)));
+                self.report.facts.push((self.now, TierEvent::Continued(*index)));
                 (r.is_suspended, r.wake) = (false, u64::MAX);
                 let (now, mut out) = (self.now + r.clock, Vec::new());
                 // As a host does: all datagrams, then the timers.
@@ -255,7 +255,7 @@
             }
             Step::Links(links) => {
                 self.links = links.clone();
-                self.report.facts.push((self.now, Fact::Links(links.clone())));
+                self.report.facts.push((self.now, TierEvent::Links(links.clone())));
                 self.due(|_, _| true);
             }
         }
@@ -266,7 +266,7 @@
             return;
         }
         self.starts += 1;
-        self.report.facts.push((self.now, Fact::Up(index)));
+        self.report.facts.push((self.now, TierEvent::Up(index)));
         // Numbers that do not reveal their order.
         let boot = (mix(self.seed, u64::from(self.starts)) as u32).max(1);
         self.boots.insert(boot, u64::from(self.starts));
@@ -287,7 +287,7 @@
 
     fn end(&mut self, index: usize) {
         let Some(gone) = self.running[index].take() else { return };
-        self.report.facts.push((self.now, Fact::Ended(index)));
+        self.report.facts.push((self.now, TierEvent::Ended(index)));
         let knew = |i: &usize| {
             let there = self.running[*i].as_ref().filter(|r| !r.is_suspended);
             there.is_some_and(|r| r.process.live_boot(index) == Some(gone.boot))
--- a/crates/gaugesaddle-proxy-simulation/src/world.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/world.rs
@@ -338,7 +338,7 @@
         self.served[index] |=
             status == 200 && self.now <= START + ask.at_us + (class.objective_ms * 1e3) as u64;
         if number < ask.retries && may_retry(class.effect, status, true) {
-            let advised = (status == 503 && ask.honours).then_some(RETRY_AFTER_US);
+            let advised = (status == 503 && ask.follows_retry_after).then_some(RETRY_AFTER_US);
             let wait = advised.unwrap_or(ask.backoff_us << number.min(8));
             self.at(self.now + wait, WorldEvent::Try(index, number + 1));
         }
--- a/crates/gaugesaddle-proxy-simulation/tests/tier.rs
+++ b/crates/gaugesaddle-proxy-simulation/tests/tier.rs
@@ -225,7 +225,7 @@
     let (report, verdict) = play(Faulty::None);
     sound(&report, "sound processes");
     assert!(verdict.is_clean(), "{verdict}");
-    assert!(verdict.judged_s > 50.0 && verdict.death_known.len() == 16 * 3, "{verdict}");
+    assert!(verdict.audited_pair_s > 50.0 && verdict.death_known.len() == 16 * 3, "{verdict}");
     let (report, verdict) = play(Faulty::NeverForgets);
     assert!(!report.disagreements.is_empty() && verdict.count(TierViolation::NotForgotten) > 0, "{verdict}");
     let (report, verdict) = play(Faulty::BelievesAll);
--- a/crates/gaugesaddle-testbed/src/clients.rs
+++ b/crates/gaugesaddle-testbed/src/clients.rs
@@ -102,8 +102,10 @@
             {
                 return;
             }
-            let advised =
-                ended.advice_ms.filter(|_| request.honours).map(|ms| ms.min(LONGEST_ADVICE_MS) * 1000);
+            let advised = ended
+                .advice_ms
+                .filter(|_| request.follows_retry_after)
+                .map(|ms| ms.min(LONGEST_ADVICE_MS) * 1000);
             let doubled = if request.storm_client.is_some() { 0 } else { number.min(8) };
             let wait = advised.unwrap_or(request.backoff_us << doubled);
             number += 1;
@@ -221,7 +223,7 @@
         if request.slow_reading {
             tokio::time::sleep(SLOW_READ).await;
         }
-        let leaves = request.leaves_us.filter(|_| number == 0).map(Duration::from_micros);
+        let leaves = request.disconnects_after_us.filter(|_| number == 0).map(Duration::from_micros);
         let end = sent + leaves.unwrap_or(Duration::from_micros(request.patience_us) + EXTRA_WAIT);
         let before = reader.unread();
         let answer = tokio::time::timeout_at(end, reader.message()).await;
@@ -260,7 +262,7 @@
             self.close(proxy, request);
         } else if answer.wants_close() || request.storm_client.is_some() {
             self.close(proxy, request);
-        } else if request.once && number == 0 {
+        } else if request.single_request && number == 0 {
             // Kept for good; it counts against the limit on connections.
             self.parked.borrow_mut().push((proxy, reader));
         } else {
--- a/crates/gaugesaddle-testbed/src/demo.rs
+++ b/crates/gaugesaddle-testbed/src/demo.rs
@@ -1,7 +1,9 @@
 //! The local demo: a small fleet under disturbances, drawn while it runs.
 
 use gaugesaddle_testbed::scenario::{Clients, ScheduledDisturbance};
-use gaugesaddle_testbed::{program, run, Cast, Disturbance, Event, Live, Program, Scenario};
+use gaugesaddle_testbed::{
+    program, run, Disturbance, Event, Program, Progress, ProxyImplementation, Scenario,
+};
 use std::collections::HashMap;
 use std::io::{self, IsTerminal, Write};
 
@@ -59,7 +61,7 @@
 
 /// Plays the demo; true where the rules were kept.
 pub fn demo(seed: u64, seconds: f64, plain: bool) -> io::Result<bool> {
-    let program = Program { path: program::built("gaugesaddle")?, arguments: Vec::new() };
+    let program = Program { path: program::build("gaugesaddle")?, arguments: Vec::new() };
     let defaults = Scenario::default();
     let scenario = Scenario {
         seconds,
@@ -85,13 +87,13 @@
         drawn: 0.0,
         scenario: scenario.clone(),
     };
-    let outcome = run(&scenario, &Cast::Program(program), &mut |live| screen.look(live))?;
+    let outcome = run(&scenario, &ProxyImplementation::Program(program), &mut |live| screen.look(live))?;
     println!("\n{}", outcome.verdict);
     Ok(outcome.verdict.is_clean())
 }
 
 impl Screen {
-    fn look(&mut self, live: &Live) {
+    fn look(&mut self, live: &Progress) {
         for record in &live.new_records {
             match &record.event {
                 Event::RequestSent { id, class, .. } => {
@@ -134,7 +136,7 @@
         self.scenario.events.iter().filter(recent).map(|e| describe(&e.disturbance)).collect()
     }
 
-    fn line(&self, live: &Live) -> String {
+    fn line(&self, live: &Progress) -> String {
         let sum = |of: fn(&Counts) -> u64| self.now.iter().map(of).sum::<u64>();
         let mut text = format!(
             "{:5.1} s  asked {:4}  served {:4}  refused {:3}  failed {:3}",
@@ -151,7 +153,7 @@
         text + "\n"
     }
 
-    fn table(&self, live: &Live, passed: f64) -> String {
+    fn table(&self, live: &Progress, passed: f64) -> String {
         // Home, and clear what is below: no flicker.
         let mut text = format!(
             "\x1b[H\x1b[Jgaugesaddle demo, {:.0} of {:.0} s\n\n",
--- a/crates/gaugesaddle-testbed/src/hunt.rs
+++ b/crates/gaugesaddle-testbed/src/hunt.rs
@@ -8,7 +8,7 @@
 use crate::datagrams::{lock, Links, LossyPath};
 use crate::random::{mix, RandomStream};
 use crate::scenario::{Clients, Disturbance, Scenario, ScheduledDisturbance};
-use crate::world::{run, Cast};
+use crate::world::{run, ProxyImplementation};
 use std::fmt;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -185,7 +185,7 @@
 }
 
 /// What is wrong with a run, in a line; `None` where nothing is.
-fn wrong(s: &Scenario, cast: &Cast, count: &Mutex<Hunted>) -> io::Result<Option<String>> {
+fn wrong(s: &Scenario, cast: &ProxyImplementation, count: &Mutex<Hunted>) -> io::Result<Option<String>> {
     let outcome = run(s, cast, &mut |_| {})?;
     let mut count = lock(count);
     count.runs += 1;
@@ -216,7 +216,8 @@
 /// # Errors
 /// A scenario cannot be played, or a finding cannot be saved.
 pub fn hunt(
-    cast: &Cast, seed: u64, within: Duration, lanes: usize, into: &Path, tell: &(dyn Fn(&str) + Sync),
+    cast: &ProxyImplementation, seed: u64, within: Duration, lanes: usize, into: &Path,
+    tell: &(dyn Fn(&str) + Sync),
 ) -> io::Result<Hunted> {
     let (hunted, next, end) = (Mutex::new(Hunted::default()), AtomicU64::new(0), Instant::now() + within);
     let lane = || -> io::Result<()> {
--- a/crates/gaugesaddle-testbed/src/lib.rs
+++ b/crates/gaugesaddle-testbed/src/lib.rs
@@ -42,4 +42,4 @@
 pub use process::{peak_kb, Process, Program};
 pub use record::{Boot, Event, Journal, Moment, NodeState, Record};
 pub use scenario::{Disturbance, Scenario, ScenarioError};
-pub use world::{run, Cast, Live, Outcome};
+pub use world::{run, Outcome, Progress, ProxyImplementation};
--- a/crates/gaugesaddle-testbed/src/main.rs
+++ b/crates/gaugesaddle-testbed/src/main.rs
@@ -4,7 +4,9 @@
 mod fleet_demo;
 
 use clap::{Parser, Subcommand};
-use gaugesaddle_testbed::{audit, hunt, program, run, Cast, Fault, Outcome, Program, Record, Scenario};
+use gaugesaddle_testbed::{
+    audit, hunt, program, run, Fault, Outcome, Program, ProxyImplementation, Record, Scenario,
+};
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -132,10 +134,10 @@
         Command::Demo { seed, seconds, plain } => demo::demo(seed, seconds, plain),
         Command::Run { file, seed, records, logs, config, fault } => {
             let cast = match fault {
-                Some(fault) => Ok(Cast::Faulty(fault)),
-                None => program::built("gaugesaddle").map(|path| {
+                Some(fault) => Ok(ProxyImplementation::Faulty(fault)),
+                None => program::build("gaugesaddle").map(|path| {
                     let config = config.iter().flat_map(|c| ["--config".into(), c.display().to_string()]);
-                    Cast::Program(Program { path, arguments: config.collect() })
+                    ProxyImplementation::Program(Program { path, arguments: config.collect() })
                 }),
             };
             cast.and_then(|cast| play(&file, seed, records.as_deref(), logs, &cast))
@@ -166,7 +168,9 @@
     Ok(true)
 }
 
-fn play(file: &Path, seed: Option<u64>, records: Option<&Path>, logs: bool, cast: &Cast) -> io::Result<bool> {
+fn play(
+    file: &Path, seed: Option<u64>, records: Option<&Path>, logs: bool, cast: &ProxyImplementation,
+) -> io::Result<bool> {
     let mut s = scenario(file)?;
     s.seed = seed.unwrap_or(s.seed);
     println!("{}, seed {}: {} proxies, {} nodes, {} s", s.name, s.seed, s.proxies, s.nodes(), s.seconds);
@@ -183,7 +187,8 @@
 }
 
 fn hunt(seed: u64, seconds: f64, lanes: u8, into: &Path) -> io::Result<bool> {
-    let cast = Cast::Program(Program { path: program::built("gaugesaddle")?, arguments: Vec::new() });
+    let cast =
+        ProxyImplementation::Program(Program { path: program::build("gaugesaddle")?, arguments: Vec::new() });
     let within = std::time::Duration::from_secs_f64(seconds);
     let told = |line: &str| println!("{line}");
     let hunted = hunt::hunt(&cast, seed, within, usize::from(lanes), into, &told)?;
--- a/crates/gaugesaddle-testbed/src/node.rs
+++ b/crates/gaugesaddle-testbed/src/node.rs
@@ -4,7 +4,7 @@
 use crate::processor::{present_work, Processor};
 use crate::random::RandomStream;
 use crate::record::{Boot, Event, Journal, Moment};
-use crate::scenario::{Choke, Effect, Kind, Rules};
+use crate::scenario::{Effect, Kind, Overload, Rules};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -61,7 +61,7 @@
     pub rules: Rules,
     /// Mean work of a request, for the tolerance of slow-start budgets.
     pub mean_work_us: f64,
-    pub choke: Choke,
+    pub choke: Overload,
     pub next_attempt: Cell<u64>,
     pub random: RefCell<RandomStream>,
 }
--- a/crates/gaugesaddle-testbed/src/plan.rs
+++ b/crates/gaugesaddle-testbed/src/plan.rs
@@ -32,15 +32,15 @@
     /// Backoff before the first retry; doubled for each further one.
     pub backoff_us: u64,
     /// Whether the client follows `Retry-After`.
-    pub honours: bool,
+    pub follows_retry_after: bool,
     /// Time until the client disconnects, unless it has a response by then.
-    pub leaves_us: Option<u64>,
+    pub disconnects_after_us: Option<u64>,
     /// Whether it writes its request slowly, in chunks.
     pub slow_writing: bool,
     /// Whether it reads its response late.
     pub slow_reading: bool,
     /// Whether it keeps its connection without a further request.
-    pub once: bool,
+    pub single_request: bool,
     /// Number of a client of a reconnect storm: it has an address and connections of its own, and even waits.
     pub storm_client: Option<u32>,
 }
@@ -172,11 +172,11 @@
         patience_us: patience as u64 * 1000,
         retries: retry_policy.retries,
         backoff_us: (random.uniform(retry_policy.backoff_ms) * 1e3) as u64,
-        honours: random.bernoulli(retry_policy.honour),
-        leaves_us: leaves.filter(|_| usual),
+        follows_retry_after: random.bernoulli(retry_policy.honour),
+        disconnects_after_us: leaves.filter(|_| usual),
         slow_writing: random.bernoulli(s.clients.slow_writing) && usual,
         slow_reading: random.bernoulli(s.clients.slow_reading) && usual,
-        once: random.bernoulli(s.clients.single_request) && usual,
+        single_request: random.bernoulli(s.clients.single_request) && usual,
         storm_client: retry_policy.storm_client,
     }
 }
--- a/crates/gaugesaddle-testbed/src/processor.rs
+++ b/crates/gaugesaddle-testbed/src/processor.rs
@@ -1,7 +1,7 @@
 //! A model of a node's machine: processor sharing over its cores, a queue in front, slow start, and overload under
 //! lasting load. No clock and no I/O: the host supplies the time and asks what has ended.
 
-use crate::scenario::{Choke, Kind};
+use crate::scenario::{Kind, Overload};
 use std::collections::VecDeque;
 
 /// Span over which a changing speed is taken as constant.
@@ -40,7 +40,7 @@
     started: f64,
     slots: usize,
     queue: usize,
-    choke: Choke,
+    choke: Overload,
     /// Factor of a slowdown.
     pub slow: f64,
     /// Whether it accepts requests and ends none.
@@ -55,7 +55,7 @@
 
 impl Processor {
     /// A machine of that kind, with its start; in slow start or at full capacity.
-    pub fn new(kind: &Kind, choke: Choke, started: u64, cold: bool) -> Processor {
+    pub fn new(kind: &Kind, choke: Overload, started: u64, cold: bool) -> Processor {
         Processor {
             cores: kind.cores as f64,
             speed: kind.speed,
--- a/crates/gaugesaddle-testbed/src/processor/tests.rs
+++ b/crates/gaugesaddle-testbed/src/processor/tests.rs
@@ -9,7 +9,7 @@
         queue_per_core: 1,
         ..Kind::default()
     };
-    let choke = Choke { at: 1.5, over_s: 0.1, slower: 4.0, below: 0.5, rest_s: 0.1 };
+    let choke = Overload { at: 1.5, over_s: 0.1, slower: 4.0, below: 0.5, rest_s: 0.1 };
     Processor::new(&kind, choke, 0, cold)
 }
 
--- a/crates/gaugesaddle-testbed/src/program.rs
+++ b/crates/gaugesaddle-testbed/src/program.rs
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 /// Cargo cannot be run, or the build fails.
-pub fn built(name: &str) -> std::io::Result<PathBuf> {
+pub fn build(name: &str) -> std::io::Result<PathBuf> {
     static BUILT: std::sync::Once = std::sync::Once::new();
     if std::env::var_os("CARGO").is_some() {
         let both = "cargo build --release -p gaugesaddle -p gaugesaddle-testbed";
--- a/crates/gaugesaddle-testbed/src/scenario.rs
+++ b/crates/gaugesaddle-testbed/src/scenario.rs
@@ -8,7 +8,7 @@
 mod proxy_settings;
 mod validation;
 
-pub use deployment::{Choke, Class, Clients, Discovery, Effect, Kind, Limits, Regions, Rules};
+pub use deployment::{Class, Clients, Discovery, Effect, Kind, Limits, Overload, Regions, Rules};
 pub use disturbance::{Disturbance, ScheduledDisturbance};
 
 use serde::{Deserialize, Serialize};
@@ -55,7 +55,7 @@
     /// The figures of the four rules.
     pub rules: Rules,
     /// Overload of nodes.
-    pub choke: Choke,
+    pub choke: Overload,
     /// Disturbances.
     pub events: Vec<ScheduledDisturbance>,
 }
@@ -100,7 +100,7 @@
             clients: Clients::default(),
             discovery: Discovery::default(),
             rules: Rules::default(),
-            choke: Choke::default(),
+            choke: Overload::default(),
             events: Vec::new(),
         }
     }
--- a/crates/gaugesaddle-testbed/src/scenario/deployment.rs
+++ b/crates/gaugesaddle-testbed/src/scenario/deployment.rs
@@ -255,7 +255,7 @@
 /// When a node is overloaded, and how it recovers.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Choke {
+pub struct Overload {
     /// Requests per core above which ...
     pub at: f64,
     /// ... for this long ...
@@ -268,8 +268,8 @@
     pub rest_s: f64,
 }
 
-impl Default for Choke {
-    fn default() -> Choke {
-        Choke { at: 6.0, over_s: 2.0, slower: 2.5, below: 0.4, rest_s: 3.0 }
+impl Default for Overload {
+    fn default() -> Overload {
+        Overload { at: 6.0, over_s: 2.0, slower: 2.5, below: 0.4, rest_s: 3.0 }
     }
 }
--- a/crates/gaugesaddle-testbed/src/scripted.rs
+++ b/crates/gaugesaddle-testbed/src/scripted.rs
@@ -4,7 +4,7 @@
 //! - [`Backend`] and [`UnacceptingBackend`]: the other end of the proxy's upstream connections.
 //! - [`Discovery`]: the list of backends, and every way in which it fails.
 //! - [`Proxy`]: the proxy under test, as a process.
-//! - [`Client`], [`request`], [`ask`]: clients.
+//! - [`Client`], [`request`], [`send_request`]: clients.
 
 mod backend;
 mod client;
@@ -12,22 +12,22 @@
 mod proxy;
 
 pub use backend::{ok, Backend, Reply, UnacceptingBackend};
-pub use client::{ask, request, Client};
-pub use discovery::{line, Discovery};
+pub use client::{request, send_request, Client};
+pub use discovery::{endpoint, Discovery};
 pub use proxy::{config, free_address, settings, Proxy};
 
 use std::io::BufRead;
 use std::time::{Duration, Instant};
 
 /// Time-out of every wait: far longer than anything here takes, so that only a failure reaches it.
-pub const LONG: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Waits until a condition holds.
 ///
 /// # Panics
-/// It does not hold within [`LONG`].
+/// It does not hold within [`WAIT_TIMEOUT`].
 pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + LONG;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "never came: {what}");
         std::thread::sleep(Duration::from_millis(5));
--- a/crates/gaugesaddle-testbed/src/scripted/backend.rs
+++ b/crates/gaugesaddle-testbed/src/scripted/backend.rs
@@ -86,7 +86,7 @@
     }
 }
 
-/// An address whose connections come up only once [`UnacceptingBackend::let_in`] is called: its accept queue is full.
+/// An address whose connections come up only once [`UnacceptingBackend::accept_all`] is called: its accept queue is full.
 pub struct UnacceptingBackend {
     /// Where it listens.
     pub address: SocketAddr,
@@ -105,8 +105,8 @@
         UnacceptingBackend { address, listener, queued }
     }
 
-    /// Accepts all connections; joined after [`UnacceptingBackend::done`], it returns the number of bytes read.
-    pub fn let_in(self) -> std::thread::JoinHandle<usize> {
+    /// Accepts all connections; joined after [`UnacceptingBackend::finish`], it returns the number of bytes read.
+    pub fn accept_all(self) -> std::thread::JoinHandle<usize> {
         drop(self.queued);
         std::thread::spawn(move || {
             let (mut bytes, mut buffer) = (0, [0; 4096]);
@@ -122,7 +122,7 @@
     }
 
     /// No more comes.
-    pub fn done(address: SocketAddr) {
+    pub fn finish(address: SocketAddr) {
         TcpStream::connect(address).unwrap().write_all(b"done").unwrap();
     }
 }
--- a/crates/gaugesaddle-testbed/src/scripted/client.rs
+++ b/crates/gaugesaddle-testbed/src/scripted/client.rs
@@ -1,6 +1,6 @@
 //! Clients that write bytes.
 
-use super::{read_message, Message, Proxy, LONG};
+use super::{read_message, Message, Proxy, WAIT_TIMEOUT};
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -22,7 +22,7 @@
     /// Nobody listens there.
     pub fn try_open(to: SocketAddr) -> std::io::Result<Client> {
         let stream = TcpStream::connect(to)?;
-        stream.set_read_timeout(Some(LONG))?;
+        stream.set_read_timeout(Some(WAIT_TIMEOUT))?;
         Ok(Client { stream: BufReader::new(stream) })
     }
 
@@ -32,12 +32,12 @@
     }
 
     /// Reads an answer; `None` where the connection ends before its end.
-    pub fn answer(&mut self) -> Option<Message> {
+    pub fn read_response(&mut self) -> Option<Message> {
         read_message(&mut self.stream)
     }
 
     /// Whether the proxy has closed the connection by now.
-    pub fn has_ended(&mut self) -> bool {
+    pub fn is_closed(&mut self) -> bool {
         let stream = self.stream.get_ref();
         stream.set_nonblocking(true).unwrap();
         let seen = stream.peek(&mut [0]);
@@ -49,7 +49,7 @@
     }
 
     /// Whether the proxy has closed the connection; waits for it.
-    pub fn ends(&mut self) -> bool {
+    pub fn wait_for_close(&mut self) -> bool {
         matches!(self.stream.read(&mut [0]), Ok(0) | Err(_))
     }
 }
@@ -71,8 +71,8 @@
 }
 
 /// Sends a request on a connection of its own.
-pub fn ask(proxy: &Proxy, text: &str) -> Message {
+pub fn send_request(proxy: &Proxy, text: &str) -> Message {
     let mut client = Client::open(proxy.address);
     client.send(text);
-    client.answer().expect("a whole answer")
+    client.read_response().expect("a whole answer")
 }
--- a/crates/gaugesaddle-testbed/src/scripted/discovery.rs
+++ b/crates/gaugesaddle-testbed/src/scripted/discovery.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// An entry of the list.
-pub fn line(name: &str, address: SocketAddr, status: &str, since_ms: u64) -> Value {
+pub fn endpoint(name: &str, address: SocketAddr, status: &str, since_ms: u64) -> Value {
     json!({"name": name, "address": address.to_string(), "zone": "east", "type": "m1", "group": 1,
            "status": status, "weight": 1.0, "since_ms": since_ms})
 }
@@ -180,7 +180,7 @@
     }
 
     /// From closing what comes to swallowing it; returns once a call is swallowed.
-    pub fn swallow(&self) {
+    pub fn stop_resetting(&self) {
         let before = {
             let mut news = self.state.0.lock().unwrap();
             assert!(news.outage_transitions % 2 == 1, "it speaks");
--- a/crates/gaugesaddle-testbed/src/scripted/proxy.rs
+++ b/crates/gaugesaddle-testbed/src/scripted/proxy.rs
@@ -127,7 +127,7 @@
     pub fn ready(&self) -> u16 {
         let Ok(mut client) = Client::try_open(self.address) else { return 0 };
         client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-        client.answer().map_or(0, |a| a.status())
+        client.read_response().map_or(0, |a| a.status())
     }
 
     /// What it has written to standard error.
--- a/crates/gaugesaddle-testbed/src/tier.rs
+++ b/crates/gaugesaddle-testbed/src/tier.rs
@@ -41,7 +41,7 @@
 
 /// What happened to a process, by its index, or to the network.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fact {
+pub enum TierEvent {
     /// It was started.
     Up(usize),
     /// It was stopped.
@@ -104,13 +104,13 @@
     /// The first of them.
     pub first_false_deaths: Vec<TierFinding>,
     /// Time for which pairs could be audited, in pair-seconds.
-    pub judged_s: f64,
+    pub audited_pair_s: f64,
 }
 
 impl TierVerdict {
     /// No rule was broken, and some pair could be audited.
     pub fn is_clean(&self) -> bool {
-        self.counts.is_empty() && self.judged_s > 0.0
+        self.counts.is_empty() && self.audited_pair_s > 0.0
     }
 
     /// Number of findings of one rule.
@@ -127,7 +127,7 @@
         self.agreed.extend(other.agreed);
         self.first_false_deaths.extend(other.first_false_deaths);
         self.false_deaths += other.false_deaths;
-        self.judged_s += other.judged_s;
+        self.audited_pair_s += other.audited_pair_s;
         self
     }
 
@@ -169,7 +169,7 @@
             f,
             "tier: {} of {:.0} pair-seconds judged; deaths known in {:.2} s (95%), {:.2} s (all of {}); false deaths {}",
             if self.is_clean() { "nothing wrong in all" } else { "WRONG in some" },
-            self.judged_s,
+            self.audited_pair_s,
             s(&self.death_known, 0.95),
             s(&self.death_known, 1.0),
             self.death_known.len(),
@@ -187,7 +187,9 @@
 }
 
 /// Checks logs (by index, each line with its time) against what happened, both in the order of time.
-pub fn audit_tier(size: usize, facts: &[(u64, Fact)], logs: &[Vec<(u64, String)>], end: u64) -> TierVerdict {
+pub fn audit_tier(
+    size: usize, facts: &[(u64, TierEvent)], logs: &[Vec<(u64, String)>], end: u64,
+) -> TierVerdict {
     let history = TierHistory::new(size, facts, logs, end);
     let mut verdict = TierVerdict::default();
     for (index, incarnations) in history.incarnations.iter().enumerate() {
@@ -214,19 +216,19 @@
 
 /// The same for several tiers that do not know one another, each by its members.
 pub fn audit_tiers(
-    tiers: &[Vec<usize>], facts: &[(u64, Fact)], logs: &[Vec<(u64, String)>], end: u64,
+    tiers: &[Vec<usize>], facts: &[(u64, TierEvent)], logs: &[Vec<(u64, String)>], end: u64,
 ) -> TierVerdict {
     let one = |members: &Vec<usize>| {
         let index = |p: usize| members.iter().position(|m| *m == p);
-        let fact = |fact: &Fact| match fact {
-            Fact::Up(p) => index(*p).map(Fact::Up),
-            Fact::Stopped(p) => index(*p).map(Fact::Stopped),
-            Fact::Continued(p) => index(*p).map(Fact::Continued),
-            Fact::Terminated(p) => index(*p).map(Fact::Terminated),
-            Fact::Ended(p) => index(*p).map(Fact::Ended),
-            Fact::Links(links) => Some(Fact::Links(links.among(members))),
+        let fact = |fact: &TierEvent| match fact {
+            TierEvent::Up(p) => index(*p).map(TierEvent::Up),
+            TierEvent::Stopped(p) => index(*p).map(TierEvent::Stopped),
+            TierEvent::Continued(p) => index(*p).map(TierEvent::Continued),
+            TierEvent::Terminated(p) => index(*p).map(TierEvent::Terminated),
+            TierEvent::Ended(p) => index(*p).map(TierEvent::Ended),
+            TierEvent::Links(links) => Some(TierEvent::Links(links.among(members))),
         };
-        let facts: Vec<(u64, Fact)> = facts.iter().filter_map(|(at, f)| Some((*at, fact(f)?))).collect();
+        let facts: Vec<(u64, TierEvent)> = facts.iter().filter_map(|(at, f)| Some((*at, fact(f)?))).collect();
         let logs: Vec<_> = members.iter().filter_map(|m| logs.get(*m).cloned()).collect();
         audit_tier(members.len(), &facts, &logs, end)
     };
@@ -234,14 +236,14 @@
 }
 
 /// The facts of a run's proxies, from its records.
-pub fn facts(records: &[Record]) -> Vec<(u64, Fact)> {
+pub fn tier_events(records: &[Record]) -> Vec<(u64, TierEvent)> {
     let fact = |r: &Record| match &r.event {
-        Event::ProxyUp { proxy } => Some(Fact::Up(*proxy)),
-        Event::ProxyKilled { proxy } | Event::ProxyEnded { proxy, .. } => Some(Fact::Ended(*proxy)),
-        Event::ProxyStopped { proxy } => Some(Fact::Stopped(*proxy)),
-        Event::ProxyContinued { proxy } => Some(Fact::Continued(*proxy)),
-        Event::ProxyTerminated { proxy } => Some(Fact::Terminated(*proxy)),
-        Event::Network { links } => Some(Fact::Links(links.clone())),
+        Event::ProxyUp { proxy } => Some(TierEvent::Up(*proxy)),
+        Event::ProxyKilled { proxy } | Event::ProxyEnded { proxy, .. } => Some(TierEvent::Ended(*proxy)),
+        Event::ProxyStopped { proxy } => Some(TierEvent::Stopped(*proxy)),
+        Event::ProxyContinued { proxy } => Some(TierEvent::Continued(*proxy)),
+        Event::ProxyTerminated { proxy } => Some(TierEvent::Terminated(*proxy)),
+        Event::Network { links } => Some(TierEvent::Links(links.clone())),
         _ => None,
     };
     records.iter().filter_map(|r| fact(r).map(|f| (r.at, f))).collect()
--- a/crates/gaugesaddle-testbed/src/tier/checks.rs
+++ b/crates/gaugesaddle-testbed/src/tier/checks.rs
@@ -80,7 +80,7 @@
         })
     };
     for (from, to, (_, boot)) in history.stretches(both) {
-        verdict.judged_s += (to - from) as f64 / 1e6;
+        verdict.audited_pair_s += (to - from) as f64 / 1e6;
         let due = from + CONVERGENCE_US + SLACK_US;
         let changes = views.iter().copied().filter(|v| (due + 1..to).contains(&v.0));
         let looks: Vec<(u64, Option<u32>)> =
--- a/crates/gaugesaddle-testbed/src/tier/history.rs
+++ b/crates/gaugesaddle-testbed/src/tier/history.rs
@@ -1,7 +1,7 @@
 //! What happened to the processes of a tier and to the network between them, by time.
 
 use super::log_parser::own_boot;
-use super::{Fact, LATELY_US};
+use super::{TierEvent, LATELY_US};
 use crate::datagrams::Links;
 
 /// One process of a proxy.
@@ -33,7 +33,7 @@
 
 impl TierHistory {
     pub(super) fn new(
-        size: usize, facts: &[(u64, Fact)], logs: &[Vec<(u64, String)>], end: u64,
+        size: usize, facts: &[(u64, TierEvent)], logs: &[Vec<(u64, String)>], end: u64,
     ) -> TierHistory {
         let mut history = TierHistory {
             size,
@@ -46,7 +46,7 @@
         for (at, fact) in facts {
             history.moments.push(*at);
             match fact {
-                Fact::Up(p) => {
+                TierEvent::Up(p) => {
                     history.incarnations[*p].push(Incarnation {
                         up: *at,
                         spoke: u64::MAX,
@@ -55,18 +55,18 @@
                         end: u64::MAX,
                     });
                 }
-                Fact::Terminated(p) => {
+                TierEvent::Terminated(p) => {
                     history.incarnations[*p].last_mut().into_iter().for_each(|l| l.terminated = Some(*at));
                 }
-                Fact::Ended(p) => {
+                TierEvent::Ended(p) => {
                     history.incarnations[*p].last_mut().into_iter().for_each(|l| l.end = *at);
                     history.pauses[*p].last_mut().into_iter().for_each(|p| p.1 = p.1.min(*at));
                 }
-                Fact::Stopped(p) => history.pauses[*p].push((*at, u64::MAX)),
-                Fact::Continued(p) => {
+                TierEvent::Stopped(p) => history.pauses[*p].push((*at, u64::MAX)),
+                TierEvent::Continued(p) => {
                     history.pauses[*p].last_mut().into_iter().for_each(|p| p.1 = p.1.min(*at));
                 }
-                Fact::Links(links) => history.links.push((*at, links.clone())),
+                TierEvent::Links(links) => history.links.push((*at, links.clone())),
             }
         }
         for (index, lines) in logs.iter().enumerate() {
--- a/crates/gaugesaddle-testbed/src/tier/tests.rs
+++ b/crates/gaugesaddle-testbed/src/tier/tests.rs
@@ -26,8 +26,8 @@
     (at, format!("peers: {place} is {state} after x, boot {boot:08x}, incarnation 0: y"))
 }
 
-fn both(more: &[(u64, Fact)], first: &[(u64, String)], second: &[(u64, String)]) -> TierVerdict {
-    let mut facts = vec![(0, Fact::Up(0)), (0, Fact::Up(1))];
+fn both(more: &[(u64, TierEvent)], first: &[(u64, String)], second: &[(u64, String)]) -> TierVerdict {
+    let mut facts = vec![(0, TierEvent::Up(0)), (0, TierEvent::Up(1))];
     facts.extend(more.iter().cloned());
     let log = |own: (u64, String), rest: &[(u64, String)]| [vec![own], rest.to_vec()].concat();
     audit_tier(2, &facts, &[log(up(0, 7), first), log(up(1, 9), second)], 20 * S)
@@ -40,7 +40,7 @@
     assert!(verdict.is_clean(), "{verdict}");
     assert_eq!(verdict.start_known, [S - 100, S - 100]);
     let a = [line(S, 1, "alive", 9), line(7 * S, 1, "dead", 9)];
-    let verdict = both(&[(5 * S, Fact::Ended(1))], &a, &b);
+    let verdict = both(&[(5 * S, TierEvent::Ended(1))], &a, &b);
     assert!(verdict.is_clean(), "{verdict}");
     assert_eq!((verdict.death_known.as_slice(), verdict.false_deaths), (&[2 * S][..], 0));
 }
@@ -49,7 +49,7 @@
 fn each_rule_is_found_broken() {
     let (a, b) = ([line(S, 1, "alive", 9)], [line(S, 0, "alive", 7)]);
     assert_eq!(both(&[], &[], &b).count(TierViolation::NotSeen), 1, "never met");
-    assert_eq!(both(&[(5 * S, Fact::Ended(1))], &a, &b).count(TierViolation::NotForgotten), 1);
+    assert_eq!(both(&[(5 * S, TierEvent::Ended(1))], &a, &b).count(TierViolation::NotForgotten), 1);
     let dead = [a[0].clone(), line(8 * S, 1, "dead", 9)];
     let verdict = both(&[], &dead, &b);
     assert_eq!((verdict.count(TierViolation::NotSeen), verdict.false_deaths), (1, 1), "held dead for good");
@@ -60,7 +60,7 @@
     assert_eq!(both(&[], &left, &b).count(TierViolation::NeverDeparted), 1);
     let odd = [a[0].clone(), line(8 * S, 1, "alive", 77)];
     assert_eq!(both(&[], &odd, &b).count(TierViolation::Invented), 1);
-    let again = [(5 * S, Fact::Ended(1)), (6 * S, Fact::Up(1))];
+    let again = [(5 * S, TierEvent::Ended(1)), (6 * S, TierEvent::Up(1))];
     let back = [a[0].clone(), line(7 * S, 1, "alive", 11), line(8 * S, 1, "alive", 9)];
     let own = [b[0].clone(), (6 * S + 5, up(1, 11).1)];
     assert_eq!(both(&again, &back, &own).count(TierViolation::WentBack), 1);
--- a/crates/gaugesaddle-testbed/src/world.rs
+++ b/crates/gaugesaddle-testbed/src/world.rs
@@ -39,7 +39,7 @@
 
 /// What is played in the place of the proxies.
 #[derive(Clone, Debug)]
-pub enum Cast {
+pub enum ProxyImplementation {
     /// The proxy, as processes.
     Program(Program),
     /// A relay with a fault, in this process.
@@ -71,7 +71,7 @@
 
 /// The state of a run in progress.
 #[derive(Clone, Debug, Default)]
-pub struct Live {
+pub struct Progress {
     /// Time since the start of the clients.
     pub seconds: f64,
     /// The records since the last report.
@@ -86,7 +86,7 @@
 ///
 /// # Errors
 /// The scenario is invalid, a stand-in cannot be started, or a proxy does not become ready.
-pub fn run(s: &Scenario, cast: &Cast, look: &mut dyn FnMut(&Live)) -> io::Result<Outcome> {
+pub fn run(s: &Scenario, cast: &ProxyImplementation, look: &mut dyn FnMut(&Progress)) -> io::Result<Outcome> {
     s.check().map_err(io::Error::other)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = tokio::task::LocalSet::new();
@@ -102,7 +102,7 @@
         // The proxies of a region form a tier.
         let of = |region: usize| (0..s.proxies).filter(|p| s.region(*p) == region).collect();
         let tiers: Vec<Vec<usize>> = (0..s.regions.count).map(of).collect();
-        tier::audit_tiers(&tiers, &tier::facts(&records), &logs, end)
+        tier::audit_tiers(&tiers, &tier::tier_events(&records), &logs, end)
     });
     Ok(Outcome { records, verdict, logs, late_p99_us, tier, datagrams })
 }
@@ -136,7 +136,7 @@
 
 struct World {
     s: Scenario,
-    cast: Cast,
+    cast: ProxyImplementation,
     plan: Plan,
     journal: Journal,
     lease: Lease,
@@ -166,7 +166,7 @@
 }
 
 impl World {
-    async fn build(s: &Scenario, cast: &Cast) -> io::Result<Rc<World>> {
+    async fn build(s: &Scenario, cast: &ProxyImplementation) -> io::Result<Rc<World>> {
         let (lease, journal, plan) = (Lease::take()?, Journal::new(), plan(s));
         let folder = std::env::temp_dir().join(format!("gaugesaddle-run-{}", lease.proxy(0).ip()));
         std::fs::create_dir_all(&folder)?;
@@ -225,7 +225,7 @@
         Ok(())
     }
 
-    async fn play(self: Rc<Self>, look: &mut dyn FnMut(&Live)) -> io::Result<Played> {
+    async fn play(self: Rc<Self>, look: &mut dyn FnMut(&Progress)) -> io::Result<Played> {
         let addresses: Vec<SocketAddr> = (0..self.s.proxies).map(|p| self.lease.proxy(p)).collect();
         let fleet = self.fleet.clone();
         let register = move |id: u64, request: &PlannedRequest| {
@@ -283,7 +283,7 @@
         Ok(Played { records, dropped, logs, late_p99_us, start, end, datagrams })
     }
 
-    fn live(&self, start: u64, seen: &mut usize) -> Live {
+    fn live(&self, start: u64, seen: &mut usize) -> Progress {
         let news = self.journal.read(*seen, <[Record]>::to_vec);
         *seen += news.len();
         let places = self.slots.borrow();
@@ -299,7 +299,7 @@
             (p.name.clone(), p.zone, state, p.node.as_ref().map_or(0, |n| n.in_flight()))
         });
         let seconds = (self.journal.now() - start) as f64 / 1e6;
-        Live { seconds, new_records: news, nodes: nodes.collect(), proxies: self.states.borrow().clone() }
+        Progress { seconds, new_records: news, nodes: nodes.collect(), proxies: self.states.borrow().clone() }
     }
 
     async fn end(self: &Rc<Self>) {
--- a/crates/gaugesaddle-testbed/src/world/proxies.rs
+++ b/crates/gaugesaddle-testbed/src/world/proxies.rs
@@ -1,6 +1,6 @@
 //! The proxies of a run: processes that are started, stopped, killed and ended.
 
-use super::{Actor, Cast, World, PROXY_READY_TIMEOUT, STOP_GRACE};
+use super::{Actor, ProxyImplementation, World, PROXY_READY_TIMEOUT, STOP_GRACE};
 use crate::faulty::Faulty;
 use crate::lease::Lease;
 use crate::process::{send_signal, Process};
@@ -60,7 +60,7 @@
         self.journal.put(Event::ProxyUp { proxy });
         let agent = &self.agents[proxy];
         let actor = match &self.cast {
-            Cast::Program(program) => {
+            ProxyImplementation::Program(program) => {
                 let config = self.config(proxy, &agent.known());
                 let mut program = program.clone();
                 let operator_file = self.operator_file(proxy);
@@ -79,7 +79,7 @@
                 });
                 Actor::Process(starting.await.map_err(io::Error::other)??)
             }
-            Cast::Faulty(fault) => {
+            ProxyImplementation::Faulty(fault) => {
                 let (listen, discovery) = (self.lease.proxy(proxy), agent.address());
                 Actor::Faulty(Faulty::start(*fault, &self.s, listen, discovery).await?)
             }
--- a/crates/gaugesaddle-testbed/tests/faulty.rs
+++ b/crates/gaugesaddle-testbed/tests/faulty.rs
@@ -1,8 +1,8 @@
 //! An auditor that finds nothing may see nothing: in the proxies' place stands a relay that breaks one rule in one
 //! way, over real sockets, and must be found, for that and for nothing else.
 
-use gaugesaddle_testbed::scenario::{Choke, Clients, Kind};
-use gaugesaddle_testbed::{run, Broken, Cast, Disturbance, Fault, Scenario, Verdict};
+use gaugesaddle_testbed::scenario::{Clients, Kind, Overload};
+use gaugesaddle_testbed::{run, Broken, Disturbance, Fault, ProxyImplementation, Scenario, Verdict};
 use std::collections::BTreeSet;
 
 /// Light load, with what each fault needs to show: drains, a cold node.
@@ -11,14 +11,14 @@
     let clients =
         Clients { per_s: 60.0, leaving: 0.0, single_request: 0.0, retries: 0, ..defaults.clients.clone() };
     let kinds = vec![Kind { name: "fast".into(), count: 6, speed: 2.0, ..Kind::default() }];
-    let choke = Choke { at: 1e9, ..Choke::default() };
+    let choke = Overload { at: 1e9, ..Overload::default() };
     let mut classes = defaults.classes.clone();
     classes.iter_mut().for_each(|c| c.weight = 1.0);
     Scenario { proxies: 2, seconds: 5.0, clients, classes, kinds, choke, ..defaults }.seed(5)
 }
 
 fn verdict(s: &Scenario, fault: Fault) -> Verdict {
-    run(s, &Cast::Faulty(fault), &mut |_| {}).expect("a run").verdict
+    run(s, &ProxyImplementation::Faulty(fault), &mut |_| {}).expect("a run").verdict
 }
 
 /// The ways in which rules were broken.
--- a/crates/gaugesaddle/tests/bodies.rs
+++ b/crates/gaugesaddle/tests/bodies.rs
@@ -87,7 +87,7 @@
 
 fn proxy(backend: SocketAddr, memory_mb: u64) -> (Proxy, Discovery) {
     let discovery = Discovery::start();
-    let mut config = config(discovery.address, &[line("a", backend, "ready", 0)]);
+    let mut config = config(discovery.address, &[endpoint("a", backend, "ready", 0)]);
     config["limits"]["memory_mb"] = json!(memory_mb);
     (Proxy::start(&config), discovery)
 }
@@ -110,7 +110,7 @@
 /// Sends a request in pieces and reads what comes until it is whole or the connection ends.
 fn exchange(proxy: &Proxy, head: &str, body: &[u8], piece: usize, pause: Duration) -> Option<Vec<u8>> {
     let mut stream = TcpStream::connect(proxy.address).unwrap();
-    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     stream.write_all(head.as_bytes()).unwrap();
     for part in body.chunks(piece) {
         stream.write_all(part).ok()?;
--- a/crates/gaugesaddle/tests/crossings.rs
+++ b/crates/gaugesaddle/tests/crossings.rs
@@ -13,7 +13,7 @@
 const LEFT: Duration = Duration::from_millis(100);
 
 fn ready(name: &str, backend: &Backend) -> Value {
-    line(name, backend.address, "ready", 0)
+    endpoint(name, backend.address, "ready", 0)
 }
 
 /// A backend that answers nothing before it is let go, and a word for each request that has reached it.
@@ -75,11 +75,11 @@
         client.set_nonblocking(true).unwrap();
         let _ = client.write_all((held.clone() + &behind).as_bytes());
         // Taken: an id that is open is refused.
-        until("the request is held", || ask(&proxy, &held).status() == 409);
+        until("the request is held", || send_request(&proxy, &held).status() == 409);
         drop(client);
         std::thread::sleep(LEFT);
         discovery.publish(true, &[ready("a", &backend)]);
-        assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
+        assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
         assert!(
             !has_had(&backend, &held),
             "sent on for a client that has gone, {} bytes behind",
@@ -103,7 +103,7 @@
     std::thread::sleep(LEFT);
     gated.go.send(ok("first")).unwrap();
     gated.go.send(ok("probe")).unwrap();
-    assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
+    assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
     assert!(!has_had(&gated.backend, &second), "begun after its client left");
 }
 
@@ -127,20 +127,20 @@
 fn a_client_that_leaves_during_the_connect_costs_the_backend_nothing() {
     let late = UnacceptingBackend::start();
     let discovery = Discovery::start();
-    let mut config = config(discovery.address, &[line("a", late.address, "ready", 0)]);
+    let mut config = config(discovery.address, &[endpoint("a", late.address, "ready", 0)]);
     config["settings"]["limits"]["dial_timeout_us"] = json!(20_000_000);
     let proxy = Proxy::start(&config);
     let held = request("pay", 20_000);
     let mut client = open(&proxy);
     client.write_all((held.clone() + "\r\n").as_bytes()).unwrap();
-    until("it is taken", || ask(&proxy, &held).status() == 409);
+    until("it is taken", || send_request(&proxy, &held).status() == 409);
     drop(client);
     let again = held.replace("X-Time-Left-Ms: 20000", "X-Time-Left-Ms: 50");
-    until("it is over", || ask(&proxy, &again).status() != 409);
+    until("it is over", || send_request(&proxy, &again).status() != 409);
     let address = late.address;
-    let bytes = late.let_in();
+    let bytes = late.accept_all();
     std::thread::sleep(Duration::from_millis(1_500)); // the system tries a connect anew after a second
-    UnacceptingBackend::done(address);
+    UnacceptingBackend::finish(address);
     assert_eq!(bytes.join().unwrap(), 0);
 }
 
@@ -159,22 +159,22 @@
     // Repeats are held to a part of the requests: some have to come first.
     for _ in 0..20 {
         gated.go.send(ok("x")).unwrap();
-        assert_eq!(ask(&proxy, &request("vote", 7000)).status(), 200);
+        assert_eq!(send_request(&proxy, &request("vote", 7000)).status(), 200);
         gated.has_one();
     }
     let mut client = open(&proxy);
     client.write_all(request("vote", 7000).as_bytes()).unwrap();
     gated.has_one();
     let begun = Instant::now();
-    discovery.publish(false, &[line("b", late.address, "ready", 0)]);
+    discovery.publish(false, &[endpoint("b", late.address, "ready", 0)]);
     gated.go.send(Reply::Respond("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".into())).unwrap();
     std::thread::sleep((begun + window).saturating_duration_since(Instant::now()));
     let address = late.address;
-    let bytes = late.let_in();
+    let bytes = late.accept_all();
     let mut answer = [0; 12];
     client.read_exact(&mut answer).unwrap();
     assert_eq!(&answer, b"HTTP/1.1 502", "it may have run, and can't be repeated any more");
-    UnacceptingBackend::done(address);
+    UnacceptingBackend::finish(address);
     assert_eq!(bytes.join().unwrap(), 0, "sent again after its window");
 }
 
@@ -190,16 +190,16 @@
     let (mut half, mut resting) = (Client::open(proxy.address), Client::open(proxy.address));
     for client in [&mut half, &mut resting] {
         client.send(&request("read", 7000));
-        assert_eq!(client.answer().map(|a| a.status()), Some(200));
+        assert_eq!(client.read_response().map(|a| a.status()), Some(200));
     }
     let text = request("read", 7000);
     half.send(&text[..text.len() / 2]);
     proxy.terminate();
-    assert!(resting.ends(), "let go");
+    assert!(resting.wait_for_close(), "let go");
     half.send(&text[text.len() / 2..]);
-    let answer = half.answer().expect("an answer to what was on its way");
+    let answer = half.read_response().expect("an answer to what was on its way");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(half.ends());
+    assert!(half.wait_for_close());
     assert!(proxy.exit().success());
 }
 
@@ -218,13 +218,13 @@
     (0..3).for_each(|_| gated.go.send(ok("x")).unwrap());
     let said: Vec<Option<String>> = (0..3)
         .map(|n| {
-            let answer = client.answer().unwrap_or_else(|| panic!("request {n} has no answer"));
+            let answer = client.read_response().unwrap_or_else(|| panic!("request {n} has no answer"));
             assert_eq!(answer.status(), 200);
             answer.header("connection").map(String::from)
         })
         .collect();
     assert_eq!(said, [None, None, Some("close".to_string())]);
-    assert!(client.ends());
+    assert!(client.wait_for_close());
     assert!(proxy.exit().success());
 }
 
@@ -298,7 +298,7 @@
     proxy.terminate();
     proxy.reload("not a configuration");
     proxy.signal("-INT");
-    let answer = client.answer().expect("an answer");
+    let answer = client.read_response().expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), (502, Some("close")));
     assert!(sent.elapsed() < Duration::from_millis(2_100), "{:?}", sent.elapsed());
     assert!(proxy.exit().success());
@@ -315,11 +315,11 @@
     discovery.publish(true, &[ready("a", &backend)]);
     let mut half = Client::open(proxy.address);
     half.send(&request("read", 7000));
-    assert_eq!(half.answer().map(|a| a.status()), Some(200));
+    assert_eq!(half.read_response().map(|a| a.status()), Some(200));
     half.send("GET /read/a?b=c HTTP/1.1\r\nHost: back");
     let before = Instant::now();
     proxy.terminate();
-    assert!(half.ends());
+    assert!(half.wait_for_close());
     assert!(proxy.exit().success());
     assert!(before.elapsed() < Duration::from_millis(1_500), "{:?}", before.elapsed());
 }
@@ -356,7 +356,7 @@
     assert_eq!(&answer, b"HTTP/1.1 502");
     for _ in 0..3 {
         gated.go.send(ok("x")).unwrap();
-        assert_eq!(ask(&proxy, &request("pay", 7000)).status(), 200, "as it was, with no account");
+        assert_eq!(send_request(&proxy, &request("pay", 7000)).status(), 200, "as it was, with no account");
     }
     assert_eq!(gated.backend.requests().len(), 4, "each was sent once");
     // Another proxy's file moves nothing: its discovery is not this one's.
@@ -385,7 +385,7 @@
         config["settings"]["group_size"] = json!(300);
         let start = Instant::now();
         let proxy = Proxy::start(&config);
-        assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
+        assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
         assert!(start.elapsed() < Duration::from_secs(10), "{mode}: {:?}", start.elapsed());
     }
 }
@@ -418,13 +418,13 @@
     discovery.reset();
     let down = Instant::now();
     while down.elapsed() < Duration::from_millis(1_200) {
-        assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
+        assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
     }
     let told = Instant::now();
-    discovery.resume(false, &[line("a", a.address, "draining", 0)]);
+    discovery.resume(false, &[endpoint("a", a.address, "draining", 0)]);
     std::thread::sleep((told + GRACE).saturating_duration_since(Instant::now()));
     let before = a.requests().len();
-    (0..20).for_each(|_| assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200));
+    (0..20).for_each(|_| assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200));
     assert_eq!(a.requests().len(), before, "sent to a server that has left");
     drop(stop);
     assert!(crowd.join().unwrap() > 64, "it was no crowd");
@@ -448,7 +448,7 @@
     let mut client = Client::open(proxy.address);
     client.send(head.strip_suffix("body").unwrap());
     client.send(&"b".repeat(length));
-    let answer = client.answer().expect("an answer");
+    let answer = client.read_response().expect("an answer");
     assert_eq!((answer.status(), backend.requests().len()), (502, 1));
 }
 
@@ -466,11 +466,11 @@
     let proxy = Proxy::start(&config);
     discovery.publish(true, &[ready("a", &a), ready("b", &b)]);
     discovery.reset();
-    discovery.swallow();
+    discovery.stop_resetting();
     let told = Instant::now() + TOLD;
-    discovery.resume(false, &[line("a", a.address, "draining", 0)]);
+    discovery.resume(false, &[endpoint("a", a.address, "draining", 0)]);
     std::thread::sleep((told + GRACE).saturating_duration_since(Instant::now()));
     let before = a.requests().len();
-    (0..40).for_each(|_| assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200));
+    (0..40).for_each(|_| assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200));
     assert_eq!(a.requests().len(), before, "sent to a server that has left");
 }
--- a/crates/gaugesaddle/tests/drains.rs
+++ b/crates/gaugesaddle/tests/drains.rs
@@ -22,7 +22,7 @@
                 let mut client = Client::open(address);
                 while on.load(Ordering::SeqCst) {
                     client.send(&request("read", 7000));
-                    assert!(client.answer().is_some(), "each is answered");
+                    assert!(client.read_response().is_some(), "each is answered");
                 }
             }
         };
@@ -75,7 +75,7 @@
     }
 
     fn leaving(&self) -> [Value; 1] {
-        [line("a", self.a.address, "draining", 0)]
+        [endpoint("a", self.a.address, "draining", 0)]
     }
 
     /// The news were there at that moment: from then on for the grace, and never after it.
@@ -87,7 +87,7 @@
 
 /// The whole list: `a` as it says, `b` ready.
 fn lines(a: &Backend, state: &str, b: &Backend) -> [Value; 2] {
-    [line("a", a.address, state, 0), line("b", b.address, "ready", 0)]
+    [endpoint("a", a.address, state, 0), endpoint("b", b.address, "ready", 0)]
 }
 
 /// The case of the trial: discovery is silent, a call goes out in the silence and is swallowed by it, discovery comes back
@@ -209,14 +209,14 @@
     let told = Instant::now();
     pair.discovery.publish(false, &pair.leaving());
     nothing_after_the_grace(told, &pair.a, &pair.b);
-    pair.discovery.publish(false, &[line("a", pair.a.address, "ready", 0)]);
+    pair.discovery.publish(false, &[endpoint("a", pair.a.address, "ready", 0)]);
     both_serve(&pair.a, &pair.b);
     let told = Instant::now();
-    pair.discovery.publish(false, &[line("a", pair.a.address, "gone", 0)]);
+    pair.discovery.publish(false, &[endpoint("a", pair.a.address, "gone", 0)]);
     nothing_after_the_grace(told, &pair.a, &pair.b);
     let c = Backend::start(|_| ok("c"));
     let before = pair.a.requests().len();
-    pair.discovery.publish(false, &[line("a", c.address, "ready", 0)]);
+    pair.discovery.publish(false, &[endpoint("a", c.address, "ready", 0)]);
     both_serve(&c, &pair.b);
     assert_eq!(pair.a.requests().len(), before, "nothing goes to its old address");
     pair.traffic.end();
@@ -228,11 +228,11 @@
     let pair = Pair::start();
     let told = Instant::now();
     let leaving =
-        |b: &Backend| [line("a", pair.a.address, "draining", 0), line("b", b.address, "draining", 0)];
+        |b: &Backend| [endpoint("a", pair.a.address, "draining", 0), endpoint("b", b.address, "draining", 0)];
     pair.discovery.publish(false, &leaving(&pair.b));
     std::thread::sleep((told + GRACE).saturating_duration_since(Instant::now()));
     let sent = (pair.a.requests().len(), pair.b.requests().len());
-    let refused = ask(&pair.proxy, &request("pay", 300));
+    let refused = send_request(&pair.proxy, &request("pay", 300));
     assert_eq!(refused.status(), 503);
     assert!(refused.header("retry-after").is_some(), "it says when to come back");
     assert_eq!((pair.a.requests().len(), pair.b.requests().len()), sent);
@@ -254,7 +254,8 @@
     let traffic = Traffic::at(&proxy);
     both_serve(&a, &b);
     let many = |count: usize| {
-        let all: Vec<Value> = (0..count).map(|n| line(&format!("s{n}"), b.address, "draining", 0)).collect();
+        let all: Vec<Value> =
+            (0..count).map(|n| endpoint(&format!("s{n}"), b.address, "draining", 0)).collect();
         json!({"index": 9_000, "snapshot": true, "endpoints": all}).to_string()
     };
     discovery.answer_with(&many(100_000));
--- a/crates/gaugesaddle/tests/lent.rs
+++ b/crates/gaugesaddle/tests/lent.rs
@@ -3,7 +3,7 @@
 
 use gaugesaddle_testbed::program;
 use gaugesaddle_testbed::scenario::{Clients, Kind, Regions};
-use gaugesaddle_testbed::{run, Broken, Cast, Disturbance, Outcome, Program, Scenario};
+use gaugesaddle_testbed::{run, Broken, Disturbance, Outcome, Program, ProxyImplementation, Scenario};
 
 /// More want to leave than may: the bound is felt. Proxies 0, 2 and 4 are those of the region that is lost.
 fn lost(seed: u64, per_s: u32) -> Scenario {
@@ -17,7 +17,7 @@
 
 fn play(s: &Scenario) -> Outcome {
     let proxy = Program { path: program::path("gaugesaddle"), arguments: Vec::new() };
-    let outcome = run(s, &Cast::Program(proxy), &mut |_| {}).expect("a run");
+    let outcome = run(s, &ProxyImplementation::Program(proxy), &mut |_| {}).expect("a run");
     let over = outcome.verdict.findings.iter().any(|f| f.broken == Broken::OverBudget);
     assert!(!over, "more left than may: {}", outcome.verdict);
     assert!(outcome.is_clean(), "{}{}", outcome.verdict, outcome.tier.clone().unwrap_or_default());
--- a/crates/gaugesaddle/tests/operator.rs
+++ b/crates/gaugesaddle/tests/operator.rs
@@ -42,7 +42,7 @@
     let file = folder.file("gaugesaddle.toml", &format!("[state]\nsocket = {socket:?}\n{more}"));
     let backend = Backend::start(|m| if m.start.contains("slow") { Reply::NoResponse } else { ok("x") });
     let discovery = Discovery::start();
-    let config = config(discovery.address, &[line("a", backend.address, "ready", 0)]);
+    let config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
     let proxy = Proxy::spawn_with(&config, "unlimited", &["--config", file.to_str().unwrap()]);
     until("ready", || proxy.ready() == 200);
     Setting { folder, file, socket, proxy, backend, discovery, config }
@@ -77,9 +77,9 @@
 fn the_state_adds_up_with_what_clients_and_backends_saw() {
     let s = setting("adds-up", "");
     for _ in 0..20 {
-        assert_eq!(ask(&s.proxy, &request("read", 7000)).status(), 200);
+        assert_eq!(send_request(&s.proxy, &request("read", 7000)).status(), 200);
     }
-    assert_eq!(ask(&s.proxy, "GET /read HTTP/1.1\r\n\r\n").status(), 400);
+    assert_eq!(send_request(&s.proxy, "GET /read HTTP/1.1\r\n\r\n").status(), 400);
     // One that its client leaves, and one whose time is up.
     let mut gone = Client::open(s.proxy.address);
     gone.send(&request("read", 7000).replace("/a?", "/slow?"));
@@ -91,9 +91,9 @@
     let mut again = 0;
     until("the backend is asked again", || {
         again += 1;
-        ask(&s.proxy, &request("read", 7000)).status() == 200
+        send_request(&s.proxy, &request("read", 7000)).status() == 200
     });
-    let late = ask(&s.proxy, &request("pay", 300).replace("/a?", "/slow?")).status();
+    let late = send_request(&s.proxy, &request("pay", 300).replace("/a?", "/slow?")).status();
     assert_eq!(late, 502);
     until("all ended", || state(&s.socket)["open"] == 0);
     let told = state(&s.socket);
@@ -116,7 +116,7 @@
     };
     assert_eq!((reason("wrong: form"), reason("closed: left before its answer")), (Some(1), Some(1)));
     assert_eq!(told["list"]["index"], 0);
-    s.discovery.publish(true, &[line("b", s.backend.address, "ready", 0)]);
+    s.discovery.publish(true, &[endpoint("b", s.backend.address, "ready", 0)]);
     until("the new list", || state(&s.socket)["list"]["index"] == 1);
     let told = state(&s.socket);
     let names: Vec<_> = told["backends"].as_array().unwrap().iter().map(|b| b["name"].clone()).collect();
@@ -175,7 +175,7 @@
     let long = said(&[b'x'; 1 << 20]);
     assert!(long.is_empty() || long.contains("error"), "{long}");
     assert!(said(b"state\n").contains("\"classes\""));
-    assert_eq!(ask(&s.proxy, &request("read", 7000)).status(), 200);
+    assert_eq!(send_request(&s.proxy, &request("read", 7000)).status(), 200);
 }
 
 #[test]
@@ -205,5 +205,5 @@
     std::fs::write(&s.file, "").unwrap();
     s.proxy.reload(&config);
     until("off", || !second.exists());
-    assert_eq!(ask(&s.proxy, &request("read", 7000)).status(), 200);
+    assert_eq!(send_request(&s.proxy, &request("read", 7000)).status(), 200);
 }
--- a/crates/gaugesaddle/tests/peers.rs
+++ b/crates/gaugesaddle/tests/peers.rs
@@ -211,7 +211,7 @@
     let reads = |tier: &Tier, at: usize| tier.view(at).totals.arrivals_per_s.first().map_or(0.0, |a| a.1);
     let ask_all = |tier: &Tier| {
         for place in tier.running() {
-            assert_eq!(ask(tier.proxy(place), &request("read", 7000)).status(), 200);
+            assert_eq!(send_request(tier.proxy(place), &request("read", 7000)).status(), 200);
         }
     };
     until("all records are there", || (0..3).all(|p| tier.view(p).totals.told == 3));
--- a/crates/gaugesaddle/tests/proxy.rs
+++ b/crates/gaugesaddle/tests/proxy.rs
@@ -7,7 +7,7 @@
 /// A proxy that knows these backends, by name, and its discovery.
 fn proxy_for(backends: &[(&str, &Backend)]) -> (Proxy, Discovery) {
     let discovery = Discovery::start();
-    let lines: Vec<Value> = backends.iter().map(|(n, b)| line(n, b.address, "ready", 0)).collect();
+    let lines: Vec<Value> = backends.iter().map(|(n, b)| endpoint(n, b.address, "ready", 0)).collect();
     (Proxy::start(&config(discovery.address, &lines)), discovery)
 }
 
@@ -16,7 +16,7 @@
     let backend = Backend::start(|_| ok("the answer"));
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     let sent = request("vote", 7000);
-    let answer = ask(&proxy, &sent);
+    let answer = send_request(&proxy, &sent);
     assert_eq!((answer.status(), answer.body), (200, b"the answer".to_vec()));
     let [seen] = &backend.requests()[..] else { panic!("one attempt") };
     assert_eq!(seen.start, "POST /vote/a?b=c HTTP/1.1");
@@ -81,13 +81,13 @@
         let mut client = Client::open(proxy.address);
         client.send(&(text.clone() + &request("read", 7000)));
         let shown = &text[..text.len().min(300)];
-        assert_eq!(client.answer().map(|a| a.status()), Some(status), "{shown}");
-        assert!(client.ends(), "{shown}");
+        assert_eq!(client.read_response().map(|a| a.status()), Some(status), "{shown}");
+        assert!(client.wait_for_close(), "{shown}");
     }
     assert!(backend.requests().is_empty());
     // The largest wait that can be written is a wait like any other.
-    assert_eq!(ask(&proxy, &request("read", u64::MAX)).status(), 200);
-    assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
+    assert_eq!(send_request(&proxy, &request("read", u64::MAX)).status(), 200);
+    assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
 }
 
 /// Two requests with one id: the second is not sent on, and the first is answered as ever.
@@ -106,13 +106,13 @@
     until("the first", || backend.requests().len() == 1);
     let mut other = Client::open(proxy.address);
     other.send(&text);
-    assert_eq!(other.answer().map(|a| a.status()), Some(409));
-    assert!(other.ends());
+    assert_eq!(other.read_response().map(|a| a.status()), Some(409));
+    assert!(other.wait_for_close());
     drop(open);
-    assert_eq!(owner.answer().map(|a| a.status()), Some(200));
+    assert_eq!(owner.read_response().map(|a| a.status()), Some(200));
     assert_eq!(backend.requests().len(), 1);
     owner.send(&text);
-    assert_eq!(owner.answer().map(|a| a.status()), Some(200), "once answered, the id is free");
+    assert_eq!(owner.read_response().map(|a| a.status()), Some(200), "once answered, the id is free");
 }
 
 /// Clients that say nothing, or half of something, hold a place for a short time only.
@@ -132,20 +132,20 @@
         .collect();
     let mut idle = Client::open(proxy.address);
     idle.send(&request("read", 7000));
-    assert_eq!(idle.answer().map(|a| a.status()), Some(200));
-    let late = clients.pop().expect("the last").answer().map(|a| a.status());
+    assert_eq!(idle.read_response().map(|a| a.status()), Some(200));
+    let late = clients.pop().expect("the last").read_response().map(|a| a.status());
     assert_eq!(late, Some(408), "a body that never comes");
-    clients.iter_mut().for_each(|c| assert!(c.ends()));
+    clients.iter_mut().for_each(|c| assert!(c.wait_for_close()));
     assert!(start.elapsed() < Duration::from_secs(4), "{:?}", start.elapsed());
     idle.send(&request("read", 7000));
-    assert_eq!(idle.answer().map(|a| a.status()), Some(200), "one that is used stays longer");
-    assert!(idle.ends());
+    assert_eq!(idle.read_response().map(|a| a.status()), Some(200), "one that is used stays longer");
+    assert!(idle.wait_for_close());
     assert_eq!(backend.requests().len(), 2);
 }
 
 /// Requests enough that the module has retries to spend.
 fn warm_up(proxy: &Proxy) {
-    (0..10).for_each(|_| assert_eq!(ask(proxy, &request("read", 7000)).status(), 200));
+    (0..10).for_each(|_| assert_eq!(send_request(proxy, &request("read", 7000)).status(), 200));
 }
 
 /// What a good answer takes: a request is held for lost, and a copy of it sent, after some times that. On a busy machine an
@@ -168,7 +168,7 @@
     let (a, b) = (start(), start());
     let (proxy, _discovery) = proxy_for(&[("a", &a), ("b", &b)]);
     warm_up(&proxy);
-    let status = ask(&proxy, &request(class, 7000)).status();
+    let status = send_request(&proxy, &request(class, 7000)).status();
     (status, a.requests().len() + b.requests().len() - 10)
 }
 
@@ -249,7 +249,7 @@
     });
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     for n in 0..30 {
-        let answer = ask(&proxy, &request("pay", 7000));
+        let answer = send_request(&proxy, &request("pay", 7000));
         assert_eq!((answer.status(), answer.body), (200, format!("{n:02}").into_bytes()));
     }
     assert_eq!(backend.requests().len(), 30);
@@ -265,22 +265,22 @@
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     warm_up(&proxy);
     for _ in 0..10 {
-        let answer = ask(&proxy, &request("read", 7000).replace("Host:", "X-Bad: 1\r\nHost:"));
+        let answer = send_request(&proxy, &request("read", 7000).replace("Host:", "X-Bad: 1\r\nHost:"));
         assert_eq!((answer.status(), answer.body), (400, b"bad".to_vec()));
     }
     assert_eq!(backend.requests().len(), 20);
-    assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
+    assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
 }
 
 #[test]
 fn a_refused_connection_proves_that_nothing_ran() {
     let backend = Backend::start(|_| ok("served"));
     let discovery = Discovery::start();
-    let lines = [line("a", free_address(), "ready", 0), line("b", backend.address, "ready", 0)];
+    let lines = [endpoint("a", free_address(), "ready", 0), endpoint("b", backend.address, "ready", 0)];
     let proxy = Proxy::start(&config(discovery.address, &lines));
     // The first that meets it may find no retry to spend yet; after that the module leaves it out.
-    (0..10).for_each(|_| assert_ne!(ask(&proxy, &request("pay", 7000)).status(), 502));
-    (0..10).for_each(|_| assert_eq!(ask(&proxy, &request("pay", 7000)).status(), 200));
+    (0..10).for_each(|_| assert_ne!(send_request(&proxy, &request("pay", 7000)).status(), 502));
+    (0..10).for_each(|_| assert_eq!(send_request(&proxy, &request("pay", 7000)).status(), 200));
 }
 
 /// A backend that closed an idle connection has not seen the next request: it goes out on a new one.
@@ -295,9 +295,9 @@
         }
     });
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
-    assert_eq!(ask(&proxy, &request("pay", 7000)).status(), 200);
+    assert_eq!(send_request(&proxy, &request("pay", 7000)).status(), 200);
     until("the connection closed", || backend.closed() == 1);
-    assert_eq!(ask(&proxy, &request("pay", 7000)).status(), 200);
+    assert_eq!(send_request(&proxy, &request("pay", 7000)).status(), 200);
     assert_eq!((backend.requests().len(), backend.opened()), (2, 2));
 }
 
@@ -312,9 +312,9 @@
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     let mut both = [Client::open(proxy.address), Client::open(proxy.address)];
     both.iter_mut().for_each(|c| c.send(&request("read", 7000).replace("/a?", "/slow?")));
-    both.iter_mut().for_each(|c| assert_eq!(c.answer().map(|a| a.status()), Some(200)));
+    both.iter_mut().for_each(|c| assert_eq!(c.read_response().map(|a| a.status()), Some(200)));
     assert_eq!(backend.opened(), 2);
-    (0..10).for_each(|_| assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200));
+    (0..10).for_each(|_| assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200));
     assert_eq!((backend.opened(), backend.closed()), (2, 0));
 }
 
@@ -335,10 +335,10 @@
 fn a_deadline_brings_one_answer_from_the_module() {
     let backend = Backend::start(|_| Reply::NoResponse);
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
-    assert_eq!(ask(&proxy, &request("pay", 500)).status(), 502);
+    assert_eq!(send_request(&proxy, &request("pay", 500)).status(), 502);
     until("the attempt's connection closed", || backend.closed() == 1);
     for left in (0..16).cycle().take(160) {
-        let status = ask(&proxy, &request("read", left)).status();
+        let status = send_request(&proxy, &request("read", left)).status();
         assert!(matches!(status, 502 | 503), "{status}");
     }
     assert!(!proxy.log().contains("no answer at its deadline"), "{}", proxy.log());
@@ -347,10 +347,10 @@
 #[test]
 fn a_refusal_is_given_at_once_and_says_when_to_come_back() {
     let (discovery, backend) = (Discovery::start(), Backend::start(|_| ok("x")));
-    let proxy = Proxy::spawn(&config(discovery.address, &[line("a", backend.address, "draining", 0)]));
+    let proxy = Proxy::spawn(&config(discovery.address, &[endpoint("a", backend.address, "draining", 0)]));
     until("an answer", || proxy.ready() == 503);
     // No backend takes requests: the module holds it for as long as an answer could still be in time.
-    let answer = ask(&proxy, &request("read", 100));
+    let answer = send_request(&proxy, &request("read", 100));
     assert_eq!(answer.status(), 503);
     assert!(answer.header("retry-after").unwrap().parse::<u32>().unwrap() > 0);
     assert!(backend.requests().is_empty());
@@ -361,20 +361,20 @@
     let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
     let (proxy, discovery) = proxy_for(&[("a", &a), ("b", &b)]);
     until("both served", || {
-        ask(&proxy, &request("read", 7000));
+        send_request(&proxy, &request("read", 7000));
         !a.requests().is_empty() && !b.requests().is_empty()
     });
-    discovery.publish(false, &[line("a", a.address, "draining", 0)]);
+    discovery.publish(false, &[endpoint("a", a.address, "draining", 0)]);
     until("the pool of a closed", || a.closed() == a.opened());
     let before = a.requests().len();
-    (0..20).for_each(|_| assert_eq!(ask(&proxy, &request("read", 7000)).body, b"b"));
-    discovery.publish(false, &[line("a", a.address, "ready", 0), line("b", b.address, "gone", 0)]);
+    (0..20).for_each(|_| assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"b"));
+    discovery.publish(false, &[endpoint("a", a.address, "ready", 0), endpoint("b", b.address, "gone", 0)]);
     until("the pool of b closed", || b.closed() == b.opened());
-    (0..20).for_each(|_| assert_eq!(ask(&proxy, &request("read", 7000)).body, b"a"));
+    (0..20).for_each(|_| assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"a"));
     assert!(a.requests().len() >= before + 20);
-    discovery.publish(true, &[line("b", b.address, "ready", 0)]);
+    discovery.publish(true, &[endpoint("b", b.address, "ready", 0)]);
     until("the pool of a closed again", || a.closed() == a.opened());
-    (0..20).for_each(|_| assert_eq!(ask(&proxy, &request("read", 7000)).body, b"b"));
+    (0..20).for_each(|_| assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"b"));
 }
 
 /// A backend may be told to drain while the connection to it comes up: not a byte goes there then.
@@ -383,17 +383,17 @@
     let late = UnacceptingBackend::start();
     let address = late.address;
     let discovery = Discovery::start();
-    let mut config = config(discovery.address, &[line("a", address, "ready", 0)]);
+    let mut config = config(discovery.address, &[endpoint("a", address, "ready", 0)]);
     config["settings"]["limits"]["dial_timeout_us"] = json!(20_000_000);
     let proxy = Proxy::start(&config);
     let mut client = Client::open(proxy.address);
     client.send(&request("pay", 30_000));
     // Long enough as a rule for the attempt to wait in the queue.
     std::thread::sleep(Duration::from_millis(300));
-    discovery.publish(false, &[line("a", address, "draining", 0)]);
-    let bytes = late.let_in();
-    assert_eq!(client.answer().map(|a| a.status()), Some(503));
-    UnacceptingBackend::done(address);
+    discovery.publish(false, &[endpoint("a", address, "draining", 0)]);
+    let bytes = late.accept_all();
+    assert_eq!(client.read_response().map(|a| a.status()), Some(503));
+    UnacceptingBackend::finish(address);
     assert_eq!(bytes.join().unwrap(), 0);
 }
 
@@ -402,14 +402,14 @@
 fn a_restarted_backend_gets_new_connections() {
     let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
     let (proxy, discovery) = proxy_for(&[("a", &old)]);
-    assert_eq!(ask(&proxy, &request("read", 7000)).body, b"old");
-    discovery.publish(false, &[line("a", old.address, "ready", 1_700_000_000_000)]);
+    assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"old");
+    discovery.publish(false, &[endpoint("a", old.address, "ready", 1_700_000_000_000)]);
     until("the old connection closed", || old.closed() == 1);
-    assert_eq!(ask(&proxy, &request("read", 7000)).body, b"old");
+    assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"old");
     assert_eq!(old.opened(), 2);
-    discovery.publish(false, &[line("a", new.address, "ready", 1_700_000_000_000)]);
+    discovery.publish(false, &[endpoint("a", new.address, "ready", 1_700_000_000_000)]);
     until("its connection closed", || old.closed() == 2);
-    assert_eq!(ask(&proxy, &request("read", 7000)).body, b"new");
+    assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"new");
 }
 
 #[test]
@@ -419,9 +419,9 @@
     let bad = json!({"index": 9, "snapshot": true, "endpoints": [{"name": "b"}]});
     for text in [bad.to_string(), "[]".into(), "no json".into(), r#"{"index":1,"snapshot":true}"#.into()] {
         discovery.answer_with(&text);
-        assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200, "after {text}");
+        assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200, "after {text}");
     }
-    discovery.publish(true, &[line("a", backend.address, "draining", 0)]);
+    discovery.publish(true, &[endpoint("a", backend.address, "draining", 0)]);
     until("the good list after them", || proxy.ready() == 503);
 }
 
@@ -431,7 +431,7 @@
     let backend = Backend::start(|_| ok("x"));
     let (proxy, discovery) = proxy_for(&[("a", &backend)]);
     until("a second call after the first was given up", || discovery.calls() >= 2);
-    assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
+    assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
     assert_eq!(proxy.ready(), 200);
 }
 
@@ -440,14 +440,14 @@
 fn a_subscription_is_asked_for_by_the_module() {
     let backend = Backend::start(|_| ok("x"));
     let discovery = Discovery::start();
-    let mut config = config(discovery.address, &[line("a", free_address(), "draining", 0)]);
+    let mut config = config(discovery.address, &[endpoint("a", free_address(), "draining", 0)]);
     config["settings"]["discovery"] = json!("subscribe");
     let proxy = Proxy::spawn(&config);
     discovery.answer_with("no list");
     assert_eq!(proxy.ready(), 503);
-    discovery.publish(true, &[line("a", backend.address, "ready", 0)]);
+    discovery.publish(true, &[endpoint("a", backend.address, "ready", 0)]);
     until("ready", || proxy.ready() == 200);
-    assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
+    assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
 }
 
 /// More servers than the descriptors for them: each is served by, and the connection that has been idle longest makes room.
@@ -456,14 +456,15 @@
     let servers: Vec<Backend> = (0..40).map(|_| Backend::start(|_| ok("x"))).collect();
     let discovery = Discovery::start();
     let names: Vec<String> = (0..servers.len()).map(|n| format!("s{n}")).collect();
-    let lines: Vec<Value> = names.iter().zip(&servers).map(|(n, b)| line(n, b.address, "ready", 0)).collect();
+    let lines: Vec<Value> =
+        names.iter().zip(&servers).map(|(n, b)| endpoint(n, b.address, "ready", 0)).collect();
     let mut config = config(discovery.address, &lines);
     config["limits"]["sockets"] = json!(64); // 16 of them for servers
     let proxy = Proxy::start(&config);
     let mut client = Client::open(proxy.address);
     for n in 0..600 {
         client.send(&request("read", 7000));
-        assert_eq!(client.answer().map(|a| a.status()), Some(200), "request {n}");
+        assert_eq!(client.read_response().map(|a| a.status()), Some(200), "request {n}");
         let open = || servers.iter().map(|b| b.opened() - b.closed()).sum::<usize>();
         until("no more than its part", || open() <= 16);
     }
@@ -476,19 +477,19 @@
 fn with_its_sockets_taken_a_new_client_still_gets_in() {
     let backend = Backend::start(|_| ok("x"));
     let discovery = Discovery::start();
-    let mut config = config(discovery.address, &[line("a", backend.address, "ready", 0)]);
+    let mut config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
     config["limits"]["sockets"] = json!(64);
     let proxy = Proxy::start(&config);
     let mut idle: Vec<Client> = Vec::new();
     for _ in 0..60 {
         let mut client = Client::open(proxy.address);
         client.send(&request("read", 7000));
-        assert_eq!(client.answer().map(|a| a.status()), Some(200));
+        assert_eq!(client.read_response().map(|a| a.status()), Some(200));
         idle.push(client);
     }
     let start = std::time::Instant::now();
     let _silent: Vec<Client> = (0..200).map(|_| Client::open(proxy.address)).collect();
-    assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
+    assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
     assert!(start.elapsed() < Duration::from_secs(8), "{:?}", start.elapsed());
 }
 
@@ -499,7 +500,7 @@
 fn clients_that_ask_once_and_stay_leave_room_for_the_next() {
     let backend = Backend::start(|_| ok("x"));
     let discovery = Discovery::start();
-    let mut config = config(discovery.address, &[line("a", backend.address, "ready", 0)]);
+    let mut config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
     let sockets = 192;
     config["limits"]["sockets"] = json!(sockets);
     let proxy = Proxy::start(&config);
@@ -509,14 +510,14 @@
     for turn in 0..400 {
         // A usual client that asks again and again keeps its connection through all of it.
         steady.send(&request("read", 7000));
-        assert_eq!(steady.answer().map(|a| a.status()), Some(200), "turn {turn}: cut off");
+        assert_eq!(steady.read_response().map(|a| a.status()), Some(200), "turn {turn}: cut off");
         until("a connection that the clients may open", || {
-            held.retain_mut(|c| !c.has_ended());
+            held.retain_mut(|c| !c.is_closed());
             held.len() < sockets / 3 - 1
         });
         let mut client = Client::open(proxy.address);
         client.send(&request("read", 7000));
-        assert_eq!(client.answer().map(|a| a.status()), Some(200), "turn {turn}");
+        assert_eq!(client.read_response().map(|a| a.status()), Some(200), "turn {turn}");
         held.push(client);
     }
     // Each of six thirds would have waited for 5 s.
@@ -530,13 +531,13 @@
 fn a_request_half_there_is_not_cut_off_for_room() {
     let backend = Backend::start(|_| ok("x"));
     let discovery = Discovery::start();
-    let mut config = config(discovery.address, &[line("a", backend.address, "ready", 0)]);
+    let mut config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
     config["limits"]["sockets"] = json!(64);
     let proxy = Proxy::start(&config);
     // The connection is old, its request young.
     let mut slow = Client::open(proxy.address);
     slow.send(&request("read", 7000));
-    assert_eq!(slow.answer().map(|a| a.status()), Some(200));
+    assert_eq!(slow.read_response().map(|a| a.status()), Some(200));
     std::thread::sleep(Duration::from_millis(300));
     let text = request("vote", 7000);
     let (head, body) = text.split_at(text.len() - 4);
@@ -545,11 +546,11 @@
     for turn in 0..60 {
         let mut client = Client::open(proxy.address);
         client.send(&request("read", 7000));
-        assert_eq!(client.answer().map(|a| a.status()), Some(200), "turn {turn}");
+        assert_eq!(client.read_response().map(|a| a.status()), Some(200), "turn {turn}");
         others.push(client);
     }
     slow.send(body);
-    assert_eq!(slow.answer().map(|a| a.status()), Some(200), "cut off");
+    assert_eq!(slow.read_response().map(|a| a.status()), Some(200), "cut off");
 }
 
 /// Out of descriptors the proxy lives on, and serves again once it has some.
@@ -557,13 +558,13 @@
 fn the_proxy_outlives_a_want_of_descriptors() {
     let backend = Backend::start(|_| ok("x"));
     let discovery = Discovery::start();
-    let config = config(discovery.address, &[line("a", backend.address, "ready", 0)]);
+    let config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
     let proxy = Proxy::spawn_with(&config, "40", &[]);
     until("ready", || proxy.ready() == 200);
     let clients: Vec<Client> = (0..60).map(|_| Client::open(proxy.address)).collect();
     until("a failed accept", || proxy.log().contains("accept: "));
     drop(clients);
-    (0..5).for_each(|_| assert_eq!(ask(&proxy, &request("read", 20_000)).status(), 200));
+    (0..5).for_each(|_| assert_eq!(send_request(&proxy, &request("read", 20_000)).status(), 200));
 }
 
 #[test]
@@ -577,15 +578,15 @@
     let (mut proxy, _discovery) = proxy_for(&[("a", &backend)]);
     let mut idle = Client::open(proxy.address);
     idle.send(&request("read", 7000));
-    assert_eq!(idle.answer().map(|a| a.status()), Some(200));
+    assert_eq!(idle.read_response().map(|a| a.status()), Some(200));
     let mut slow = Client::open(proxy.address);
     slow.send(&request("read", 7000).replace("/a?", "/slow?"));
     until("the slow request", || backend.requests().len() == 2);
     proxy.terminate();
     until("not ready", || proxy.ready() != 200);
-    let answer = slow.answer().expect("an answer to what was taken");
+    let answer = slow.read_response().expect("an answer to what was taken");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(idle.ends());
+    assert!(idle.wait_for_close());
     assert!(proxy.exit().success());
 }
 
@@ -598,7 +599,7 @@
     proxy.terminate();
     until("the listener closed", || proxy.ready() == 0);
     fresh.send(&request("read", 7000));
-    assert_eq!(fresh.answer().map(|a| a.status()), Some(200));
+    assert_eq!(fresh.read_response().map(|a| a.status()), Some(200));
     assert!(proxy.exit().success());
 }
 
@@ -607,14 +608,14 @@
 fn sighup_moves_the_watch_to_the_new_discovery() {
     let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
     let (first, second, third) = (Discovery::start(), Discovery::start(), Discovery::start());
-    let mut config = config(first.address, &[line("a", a.address, "ready", 0)]);
+    let mut config = config(first.address, &[endpoint("a", a.address, "ready", 0)]);
     let mut proxy = Proxy::start(&config);
-    assert_eq!(ask(&proxy, &request("read", 7000)).body, b"a");
+    assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"a");
     config["discovery"] = json!(second.address.to_string());
     config["limits"]["sockets"] = json!(512);
     proxy.reload(&config.to_string());
-    second.publish(true, &[line("b", b.address, "ready", 0)]);
-    assert_eq!(ask(&proxy, &request("read", 7000)).body, b"b");
+    second.publish(true, &[endpoint("b", b.address, "ready", 0)]);
+    assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"b");
     // The log is read by a thread of its own.
     until("the log names the setting that needs a restart", || {
         proxy.log().contains("not taken up before a restart: limits.sockets")
@@ -624,12 +625,12 @@
         let before = proxy.log().matches("stays as it was").count();
         proxy.reload(bad);
         until("the refusal of a bad file", || proxy.log().matches("stays as it was").count() > before);
-        assert_eq!(ask(&proxy, &request("read", 7000)).body, b"b");
+        assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"b");
     }
     config["discovery"] = json!(third.address.to_string());
     (0..3).for_each(|_| proxy.reload(&config.to_string()));
-    third.publish(true, &[line("a", a.address, "ready", 0)]);
-    assert_eq!(ask(&proxy, &request("read", 7000)).body, b"a");
+    third.publish(true, &[endpoint("a", a.address, "ready", 0)]);
+    assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"a");
     proxy.terminate();
     proxy.reload(&config.to_string());
     assert!(proxy.exit().success());
--- a/crates/gaugesaddle/tests/region.rs
+++ b/crates/gaugesaddle/tests/region.rs
@@ -45,7 +45,7 @@
         let discovery = Discovery::start();
         let names = ["a", "b", "c"];
         let lines: Vec<Value> =
-            plan.backends.iter().zip(names).map(|(b, n)| line(n, *b, "ready", 0)).collect();
+            plan.backends.iter().zip(names).map(|(b, n)| endpoint(n, *b, "ready", 0)).collect();
         let config = config(discovery.address, &lines);
         let proxy = Proxy::spawn_with(&config, "unlimited", &["--config", file.to_str().unwrap()]);
         let site = Site { folder, proxy, discovery };
@@ -136,7 +136,7 @@
         // What a client writes about regions is none of it: neither believed nor passed on.
         let forged = request(class, 7000)
             .replace("Host:", "Region-Path: south, north;left=0\r\nRegion-Fate: ran\r\nHost:");
-        let answer = ask(&two.north.proxy, &forged);
+        let answer = send_request(&two.north.proxy, &forged);
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"from the south"[..]), "{class}");
         assert_eq!(
             (answer.header("region-fate"), answer.header("region-took-us")),
@@ -169,14 +169,14 @@
     let two = pair("both", &lost, &lost, WIDE);
     until("both spill", || {
         for site in [&two.north, &two.south] {
-            assert_eq!(ask(&site.proxy, &request("read", 4000)).status(), 503);
+            assert_eq!(send_request(&site.proxy, &request("read", 4000)).status(), 503);
         }
         two.north.is("spilling") && two.south.is("spilling")
     });
     for class in ["read", "vote", "pay"] {
         for site in [&two.north, &two.south] {
             let began = Instant::now();
-            let answer = ask(&site.proxy, &request(class, 7000));
+            let answer = send_request(&site.proxy, &request(class, 7000));
             assert_eq!(answer.status(), 503, "{class}: known not to have run");
             assert!(answer.header("retry-after").is_some());
             assert!(began.elapsed() < Duration::from_millis(6500), "not kept until its time is up");
@@ -191,16 +191,16 @@
     let (south, home) = (Backend::start(|_| ok("south")), Backend::start(|_| ok("home")));
     let two = pair("back", &[], &[south.address; 3], WIDE);
     until("the north spills", || two.north.is("spilling"));
-    assert_eq!(ask(&two.north.proxy, &request("vote", 7000)).body, b"south");
-    two.north.discovery.publish(true, &[line("n", home.address, "ready", 0)]);
+    assert_eq!(send_request(&two.north.proxy, &request("vote", 7000)).body, b"south");
+    two.north.discovery.publish(true, &[endpoint("n", home.address, "ready", 0)]);
     until("home", || {
-        ask(&two.north.proxy, &request("read", 7000));
+        send_request(&two.north.proxy, &request("read", 7000));
         two.north.is("local")
     });
     std::thread::sleep(Duration::from_millis(100)); // past the next view
     let sent = two.north.count("sent");
     for _ in 0..20 {
-        assert_eq!(ask(&two.north.proxy, &request("vote", 7000)).body, b"home");
+        assert_eq!(send_request(&two.north.proxy, &request("vote", 7000)).body, b"home");
     }
     assert_eq!(two.north.count("sent"), sent);
     let log = two.north.proxy.log();
@@ -239,17 +239,17 @@
     switch("switch = \"never\"");
     until("never", || north.state()["switch"] == "never");
     let before = north.count("sent");
-    assert_eq!(ask(&north.proxy, &request("read", 2000)).status(), 503);
+    assert_eq!(send_request(&north.proxy, &request("read", 2000)).status(), 503);
     assert_eq!(north.count("sent"), before);
     // The exercise: backends at home, and all of what comes leaves all the same.
     let home = Backend::start(|_| ok("home"));
-    north.discovery.publish(true, &[line("n", home.address, "ready", 0)]);
+    north.discovery.publish(true, &[endpoint("n", home.address, "ready", 0)]);
     switch("switch = \"now\"\nexercise_percent = 100");
     until("now", || north.state()["switch"] == "now");
-    until("a vote that leaves", || ask(&north.proxy, &request("vote", 7000)).body == b"south");
+    until("a vote that leaves", || send_request(&north.proxy, &request("vote", 7000)).body == b"south");
     switch("switch = \"auto\"");
     until("auto", || north.state()["switch"] == "auto");
-    until("a vote at home", || ask(&north.proxy, &request("vote", 7000)).body == b"home");
+    until("a vote at home", || send_request(&north.proxy, &request("vote", 7000)).body == b"home");
 }
 
 /// A budget of five a second, asked of by many at once: no second of the other region's records holds more.
@@ -268,7 +268,7 @@
         for _ in 0..8 {
             s.spawn(|| {
                 while Instant::now() < end {
-                    let status = ask(&two.north.proxy, &request("vote", 3000)).status();
+                    let status = send_request(&two.north.proxy, &request("vote", 3000)).status();
                     assert!(status == 200 || status == 503, "{status}");
                 }
             });
@@ -330,7 +330,7 @@
         until("it spills", || north.is("spilling"));
         for class in ["vote", "pay", "read"] {
             let began = Instant::now();
-            assert_eq!(ask(&north.proxy, &request(class, 2500)).status(), 503, "{test}: {class}");
+            assert_eq!(send_request(&north.proxy, &request(class, 2500)).status(), 503, "{test}: {class}");
             assert!(began.elapsed() < Duration::from_millis(2500), "{test}: {class}");
         }
         assert!(north.count("may_have_run") == 0);
@@ -351,7 +351,7 @@
             std::thread::spawn(move || {
                 let mut client = Client::open(address);
                 client.send(&text);
-                client.answer().map(|a| a.status())
+                client.read_response().map(|a| a.status())
             })
         };
         let all = [ended("vote"), ended("pay"), ended("read")];
@@ -402,7 +402,7 @@
     until("the north spills", || two.north.is("spilling"));
     // Both connections are up, and the gateway's clock known: what follows is sent at once.
     for _ in 0..2 {
-        assert_eq!(ask(&two.north.proxy, &request("vote", 7000)).status(), 200);
+        assert_eq!(send_request(&two.north.proxy, &request("vote", 7000)).status(), 200);
     }
     two.south.proxy.signal("-STOP");
     // All at once: the first failure makes the north wait before it sends more.
@@ -411,13 +411,13 @@
         std::thread::spawn(move || {
             let mut client = Client::open(address);
             client.send(&request(class, 2000));
-            client.answer().map(|a| a.status())
+            client.read_response().map(|a| a.status())
         })
     });
     let statuses: Vec<_> = asked.into_iter().map(|thread| thread.join().unwrap()).collect();
     assert_eq!(statuses, [Some(502), Some(502), Some(503)], "sent, and not answered in time");
     two.south.proxy.signal("-CONT");
-    until("another is served", || ask(&two.north.proxy, &request("vote", 7000)).status() == 200);
+    until("another is served", || send_request(&two.north.proxy, &request("vote", 7000)).status() == 200);
     // What woke with the gateway would have been passed on before that.
     let is_late = |left: &str| left.parse::<u64>().unwrap() < 2000;
     let late = south.requests().iter().filter(|m| m.header("x-time-left-ms").is_some_and(is_late)).count();
@@ -448,7 +448,7 @@
     ];
     let answers = block_on(async {
         let config = client_config(Some(&north), &two.authority.pem);
-        tokio::time::timeout(LONG, ask_gateway(config, two.gates[1], "south", requests))
+        tokio::time::timeout(WAIT_TIMEOUT, ask_gateway(config, two.gates[1], "south", requests))
             .await
             .expect("an end")
     });
@@ -487,7 +487,7 @@
     let south = Backend::start(|_| ok("south"));
     let two = pair("short", &[], &[south.address; 3], WIDE);
     until("the north spills", || two.north.is("spilling"));
-    let answer = ask(&two.north.proxy, &request("vote", 25));
+    let answer = send_request(&two.north.proxy, &request("vote", 25));
     assert_eq!(answer.status(), 503);
     assert!(south.requests().is_empty());
 }
@@ -526,7 +526,7 @@
     let ask = |keys: Option<&Keys>, trust: &str, requests: Vec<Request<Full<Bytes>>>| {
         block_on(async {
             let asked = ask_gateway(client_config(keys, trust), gate, "south", requests);
-            tokio::time::timeout(LONG, asked).await.expect("an end")
+            tokio::time::timeout(WAIT_TIMEOUT, asked).await.expect("an end")
         })
     };
     let good = || vec![hop("read", Some("north;left=0"), "7000")];
@@ -543,9 +543,9 @@
         let mut client = Client::open(gate);
         client.send(text);
         // An alert may come before the end.
-        assert!((0..64).any(|_| client.ends()));
+        assert!((0..64).any(|_| client.wait_for_close()));
     }
-    assert!(silent.ends(), "a handshake that never comes");
+    assert!(silent.wait_for_close(), "a handshake that never comes");
     let north = two.authority.issue("north");
     let answers = ask(Some(&north), pem, good()).expect("the north is let in");
     assert_eq!(answers[0].status(), 200);
@@ -598,7 +598,7 @@
         for _ in 0..4 {
             s.spawn(|| {
                 while !stop.load(Ordering::Relaxed) {
-                    let answer = ask(&two.north.proxy, &request("vote", 7000));
+                    let answer = send_request(&two.north.proxy, &request("vote", 7000));
                     assert_eq!(answer.status(), 200, "a vote was lost");
                     served.fetch_add(1, Ordering::Relaxed);
                 }
--- a/crates/gaugesaddle/tests/rules.rs
+++ b/crates/gaugesaddle/tests/rules.rs
@@ -2,7 +2,7 @@
 //! bed, which must see enough to judge and find nothing.
 
 use gaugesaddle_testbed::scenario::{Clients, Kind};
-use gaugesaddle_testbed::{program, run, Cast, Disturbance, Outcome, Program, Scenario};
+use gaugesaddle_testbed::{program, run, Disturbance, Outcome, Program, ProxyImplementation, Scenario};
 
 /// Three proxies and nine nodes at moderate load.
 fn small(name: &str, seed: u64) -> Scenario {
@@ -15,7 +15,7 @@
 
 fn play(s: &Scenario) -> Outcome {
     let program = Program { path: program::path("gaugesaddle"), arguments: Vec::new() };
-    run(s, &Cast::Program(program), &mut |_| {}).expect("a run")
+    run(s, &ProxyImplementation::Program(program), &mut |_| {}).expect("a run")
 }
 
 /// So many runs at a time: each waits far more than it works, but two cores carry no more.
--- a/crates/gaugesaddle/tests/service.rs
+++ b/crates/gaugesaddle/tests/service.rs
@@ -9,7 +9,7 @@
 
 /// A proxy's configuration with a second address.
 fn with_admin(discovery: &Discovery, backends: &[(&str, &Backend)]) -> (Value, SocketAddr) {
-    let lines: Vec<Value> = backends.iter().map(|(n, b)| line(n, b.address, "ready", 0)).collect();
+    let lines: Vec<Value> = backends.iter().map(|(n, b)| endpoint(n, b.address, "ready", 0)).collect();
     let mut config = config(discovery.address, &lines);
     let admin = free_address();
     config["admin"] = json!(admin.to_string());
@@ -20,7 +20,7 @@
 fn call(admin: SocketAddr, text: &str) -> u16 {
     let Ok(mut client) = Client::try_open(admin) else { return 0 };
     client.send(&format!("{text} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"));
-    client.answer().map_or(0, |a| a.status())
+    client.read_response().map_or(0, |a| a.status())
 }
 
 /// A folder that goes with its test.
@@ -46,7 +46,8 @@
     let discovery = Discovery::start();
     let (config, admin) = with_admin(&discovery, &[("a", &a), ("b", &b)]);
     let proxy = Proxy::start(&config);
-    let serve = |n| (0..n).for_each(|_| assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200));
+    let serve =
+        |n| (0..n).for_each(|_| assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200));
     until("both are used", || {
         serve(4);
         !a.requests().is_empty() && !b.requests().is_empty()
@@ -55,12 +56,12 @@
     let before = a.requests().len();
     serve(20);
     // Told anew as ready, and as restarted: the ban holds.
-    discovery.publish(true, &[line("a", a.address, "ready", 0), line("b", b.address, "ready", 0)]);
+    discovery.publish(true, &[endpoint("a", a.address, "ready", 0), endpoint("b", b.address, "ready", 0)]);
     let seen = discovery.calls();
     until("the list was taken", || discovery.calls() > seen);
     serve(20);
     assert_eq!(call(admin, "PUT /api/exclude?target=a"), 200, "twice is as good as once");
-    discovery.publish(false, &[line("a", a.address, "ready", 1_000)]);
+    discovery.publish(false, &[endpoint("a", a.address, "ready", 1_000)]);
     until("the change was taken", || discovery.calls() > seen + 1);
     serve(20);
     assert_eq!(a.requests().len(), before);
@@ -84,7 +85,7 @@
     assert_eq!(call(admin, "PUT /api/exclude?target=a"), 200);
     assert_eq!(call(admin, "PUT /api/exclude?target=b"), 200);
     assert_eq!((proxy.ready(), call(admin, "GET /api/ready")), (503, 503));
-    assert_eq!(ask(&proxy, &request("read", 300)).status(), 503);
+    assert_eq!(send_request(&proxy, &request("read", 300)).status(), 503);
 }
 
 /// Callers that say nothing, or half a call, hold up nobody and cost a bounded number of places.
@@ -104,8 +105,8 @@
     let start = Instant::now();
     assert_eq!(call(admin, "GET /api/ready"), 200);
     assert!(start.elapsed() < Duration::from_secs(1));
-    assert!(bad.iter_mut().all(Client::ends), "each loses its place");
-    assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
+    assert!(bad.iter_mut().all(Client::wait_for_close), "each loses its place");
+    assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
 }
 
 /// Told to drain the proxy says no, answers what comes on kept connections and lets go of them; it comes back.
@@ -119,7 +120,7 @@
         .map(|_| {
             let mut client = Client::open(proxy.address);
             client.send(&request("read", 7000));
-            assert_eq!(client.answer().map(|a| a.status()), Some(200));
+            assert_eq!(client.read_response().map(|a| a.status()), Some(200));
             client
         })
         .collect();
@@ -127,13 +128,13 @@
     assert_eq!(call(admin, "PUT /api/evacuate"), 200);
     assert_eq!((proxy.ready(), call(admin, "GET /api/ready")), (503, 503));
     clients[0].send(&request("read", 7000));
-    assert_eq!(clients[0].answer().map(|a| a.status()), Some(200), "asked on while it drains");
-    assert!(clients[0].ends(), "and closed with its answer");
-    assert!(clients[1].ends(), "nothing is held idle");
+    assert_eq!(clients[0].read_response().map(|a| a.status()), Some(200), "asked on while it drains");
+    assert!(clients[0].wait_for_close(), "and closed with its answer");
+    assert!(clients[1].wait_for_close(), "nothing is held idle");
     assert!(start.elapsed() < Duration::from_secs(4));
     assert_eq!(call(admin, "PUT /api/rejoin"), 200);
     until("ready", || proxy.ready() == 200);
-    assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
+    assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
 }
 
 /// Clients ask on through an upgrade, each on a connection that it keeps while it may: none is turned away, none
@@ -161,11 +162,11 @@
                     let text = request("read", 7000);
                     client.send(&text);
                     // A proxy may close a kept connection between requests; a client sends what crosses that again, once.
-                    let answer = client.answer().or_else(|| {
+                    let answer = client.read_response().or_else(|| {
                         assert!(kept, "a request on a new connection is lost");
                         client = Client::open(address);
                         client.send(&text);
-                        client.answer()
+                        client.read_response()
                     });
                     let answer = answer.expect("a whole answer");
                     kept = true;
@@ -221,19 +222,19 @@
     until("the two have met", || first.log().contains("another process is to replace this one"));
     assert_eq!(call(admin, "PUT /api/exclude?target=a"), 200);
     until("it was passed on", || second.log().contains("from the other process"));
-    silent.publish(true, &[line("a", a.address, "ready", 0), line("b", b.address, "ready", 0)]);
+    silent.publish(true, &[endpoint("a", a.address, "ready", 0), endpoint("b", b.address, "ready", 0)]);
     until("the second is ready", || call(admin_next, "GET /api/ready") == 200);
     first.terminate();
     assert!(first.exit().success());
     let before = (a.requests().len(), b.requests().len());
     until("the second serves", || {
-        (0..5).for_each(|_| assert_eq!(ask(&second, &request("read", 7000)).status(), 200));
+        (0..5).for_each(|_| assert_eq!(send_request(&second, &request("read", 7000)).status(), 200));
         b.requests().len() > before.1 + 30
     });
     assert_eq!(a.requests().len(), before.0, "a stays out");
     assert_eq!(call(admin_next, "PUT /api/include?target=a"), 200);
     until("it is used again", || {
-        (0..5).for_each(|_| assert_eq!(ask(&second, &request("read", 7000)).status(), 200));
+        (0..5).for_each(|_| assert_eq!(send_request(&second, &request("read", 7000)).status(), 200));
         a.requests().len() > before.0
     });
 }
@@ -249,7 +250,7 @@
     let temporary = [("TMPDIR", folder.0.as_os_str())];
     let mut first = Proxy::spawn_in(&config, &temporary);
     until("ready", || first.ready() == 200);
-    discovery.publish(true, &[line("a", a.address, "ready", 0), line("b", b.address, "ready", 0)]);
+    discovery.publish(true, &[endpoint("a", a.address, "ready", 0), endpoint("b", b.address, "ready", 0)]);
     discovery.stop_answering();
     let mut next = config.clone();
     let admin_next = free_address();
@@ -258,14 +259,14 @@
     until("the second is ready", || call(admin_next, "GET /api/ready") == 200);
     let serve = |n: usize| {
         // Both listen: the system deals out connections among them.
-        (0..n).for_each(|_| assert_eq!(ask(&second, &request("read", 7000)).status(), 200));
+        (0..n).for_each(|_| assert_eq!(send_request(&second, &request("read", 7000)).status(), 200));
     };
     until("both servers are used", || {
         serve(10);
         a.requests().len() > 5 && b.requests().len() > 5
     });
     let told = Instant::now();
-    discovery.resume(false, &[line("a", a.address, "draining", 0)]);
+    discovery.resume(false, &[endpoint("a", a.address, "draining", 0)]);
     std::thread::sleep((told + Duration::from_millis(550)).saturating_duration_since(Instant::now()));
     let (leaving, served) = (a.requests().len(), b.requests().len());
     serve(100);
--- a/crates/gaugesaddle/tests/shares.rs
+++ b/crates/gaugesaddle/tests/shares.rs
@@ -27,7 +27,7 @@
     until("all go by need", || by_need(&tier, &[0, 1, 2, 3]));
     until("the busy one's part has grown", || {
         for _ in 0..10 {
-            assert_eq!(ask(tier.proxy(0), &request("read", 7000)).status(), 200);
+            assert_eq!(send_request(tier.proxy(0), &request("read", 7000)).status(), 200);
         }
         shares(&tier, 0).part > 0.7
     });
@@ -95,7 +95,9 @@
     until("all go by need", || views().iter().all(|v| v.state == "by need" && v.living == 6));
     // All of them have told something, the honest ones that little comes.
     let serve = || {
-        honest.iter().for_each(|p| assert_eq!(ask(tier.proxy(*p), &request("read", 7000)).status(), 200));
+        honest
+            .iter()
+            .for_each(|p| assert_eq!(send_request(tier.proxy(*p), &request("read", 7000)).status(), 200));
     };
     liar.say(Signals { demand_per_s: Some(1e6), ..Signals::default() }.encode());
     let (floor, bound) = (0.1 / 6.0, 0.9 * 3.0 / 6.0);
--- a/crates/gaugesaddle/tests/tier/mod.rs
+++ b/crates/gaugesaddle/tests/tier/mod.rs
@@ -101,7 +101,7 @@
     }
 
     fn config(&self, place: usize) -> serde_json::Value {
-        let mut config = config(self.discovery.address, &[line("a", self.backend.address, "ready", 0)]);
+        let mut config = config(self.discovery.address, &[endpoint("a", self.backend.address, "ready", 0)]);
         config["name"] = format!("p{place}").into();
         config["listen"] = self.lease.proxy(place).to_string().into();
         config["seed"] = format!("{:x}", place + 1).into();
--- a/crates/gaugesaddle/tests/zones.rs
+++ b/crates/gaugesaddle/tests/zones.rs
@@ -27,7 +27,7 @@
     fn lines(&self, lost: &[&str]) -> Vec<Value> {
         let one = |(name, zone, backend): &(&str, &str, Backend)| {
             let address = if lost.contains(zone) { free_address() } else { backend.address };
-            let mut line = line(name, address, "ready", 0);
+            let mut line = endpoint(name, address, "ready", 0);
             line["zone"] = (*zone).into();
             line
         };
@@ -47,7 +47,7 @@
                 while !stop.load(Ordering::Relaxed) {
                     if let Ok(mut client) = Client::try_open(address) {
                         client.send(&request("read", 2000));
-                        client.answer();
+                        client.read_response();
                     }
                     std::thread::sleep(std::time::Duration::from_millis(10));
                 }
@@ -107,7 +107,11 @@
         assert!(!zone(&tier, place, "east").lost, "one of five is not most");
         assert_eq!(tier.proxy(place).ready(), 200);
     }
-    assert_eq!(ask(tier.proxy(0), &request("read", 7000)).status(), 200, "what comes is served by the west");
+    assert_eq!(
+        send_request(tier.proxy(0), &request("read", 7000)).status(),
+        200,
+        "what comes is served by the west"
+    );
     let table = tier.table(0, "zones");
     assert!(table.contains("not ready: cut off from east, which most see"), "{table}");
     discoveries[0].publish(true, &fleet.lines(&[]));
