--- a/crates/gaugesaddle-proxy-simulation/src/world/nodes.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/world/nodes.rs
@@ -48,9 +48,9 @@
         let mut ended = Vec::new();
         let n = &mut self.nodes[node];
         if let Some(machine) = &mut n.machine {
-            let before = machine.choked;
+            let before = machine.overloaded;
             machine.run(self.now, &mut ended);
-            self.report.chokes += u64::from(machine.choked && !before);
+            self.report.chokes += u64::from(machine.overloaded && !before);
         }
         for id in ended {
             let wait = self.sent[id as usize].wait_us;
--- a/crates/gaugesaddle-testbed/src/audit/slow_start.rs
+++ b/crates/gaugesaddle-testbed/src/audit/slow_start.rs
@@ -1,7 +1,7 @@
 //! Rule 4: no node in slow start is sent more than its budget in any window.
 
 use super::{mean_work_us, Attempt, Auditor, Broken};
-use crate::processor::present_work;
+use crate::processor::work_between;
 use crate::record::Boot;
 use std::collections::HashMap;
 
@@ -31,7 +31,7 @@
                     break; // warm throughout
                 }
                 let able =
-                    present_work(node.speed, node.initial_capacity, node.slow_start_us, from, from + window);
+                    work_between(node.speed, node.initial_capacity, node.slow_start_us, from, from + window);
                 if held > rules.fall_multiple * able + slack {
                     let text = format!(
                         "cold {boot:?} was sent {:.0} ms of work within {:.1} s, {:.2} times what it can do",
--- a/crates/gaugesaddle-testbed/src/node.rs
+++ b/crates/gaugesaddle-testbed/src/node.rs
@@ -1,7 +1,7 @@
 //! A stand-in node: HTTP/1.1, work by the model in [`crate::processor`], and every fault that a scenario asks for.
 
 use crate::http::{Message, Reader};
-use crate::processor::{present_work, Processor};
+use crate::processor::{work_between, Processor};
 use crate::random::RandomStream;
 use crate::record::{Boot, Event, Journal, Moment};
 use crate::scenario::{Effect, Kind, Overload, Rules};
@@ -18,7 +18,7 @@
 
 /// Facts of a request that its sender does not send.
 #[derive(Clone, Copy, Debug)]
-pub struct Facts {
+pub struct RequestParameters {
     pub class: usize,
     pub key: u64,
     pub work_us: u64,
@@ -27,14 +27,14 @@
 
 /// A zone's deduplication of keys: when each was first seen. Expired ones are dropped as new ones come.
 #[derive(Default)]
-pub struct Memory {
+pub struct Deduplication {
     seen: HashMap<u64, Moment>,
     order: VecDeque<(Moment, u64)>,
 }
 
-impl Memory {
+impl Deduplication {
     /// Whether the key is seen for the first time within the window.
-    pub fn first(&mut self, now: Moment, key: u64, window_us: u64) -> bool {
+    pub fn is_new(&mut self, now: Moment, key: u64, window_us: u64) -> bool {
         while let Some((at, old)) = self.order.front().copied().filter(|o| o.0 + window_us < now) {
             self.order.pop_front();
             if self.seen.get(&old) == Some(&at) {
@@ -51,17 +51,17 @@
 }
 
 /// What all nodes of a run share.
-pub struct Fleet {
+pub struct SharedState {
     pub journal: Journal,
-    pub facts: RefCell<HashMap<u64, Facts>>,
+    pub parameters: RefCell<HashMap<u64, RequestParameters>>,
     /// By zone.
-    pub memories: RefCell<Vec<Memory>>,
+    pub seen_keys: RefCell<Vec<Deduplication>>,
     /// Effect and window of each class.
     pub classes: Vec<(Effect, u64)>,
     pub rules: Rules,
     /// Mean work of a request, for the tolerance of slow-start budgets.
     pub mean_work_us: f64,
-    pub choke: Overload,
+    pub overload: Overload,
     pub next_attempt: Cell<u64>,
     pub random: RefCell<RandomStream>,
 }
@@ -75,7 +75,7 @@
     /// Its address for each proxy.
     pub addresses: Vec<SocketAddr>,
     pub started: Moment,
-    fleet: Rc<Fleet>,
+    shared: Rc<SharedState>,
     slow_start: bool,
     processor: RefCell<Processor>,
     running: RefCell<HashMap<u64, oneshot::Sender<()>>>,
@@ -88,14 +88,14 @@
     stopping: Cell<bool>,
     /// Whether its connections end with a reset.
     crashed: Cell<bool>,
-    pub fell: Cell<bool>,
-    pub spoil: Cell<f64>,
-    pub resets: Cell<f64>,
+    pub failed: Cell<bool>,
+    pub corrupt_fraction: Cell<f64>,
+    pub reset_fraction: Cell<f64>,
 }
 
 /// How a node goes down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Down {
+pub enum Termination {
     /// Its connections are reset at once.
     Crash,
     /// It finishes the requests that it has.
@@ -103,7 +103,7 @@
 }
 
 /// Parameters of a node's process.
-pub struct Start<'a> {
+pub struct NodeParameters<'a> {
     pub boot: Boot,
     pub name: String,
     pub zone: usize,
@@ -114,7 +114,7 @@
 }
 
 impl Node {
-    pub async fn start(fleet: &Rc<Fleet>, with: Start<'_>) -> io::Result<Rc<Node>> {
+    pub async fn start(shared: &Rc<SharedState>, with: NodeParameters<'_>) -> io::Result<Rc<Node>> {
         let mut listeners = Vec::new();
         for _ in 0..with.proxies {
             listeners.push(TcpListener::bind(with.bind).await?);
@@ -122,7 +122,7 @@
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<io::Result<_>>()?;
         let (boot, zone, kind, cold) = (with.boot, with.zone, with.kind, with.slow_start);
         let cold_from = if cold { kind.initial_capacity } else { 1.0 };
-        let started = fleet.journal.put(Event::NodeUp {
+        let started = shared.journal.put(Event::NodeUp {
             boot,
             zone,
             speed: kind.speed * kind.cores as f64,
@@ -136,9 +136,9 @@
             kind: kind.clone(),
             addresses,
             started,
-            fleet: fleet.clone(),
+            shared: shared.clone(),
             slow_start: cold,
-            processor: RefCell::new(Processor::new(kind, fleet.choke, started, cold)),
+            processor: RefCell::new(Processor::new(kind, shared.overload, started, cold)),
             running: RefCell::default(),
             wake: Notify::new(),
             tasks: RefCell::default(),
@@ -147,15 +147,15 @@
             frozen: Cell::default(),
             stopping: Cell::default(),
             crashed: Cell::default(),
-            fell: Cell::default(),
-            spoil: Cell::default(),
-            resets: Cell::default(),
+            failed: Cell::default(),
+            corrupt_fraction: Cell::default(),
+            reset_fraction: Cell::default(),
         });
         for (proxy, listener) in listeners.into_iter().enumerate() {
             let this = node.clone();
             node.track(tokio::task::spawn_local(this.accept(listener, proxy)).abort_handle());
         }
-        node.track(tokio::task::spawn_local(node.clone().work()).abort_handle());
+        node.track(tokio::task::spawn_local(node.clone().drive_processor()).abort_handle());
         Ok(node)
     }
 
@@ -173,8 +173,8 @@
     }
 
     /// Whether it is overloaded.
-    pub fn is_choked(&self) -> bool {
-        self.processor.borrow().choked
+    pub fn is_overloaded(&self) -> bool {
+        self.processor.borrow().overloaded
     }
 
     /// Slower by that factor from now on.
@@ -192,13 +192,13 @@
     }
 
     /// Ends its process. One that leaves finishes the requests that it has, for two seconds at most.
-    pub fn down(self: &Rc<Self>, how: Down) {
+    pub fn terminate(self: &Rc<Self>, how: Termination) {
         if self.stopping.replace(true) {
             return;
         }
         let this = self.clone();
         tokio::task::spawn_local(async move {
-            if how == Down::Leave {
+            if how == Termination::Leave {
                 for _ in 0..200 {
                     if this.in_flight() == 0 && this.running.borrow().is_empty() {
                         break;
@@ -206,8 +206,8 @@
                     tokio::time::sleep(Duration::from_millis(10)).await;
                 }
             }
-            this.kill(how == Down::Crash);
-            this.fleet.journal.put(Event::NodeDown { boot: this.boot });
+            this.kill(how == Termination::Crash);
+            this.shared.journal.put(Event::NodeDown { boot: this.boot });
         });
     }
 
@@ -231,14 +231,14 @@
     }
 
     /// Drives the processor, and completes the requests whose work is done.
-    async fn work(self: Rc<Self>) {
+    async fn drive_processor(self: Rc<Self>) {
         loop {
             self.advance();
             let next = self.processor.borrow().next();
             match next {
                 None => self.wake.notified().await,
                 Some(at) => {
-                    let at = tokio::time::Instant::from_std(self.fleet.journal.instant(at));
+                    let at = tokio::time::Instant::from_std(self.shared.journal.instant(at));
                     tokio::select! {
                         () = tokio::time::sleep_until(at) => {}
                         () = self.wake.notified() => {}
@@ -250,7 +250,7 @@
 
     fn advance(&self) {
         let mut ended = Vec::new();
-        self.processor.borrow_mut().run(self.fleet.journal.now(), &mut ended);
+        self.processor.borrow_mut().run(self.shared.journal.now(), &mut ended);
         let mut running = self.running.borrow_mut();
         for id in ended {
             if let Some(done) = running.remove(&id) {
@@ -260,11 +260,11 @@
     }
 
     /// Counts received work against the slow-start budget; beyond it the node goes down.
-    fn bear(self: &Rc<Self>, at: Moment, work_us: u64) {
-        if !self.slow_start || self.fell.get() {
+    fn charge_slow_start_budget(self: &Rc<Self>, at: Moment, work_us: u64) {
+        if !self.slow_start || self.failed.get() {
             return;
         }
-        let (rules, kind) = (&self.fleet.rules, &self.kind);
+        let (rules, kind) = (&self.shared.rules, &self.kind);
         let (window, ramp) = (rules.fall_ms * 1e3, kind.slow_start_s * 1e6);
         let age = (at - self.started) as f64;
         if age > ramp + window {
@@ -278,17 +278,17 @@
         let sent: f64 = budget.iter().map(|b| b.1).sum();
         let speed = kind.speed * kind.cores as f64;
         // Before its start there was no capacity, and after it a whole window is granted.
-        let able = present_work(
+        let capacity = work_between(
             speed,
             kind.initial_capacity,
             ramp,
             (age - window).max(0.0),
             (age - window).max(0.0) + window,
         );
-        if sent > rules.fall_multiple * able + rules.fall_slack * self.fleet.mean_work_us {
+        if sent > rules.fall_multiple * capacity + rules.fall_slack * self.shared.mean_work_us {
             drop(budget);
-            self.fell.set(true);
-            self.fleet.journal.put(Event::NodeFell { boot: self.boot });
+            self.failed.set(true);
+            self.shared.journal.put(Event::NodeFell { boot: self.boot });
             let this = self.clone();
             tokio::task::spawn_local(async move { this.kill(true) });
         }
@@ -311,12 +311,12 @@
 }
 
 /// An attempt whose last byte was received.
-struct Taken {
+struct ReceivedAttempt {
     attempt: u64,
     id: u64,
-    facts: Facts,
+    request: RequestParameters,
     /// Whether it takes effect when it runs: its zone had not seen its key within the window.
-    counts: bool,
+    takes_effect: bool,
 }
 
 impl Connection {
@@ -333,35 +333,35 @@
             while self.node.frozen.get() {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
-            let fleet = self.node.fleet.clone();
-            let attempt = fleet.next_attempt.get();
-            fleet.next_attempt.set(attempt + 1);
-            fleet.journal.put(Event::Arriving { attempt, boot: self.node.boot, proxy });
-            let reset = fleet.random.borrow_mut().bernoulli(self.node.resets.get());
-            if reset && fleet.random.borrow_mut().bernoulli(0.5) {
+            let shared = self.node.shared.clone();
+            let attempt = shared.next_attempt.get();
+            shared.next_attempt.set(attempt + 1);
+            shared.journal.put(Event::Arriving { attempt, boot: self.node.boot, proxy });
+            let reset = shared.random.borrow_mut().bernoulli(self.node.reset_fraction.get());
+            if reset && shared.random.borrow_mut().bernoulli(0.5) {
                 return self.reset_at_end(); // unread
             }
             let Ok(message) = self.reader.message().await else { return };
-            let Some(taken) = self.take(attempt, &message).await else { return };
+            let Some(received) = self.receive(attempt, &message).await else { return };
             if reset {
-                self.effect(&taken);
+                self.record_effect(&received);
                 return self.reset_at_end(); // read and run
             }
-            if !self.answer(taken).await {
+            if !self.respond(received).await {
                 return;
             }
         }
     }
 
     /// Identifies the request; `None`: it was answered with an error and the connection ends.
-    async fn take(&mut self, attempt: u64, message: &Message) -> Option<Taken> {
-        let fleet = self.node.fleet.clone();
+    async fn receive(&mut self, attempt: u64, message: &Message) -> Option<ReceivedAttempt> {
+        let shared = self.node.shared.clone();
         let text = message.header("x-correlation-id").unwrap_or("");
         let id = Some(text).filter(|t| t.len() == 16).and_then(|t| u64::from_str_radix(t, 16).ok());
-        let facts = id.and_then(|id| fleet.facts.borrow().get(&id).copied());
-        let Some((id, facts)) = id.zip(facts) else {
+        let request = id.and_then(|id| shared.parameters.borrow().get(&id).copied());
+        let Some((id, request)) = id.zip(request) else {
             let path = message.path().to_string();
-            fleet.journal.put(Event::Unexpected {
+            shared.journal.put(Event::Unexpected {
                 text: format!("node {}: no such request: {path} {text}", self.node.name),
             });
             let status = if text.is_empty() { "404 Not Found" } else { "400 Bad Request" };
@@ -370,15 +370,15 @@
                 .await;
             return None;
         };
-        let at = fleet.journal.put(Event::Received { attempt, id, work_us: facts.work_us });
-        self.node.bear(at, facts.work_us);
-        let (effect, window_us) = fleet.classes[facts.class];
-        let counts = match effect {
+        let at = shared.journal.put(Event::Received { attempt, id, work_us: request.work_us });
+        self.node.charge_slow_start_budget(at, request.work_us);
+        let (effect, window_us) = shared.classes[request.class];
+        let takes_effect = match effect {
             Effect::Safe => false,
             Effect::Unsafe => true,
-            Effect::Keyed => fleet.memories.borrow_mut()[self.node.zone].first(at, facts.key, window_us),
+            Effect::Keyed => shared.seen_keys.borrow_mut()[self.node.zone].is_new(at, request.key, window_us),
         };
-        Some(Taken { attempt, id, facts, counts })
+        Some(ReceivedAttempt { attempt, id, request, takes_effect })
     }
 
     async fn write(&mut self, text: &str) -> io::Result<()> {
@@ -386,19 +386,19 @@
     }
 
     /// Records the effect of a request that has run.
-    fn effect(&self, taken: &Taken) {
-        if taken.counts {
-            let (attempt, key) = (taken.attempt, taken.facts.key);
-            self.node.fleet.journal.put(Event::Effect { attempt, key });
+    fn record_effect(&self, received: &ReceivedAttempt) {
+        if received.takes_effect {
+            let (attempt, key) = (received.attempt, received.request.key);
+            self.node.shared.journal.put(Event::Effect { attempt, key });
         }
     }
 
     /// Processes and answers; false: the connection cannot be used further.
-    async fn answer(&mut self, taken: Taken) -> bool {
-        let (node, attempt) = (self.node.clone(), taken.attempt);
-        let journal = node.fleet.journal.clone();
+    async fn respond(&mut self, received: ReceivedAttempt) -> bool {
+        let (node, attempt) = (self.node.clone(), received.attempt);
+        let journal = node.shared.journal.clone();
         node.advance();
-        if !node.processor.borrow_mut().offer(journal.now(), attempt, taken.facts.work_us) {
+        if !node.processor.borrow_mut().offer(journal.now(), attempt, received.request.work_us) {
             // Recorded before it is written: the proxy may act on it at once.
             journal.put(Event::Rejected { attempt });
             return self
@@ -418,31 +418,31 @@
                 if node.processor.borrow_mut().drop_waiting(attempt) {
                     node.running.borrow_mut().remove(&attempt);
                 } else if ended.await.is_ok() {
-                    self.effect(&taken);
+                    self.record_effect(&received);
                 }
                 return false;
             }
         }
-        self.effect(&taken);
-        tokio::time::sleep(Duration::from_micros(taken.facts.wait_us)).await;
-        let spoilt = node.fleet.random.borrow_mut().bernoulli(node.spoil.get());
-        let body = format!("attempt={attempt} id={:016x}", taken.id);
-        let good = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        if !spoilt {
+        self.record_effect(&received);
+        tokio::time::sleep(Duration::from_micros(received.request.wait_us)).await;
+        let corrupted = node.shared.random.borrow_mut().bernoulli(node.corrupt_fraction.get());
+        let body = format!("attempt={attempt} id={:016x}", received.id);
+        let valid = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        if !corrupted {
             journal.put(Event::Replied { attempt, status: 200 });
-            return self.write(&good).await.is_ok();
+            return self.write(&valid).await.is_ok();
         }
-        let way = node.fleet.random.borrow_mut().below(6);
-        let (text, status, goes_on) = match way {
+        let corruption = node.shared.random.borrow_mut().below(6);
+        let (text, status, reusable) = match corruption {
             0 => ("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".to_string(), 500, true),
             1 => (format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len() + 9), 0, false),
             2 => ("\u{1}\u{2}noise without an end".repeat(3), 0, false),
             3 => (format!("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{body}"), 0, false),
-            4 => (format!("{good}{good}"), 200, true),
-            _ => (format!("HTTP/1.1 100 Continue\r\n\r\n{good}"), 200, true),
+            4 => (format!("{valid}{valid}"), 200, true),
+            _ => (format!("HTTP/1.1 100 Continue\r\n\r\n{valid}"), 200, true),
         };
         journal.put(Event::Replied { attempt, status });
-        self.write(&text).await.is_ok() && goes_on
+        self.write(&text).await.is_ok() && reusable
     }
 }
 
--- a/crates/gaugesaddle-testbed/src/plan.rs
+++ b/crates/gaugesaddle-testbed/src/plan.rs
@@ -119,24 +119,24 @@
     let (mut at, mut requests) = (0.0, Vec::new());
     loop {
         // Thinning: arrivals are drawn at the highest rate, and kept with the probability of the present one.
-        let most = rates(s).fold(1.0, f64::max);
-        at += times.exponential(1.0 / (s.clients.per_s * most));
+        let max_factor = rates(s).fold(1.0, f64::max);
+        at += times.exponential(1.0 / (s.clients.per_s * max_factor));
         if at >= s.seconds {
             requests.extend(draw_storms(s));
             requests.sort_by_key(|a| a.at_us);
             return requests;
         }
-        if !times.bernoulli(rate(s, at) / most) {
+        if !times.bernoulli(rate(s, at) / max_factor) {
             continue;
         }
         let retries = random.below(s.clients.retries as usize + 1) as u32;
-        let usual = RetryPolicy {
+        let client_policy = RetryPolicy {
             retries,
             backoff_ms: s.clients.backoff_ms,
             honour: s.clients.honour,
             storm_client: None,
         };
-        requests.push(draw_request(s, &mut random, at, &usual));
+        requests.push(draw_request(s, &mut random, at, &client_policy));
     }
 }
 
@@ -159,8 +159,8 @@
     let class = class.unwrap_or(s.classes.len() - 1);
     let c = &s.classes[class];
     let patience = c.deadline_ms * random.uniform(s.clients.patience);
-    let usual = retry_policy.storm_client.is_none();
-    let leaves = random.bernoulli(s.clients.leaving).then(|| (patience * random.unit() * 1e3) as u64);
+    let is_regular = retry_policy.storm_client.is_none();
+    let disconnects = random.bernoulli(s.clients.leaving).then(|| (patience * random.unit() * 1e3) as u64);
     PlannedRequest {
         at_us: (at * 1e6) as u64,
         id: random.bits() | 1,
@@ -173,10 +173,10 @@
         retries: retry_policy.retries,
         backoff_us: (random.uniform(retry_policy.backoff_ms) * 1e3) as u64,
         follows_retry_after: random.bernoulli(retry_policy.honour),
-        disconnects_after_us: leaves.filter(|_| usual),
-        slow_writing: random.bernoulli(s.clients.slow_writing) && usual,
-        slow_reading: random.bernoulli(s.clients.slow_reading) && usual,
-        single_request: random.bernoulli(s.clients.single_request) && usual,
+        disconnects_after_us: disconnects.filter(|_| is_regular),
+        slow_writing: random.bernoulli(s.clients.slow_writing) && is_regular,
+        slow_reading: random.bernoulli(s.clients.slow_reading) && is_regular,
+        single_request: random.bernoulli(s.clients.single_request) && is_regular,
         storm_client: retry_policy.storm_client,
     }
 }
@@ -186,20 +186,19 @@
     let mut random = RandomStream::new(s.seed, "crowds");
     let (mut requests, mut number) = (Vec::new(), 0);
     for event in &s.events {
-        let Disturbance::ReconnectStorm { clients, over_s, attempts: retry_policy, wait_ms, honour } =
-            event.disturbance
+        let Disturbance::ReconnectStorm { clients, over_s, attempts, wait_ms, honour } = event.disturbance
         else {
             continue;
         };
         for _ in 0..clients {
-            let how = RetryPolicy {
-                retries: retry_policy.saturating_sub(1),
+            let storm_policy = RetryPolicy {
+                retries: attempts.saturating_sub(1),
                 backoff_ms: wait_ms,
                 honour,
                 storm_client: Some(number),
             };
             let at = event.at_s + over_s * random.unit();
-            requests.push(draw_request(s, &mut random, at, &how));
+            requests.push(draw_request(s, &mut random, at, &storm_policy));
             number += 1;
         }
     }
--- a/crates/gaugesaddle-testbed/src/plan/tests.rs
+++ b/crates/gaugesaddle-testbed/src/plan/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_seed_means_the_same_and_another_one_something_else() {
+fn a_plan_is_determined_by_its_seed() {
     let s = Scenario::default().event(2.0, Disturbance::Deploy { nodes: 3, group: 2, every_s: 1.0 });
     let (one, two) = (plan(&s), plan(&s));
     assert_eq!(one, two);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_burst_brings_so_many_times_as_many() {
+fn a_burst_multiplies_the_arrival_rate_by_its_factor() {
     let s = Scenario::default().event(2.0, Disturbance::Burst { factor: 5.0, for_s: 2.0 });
     let plan = plan(&s);
     let count = |from: f64, to: f64| {
@@ -25,14 +25,14 @@
 }
 
 #[test]
-fn an_event_more_changes_no_request() {
+fn an_additional_event_changes_no_request() {
     let s = Scenario::default();
     let more = s.clone().event(1.0, Disturbance::Crash { node: 0, back_after_s: Some(1.0) });
     assert_eq!(plan(&s).requests, plan(&more).requests);
 }
 
 #[test]
-fn only_what_is_harmless_is_asked_again() {
+fn only_safe_or_unprocessed_requests_may_be_retried() {
     assert!(may_retry(Effect::Safe, 502, true) && !may_retry(Effect::Safe, 200, true));
     assert!(may_retry(Effect::Keyed, 503, true) && !may_retry(Effect::Keyed, 502, true));
     assert!(may_retry(Effect::Unsafe, 0, false) && !may_retry(Effect::Unsafe, 0, true));
--- a/crates/gaugesaddle-testbed/src/process.rs
+++ b/crates/gaugesaddle-testbed/src/process.rs
@@ -56,14 +56,14 @@
             .spawn()?;
         let log = Arc::<Mutex<VecDeque<String>>>::default();
         if let Some(stderr) = child.stderr.take() {
-            let kept = log.clone();
+            let lines = log.clone();
             std::thread::spawn(move || {
                 for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                    let mut kept = kept.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-                    if kept.len() == LOG_CAPACITY {
-                        kept.pop_front();
+                    let mut lines = lines.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+                    if lines.len() == LOG_CAPACITY {
+                        lines.pop_front();
                     }
-                    kept.push_back(line);
+                    lines.push_back(line);
                 }
             });
         }
@@ -89,9 +89,9 @@
     /// The configuration cannot be written, or the signal cannot be sent.
     pub fn reload(&self, config: &Value) -> io::Result<()> {
         // Moved into place: a reader sees the old one or the new one.
-        let draft = self.config.with_extension("new");
-        std::fs::write(&draft, config.to_string())?;
-        std::fs::rename(&draft, &self.config)?;
+        let replacement = self.config.with_extension("new");
+        std::fs::write(&replacement, config.to_string())?;
+        std::fs::rename(&replacement, &self.config)?;
         self.signal("HUP")
     }
 
--- a/crates/gaugesaddle-testbed/src/processor.rs
+++ b/crates/gaugesaddle-testbed/src/processor.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 
 /// Span over which a changing speed is taken as constant.
-const SLICE_US: f64 = 5_000.0;
+const MAX_STEP_US: f64 = 5_000.0;
 
 /// Fraction of its full capacity that a node of that age has.
 pub fn slow_start_fraction(cold_from: f64, ramp_us: f64, age_us: f64) -> f64 {
@@ -16,14 +16,15 @@
 }
 
 /// Work that a node can do between two ages, in microseconds of a standard core.
-pub fn present_work(speed: f64, cold_from: f64, ramp_us: f64, from_us: f64, to_us: f64) -> f64 {
+pub fn work_between(speed: f64, cold_from: f64, ramp_us: f64, from_us: f64, to_us: f64) -> f64 {
     // Capacity rises linearly: the mean of both ends, and full capacity after it.
     let from = from_us.max(0.0);
-    let bend = ramp_us.clamp(from, to_us.max(from));
-    let on_ramp =
-        (slow_start_fraction(cold_from, ramp_us, from) + slow_start_fraction(cold_from, ramp_us, bend)) / 2.0
-            * (bend - from);
-    speed * (on_ramp + (to_us - bend).max(0.0))
+    let ramp_end = ramp_us.clamp(from, to_us.max(from));
+    let ramp_work = (slow_start_fraction(cold_from, ramp_us, from)
+        + slow_start_fraction(cold_from, ramp_us, ramp_end))
+        / 2.0
+        * (ramp_end - from);
+    speed * (ramp_work + (to_us - ramp_end).max(0.0))
 }
 
 struct Job {
@@ -40,7 +41,7 @@
     started: f64,
     slots: usize,
     queue: usize,
-    choke: Overload,
+    overload: Overload,
     /// Factor of a slowdown.
     pub slow: f64,
     /// Whether it accepts requests and ends none.
@@ -49,13 +50,13 @@
     waiting: VecDeque<Job>,
     now: f64,
     /// Whether it is overloaded.
-    pub choked: bool,
-    since: Option<f64>,
+    pub overloaded: bool,
+    crossed_at: Option<f64>,
 }
 
 impl Processor {
     /// A machine of that kind, with its start; in slow start or at full capacity.
-    pub fn new(kind: &Kind, choke: Overload, started: u64, cold: bool) -> Processor {
+    pub fn new(kind: &Kind, overload: Overload, started: u64, cold: bool) -> Processor {
         Processor {
             cores: kind.cores as f64,
             speed: kind.speed,
@@ -64,14 +65,14 @@
             started: started as f64,
             slots: kind.slots_per_core * kind.cores,
             queue: kind.queue_per_core * kind.cores,
-            choke,
+            overload,
             slow: 1.0,
             hung: false,
             running: Vec::new(),
             waiting: VecDeque::new(),
             now: started as f64,
-            choked: false,
-            since: None,
+            overloaded: false,
+            crossed_at: None,
         }
     }
 
@@ -99,13 +100,13 @@
         if self.hung {
             return 0.0;
         }
-        let warm = slow_start_fraction(self.initial_capacity, self.slow_start_us, at - self.started);
-        let choke = if self.choked { self.choke.slower } else { 1.0 };
-        self.speed * warm / self.slow / choke
+        let capacity = slow_start_fraction(self.initial_capacity, self.slow_start_us, at - self.started);
+        let slowdown = if self.overloaded { self.overload.slower } else { 1.0 };
+        self.speed * capacity / self.slow / slowdown
     }
 
     /// Work of each running job in a microsecond.
-    fn each(&self, at: f64) -> f64 {
+    fn rate_per_job(&self, at: f64) -> f64 {
         self.rate(at) * (self.cores / self.running.len().max(1) as f64).min(1.0)
     }
 
@@ -113,13 +114,14 @@
     pub fn run(&mut self, now: u64, ended: &mut Vec<u64>) {
         let now = now as f64;
         while self.now < now {
-            let each = self.each(self.now);
-            let first = self.running.iter().map(|j| j.remaining_us).fold(f64::INFINITY, f64::min);
-            let to_end = if each > 0.0 { first / each } else { f64::INFINITY };
-            let step = (now - self.now).min(to_end.max(1.0)).min(SLICE_US);
-            self.running.iter_mut().for_each(|j| j.remaining_us -= each * step);
+            let rate_per_job = self.rate_per_job(self.now);
+            let least_remaining_us =
+                self.running.iter().map(|j| j.remaining_us).fold(f64::INFINITY, f64::min);
+            let to_end = if rate_per_job > 0.0 { least_remaining_us / rate_per_job } else { f64::INFINITY };
+            let step = (now - self.now).min(to_end.max(1.0)).min(MAX_STEP_US);
+            self.running.iter_mut().for_each(|j| j.remaining_us -= rate_per_job * step);
             self.now += step;
-            self.press();
+            self.update_overload();
             let mut i = 0;
             while i < self.running.len() {
                 if self.running[i].remaining_us <= 1e-6 {
@@ -136,28 +138,32 @@
     }
 
     /// Becomes overloaded, or recovers.
-    fn press(&mut self) {
-        let held = self.in_flight() as f64 / self.cores;
-        let turning = if self.choked { held < self.choke.below } else { held > self.choke.at };
-        if !turning {
-            self.since = None;
+    fn update_overload(&mut self) {
+        let jobs_per_core = self.in_flight() as f64 / self.cores;
+        let threshold_crossed = if self.overloaded {
+            jobs_per_core < self.overload.below
+        } else {
+            jobs_per_core > self.overload.at
+        };
+        if !threshold_crossed {
+            self.crossed_at = None;
             return;
         }
-        let since = *self.since.get_or_insert(self.now);
-        let wanted = if self.choked { self.choke.rest_s } else { self.choke.over_s };
-        if self.now - since >= wanted * 1e6 {
-            self.choked = !self.choked;
-            self.since = None;
+        let crossed_at = *self.crossed_at.get_or_insert(self.now);
+        let duration_s = if self.overloaded { self.overload.rest_s } else { self.overload.over_s };
+        if self.now - crossed_at >= duration_s * 1e6 {
+            self.overloaded = !self.overloaded;
+            self.crossed_at = None;
         }
     }
 
     /// Time at which to run again at the latest.
     pub fn next(&self) -> Option<u64> {
-        let each = self.each(self.now);
-        let first = self.running.iter().map(|j| j.remaining_us).fold(f64::INFINITY, f64::min);
-        let wait = if first.is_finite() && each > 0.0 {
-            first / each
-        } else if self.choked || self.in_flight() > 0 {
+        let rate_per_job = self.rate_per_job(self.now);
+        let least_remaining_us = self.running.iter().map(|j| j.remaining_us).fold(f64::INFINITY, f64::min);
+        let wait = if least_remaining_us.is_finite() && rate_per_job > 0.0 {
+            least_remaining_us / rate_per_job
+        } else if self.overloaded || self.in_flight() > 0 {
             50_000.0 // nothing ends by itself: look again for a change
         } else {
             return None;
--- a/crates/gaugesaddle-testbed/src/processor/tests.rs
+++ b/crates/gaugesaddle-testbed/src/processor/tests.rs
@@ -9,8 +9,8 @@
         queue_per_core: 1,
         ..Kind::default()
     };
-    let choke = Overload { at: 1.5, over_s: 0.1, slower: 4.0, below: 0.5, rest_s: 0.1 };
-    Processor::new(&kind, choke, 0, cold)
+    let overload = Overload { at: 1.5, over_s: 0.1, slower: 4.0, below: 0.5, rest_s: 0.1 };
+    Processor::new(&kind, overload, 0, cold)
 }
 
 /// Runs until that job ends.
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_job_alone_takes_its_work_over_the_speed() {
+fn a_single_job_takes_its_work_divided_by_the_speed() {
     let mut p = machine(false);
     assert!(p.offer(0, 1, 20_000));
     assert!((end_of(&mut p, 1) - 10.0).abs() < 0.1);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn jobs_share_a_core_and_the_rest_waits_or_is_turned_away() {
+fn jobs_share_a_core_and_excess_jobs_are_queued_or_rejected() {
     let mut p = machine(false);
     assert!(p.offer(0, 1, 20_000) && p.offer(0, 2, 20_000) && p.offer(0, 3, 20_000));
     assert!(!p.offer(0, 4, 20_000), "two slots and one place in the queue");
@@ -42,36 +42,36 @@
 }
 
 #[test]
-fn a_cold_machine_is_slower_by_what_it_is_said_to_be() {
+fn a_cold_machine_runs_at_its_initial_capacity() {
     let mut p = machine(true);
     assert!(p.offer(0, 1, 20_000));
     let cold = end_of(&mut p, 1);
     // Half speed at first, a little more by then; the end is seen at the next look, 20 ms at the latest.
     assert!((19.0..=20.0).contains(&cold), "{cold}");
-    let work = present_work(2.0, 0.5, 1e6, 0.0, cold * 1e3);
+    let work = work_between(2.0, 0.5, 1e6, 0.0, cold * 1e3);
     assert!((work - 20_000.0).abs() < 300.0, "{work}");
-    assert!((present_work(2.0, 0.5, 1e6, 0.0, 2e6) - 2.0 * (0.75e6 + 1e6)).abs() < 1.0);
-    assert!((present_work(2.0, 0.5, 1e6, 1.5e6, 2e6) - 1e6).abs() < 1.0);
+    assert!((work_between(2.0, 0.5, 1e6, 0.0, 2e6) - 2.0 * (0.75e6 + 1e6)).abs() < 1.0);
+    assert!((work_between(2.0, 0.5, 1e6, 1.5e6, 2e6) - 1e6).abs() < 1.0);
 }
 
 #[test]
-fn lasting_pressure_chokes_and_rest_ends_it() {
+fn sustained_load_overloads_a_machine_and_low_load_ends_the_overload() {
     let mut p = machine(false);
     let mut ended = Vec::new();
     p.offer(0, 1, 1_000_000);
     p.offer(0, 2, 1_000_000);
     p.run(90_000, &mut ended);
-    assert!(!p.choked);
+    assert!(!p.overloaded);
     p.run(120_000, &mut ended);
-    assert!(p.choked, "two requests a core for 0.1 s");
+    assert!(p.overloaded, "two requests a core for 0.1 s");
     end_of(&mut p, 1);
     let now = p.now as u64;
     p.run(now + 300_000, &mut ended);
-    assert!(!p.choked, "rested");
+    assert!(!p.overloaded, "rested");
 }
 
 #[test]
-fn a_hung_machine_ends_nothing() {
+fn a_hung_machine_completes_no_job() {
     let mut p = machine(false);
     p.offer(0, 1, 1_000);
     p.hung = true;
--- a/crates/gaugesaddle-testbed/src/program.rs
+++ b/crates/gaugesaddle-testbed/src/program.rs
@@ -10,14 +10,14 @@
 /// # Panics
 /// Where it has not been built; `cargo test` builds it for the tests of its own package, `cargo run` does not.
 pub fn path(name: &str) -> PathBuf {
-    let found = find(name);
+    let found = expected_path(name);
     assert!(found.is_file(), "{}: not built; run `cargo build` with the same profile first", found.display());
     found
 }
 
-fn find(name: &str) -> PathBuf {
-    let own = std::env::current_exe().expect("a path to this program");
-    let mut folder = own.parent().unwrap_or(Path::new("."));
+fn expected_path(name: &str) -> PathBuf {
+    let current = std::env::current_exe().expect("a path to this program");
+    let mut folder = current.parent().unwrap_or(Path::new("."));
     if folder.file_name().is_some_and(|n| n == "deps" || n == "examples") {
         folder = folder.parent().unwrap_or(folder);
     }
--- a/crates/gaugesaddle-testbed/src/random.rs
+++ b/crates/gaugesaddle-testbed/src/random.rs
@@ -28,8 +28,8 @@
     }
 
     /// True with that probability.
-    pub fn bernoulli(&mut self, part: f64) -> bool {
-        self.unit() < part
+    pub fn bernoulli(&mut self, probability: f64) -> bool {
+        self.unit() < probability
     }
 
     /// Exponential with that mean.
--- a/crates/gaugesaddle-testbed/src/random/tests.rs
+++ b/crates/gaugesaddle-testbed/src/random/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn draws_have_their_means() {
+fn distributions_have_the_requested_means() {
     let mut random = RandomStream::new(7, "means");
     let mean = |draw: &mut dyn FnMut() -> f64| (0..20_000).map(|_| draw()).sum::<f64>() / 20_000.0;
     assert!((mean(&mut || random.unit()) - 0.5).abs() < 0.02);
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_purpose_has_a_stream_of_its_own() {
+fn each_seed_and_purpose_has_its_own_stream() {
     let first = |purpose| RandomStream::new(1, purpose).bits();
     assert_eq!(first("a"), first("a"));
     assert_ne!(first("a"), first("b"));
--- a/crates/gaugesaddle-testbed/src/record.rs
+++ b/crates/gaugesaddle-testbed/src/record.rs
@@ -280,12 +280,12 @@
     /// Appends an event with the present time.
     pub fn put(&self, event: Event) -> Moment {
         // The stamp is taken inside of the lock: no record is older than the one before it.
-        let mut kept = self.records.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut guard = self.records.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let at = self.now();
-        if kept.0.len() < MAX_RECORDS {
-            kept.0.push(Record { at, event });
+        if guard.0.len() < MAX_RECORDS {
+            guard.0.push(Record { at, event });
         } else {
-            kept.1 += 1;
+            guard.1 += 1;
         }
         at
     }
@@ -297,7 +297,7 @@
 
     /// Calls a function with the records from the n-th on.
     pub fn read<T>(&self, from: usize, with: impl FnOnce(&[Record]) -> T) -> T {
-        let kept = self.records.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        with(kept.0.get(from..).unwrap_or(&[]))
+        let guard = self.records.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        with(guard.0.get(from..).unwrap_or(&[]))
     }
 }
--- a/crates/gaugesaddle-testbed/src/regions.rs
+++ b/crates/gaugesaddle-testbed/src/regions.rs
@@ -22,8 +22,8 @@
 }
 
 /// The federation of a run.
-pub struct Joined {
-    s: Regions,
+pub struct Federation {
+    settings: Regions,
     authority: Authority,
     folder: PathBuf,
     /// By proxy: its region, its gateway, and the link to it.
@@ -31,41 +31,46 @@
     extra_us: Cell<u64>,
 }
 
-impl Joined {
-    pub async fn new(s: &Scenario, lease: &Lease, folder: &Path) -> io::Result<Joined> {
-        let mut gates = Vec::new();
+impl Federation {
+    pub async fn new(s: &Scenario, lease: &Lease, folder: &Path) -> io::Result<Federation> {
+        let mut gateway_links = Vec::new();
         for proxy in 0..s.proxies {
-            let gate = SocketAddr::new(lease.proxy(proxy).ip(), GATEWAY_PORT);
-            let relay = Relay::start(lease.peer(), gate).await?;
-            gates.push((s.region(proxy), gate, relay));
+            let gateway = SocketAddr::new(lease.proxy(proxy).ip(), GATEWAY_PORT);
+            let relay = Relay::start(lease.peer(), gateway).await?;
+            gateway_links.push((s.region(proxy), gateway, relay));
         }
         let (authority, extra_us) = (Authority::new(), Cell::new(0));
-        let joined =
-            Joined { s: s.regions.clone(), authority, folder: folder.into(), gateways: gates, extra_us };
-        for region in 0..joined.s.count {
-            std::fs::create_dir_all(joined.files(region).folder)?;
+        let federation = Federation {
+            settings: s.regions.clone(),
+            authority,
+            folder: folder.into(),
+            gateways: gateway_links,
+            extra_us,
+        };
+        for region in 0..federation.settings.count {
+            std::fs::create_dir_all(federation.key_files(region).folder)?;
         }
-        joined.new_keys()?;
-        joined.delay(0);
-        Ok(joined)
+        federation.new_keys()?;
+        federation.delay(0);
+        Ok(federation)
     }
 
-    fn files(&self, region: usize) -> KeyFiles {
+    fn key_files(&self, region: usize) -> KeyFiles {
         KeyFiles { folder: self.folder.join(name(region)) }
     }
 
     /// Issues new keys to every region.
     pub fn new_keys(&self) -> io::Result<()> {
-        (0..self.s.count).try_for_each(|region| {
-            self.files(region).put_all(&self.authority.issue(&name(region)), &self.authority.pem)
+        (0..self.settings.count).try_for_each(|region| {
+            self.key_files(region).put_all(&self.authority.issue(&name(region)), &self.authority.pem)
         })
     }
 
     /// Additional latency between regions, each way.
     pub fn delay(&self, by_us: u64) {
         self.extra_us.set(by_us);
-        let way = Duration::from_micros((self.s.way_ms * 1e3) as u64 + by_us);
-        self.gateways.iter().for_each(|(_, _, relay)| relay.delay(way));
+        let one_way_delay = Duration::from_micros((self.settings.way_ms * 1e3) as u64 + by_us);
+        self.gateways.iter().for_each(|(_, _, relay)| relay.delay(one_way_delay));
     }
 
     pub fn partition(&self, cut: bool) {
@@ -74,17 +79,18 @@
 
     /// The section of a proxy's operator file.
     pub fn section(&self, proxy: usize) -> String {
-        let (region, gate, _) = &self.gateways[proxy];
-        let (Regions { per_s, in_flight, hops, way_ms, .. }, files) = (&self.s, self.files(*region));
+        let (region, gateway, _) = &self.gateways[proxy];
+        let (Regions { per_s, in_flight, hops, way_ms, .. }, key_files) =
+            (&self.settings, self.key_files(*region));
         let mut text = format!(
-            "[region]\nenabled = true\nname = {:?}\nlisten = \"{gate}\"\nhops = {hops}\n{}",
+            "[region]\nenabled = true\nname = {:?}\nlisten = \"{gateway}\"\nhops = {hops}\n{}",
             name(*region),
-            files.to_toml()
+            key_files.to_toml()
         );
         let trip = ((2.0 * way_ms) as u64 + 5).max(1);
-        for other in (0..self.s.count).filter(|o| o != region) {
-            let there = self.gateways.iter().filter(|g| g.0 == other);
-            let addresses: Vec<String> = there.map(|g| format!("\"{}\"", g.2.address())).collect();
+        for other in (0..self.settings.count).filter(|o| o != region) {
+            let remote = self.gateways.iter().filter(|g| g.0 == other);
+            let addresses: Vec<String> = remote.map(|g| format!("\"{}\"", g.2.address())).collect();
             text += &format!(
                 "[[region.other]]\nname = {:?}\naddresses = [{}]\nround_trip_ms = {trip}\n\
                  send = {{ per_s = {per_s}, in_flight = {in_flight} }}\n\
--- a/crates/gaugesaddle-testbed/src/relay.rs
+++ b/crates/gaugesaddle-testbed/src/relay.rs
@@ -21,7 +21,7 @@
     delay_us: Cell<u64>,
     changed: Notify,
     tasks: RefCell<Vec<AbortHandle>>,
-    passed: Cell<u64>,
+    bytes_forwarded: Cell<u64>,
 }
 
 impl Relay {
@@ -38,12 +38,12 @@
             delay_us: Cell::default(),
             changed: Notify::new(),
             tasks: RefCell::default(),
-            passed: Cell::default(),
+            bytes_forwarded: Cell::default(),
         });
         let this = relay.clone();
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let handle = tokio::task::spawn_local(this.clone().pass(stream)).abort_handle();
+                let handle = tokio::task::spawn_local(this.clone().serve(stream)).abort_handle();
                 let mut tasks = this.tasks.borrow_mut();
                 tasks.retain(|t| !t.is_finished());
                 tasks.push(handle);
@@ -58,14 +58,14 @@
     }
 
     /// Forwards new connections there from now on.
-    pub fn lead_to(&self, to: SocketAddr) {
+    pub fn forward_to(&self, to: SocketAddr) {
         self.to.set(to);
     }
 
     /// While true nothing passes, new connections included. Afterwards the connections on which data was pending are
     /// reset: delivered late, the data would look as if it had been sent late.
-    pub fn block(&self, silent: bool) {
-        self.blocked.set(silent);
+    pub fn block(&self, blocked_now: bool) {
+        self.blocked.set(blocked_now);
         self.changed.notify_waiters();
     }
 
@@ -80,38 +80,38 @@
     }
 
     /// Bytes forwarded, both ways.
-    pub fn passed(&self) -> u64 {
-        self.passed.get()
+    pub fn bytes_forwarded(&self) -> u64 {
+        self.bytes_forwarded.get()
     }
 
     /// Waits while the link is blocked; an error if it was.
     async fn unblocked(&self) -> io::Result<()> {
-        let waits = self.blocked.get();
+        let was_blocked = self.blocked.get();
         while self.blocked.get() {
             self.changed.notified().await;
         }
-        if waits {
+        if was_blocked {
             Err(io::ErrorKind::ConnectionReset.into())
         } else {
             Ok(())
         }
     }
 
-    async fn pass(self: Rc<Self>, near: TcpStream) {
-        let near = Resetting(near);
+    async fn serve(self: Rc<Self>, near: TcpStream) {
+        let near = ResetOnDrop(near);
         if self.unblocked().await.is_err() {
             return;
         }
         let Ok(far) = TcpStream::connect(self.to.get()).await else { return };
-        let far = Resetting(far);
+        let far = ResetOnDrop(far);
         let (_, _) = (near.0.set_nodelay(true), far.0.set_nodelay(true));
         let one = async {
             let ended = self.forward(&near.0, &far.0).await;
-            ended.map(|()| shut(&far.0))
+            ended.map(|()| shut_down_write(&far.0))
         };
         let other = async {
             let ended = self.forward(&far.0, &near.0).await;
-            ended.map(|()| shut(&near.0))
+            ended.map(|()| shut_down_write(&near.0))
         };
         if tokio::try_join!(one, other).is_ok() {
             // Both ends closed in order.
@@ -133,25 +133,25 @@
                 return Ok(());
             }
             Borrowed(to).write_all(&buffer[..n]).await?;
-            self.passed.set(self.passed.get() + n as u64);
+            self.bytes_forwarded.set(self.bytes_forwarded.get() + n as u64);
         }
     }
 }
 
-fn shut(stream: &TcpStream) {
+fn shut_down_write(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).shutdown(std::net::Shutdown::Write);
 }
 
 /// Resets its connection when dropped, unless it ended in order.
-struct Resetting(TcpStream);
+struct ResetOnDrop(TcpStream);
 
-impl Resetting {
+impl ResetOnDrop {
     fn disarm(&self) {
         let _ = socket2::SockRef::from(&self.0).set_linger(None);
     }
 }
 
-impl Drop for Resetting {
+impl Drop for ResetOnDrop {
     fn drop(&mut self) {
         // A stream that ended in order has been shut down both ways: there is nothing left to reset.
         let _ = socket2::SockRef::from(&self.0).set_linger(Some(Duration::ZERO));
@@ -199,7 +199,7 @@
     fn poll_shutdown(
         self: std::pin::Pin<&mut Self>, _: &mut std::task::Context<'_>,
     ) -> std::task::Poll<io::Result<()>> {
-        shut(self.0);
+        shut_down_write(self.0);
         std::task::Poll::Ready(Ok(()))
     }
 }
--- a/crates/gaugesaddle-testbed/src/relay/tests.rs
+++ b/crates/gaugesaddle-testbed/src/relay/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[tokio::test]
-async fn it_passes_silences_delays_and_resets() {
+async fn a_relay_forwards_blocks_delays_and_resets() {
     let all = async {
         let bind = "127.0.0.1:0".parse().unwrap();
         let relay = Relay::start(bind, echo().await).await.unwrap();
@@ -23,11 +23,11 @@
         let mut buffer = [0; 4];
         stream.write_all(b"one ").await.unwrap();
         stream.read_exact(&mut buffer).await.unwrap();
-        assert_eq!((&buffer, relay.passed()), (b"one ", 8));
+        assert_eq!((&buffer, relay.bytes_forwarded()), (b"one ", 8));
         relay.block(true);
         stream.write_all(b"two ").await.unwrap();
         let silent = tokio::time::timeout(Duration::from_millis(60), stream.read_exact(&mut buffer)).await;
-        assert!(silent.is_err() && relay.passed() == 8);
+        assert!(silent.is_err() && relay.bytes_forwarded() == 8);
         relay.block(false);
         let ended = stream.read(&mut buffer).await;
         assert_eq!(ended.unwrap_err().kind(), io::ErrorKind::ConnectionReset, "something waited on it");
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test]
-async fn an_end_in_order_stays_one() {
+async fn an_orderly_close_is_forwarded_without_a_reset() {
     let all = async {
         let bind = "127.0.0.1:0".parse().unwrap();
         let relay = Relay::start(bind, echo().await).await.unwrap();
--- a/crates/gaugesaddle-testbed/src/scenario.rs
+++ b/crates/gaugesaddle-testbed/src/scenario.rs
@@ -140,8 +140,8 @@
     }
 
     /// Adds a disturbance.
-    pub fn event(mut self, at_s: f64, what: Disturbance) -> Scenario {
-        self.events.push(ScheduledDisturbance { at_s, disturbance: what });
+    pub fn event(mut self, at_s: f64, disturbance: Disturbance) -> Scenario {
+        self.events.push(ScheduledDisturbance { at_s, disturbance });
         self
     }
 
--- a/crates/gaugesaddle-testbed/src/scenario/tests.rs
+++ b/crates/gaugesaddle-testbed/src/scenario/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_file_says_what_differs_from_the_defaults() {
+fn omitted_keys_take_their_defaults() {
     let text =
         "seed = 9\nseconds = 4\n[clients]\nper_s = 50.0\n[[events]]\nat_s = 1.5\ndo = \"crash\"\nnode = 2\n";
     let read = Scenario::parse(text).expect("sound");
@@ -14,16 +14,16 @@
 }
 
 #[test]
-fn what_cannot_be_played_is_told_by_its_key() {
-    let told = |text: &str| Scenario::parse(text).expect_err("unsound").to_string();
-    assert!(told("secconds = 4\n").contains("secconds"));
-    assert!(told("seconds = 0\n").starts_with("seconds: expected"));
-    assert!(told("[[events]]\nat_s = 1.0\ndo = \"crash\"\nnode = 99\n").starts_with("events: expected"));
-    assert!(told("[[events]]\nat_s = 1.0\ndo = \"explode\"\n").contains("explode"));
-    assert!(told("[clients]\nhonour = 2.0\n").starts_with("clients: expected"));
-    assert!(told("[clients]\nuneven = [0.0]\n").starts_with("clients.uneven: expected"));
+fn an_invalid_scenario_is_reported_with_its_key() {
+    let error_for = |text: &str| Scenario::parse(text).expect_err("unsound").to_string();
+    assert!(error_for("secconds = 4\n").contains("secconds"));
+    assert!(error_for("seconds = 0\n").starts_with("seconds: expected"));
+    assert!(error_for("[[events]]\nat_s = 1.0\ndo = \"crash\"\nnode = 99\n").starts_with("events: expected"));
+    assert!(error_for("[[events]]\nat_s = 1.0\ndo = \"explode\"\n").contains("explode"));
+    assert!(error_for("[clients]\nhonour = 2.0\n").starts_with("clients: expected"));
+    assert!(error_for("[clients]\nuneven = [0.0]\n").starts_with("clients.uneven: expected"));
     let network = "[[events]]\nat_s = 1.0\ndo = \"network\"\nfor_s = 2.0\nlinks = { parts = [0, 1, 1] }\n";
-    assert!(told(network).starts_with("events: expected"), "they know nothing of one another");
+    assert!(error_for(network).starts_with("events: expected"), "they know nothing of one another");
     let sound = Scenario::parse(&format!("peers = true\n{network}")).expect("sound");
     assert!(
         matches!(&sound.events[0].disturbance, Disturbance::Network { links, .. } if links.groups == [0, 1, 1])
--- a/crates/gaugesaddle-testbed/src/scripted/backend.rs
+++ b/crates/gaugesaddle-testbed/src/scripted/backend.rs
@@ -45,13 +45,13 @@
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let (seen, answer) = (all.clone(), answer.clone());
-                std::thread::spawn(move || Backend::converse(stream, &seen, &*answer));
+                std::thread::spawn(move || Backend::serve_connection(stream, &seen, &*answer));
             }
         });
         Backend { address, seen }
     }
 
-    fn converse(mut stream: TcpStream, seen: &Seen, answer: &dyn Fn(&Message) -> Reply) {
+    fn serve_connection(mut stream: TcpStream, seen: &Seen, answer: &dyn Fn(&Message) -> Reply) {
         *seen.opened.lock().unwrap() += 1;
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         while let Some(message) = read_message(&mut reader) {
@@ -99,8 +99,8 @@
     pub fn start() -> UnacceptingBackend {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let brief = Duration::from_millis(300);
-        let queued = std::iter::from_fn(|| TcpStream::connect_timeout(&address, brief).ok());
+        let connect_timeout = Duration::from_millis(300);
+        let queued = std::iter::from_fn(|| TcpStream::connect_timeout(&address, connect_timeout).ok());
         let queued = queued.take(10_000).collect();
         UnacceptingBackend { address, listener, queued }
     }
--- a/crates/gaugesaddle-testbed/src/scripted/client.rs
+++ b/crates/gaugesaddle-testbed/src/scripted/client.rs
@@ -58,7 +58,7 @@
 pub fn request(class: &str, left_ms: u64) -> String {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     let id = NEXT.fetch_add(1, Ordering::Relaxed);
-    let (method, more) = match class {
+    let (method, extra_headers) = match class {
         "read" => ("GET", ""),
         "vote" => ("POST", "Idempotency-Key: k1\r\nContent-Length: 4\r\n"),
         _ => ("POST", "Content-Length: 4\r\n"),
@@ -66,7 +66,7 @@
     let body = if method == "GET" { "" } else { "body" };
     format!(
         "{method} /{class}/a?b=c HTTP/1.1\r\nHost: backend.local\r\nX-Correlation-Id: {id:016x}\r\n\
-         X-Service-Class: {class}\r\nX-Time-Left-Ms: {left_ms}\r\n{more}\r\n{body}"
+         X-Service-Class: {class}\r\nX-Time-Left-Ms: {left_ms}\r\n{extra_headers}\r\n{body}"
     )
 }
 
--- a/crates/gaugesaddle-testbed/src/scripted/discovery.rs
+++ b/crates/gaugesaddle-testbed/src/scripted/discovery.rs
@@ -26,9 +26,9 @@
     /// Lists come in many lines.
     indented: bool,
     /// The next list stops in its middle.
-    half: bool,
+    truncated: bool,
     /// The last version given, and calls when it was.
-    given: (u64, usize),
+    last_response: (u64, usize),
     /// How often it has fallen silent and come back: even, it speaks.
     outage_transitions: u64,
     /// In place of silence it closes what is open and what comes.
@@ -37,27 +37,27 @@
 
 impl ListState {
     /// What a call is answered; `None`: nothing yet. `over`: it may wait no longer.
-    fn answer(&mut self, after: Option<u64>, over: bool, calls: usize) -> Option<String> {
-        if let Some(said) = self.scripted_answer.take() {
-            self.given = (self.index, calls);
-            return Some(said);
+    fn answer(&mut self, after: Option<u64>, timed_out: bool, calls: usize) -> Option<String> {
+        if let Some(response) = self.scripted_answer.take() {
+            self.last_response = (self.index, calls);
+            return Some(response);
         }
         let whole = after.is_none_or(|after| after < self.snapshot_version);
         match after {
             None if self.snapshot_version == 0 => return None,
-            Some(after) if after >= self.index && !over => return None,
+            Some(after) if after >= self.index && !timed_out => return None,
             Some(after) if after >= self.index => {}
-            _ => self.given = (self.index, calls),
+            _ => self.last_response = (self.index, calls),
         }
-        let is_gone = |line: &Value| line["status"] == "gone";
-        let told = self.entries.values().filter(|(version, line)| {
+        let is_departed = |line: &Value| line["status"] == "gone";
+        let changed = self.entries.values().filter(|(version, line)| {
             if whole {
-                !is_gone(line)
+                !is_departed(line)
             } else {
                 after.is_some_and(|after| *version > after)
             }
         });
-        let lines: Vec<&Value> = told.map(|l| &l.1).collect();
+        let lines: Vec<&Value> = changed.map(|l| &l.1).collect();
         let list = json!({"index": self.index, "snapshot": whole, "endpoints": lines});
         if self.indented {
             return serde_json::to_string_pretty(&list).ok();
@@ -109,46 +109,46 @@
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let discovery = all.clone();
-                std::thread::spawn(move || discovery.converse(stream));
+                std::thread::spawn(move || discovery.serve_connection(stream));
             }
         });
         discovery
     }
 
-    fn converse(&self, mut stream: TcpStream) {
+    fn serve_connection(&self, mut stream: TcpStream) {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         while let Some(message) = read_message(&mut reader) {
             *self.calls.lock().unwrap() += 1;
-            let Some(answer) = self.state(&stream, &message.start) else { break };
+            let Some(answer) = self.await_response(&stream, &message.start) else { break };
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", answer.len());
-            let half = std::mem::take(&mut self.state.0.lock().unwrap().half);
-            let shown = if half { &answer[..answer.len() / 2] } else { &answer[..] };
-            let _ = stream.write_all((head + shown).as_bytes());
+            let truncated = std::mem::take(&mut self.state.0.lock().unwrap().truncated);
+            let written = if truncated { &answer[..answer.len() / 2] } else { &answer[..] };
+            let _ = stream.write_all((head + written).as_bytes());
         }
     }
 
     /// Waits for news; `None` once the other side has closed the connection.
-    fn state(&self, stream: &TcpStream, call: &str) -> Option<String> {
+    fn await_response(&self, stream: &TcpStream, call: &str) -> Option<String> {
         let number = |key: &str| {
             let (_, rest) = call.split_once(key)?;
             rest.split(|c: char| !c.is_ascii_digit()).next()?.parse::<u64>().ok()
         };
         let (after, wait) = (number("after="), number("wait_ms=").unwrap_or(0));
         let end = Instant::now() + Duration::from_millis(wait);
-        let mut news = self.state.0.lock().unwrap();
-        let turns = news.outage_transitions;
+        let mut state = self.state.0.lock().unwrap();
+        let transitions = state.outage_transitions;
         stream.set_nonblocking(true).unwrap();
         while !matches!(stream.peek(&mut [0]), Ok(0)) {
-            if turns % 2 == 0 && turns == news.outage_transitions {
-                if let Some(answer) = news.answer(after, Instant::now() >= end, self.calls()) {
+            if transitions % 2 == 0 && transitions == state.outage_transitions {
+                if let Some(answer) = state.answer(after, Instant::now() >= end, self.calls()) {
                     stream.set_nonblocking(false).unwrap();
                     return Some(answer);
                 }
             }
-            if news.resets && news.outage_transitions % 2 == 1 {
+            if state.resets && state.outage_transitions % 2 == 1 {
                 return None;
             }
-            news = self.state.1.wait_timeout(news, Duration::from_millis(5)).unwrap().0;
+            state = self.state.1.wait_timeout(state, Duration::from_millis(5)).unwrap().0;
         }
         *self.closed.lock().unwrap() += 1;
         None
@@ -171,9 +171,9 @@
 
     fn fail(&self, resets: bool) {
         let before = {
-            let mut news = self.state.0.lock().unwrap();
-            assert!(news.outage_transitions % 2 == 0, "it speaks no more");
-            (news.outage_transitions, news.resets) = (news.outage_transitions + 1, resets);
+            let mut state = self.state.0.lock().unwrap();
+            assert!(state.outage_transitions % 2 == 0, "it speaks no more");
+            (state.outage_transitions, state.resets) = (state.outage_transitions + 1, resets);
             self.calls()
         };
         until("a call in vain", || self.calls() > before);
@@ -182,9 +182,9 @@
     /// From closing what comes to swallowing it; returns once a call is swallowed.
     pub fn stop_resetting(&self) {
         let before = {
-            let mut news = self.state.0.lock().unwrap();
-            assert!(news.outage_transitions % 2 == 1, "it speaks");
-            news.resets = false;
+            let mut state = self.state.0.lock().unwrap();
+            assert!(state.outage_transitions % 2 == 1, "it speaks");
+            state.resets = false;
             self.calls()
         };
         until("a call in vain", || self.calls() > before);
@@ -192,26 +192,26 @@
 
     /// Counts from the start again, and has this list.
     pub fn restart_with(&self, lines: &[Value]) {
-        let mut news = self.state.0.lock().unwrap();
-        news.index = 0;
-        news.apply(true, lines);
+        let mut state = self.state.0.lock().unwrap();
+        state.index = 0;
+        state.apply(true, lines);
         self.state.1.notify_all();
     }
 
     /// Has something to tell from this moment on, of which the next answer brings half and then nothing.
     pub fn publish_truncated(&self, whole: bool, lines: &[Value]) {
-        let mut news = self.state.0.lock().unwrap();
-        news.apply(whole, lines);
-        news.half = true;
+        let mut state = self.state.0.lock().unwrap();
+        state.apply(whole, lines);
+        state.truncated = true;
         self.state.1.notify_all();
     }
 
     /// Speaks again and has something to tell from this moment on, whether or not it is asked.
     pub fn resume(&self, whole: bool, lines: &[Value]) {
-        let mut news = self.state.0.lock().unwrap();
-        assert!(news.outage_transitions % 2 == 1, "it speaks");
-        news.outage_transitions += 1;
-        news.apply(whole, lines);
+        let mut state = self.state.0.lock().unwrap();
+        assert!(state.outage_transitions % 2 == 1, "it speaks");
+        state.outage_transitions += 1;
+        state.apply(whole, lines);
         self.state.1.notify_all();
     }
 
@@ -235,8 +235,10 @@
     fn await_next_call(&self) {
         self.state.1.notify_all();
         until("the next call of discovery", || {
-            let news = self.state.0.lock().unwrap();
-            news.scripted_answer.is_none() && news.given.0 >= news.index && self.calls() > news.given.1
+            let state = self.state.0.lock().unwrap();
+            state.scripted_answer.is_none()
+                && state.last_response.0 >= state.index
+                && self.calls() > state.last_response.1
         });
     }
 
--- a/crates/gaugesaddle-testbed/src/scripted/proxy.rs
+++ b/crates/gaugesaddle-testbed/src/scripted/proxy.rs
@@ -108,11 +108,11 @@
             .unwrap();
         let (mut stderr, log) =
             (BufReader::new(child.stderr.take().unwrap()), Arc::<Mutex<String>>::default());
-        let kept = log.clone();
+        let output = log.clone();
         std::thread::spawn(move || {
             let mut line = String::new();
             while stderr.read_line(&mut line).is_ok_and(|n| n > 0) {
-                kept.lock().unwrap().push_str(&std::mem::take(&mut line));
+                output.lock().unwrap().push_str(&std::mem::take(&mut line));
             }
         });
         Proxy { child, address, log }
--- a/crates/gaugesaddle-testbed/src/tier.rs
+++ b/crates/gaugesaddle-testbed/src/tier.rs
@@ -14,7 +14,7 @@
 mod history;
 mod log_parser;
 
-pub use log_parser::timed;
+pub use log_parser::parse_timed_line;
 
 use crate::datagrams::Links;
 use crate::record::{Event, Record};
@@ -34,10 +34,10 @@
 pub const SLACK_US: u64 = 500_000;
 
 /// How long two processes must have reached each other for a death to be a false one.
-const LATELY_US: u64 = 1_000_000;
+const FALSE_DEATH_REACH_US: u64 = 1_000_000;
 
 /// Most findings with their text; further ones are only counted.
-const SHOWN: usize = 50;
+const MAX_FINDINGS: usize = 50;
 
 /// What happened to a process, by its index, or to the network.
 #[derive(Clone, Debug, PartialEq)]
@@ -114,13 +114,13 @@
     }
 
     /// Number of findings of one rule.
-    pub fn count(&self, wrong: TierViolation) -> usize {
-        self.counts.get(&wrong).copied().unwrap_or(0)
+    pub fn count(&self, violation: TierViolation) -> usize {
+        self.counts.get(&violation).copied().unwrap_or(0)
     }
 
     /// Joined with the verdict on another tier.
-    fn and(mut self, other: TierVerdict) -> TierVerdict {
-        other.counts.into_iter().for_each(|(wrong, n)| *self.counts.entry(wrong).or_default() += n);
+    fn merged_with(mut self, other: TierVerdict) -> TierVerdict {
+        other.counts.into_iter().for_each(|(violation, n)| *self.counts.entry(violation).or_default() += n);
         self.findings.extend(other.findings);
         self.death_known.extend(other.death_known);
         self.start_known.extend(other.start_known);
@@ -131,10 +131,10 @@
         self
     }
 
-    fn find(&mut self, wrong: TierViolation, at: u64, pair: (usize, usize), description: String) {
-        *self.counts.entry(wrong).or_default() += 1;
-        if self.findings.len() < SHOWN {
-            self.findings.push(TierFinding { violation: wrong, at, pair, description });
+    fn add_finding(&mut self, violation: TierViolation, at: u64, pair: (usize, usize), description: String) {
+        *self.counts.entry(violation).or_default() += 1;
+        if self.findings.len() < MAX_FINDINGS {
+            self.findings.push(TierFinding { violation, at, pair, description });
         }
     }
 }
@@ -188,17 +188,22 @@
 
 /// Checks logs (by index, each line with its time) against what happened, both in the order of time.
 pub fn audit_tier(
-    size: usize, facts: &[(u64, TierEvent)], logs: &[Vec<(u64, String)>], end: u64,
+    size: usize, events: &[(u64, TierEvent)], logs: &[Vec<(u64, String)>], end: u64,
 ) -> TierVerdict {
-    let history = TierHistory::new(size, facts, logs, end);
+    let history = TierHistory::new(size, events, logs, end);
     let mut verdict = TierVerdict::default();
     for (index, incarnations) in history.incarnations.iter().enumerate() {
         let mut seen = HashMap::new();
         for incarnation in incarnations.iter().filter(|l| l.boot != 0) {
-            if let Some(before) = seen.insert(incarnation.boot, incarnation.spoke) {
+            if let Some(before) = seen.insert(incarnation.boot, incarnation.logged_at) {
                 let description =
                     format!("boot {:08x} spoke at {:.3} s already", incarnation.boot, before as f64 / 1e6);
-                verdict.find(TierViolation::OldBoot, incarnation.spoke, (index, index), description);
+                verdict.add_finding(
+                    TierViolation::OldBoot,
+                    incarnation.logged_at,
+                    (index, index),
+                    description,
+                );
             }
         }
     }
@@ -206,8 +211,8 @@
         let lines = logs.get(viewer).map_or(&[][..], Vec::as_slice);
         let all: Vec<LoggedView> = lines.iter().filter_map(|(at, line)| parse_view(*at, line)).collect();
         for index in (0..size).filter(|p| *p != viewer) {
-            let about: Vec<&LoggedView> = all.iter().filter(|s| s.index == index).collect();
-            check_pair(&history, viewer, index, &about, &mut verdict);
+            let logged_views: Vec<&LoggedView> = all.iter().filter(|s| s.index == index).collect();
+            check_pair(&history, viewer, index, &logged_views, &mut verdict);
         }
     }
     check_agreement(&history, logs, &mut verdict);
@@ -216,11 +221,11 @@
 
 /// The same for several tiers that do not know one another, each by its members.
 pub fn audit_tiers(
-    tiers: &[Vec<usize>], facts: &[(u64, TierEvent)], logs: &[Vec<(u64, String)>], end: u64,
+    tiers: &[Vec<usize>], events: &[(u64, TierEvent)], logs: &[Vec<(u64, String)>], end: u64,
 ) -> TierVerdict {
     let one = |members: &Vec<usize>| {
         let index = |p: usize| members.iter().position(|m| *m == p);
-        let fact = |fact: &TierEvent| match fact {
+        let tier_event = |tier_event: &TierEvent| match tier_event {
             TierEvent::Up(p) => index(*p).map(TierEvent::Up),
             TierEvent::Stopped(p) => index(*p).map(TierEvent::Stopped),
             TierEvent::Continued(p) => index(*p).map(TierEvent::Continued),
@@ -228,16 +233,17 @@
             TierEvent::Ended(p) => index(*p).map(TierEvent::Ended),
             TierEvent::Links(links) => Some(TierEvent::Links(links.among(members))),
         };
-        let facts: Vec<(u64, TierEvent)> = facts.iter().filter_map(|(at, f)| Some((*at, fact(f)?))).collect();
+        let events: Vec<(u64, TierEvent)> =
+            events.iter().filter_map(|(at, f)| Some((*at, tier_event(f)?))).collect();
         let logs: Vec<_> = members.iter().filter_map(|m| logs.get(*m).cloned()).collect();
-        audit_tier(members.len(), &facts, &logs, end)
+        audit_tier(members.len(), &events, &logs, end)
     };
-    tiers.iter().map(one).fold(TierVerdict::default(), TierVerdict::and)
+    tiers.iter().map(one).fold(TierVerdict::default(), TierVerdict::merged_with)
 }
 
 /// The facts of a run's proxies, from its records.
 pub fn tier_events(records: &[Record]) -> Vec<(u64, TierEvent)> {
-    let fact = |r: &Record| match &r.event {
+    let tier_event = |r: &Record| match &r.event {
         Event::ProxyUp { proxy } => Some(TierEvent::Up(*proxy)),
         Event::ProxyKilled { proxy } | Event::ProxyEnded { proxy, .. } => Some(TierEvent::Ended(*proxy)),
         Event::ProxyStopped { proxy } => Some(TierEvent::Stopped(*proxy)),
@@ -246,7 +252,7 @@
         Event::Network { links } => Some(TierEvent::Links(links.clone())),
         _ => None,
     };
-    records.iter().filter_map(|r| fact(r).map(|f| (r.at, f))).collect()
+    records.iter().filter_map(|r| tier_event(r).map(|f| (r.at, f))).collect()
 }
 
 #[cfg(test)]
--- a/crates/gaugesaddle-testbed/src/tier/history.rs
+++ b/crates/gaugesaddle-testbed/src/tier/history.rs
@@ -1,7 +1,7 @@
 //! What happened to the processes of a tier and to the network between them, by time.
 
 use super::log_parser::own_boot;
-use super::{TierEvent, LATELY_US};
+use super::{TierEvent, FALSE_DEATH_REACH_US};
 use crate::datagrams::Links;
 
 /// One process of a proxy.
@@ -10,7 +10,7 @@
     /// Its start.
     pub(super) up: u64,
     /// The first line of its log.
-    pub(super) spoke: u64,
+    pub(super) logged_at: u64,
     /// Its boot number; 0 where it ended before it logged one.
     pub(super) boot: u32,
     /// When it was asked to end.
@@ -28,12 +28,12 @@
     pub(super) pauses: Vec<Vec<(u64, u64)>>,
     pub(super) links: Vec<(u64, Links)>,
     /// Every time at which any of this changes.
-    pub(super) moments: Vec<u64>,
+    pub(super) change_times: Vec<u64>,
 }
 
 impl TierHistory {
     pub(super) fn new(
-        size: usize, facts: &[(u64, TierEvent)], logs: &[Vec<(u64, String)>], end: u64,
+        size: usize, events: &[(u64, TierEvent)], logs: &[Vec<(u64, String)>], end: u64,
     ) -> TierHistory {
         let mut history = TierHistory {
             size,
@@ -41,15 +41,15 @@
             incarnations: vec![Vec::new(); size],
             pauses: vec![Vec::new(); size],
             links: vec![(0, Links::default())],
-            moments: vec![0, end],
+            change_times: vec![0, end],
         };
-        for (at, fact) in facts {
-            history.moments.push(*at);
-            match fact {
+        for (at, tier_event) in events {
+            history.change_times.push(*at);
+            match tier_event {
                 TierEvent::Up(p) => {
                     history.incarnations[*p].push(Incarnation {
                         up: *at,
-                        spoke: u64::MAX,
+                        logged_at: u64::MAX,
                         boot: 0,
                         terminated: None,
                         end: u64::MAX,
@@ -75,14 +75,14 @@
                 let incarnation =
                     history.incarnations[index].iter_mut().rev().find(|l| l.up <= at && at <= l.end);
                 if let Some(incarnation) = incarnation.filter(|l| l.boot == 0) {
-                    (incarnation.spoke, incarnation.boot) = (at, boot);
-                    history.moments.push(at);
+                    (incarnation.logged_at, incarnation.boot) = (at, boot);
+                    history.change_times.push(at);
                 }
             }
         }
-        history.moments.sort_unstable();
-        history.moments.dedup();
-        history.moments.retain(|m| *m <= end);
+        history.change_times.sort_unstable();
+        history.change_times.dedup();
+        history.change_times.retain(|m| *m <= end);
         history
     }
 
@@ -90,7 +90,7 @@
     pub(super) fn incarnation(&self, index: usize, at: u64) -> Option<&Incarnation> {
         self.incarnations[index]
             .iter()
-            .find(|l| l.spoke <= at && at < l.end.min(l.terminated.unwrap_or(u64::MAX)))
+            .find(|l| l.logged_at <= at && at < l.end.min(l.terminated.unwrap_or(u64::MAX)))
     }
 
     pub(super) fn paused(&self, index: usize, at: u64) -> bool {
@@ -114,9 +114,9 @@
 
     /// Whether both ran and reached each other all the last second. A death that was concluded during a partition and is
     /// logged as the network is repaired was right when it was concluded.
-    pub(super) fn reached_for(&self, a: usize, b: usize, at: u64) -> bool {
-        let since = at.saturating_sub(LATELY_US);
-        let changes = self.moments.iter().copied().filter(|m| (since..=at).contains(m));
+    pub(super) fn reached_throughout(&self, a: usize, b: usize, at: u64) -> bool {
+        let since = at.saturating_sub(FALSE_DEATH_REACH_US);
+        let changes = self.change_times.iter().copied().filter(|m| (since..=at).contains(m));
         changes.chain([since]).all(|at| self.runs(a, at) && self.runs(b, at) && self.reach(a, b, at))
     }
 
@@ -126,9 +126,11 @@
     }
 
     /// The spans in which a value is known and unchanged.
-    pub(super) fn stretches<T: PartialEq>(&self, known: impl Fn(u64) -> Option<T>) -> Vec<(u64, u64, T)> {
+    pub(super) fn constant_spans<T: PartialEq>(
+        &self, known: impl Fn(u64) -> Option<T>,
+    ) -> Vec<(u64, u64, T)> {
         let mut found: Vec<(u64, u64, T)> = Vec::new();
-        for pair in self.moments.windows(2) {
+        for pair in self.change_times.windows(2) {
             let Some(now) = known(pair[0]) else { continue };
             match found.last_mut().filter(|last| last.1 == pair[0] && last.2 == now) {
                 Some(last) => last.1 = pair[1],
--- a/crates/gaugesaddle-testbed/src/tier/log_parser.rs
+++ b/crates/gaugesaddle-testbed/src/tier/log_parser.rs
@@ -37,7 +37,7 @@
 
 /// A line of a proxy's log with its time from the start of the run (`start`, in Unix microseconds); `None` where it has
 /// no time.
-pub fn timed(line: &str, start: u64) -> Option<(u64, String)> {
+pub fn parse_timed_line(line: &str, start: u64) -> Option<(u64, String)> {
     let stamp = line.split_whitespace().next()?;
     let (date, time) = stamp.strip_suffix('Z')?.split_once('T')?;
     let numbers =
--- a/crates/gaugesaddle-testbed/src/world.rs
+++ b/crates/gaugesaddle-testbed/src/world.rs
@@ -10,12 +10,12 @@
 use crate::datagrams::Datagrams;
 use crate::faulty::{Fault, Faulty};
 use crate::lease::Lease;
-use crate::node::{Facts, Fleet, Memory, Node};
+use crate::node::{Deduplication, Node, RequestParameters, SharedState};
 use crate::plan::{plan, Plan, PlannedRequest, Step};
 use crate::process::{Process, Program};
 use crate::random::RandomStream;
 use crate::record::{Journal, Record};
-use crate::regions::Joined;
+use crate::regions::Federation;
 use crate::relay::Relay;
 use crate::scenario::{Disturbance, Kind, Scenario};
 use crate::tier::{self, TierVerdict};
@@ -35,7 +35,7 @@
 const STOP_GRACE: Duration = Duration::from_millis(700);
 
 /// Interval of the reports of a run in progress.
-const LOOK: Duration = Duration::from_millis(250);
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What is played in the place of the proxies.
 #[derive(Clone, Debug)]
@@ -86,18 +86,21 @@
 ///
 /// # Errors
 /// The scenario is invalid, a stand-in cannot be started, or a proxy does not become ready.
-pub fn run(s: &Scenario, cast: &ProxyImplementation, look: &mut dyn FnMut(&Progress)) -> io::Result<Outcome> {
+pub fn run(
+    s: &Scenario, implementation: &ProxyImplementation, report: &mut dyn FnMut(&Progress),
+) -> io::Result<Outcome> {
     s.check().map_err(io::Error::other)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = tokio::task::LocalSet::new();
-    let played = local.block_on(&runtime, async {
-        let world = World::build(s, cast).await?;
-        world.play(look).await
+    let raw = local.block_on(&runtime, async {
+        let world = World::build(s, implementation).await?;
+        world.play(report).await
     })?;
-    let Played { records, dropped, logs, late_p99_us, start, end, datagrams } = played;
+    let RawOutcome { records, dropped, logs, late_p99_us, start, end, datagrams } = raw;
     let verdict = audit(s, &records, dropped);
     let tier = s.peers.then(|| {
-        let timed = |lines: &Vec<String>| lines.iter().filter_map(|l| tier::timed(l, start)).collect();
+        let timed =
+            |lines: &Vec<String>| lines.iter().filter_map(|l| tier::parse_timed_line(l, start)).collect();
         let logs: Vec<Vec<(u64, String)>> = logs.iter().map(timed).collect();
         // The proxies of a region form a tier.
         let of = |region: usize| (0..s.proxies).filter(|p| s.region(*p) == region).collect();
@@ -108,7 +111,7 @@
 }
 
 /// What a run leaves to be audited.
-struct Played {
+struct RawOutcome {
     records: Vec<Record>,
     dropped: u64,
     logs: Vec<Vec<String>>,
@@ -120,7 +123,7 @@
     datagrams: Vec<(u64, u64)>,
 }
 
-enum Actor {
+enum RunningProxy {
     Process(Process),
     Faulty(Rc<Faulty>),
 }
@@ -136,25 +139,25 @@
 
 struct World {
     s: Scenario,
-    cast: ProxyImplementation,
+    implementation: ProxyImplementation,
     plan: Plan,
     journal: Journal,
     lease: Lease,
     folder: PathBuf,
-    fleet: Rc<Fleet>,
+    shared: Rc<SharedState>,
     slots: RefCell<Vec<NodeSlot>>,
     agents: Vec<Rc<Agent>>,
     /// The links that the plan disturbs, by proxy and node.
     relays: HashMap<(usize, usize), Rc<Relay>>,
-    proxies: RefCell<Vec<Option<Actor>>>,
+    proxies: RefCell<Vec<Option<RunningProxy>>>,
     states: RefCell<Vec<&'static str>>,
-    starts: Cell<u64>,
+    start_count: Cell<u64>,
     /// By proxy and node, the time of the last change that discovery was given: changes do not overtake one another.
-    delivered: RefCell<HashMap<(usize, usize), u64>>,
+    last_delivery: RefCell<HashMap<(usize, usize), u64>>,
     random: RefCell<RandomStream>,
     logs: RefCell<Vec<Vec<String>>>,
     /// The federation, where there are several regions.
-    joined: Option<Joined>,
+    federation: Option<Federation>,
     /// The network between the proxies of a tier.
     datagrams: Option<Datagrams>,
 }
@@ -166,7 +169,7 @@
 }
 
 impl World {
-    async fn build(s: &Scenario, cast: &ProxyImplementation) -> io::Result<Rc<World>> {
+    async fn build(s: &Scenario, implementation: &ProxyImplementation) -> io::Result<Rc<World>> {
         let (lease, journal, plan) = (Lease::take()?, Journal::new(), plan(s));
         let folder = std::env::temp_dir().join(format!("gaugesaddle-run-{}", lease.proxy(0).ip()));
         std::fs::create_dir_all(&folder)?;
@@ -174,20 +177,20 @@
         for proxy in 0..s.proxies {
             agents.push(Agent::start(proxy, journal.clone(), lease.peer()).await?);
         }
-        let joined = if s.regions.count > 1 && s.regions.joined {
-            Some(Joined::new(s, &lease, &folder).await?)
+        let federation = if s.regions.count > 1 && s.regions.joined {
+            Some(Federation::new(s, &lease, &folder).await?)
         } else {
             None
         };
         let listens: Vec<SocketAddr> = (0..s.proxies).map(|p| peer_listen(&lease, p)).collect();
         let datagrams = s.peers.then(|| Datagrams::start(&listens, lease.peer().ip(), s.seed)).transpose()?;
         let world = Rc::new(World {
-            joined,
+            federation,
             datagrams,
-            cast: cast.clone(),
+            implementation: implementation.clone(),
             relays: start_relays(&plan, &lease).await?,
             plan,
-            fleet: shared_fleet(s, &journal),
+            shared: shared_state(s, &journal),
             journal,
             lease,
             folder,
@@ -195,8 +198,8 @@
             agents,
             proxies: RefCell::new((0..s.proxies).map(|_| None).collect()),
             states: RefCell::new(vec!["down"; s.proxies]),
-            starts: Cell::default(),
-            delivered: RefCell::default(),
+            start_count: Cell::default(),
+            last_delivery: RefCell::default(),
             random: RefCell::new(RandomStream::new(s.seed, "discovery")),
             logs: RefCell::new(vec![Vec::new(); s.proxies]),
             s: s.clone(),
@@ -220,18 +223,18 @@
             self.start_proxy(*proxy).await?;
         }
         for proxy in &first {
-            self.until_ready(*proxy).await?;
+            self.wait_until_ready(*proxy).await?;
         }
         Ok(())
     }
 
-    async fn play(self: Rc<Self>, look: &mut dyn FnMut(&Progress)) -> io::Result<Played> {
+    async fn play(self: Rc<Self>, report: &mut dyn FnMut(&Progress)) -> io::Result<RawOutcome> {
         let addresses: Vec<SocketAddr> = (0..self.s.proxies).map(|p| self.lease.proxy(p)).collect();
-        let fleet = self.fleet.clone();
+        let shared = self.shared.clone();
         let register = move |id: u64, request: &PlannedRequest| {
             let (class, key, work_us, wait_us) =
                 (request.class, request.key, request.work_us, request.wait_us);
-            fleet.facts.borrow_mut().insert(id, Facts { class, key, work_us, wait_us });
+            shared.parameters.borrow_mut().insert(id, RequestParameters { class, key, work_us, wait_us });
         };
         let clients = Clients::new(&self.s, self.journal.clone(), &addresses, Box::new(register));
         let start = self.journal.now();
@@ -259,50 +262,50 @@
             }
         });
         let mut seen = 0;
-        let mut interval = tokio::time::interval(LOOK);
+        let mut interval = tokio::time::interval(REPORT_INTERVAL);
         while !(arrivals.is_finished() && steps.is_finished()) {
             interval.tick().await;
             clients.release_closed();
             self.watch_proxies();
-            look(&self.live(start, &mut seen));
+            report(&self.progress(start, &mut seen));
         }
         for task in [arrivals, steps] {
             task.await.map_err(io::Error::other)?;
         }
         // The auditor must see that nothing is sent late.
         tokio::time::sleep(Duration::from_millis(1200)).await;
-        look(&self.live(start, &mut seen));
+        report(&self.progress(start, &mut seen));
         let end = self.journal.now();
         let datagrams = self.datagrams.as_ref().map(Datagrams::sent).unwrap_or_default();
-        self.end().await;
+        self.terminate_all().await;
         let (records, dropped) = self.journal.take();
         let mut lateness_us = lateness_us.take();
         lateness_us.sort_unstable();
         let late_p99_us = lateness_us.get(lateness_us.len() * 99 / 100).copied().unwrap_or(0);
         let (logs, start) = (self.logs.take(), self.journal.start_unix_us());
-        Ok(Played { records, dropped, logs, late_p99_us, start, end, datagrams })
+        Ok(RawOutcome { records, dropped, logs, late_p99_us, start, end, datagrams })
     }
 
-    fn live(&self, start: u64, seen: &mut usize) -> Progress {
-        let news = self.journal.read(*seen, <[Record]>::to_vec);
-        *seen += news.len();
-        let places = self.slots.borrow();
-        let nodes = places.iter().map(|p| {
+    fn progress(&self, start: u64, seen: &mut usize) -> Progress {
+        let new_records = self.journal.read(*seen, <[Record]>::to_vec);
+        *seen += new_records.len();
+        let all_slots = self.slots.borrow();
+        let nodes = all_slots.iter().map(|p| {
             let state = match &p.node {
                 None => "down",
-                Some(n) if n.fell.get() => "fallen",
+                Some(n) if n.failed.get() => "fallen",
                 Some(n) if n.frozen.get() => "cut off",
                 Some(_) if p.draining => "draining",
-                Some(n) if n.is_choked() => "choked",
+                Some(n) if n.is_overloaded() => "choked",
                 Some(_) => "up",
             };
             (p.name.clone(), p.zone, state, p.node.as_ref().map_or(0, |n| n.in_flight()))
         });
         let seconds = (self.journal.now() - start) as f64 / 1e6;
-        Progress { seconds, new_records: news, nodes: nodes.collect(), proxies: self.states.borrow().clone() }
+        Progress { seconds, new_records, nodes: nodes.collect(), proxies: self.states.borrow().clone() }
     }
 
-    async fn end(self: &Rc<Self>) {
+    async fn terminate_all(self: &Rc<Self>) {
         let up: Vec<usize> = (0..self.s.proxies).filter(|p| self.proxies.borrow()[*p].is_some()).collect();
         let mut ending = tokio::task::JoinSet::new();
         for proxy in up {
@@ -310,7 +313,7 @@
                 self.kill_proxy(proxy).await;
             } else {
                 let world = self.clone();
-                ending.spawn_local(async move { world.end_proxy(proxy).await });
+                ending.spawn_local(async move { world.terminate_proxy(proxy).await });
             }
         }
         while ending.join_next().await.is_some() {}
@@ -318,15 +321,15 @@
 }
 
 /// What all nodes of a run share.
-fn shared_fleet(s: &Scenario, journal: &Journal) -> Rc<Fleet> {
-    Rc::new(Fleet {
+fn shared_state(s: &Scenario, journal: &Journal) -> Rc<SharedState> {
+    Rc::new(SharedState {
         journal: journal.clone(),
-        facts: RefCell::default(),
-        memories: RefCell::new((0..s.zones).map(|_| Memory::default()).collect()),
+        parameters: RefCell::default(),
+        seen_keys: RefCell::new((0..s.zones).map(|_| Deduplication::default()).collect()),
         classes: s.classes.iter().map(|c| (c.effect, (c.window_ms * 1e3) as u64)).collect(),
         rules: s.rules.clone(),
         mean_work_us: mean_work_us(s),
-        choke: s.choke,
+        overload: s.choke,
         next_attempt: Cell::new(1),
         random: RefCell::new(RandomStream::new(s.seed, "nodes")),
     })
--- a/crates/gaugesaddle-testbed/src/world/nodes.rs
+++ b/crates/gaugesaddle-testbed/src/world/nodes.rs
@@ -2,7 +2,7 @@
 
 use super::World;
 use crate::agent::ListEntry;
-use crate::node::{Node, Start};
+use crate::node::{Node, NodeParameters};
 use crate::record::{Boot, NodeState};
 use crate::scenario::zone_name;
 use std::io;
@@ -15,7 +15,7 @@
         let (boot, name, zone, kind) = {
             let mut slots = self.slots.borrow_mut();
             let p = &mut slots[slot];
-            if restarted && p.node.as_ref().is_some_and(|n| !n.fell.get()) && !p.draining {
+            if restarted && p.node.as_ref().is_some_and(|n| !n.failed.get()) && !p.draining {
                 return Ok(()); // it runs
             }
             let boot = Boot { node: slot, boot: p.boots };
@@ -28,13 +28,13 @@
             (boot, p.name.clone(), p.zone, p.kind.clone())
         };
         let (proxies, bind) = (self.s.proxies, self.lease.peer());
-        let start = Start { boot, name, zone, kind: &kind, slow_start: restarted, proxies, bind };
-        let node = Node::start(&self.fleet, start).await?;
+        let start = NodeParameters { boot, name, zone, kind: &kind, slow_start: restarted, proxies, bind };
+        let node = Node::start(&self.shared, start).await?;
         self.slots.borrow_mut()[slot].node = Some(node.clone());
         for ((proxy, of), relay) in &self.relays {
             if *of == slot {
                 relay.reset();
-                relay.lead_to(node.addresses[*proxy]);
+                relay.forward_to(node.addresses[*proxy]);
             }
         }
         if restarted {
@@ -66,8 +66,8 @@
         let own = self.agents.iter().enumerate().filter(|(p, _)| self.s.region(*p) == region);
         for (proxy, agent) in own {
             let wait = (self.random.borrow_mut().uniform(after_s) * 1e6) as u64;
-            let mut delivered = self.delivered.borrow_mut();
-            let last = delivered.entry((proxy, node.boot.node)).or_default();
+            let mut last_delivery = self.last_delivery.borrow_mut();
+            let last = last_delivery.entry((proxy, node.boot.node)).or_default();
             let at = (now + wait).max(*last + 1000);
             *last = at;
             let (agent, list_entry) = (agent.clone(), self.list_entry(node, proxy, state));
--- a/crates/gaugesaddle-testbed/src/world/proxies.rs
+++ b/crates/gaugesaddle-testbed/src/world/proxies.rs
@@ -1,6 +1,6 @@
 //! The proxies of a run: processes that are started, stopped, killed and ended.
 
-use super::{Actor, ProxyImplementation, World, PROXY_READY_TIMEOUT, STOP_GRACE};
+use super::{ProxyImplementation, RunningProxy, World, PROXY_READY_TIMEOUT, STOP_GRACE};
 use crate::faulty::Faulty;
 use crate::lease::Lease;
 use crate::process::{send_signal, Process};
@@ -23,7 +23,7 @@
         json!({
             "name": format!("p{proxy}"), "listen": self.lease.proxy(proxy).to_string(),
             "discovery": self.agents[proxy].address().to_string(),
-            "seed": format!("{:016x}", mix(self.s.seed, 1000 * self.starts.get() + proxy as u64)),
+            "seed": format!("{:016x}", mix(self.s.seed, 1000 * self.start_count.get() + proxy as u64)),
             "limits": {"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
             "known": known, "settings": self.s.settings(proxy),
         })
@@ -31,7 +31,7 @@
 
     /// The operator's file of a proxy and its text, where it needs one.
     pub(super) fn operator_file(&self, proxy: usize) -> Option<(PathBuf, String)> {
-        let mut text = self.joined.as_ref().map(|j| j.section(proxy)).unwrap_or_default();
+        let mut text = self.federation.as_ref().map(|j| j.section(proxy)).unwrap_or_default();
         if let Some(datagrams) = &self.datagrams {
             let addresses = datagrams.addresses();
             let own = (0..self.s.proxies).filter(|p| self.s.region(*p) == self.s.region(proxy));
@@ -56,10 +56,10 @@
         if self.proxies.borrow()[proxy].is_some() {
             return Ok(()); // it runs
         }
-        self.starts.set(self.starts.get() + 1);
+        self.start_count.set(self.start_count.get() + 1);
         self.journal.put(Event::ProxyUp { proxy });
         let agent = &self.agents[proxy];
-        let actor = match &self.cast {
+        let running = match &self.implementation {
             ProxyImplementation::Program(program) => {
                 let config = self.config(proxy, &agent.known());
                 let mut program = program.clone();
@@ -77,23 +77,23 @@
                     }
                     Process::start(&program, &folder, &name, &config)
                 });
-                Actor::Process(starting.await.map_err(io::Error::other)??)
+                RunningProxy::Process(starting.await.map_err(io::Error::other)??)
             }
             ProxyImplementation::Faulty(fault) => {
                 let (listen, discovery) = (self.lease.proxy(proxy), agent.address());
-                Actor::Faulty(Faulty::start(*fault, &self.s, listen, discovery).await?)
+                RunningProxy::Faulty(Faulty::start(*fault, &self.s, listen, discovery).await?)
             }
         };
-        self.proxies.borrow_mut()[proxy] = Some(actor);
+        self.proxies.borrow_mut()[proxy] = Some(running);
         self.states.borrow_mut()[proxy] = "up";
         Ok(())
     }
 
-    pub(super) async fn until_ready(&self, proxy: usize) -> io::Result<()> {
+    pub(super) async fn wait_until_ready(&self, proxy: usize) -> io::Result<()> {
         let end = tokio::time::Instant::now() + PROXY_READY_TIMEOUT;
         while tokio::time::Instant::now() < end {
             let faulty = match &self.proxies.borrow()[proxy] {
-                Some(Actor::Faulty(f)) => Some(f.is_ready()),
+                Some(RunningProxy::Faulty(f)) => Some(f.is_ready()),
                 _ => None,
             };
             let ready = match faulty {
@@ -106,7 +106,7 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         let log = match &self.proxies.borrow()[proxy] {
-            Some(Actor::Process(p)) => p.log().join("\n"),
+            Some(RunningProxy::Process(p)) => p.log().join("\n"),
             _ => String::new(),
         };
         Err(io::Error::other(format!("proxy {proxy} did not become ready: {log}")))
@@ -116,7 +116,7 @@
     pub(super) fn watch_proxies(&self) {
         for proxy in 0..self.s.proxies {
             let mut proxies = self.proxies.borrow_mut();
-            let Some(Actor::Process(process)) = &mut proxies[proxy] else { continue };
+            let Some(RunningProxy::Process(process)) = &mut proxies[proxy] else { continue };
             if self.states.borrow()[proxy] == "ending" {
                 continue; // it was told to
             }
@@ -132,7 +132,7 @@
     /// Stops a proxy (SIGSTOP) or continues it (SIGCONT).
     pub(super) async fn stop_proxy(&self, proxy: usize, stop: bool) {
         let id = match &self.proxies.borrow()[proxy] {
-            Some(Actor::Process(process)) => process.id(),
+            Some(RunningProxy::Process(process)) => process.id(),
             _ => return,
         };
         // Not on the thread that drives the clients.
@@ -149,9 +149,9 @@
     }
 
     pub(super) async fn kill_proxy(&self, proxy: usize) {
-        let actor = self.proxies.borrow_mut()[proxy].take();
-        match actor {
-            Some(Actor::Process(mut process)) => {
+        let running = self.proxies.borrow_mut()[proxy].take();
+        match running {
+            Some(RunningProxy::Process(mut process)) => {
                 self.journal.put(Event::ProxyKilled { proxy });
                 // Not on the thread that drives the clients, since it waits for the end.
                 let killing = tokio::task::spawn_blocking(move || {
@@ -161,7 +161,7 @@
                 let log = killing.await.unwrap_or_default();
                 self.logs.borrow_mut()[proxy].extend(log);
             }
-            Some(Actor::Faulty(faulty)) => {
+            Some(RunningProxy::Faulty(faulty)) => {
                 self.journal.put(Event::ProxyKilled { proxy });
                 faulty.stop();
             }
@@ -171,38 +171,38 @@
     }
 
     /// SIGTERM, time to finish, and SIGKILL where that was not enough.
-    pub(super) async fn end_proxy(&self, proxy: usize) {
+    pub(super) async fn terminate_proxy(&self, proxy: usize) {
         if self.proxies.borrow()[proxy].is_none() {
             return;
         }
         self.states.borrow_mut()[proxy] = "ending";
         self.journal.put(Event::ProxyTerminated { proxy });
         match &self.proxies.borrow()[proxy] {
-            Some(Actor::Process(process)) => {
+            Some(RunningProxy::Process(process)) => {
                 let _ = process.signal("TERM");
             }
-            Some(Actor::Faulty(faulty)) => faulty.stop(),
+            Some(RunningProxy::Faulty(faulty)) => faulty.stop(),
             None => return,
         }
         let longest = self.s.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
         // The accepting phase, the longest deadline, and what the platform adds.
         let end = tokio::time::Instant::now() + Duration::from_secs_f64(longest / 1e3 + 0.5) + STOP_GRACE;
-        let well = loop {
+        let ended_cleanly = loop {
             let ended = match &mut self.proxies.borrow_mut()[proxy] {
-                Some(Actor::Process(process)) => process.ended(),
+                Some(RunningProxy::Process(process)) => process.ended(),
                 _ => Some(true),
             };
             match ended {
-                Some(well) => break well,
+                Some(ended_cleanly) => break ended_cleanly,
                 None if tokio::time::Instant::now() >= end => break false,
                 None => tokio::time::sleep(Duration::from_millis(5)).await,
             }
         };
-        if let Some(Actor::Process(mut process)) = self.proxies.borrow_mut()[proxy].take() {
+        if let Some(RunningProxy::Process(mut process)) = self.proxies.borrow_mut()[proxy].take() {
             process.kill();
             self.logs.borrow_mut()[proxy].extend(process.log());
         }
-        self.journal.put(Event::ProxyEnded { proxy, clean: well });
+        self.journal.put(Event::ProxyEnded { proxy, clean: ended_cleanly });
         self.states.borrow_mut()[proxy] = "down";
     }
 
@@ -212,8 +212,8 @@
                 self.journal.put(Event::Unexpected { text: format!("discovery did not move: {e}") });
             }
         }
-        for (proxy, actor) in self.proxies.borrow().iter().enumerate() {
-            if let Some(Actor::Process(process)) = actor {
+        for (proxy, running) in self.proxies.borrow().iter().enumerate() {
+            if let Some(RunningProxy::Process(process)) = running {
                 let known = json!({"index": 0, "snapshot": true, "endpoints": []});
                 let _ = process.reload(&self.config(proxy, &known));
             }
--- a/crates/gaugesaddle-testbed/src/world/steps.rs
+++ b/crates/gaugesaddle-testbed/src/world/steps.rs
@@ -1,8 +1,8 @@
 //! The steps of a plan, carried out on the fleet.
 
-use super::{Actor, World};
+use super::{RunningProxy, World};
 use crate::datagrams::Links;
-use crate::node::Down;
+use crate::node::Termination;
 use crate::plan::Step;
 use crate::record::{Event, NodeState};
 use std::rc::Rc;
@@ -19,10 +19,10 @@
             Step::NodeSlow(slot, factor) => self.node(slot).iter().for_each(|node| node.slow(factor)),
             Step::NodeHang(slot, hung) => self.node(slot).iter().for_each(|node| node.hang(hung)),
             Step::NodeSpoil(slot, fraction) => {
-                self.node(slot).iter().for_each(|node| node.spoil.set(fraction));
+                self.node(slot).iter().for_each(|node| node.corrupt_fraction.set(fraction));
             }
             Step::NodeResets(slot, fraction) => {
-                self.node(slot).iter().for_each(|node| node.resets.set(fraction));
+                self.node(slot).iter().for_each(|node| node.reset_fraction.set(fraction));
             }
             Step::LinkPartition(proxy, node, partitioned) => {
                 self.relays.get(&(proxy, node)).iter().for_each(|relay| relay.block(partitioned));
@@ -31,9 +31,9 @@
                 let delay = Duration::from_micros(by_us);
                 self.relays.get(&(proxy, node)).iter().for_each(|relay| relay.delay(delay));
             }
-            Step::RegionDelay(by_us) => self.joined.iter().for_each(|joined| joined.delay(by_us)),
+            Step::RegionDelay(by_us) => self.federation.iter().for_each(|federation| federation.delay(by_us)),
             Step::RegionPartition(partitioned) => {
-                self.joined.iter().for_each(|joined| joined.partition(partitioned));
+                self.federation.iter().for_each(|federation| federation.partition(partitioned));
             }
             Step::NewKeys => self.replace_keys(),
             Step::DiscoveryDown(down) => self.agents.iter().for_each(|agent| agent.set_down(down)),
@@ -42,11 +42,11 @@
             Step::ProxyStart(proxy) => self.start_proxy_or_record(proxy).await,
             Step::ProxyStop(proxy, stop) => self.stop_proxy(proxy, stop).await,
             Step::ProxyLeave(proxy) => {
-                tokio::task::spawn_local(async move { self.end_proxy(proxy).await });
+                tokio::task::spawn_local(async move { self.terminate_proxy(proxy).await });
             }
             Step::ProxyRestart(proxy) => {
                 tokio::task::spawn_local(async move {
-                    self.end_proxy(proxy).await;
+                    self.terminate_proxy(proxy).await;
                     self.start_proxy_or_record(proxy).await;
                 });
             }
@@ -56,7 +56,7 @@
 
     fn crash_node(&self, slot: usize) {
         if let Some(node) = self.take_node(slot) {
-            node.down(Down::Crash);
+            node.terminate(Termination::Crash);
             self.publish(&node, NodeState::Departed, self.s.discovery.crash_notice_s);
         }
     }
@@ -71,7 +71,7 @@
     fn stop_node(&self, slot: usize) {
         if let Some(node) = self.take_node(slot) {
             self.publish(&node, NodeState::Departed, self.s.discovery.notice_s);
-            node.down(Down::Leave);
+            node.terminate(Termination::Leave);
         }
     }
 
@@ -86,9 +86,9 @@
 
     /// Starts a node's process; one that hangs there or was overloaded ends first.
     async fn replace_node(&self, slot: usize) {
-        if let Some(old) = self.node(slot).filter(|node| node.frozen.get() || node.fell.get()) {
+        if let Some(old) = self.node(slot).filter(|node| node.frozen.get() || node.failed.get()) {
             self.take_node(slot);
-            old.down(Down::Crash);
+            old.terminate(Termination::Crash);
         }
         if let Err(error) = self.start_node(slot, true).await {
             self.record_unexpected(format!("node {slot} did not start: {error}"));
@@ -109,11 +109,11 @@
     }
 
     fn replace_keys(&self) {
-        if let Some(Err(error)) = self.joined.as_ref().map(crate::regions::Joined::new_keys) {
+        if let Some(Err(error)) = self.federation.as_ref().map(crate::regions::Federation::new_keys) {
             self.record_unexpected(format!("no new keys: {error}"));
         }
-        for actor in self.proxies.borrow().iter().flatten() {
-            if let Actor::Process(process) = actor {
+        for running in self.proxies.borrow().iter().flatten() {
+            if let RunningProxy::Process(process) = running {
                 let _ = process.signal("HUP");
             }
         }
