--- a/crates/gaugesaddle-testbed/src/node.rs
+++ b/crates/gaugesaddle-testbed/src/node.rs
@@ -1,4 +1,5 @@
-//! A stand-in node: HTTP/1.1, work by the model in [`crate::processor`], and every fault that a scenario asks for.
+//! A stand-in node: an HTTP/1.1 server whose processing times follow the model in [`crate::processor`], and that
+//! injects the faults of a scenario.
 
 use crate::http::{Message, Reader};
 use crate::processor::{work_between, Processor};
@@ -16,7 +17,7 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::task::AbortHandle;
 
-/// Facts of a request that its sender does not send.
+/// Parameters of a planned request that are not transmitted; the node looks them up by the request id.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestParameters {
     pub class: usize,
@@ -25,7 +26,8 @@
     pub wait_us: u64,
 }
 
-/// A zone's deduplication of keys: when each was first seen. Expired ones are dropped as new ones come.
+/// Idempotency keys that a zone deduplicates, with the time of their first arrival. Expired keys are removed when a
+/// key arrives.
 #[derive(Default)]
 pub struct Deduplication {
     seen: HashMap<u64, Moment>,
@@ -33,7 +35,7 @@
 }
 
 impl Deduplication {
-    /// Whether the key is seen for the first time within the window.
+    /// Records a key; returns whether it arrives for the first time within the window.
     pub fn is_new(&mut self, now: Moment, key: u64, window_us: u64) -> bool {
         while let Some((at, old)) = self.order.front().copied().filter(|o| o.0 + window_us < now) {
             self.order.pop_front();
@@ -50,11 +52,11 @@
     }
 }
 
-/// What all nodes of a run share.
+/// State shared by all nodes of a run.
 pub struct SharedState {
     pub journal: Journal,
     pub parameters: RefCell<HashMap<u64, RequestParameters>>,
-    /// By zone.
+    /// Received idempotency keys, by zone.
     pub seen_keys: RefCell<Vec<Deduplication>>,
     /// Effect and window of each class.
     pub classes: Vec<(Effect, u64)>,
@@ -72,7 +74,7 @@
     pub name: String,
     pub zone: usize,
     pub kind: Kind,
-    /// Its address for each proxy.
+    /// Its listening address for each proxy.
     pub addresses: Vec<SocketAddr>,
     pub started: Moment,
     shared: Rc<SharedState>,
@@ -82,23 +84,23 @@
     wake: Notify,
     tasks: RefCell<Vec<AbortHandle>>,
     open: Cell<usize>,
-    /// Work received during slow start.
+    /// Work received within the last window during slow start, with its time of arrival.
     budget: RefCell<VecDeque<(Moment, f64)>>,
     pub frozen: Cell<bool>,
     stopping: Cell<bool>,
-    /// Whether its connections end with a reset.
+    /// Whether its connections are reset when they are dropped.
     crashed: Cell<bool>,
     pub failed: Cell<bool>,
     pub corrupt_fraction: Cell<f64>,
     pub reset_fraction: Cell<f64>,
 }
 
-/// How a node goes down.
+/// How a node's process terminates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Termination {
     /// Its connections are reset at once.
     Crash,
-    /// It finishes the requests that it has.
+    /// It completes its requests in flight first.
     Leave,
 }
 
@@ -177,21 +179,21 @@
         self.processor.borrow().overloaded
     }
 
-    /// Slower by that factor from now on.
+    /// Slows processing down by a factor from now on; 1 is the normal speed.
     pub fn slow(&self, factor: f64) {
         self.advance();
         self.processor.borrow_mut().slow = factor.max(1e-3);
         self.wake.notify_one();
     }
 
-    /// Accepts requests and answers none while true.
+    /// While true, the node accepts requests and completes none.
     pub fn hang(&self, hung: bool) {
         self.advance();
         self.processor.borrow_mut().hung = hung;
         self.wake.notify_one();
     }
 
-    /// Ends its process. One that leaves finishes the requests that it has, for two seconds at most.
+    /// Terminates its process. [`Termination::Leave`] waits at most two seconds for the requests in flight.
     pub fn terminate(self: &Rc<Self>, how: Termination) {
         if self.stopping.replace(true) {
             return;
@@ -221,7 +223,7 @@
         loop {
             let Ok((stream, _)) = listener.accept().await else { return };
             if self.stopping.get() || self.open.get() >= self.kind.connections * self.kind.cores {
-                continue; // closed at once
+                continue; // dropping the stream closes the connection
             }
             let _ = stream.set_nodelay(true);
             self.open.set(self.open.get() + 1);
@@ -230,7 +232,7 @@
         }
     }
 
-    /// Drives the processor, and completes the requests whose work is done.
+    /// Drives the processor and completes the requests whose work is done.
     async fn drive_processor(self: Rc<Self>) {
         loop {
             self.advance();
@@ -259,7 +261,7 @@
         }
     }
 
-    /// Counts received work against the slow-start budget; beyond it the node goes down.
+    /// Charges received work to the slow-start budget; a node that exceeds it fails and resets its connections.
     fn charge_slow_start_budget(self: &Rc<Self>, at: Moment, work_us: u64) {
         if !self.slow_start || self.failed.get() {
             return;
@@ -277,7 +279,7 @@
         }
         let sent: f64 = budget.iter().map(|b| b.1).sum();
         let speed = kind.speed * kind.cores as f64;
-        // Before its start there was no capacity, and after it a whole window is granted.
+        // A node has no capacity before its start, so the first window begins there and is granted in full.
         let capacity = work_between(
             speed,
             kind.initial_capacity,
@@ -295,7 +297,7 @@
     }
 }
 
-/// A connection of a proxy.
+/// A connection from a proxy.
 struct Connection {
     node: Rc<Node>,
     reader: Reader<TcpStream>,
@@ -315,7 +317,8 @@
     attempt: u64,
     id: u64,
     request: RequestParameters,
-    /// Whether it takes effect when it runs: its zone had not seen its key within the window.
+    /// Whether it takes effect when it runs: false for a safe request, and for a keyed one whose key its zone has
+    /// received within the window.
     takes_effect: bool,
 }
 
@@ -339,13 +342,13 @@
             shared.journal.put(Event::Arriving { attempt, boot: self.node.boot, proxy });
             let reset = shared.random.borrow_mut().bernoulli(self.node.reset_fraction.get());
             if reset && shared.random.borrow_mut().bernoulli(0.5) {
-                return self.reset_at_end(); // unread
+                return self.reset_at_end(); // reset before the request is read
             }
             let Ok(message) = self.reader.message().await else { return };
             let Some(received) = self.receive(attempt, &message).await else { return };
             if reset {
                 self.record_effect(&received);
-                return self.reset_at_end(); // read and run
+                return self.reset_at_end(); // reset after the request has run
             }
             if !self.respond(received).await {
                 return;
@@ -353,7 +356,7 @@
         }
     }
 
-    /// Identifies the request; `None`: it was answered with an error and the connection ends.
+    /// Identifies the request. `None`: an error response was sent and the connection must be closed.
     async fn receive(&mut self, attempt: u64, message: &Message) -> Option<ReceivedAttempt> {
         let shared = self.node.shared.clone();
         let text = message.header("x-correlation-id").unwrap_or("");
@@ -393,13 +396,13 @@
         }
     }
 
-    /// Processes and answers; false: the connection cannot be used further.
+    /// Processes an attempt and responds to it; returns whether the connection can be reused.
     async fn respond(&mut self, received: ReceivedAttempt) -> bool {
         let (node, attempt) = (self.node.clone(), received.attempt);
         let journal = node.shared.journal.clone();
         node.advance();
         if !node.processor.borrow_mut().offer(journal.now(), attempt, received.request.work_us) {
-            // Recorded before it is written: the proxy may act on it at once.
+            // Recorded before the response is written, since the proxy may act on it immediately.
             journal.put(Event::Rejected { attempt });
             return self
                 .write("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
@@ -414,7 +417,8 @@
                 return false;
             },
             _ = self.reader.first_byte() => {
-                // The proxy has closed it, or sent more than it should. What is queued is dropped, what runs goes on.
+                // The proxy closed the connection or sent unexpected bytes: a queued attempt is dropped, and a running
+                // one completes.
                 if node.processor.borrow_mut().drop_waiting(attempt) {
                     node.running.borrow_mut().remove(&attempt);
                 } else if ended.await.is_ok() {
--- a/crates/gaugesaddle-testbed/src/plan.rs
+++ b/crates/gaugesaddle-testbed/src/plan.rs
@@ -1,11 +1,11 @@
-//! A scenario drawn ahead: every request with its work and its retries, every step of the fleet. Nothing here reads a
-//! clock, so that a seed means the same on every machine.
+//! The plan of a run, drawn from a scenario before the run starts: every request with its work and its retries, and
+//! every step of the fleet. Nothing here reads a clock, so that a seed yields the same plan on every machine.
 
 use crate::datagrams::Links;
 use crate::random::{mix, RandomStream};
 use crate::scenario::{Disturbance, Effect, Scenario};
 
-/// From the end of a node's process to its successor's start, in a deploy.
+/// Time from the end of a node's process to its successor's start in a deploy, in seconds.
 const RESTART_AFTER_S: f64 = 0.2;
 
 /// A request of a client.
@@ -21,27 +21,28 @@
     pub key: u64,
     /// Work, in microseconds of a standard core.
     pub work_us: u64,
-    /// Time that it waits without a core, in microseconds.
+    /// Time that it waits without using a core, in microseconds.
     pub wait_us: u64,
     /// Zone of the client.
     pub zone: usize,
     /// Deadline of the client, in microseconds.
     pub patience_us: u64,
-    /// Most retries.
+    /// Maximum number of retries.
     pub retries: u32,
-    /// Backoff before the first retry; doubled for each further one.
+    /// Backoff before the first retry, in microseconds; doubled for each further one, except in a reconnect storm.
     pub backoff_us: u64,
     /// Whether the client follows `Retry-After`.
     pub follows_retry_after: bool,
-    /// Time until the client disconnects, unless it has a response by then.
+    /// Time until the client disconnects if it has received no response, in microseconds.
     pub disconnects_after_us: Option<u64>,
     /// Whether it writes its request slowly, in chunks.
     pub slow_writing: bool,
     /// Whether it reads its response late.
     pub slow_reading: bool,
-    /// Whether it keeps its connection without a further request.
+    /// Whether it sends a single request on its connection and leaves the connection open.
     pub single_request: bool,
-    /// Number of a client of a reconnect storm: it has an address and connections of its own, and even waits.
+    /// Number of the client in a reconnect storm. Such a client has its own address and connections, and a constant
+    /// backoff.
     pub storm_client: Option<u32>,
 }
 
@@ -50,33 +51,33 @@
 pub enum Step {
     /// A node's process starts, in slow start.
     NodeStart(usize),
-    /// A node's process dies; discovery notices late.
+    /// A node's process crashes; discovery detects it after a delay.
     NodeCrash(usize),
-    /// Discovery announces that a node drains; it goes on.
+    /// Discovery announces that a node drains; the node keeps running.
     NodeDrain(usize),
     /// A node leaves after a drain.
     NodeStop(usize),
-    /// A node stops answering; connections stay open.
+    /// A node stops responding; its connections stay open.
     NodeVanish(usize),
-    /// A node is slower by that factor.
+    /// A node is slowed down by a factor.
     NodeSlow(usize, f64),
-    /// A node accepts requests and answers none while true.
+    /// While true, a node accepts requests and completes none.
     NodeHang(usize, bool),
-    /// A node corrupts this fraction of its responses.
+    /// A node corrupts a fraction of its responses.
     NodeSpoil(usize, f64),
-    /// A node resets this fraction of its connections.
+    /// A node resets a fraction of its connections.
     NodeResets(usize, f64),
-    /// Nothing passes between a proxy and a node while true.
+    /// While true, no data passes between a proxy and a node.
     LinkPartition(usize, usize, bool),
-    /// The link between a proxy and a node is slower by that many microseconds.
+    /// Additional latency between a proxy and a node, each way, in microseconds.
     LinkDelay(usize, usize, u64),
-    /// The links between regions are slower by that many microseconds.
+    /// Additional latency between regions, each way, in microseconds.
     RegionDelay(u64),
-    /// Nothing passes between regions while true.
+    /// While true, no data passes between regions.
     RegionPartition(bool),
     /// All regions get new keys.
     NewKeys,
-    /// Discovery does not answer while true.
+    /// While true, discovery does not respond.
     DiscoveryDown(bool),
     /// Discovery moves to another address.
     DiscoveryMove,
@@ -84,31 +85,31 @@
     ProxyKill(usize),
     /// A proxy starts.
     ProxyStart(usize),
-    /// A proxy is stopped while true.
+    /// A proxy is stopped (SIGSTOP) while true, and continued (SIGCONT) while false.
     ProxyStop(usize, bool),
-    /// A proxy ends in order and starts again.
+    /// A proxy terminates gracefully and is started again.
     ProxyRestart(usize),
-    /// A proxy ends in order.
+    /// A proxy terminates gracefully.
     ProxyLeave(usize),
-    /// The network between proxies has this state.
+    /// The network between the proxies changes to this state.
     Network(Links),
 }
 
-/// A run.
+/// The plan of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// In the order of their times.
+    /// Ordered by time.
     pub requests: Vec<PlannedRequest>,
-    /// In the order of their times.
+    /// Ordered by time, in microseconds from the start of the clients.
     pub steps: Vec<(u64, Step)>,
 }
 
-/// The id of a retry, by the id of the first attempt.
+/// The id of a retry, derived from the id of the first attempt and the number of the retry.
 pub fn retry_id(first: u64, number: u32) -> u64 {
     mix(first, u64::from(number) + 0x5eed) | 1
 }
 
-/// Draws a scenario.
+/// Draws the plan of a scenario.
 pub fn plan(s: &Scenario) -> Plan {
     Plan { requests: draw_requests(s), steps: steps(s) }
 }
@@ -118,7 +119,7 @@
     let mut random = RandomStream::new(s.seed, "requests");
     let (mut at, mut requests) = (0.0, Vec::new());
     loop {
-        // Thinning: arrivals are drawn at the highest rate, and kept with the probability of the present one.
+        // Thinning: arrivals are drawn at the highest rate and accepted with the ratio of the current rate to it.
         let max_factor = rates(s).fold(1.0, f64::max);
         at += times.exponential(1.0 / (s.clients.per_s * max_factor));
         if at >= s.seconds {
@@ -181,7 +182,7 @@
     }
 }
 
-/// The requests of all reconnect storms, drawn from a stream of their own.
+/// The requests of all reconnect storms, drawn from a separate random stream.
 fn draw_storms(s: &Scenario) -> Vec<PlannedRequest> {
     let mut random = RandomStream::new(s.seed, "crowds");
     let (mut requests, mut number) = (Vec::new(), 0);
@@ -209,7 +210,7 @@
     s.events.iter().map(|e| if let Disturbance::Burst { factor, .. } = e.disturbance { factor } else { 1.0 })
 }
 
-/// The multiple of the usual rate at a time.
+/// Factor of the mean arrival rate at a time.
 fn rate(s: &Scenario, at: f64) -> f64 {
     let on = s.events.iter().filter_map(|e| match e.disturbance {
         Disturbance::Burst { factor, for_s } if at >= e.at_s && at < e.at_s + for_s => Some(factor),
@@ -218,7 +219,7 @@
     on.fold(1.0, f64::max)
 }
 
-/// The steps of all disturbances, in the order of their times.
+/// The steps of all disturbances, ordered by time.
 fn steps(s: &Scenario) -> Vec<(u64, Step)> {
     let mut schedule = Schedule { scenario: s, steps: Vec::new() };
     for event in &s.events {
@@ -239,13 +240,14 @@
         self.steps.push(((at_s * 1e6) as u64, step));
     }
 
-    /// A step, and the step that undoes it.
+    /// Adds a step and the step that undoes it.
     fn add_for(&mut self, at_s: f64, for_s: f64, step: Step, undo: Step) {
         self.add(at_s, step);
         self.add(at_s + for_s, undo);
     }
 
-    /// From a drain's start until every proxy knows of it: a node that leaves earlier looks as if it had crashed.
+    /// Time from a drain's start until every proxy has received it and its grace has passed, in seconds. A node that
+    /// leaves earlier appears to have crashed.
     fn drain_known_s(&self) -> f64 {
         self.scenario.discovery.notice_s[1] + self.scenario.rules.drain_grace_ms / 1e3 + 0.5
     }
@@ -311,12 +313,12 @@
             Disturbance::LeaveProxy { proxy } => self.add(at, Step::ProxyLeave(proxy)),
             Disturbance::JoinProxy { proxy } => self.add(at, Step::ProxyStart(proxy)),
             Disturbance::RollProxies { group, every_s } => self.add_roll(at, group, every_s),
-            // Both are disturbances of the arrivals.
+            // Both change the arrivals and add no step.
             Disturbance::Burst { .. } | Disturbance::ReconnectStorm { .. } => {}
         }
     }
 
-    /// The start of a node's successor, if one follows.
+    /// Adds the start of a node's successor, if there is one.
     fn add_successor(&mut self, at: f64, node: usize, after_s: Option<f64>) {
         if let Some(after_s) = after_s {
             self.add(at + after_s, Step::NodeStart(node));
@@ -358,7 +360,7 @@
         }
     }
 
-    /// Proxies reach no nodes in zones of another group.
+    /// Partitions each proxy from the nodes in zones of another group.
     fn add_zone_partitions(&mut self, at: f64, for_s: f64, links: &Links, zones: &[u8]) {
         for proxy in 0..self.scenario.proxies {
             for node in 0..self.scenario.nodes() {
@@ -371,7 +373,7 @@
     }
 }
 
-/// Whether a client may retry by itself after this status (0: it could not reach a proxy or its connection broke).
+/// Whether a client may retry after a status (0: it could not reach a proxy, or its connection broke).
 pub fn may_retry(effect: Effect, status: u16, reached: bool) -> bool {
     match effect {
         Effect::Safe => status != 200,
--- a/crates/gaugesaddle-testbed/src/process.rs
+++ b/crates/gaugesaddle-testbed/src/process.rs
@@ -1,4 +1,4 @@
-//! Proxies as processes.
+//! Proxies that run as processes.
 
 use serde_json::Value;
 use std::collections::VecDeque;
@@ -7,10 +7,10 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::{Arc, Mutex};
 
-/// Number of the last lines of a proxy's log that are kept.
+/// Number of lines retained from the end of a proxy's log.
 const LOG_CAPACITY: usize = 2000;
 
-/// How a proxy's program is run.
+/// The program of a proxy and its arguments.
 #[derive(Clone, Debug)]
 pub struct Program {
     /// The program.
@@ -19,7 +19,7 @@
     pub arguments: Vec<String>,
 }
 
-/// The most memory that a process has had, in kilobytes.
+/// Peak resident memory of a process, in kilobytes.
 ///
 /// # Errors
 /// The system does not report it.
@@ -27,10 +27,10 @@
     let text = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
     let line = text.lines().find_map(|l| l.strip_prefix("VmHWM:"));
     line.and_then(|l| l.trim().trim_end_matches(" kB").trim().parse().ok())
-        .ok_or_else(|| io::Error::other("no VmHWM in /proc"))
+        .ok_or_else(|| io::Error::other("/proc/<pid>/status contains no valid VmHWM line"))
 }
 
-/// A running proxy. It is killed when dropped.
+/// A running proxy process. It is killed when dropped.
 pub struct Process {
     child: Child,
     config: PathBuf,
@@ -38,7 +38,7 @@
 }
 
 impl Process {
-    /// Starts one with this configuration, written to a file in `folder`.
+    /// Starts a proxy with a configuration, which is written to a file in `folder`.
     ///
     /// # Errors
     /// The configuration cannot be written, or the program cannot be started.
@@ -75,7 +75,7 @@
         self.child.id()
     }
 
-    /// Sends a signal by its name, `TERM` or `STOP`.
+    /// Sends a signal by its name, such as `TERM` or `STOP`.
     ///
     /// # Errors
     /// The signal cannot be sent.
@@ -83,36 +83,36 @@
         send_signal(self.id(), name)
     }
 
-    /// Replaces its configuration and has it reload.
+    /// Replaces its configuration and makes it reload by SIGHUP.
     ///
     /// # Errors
     /// The configuration cannot be written, or the signal cannot be sent.
     pub fn reload(&self, config: &Value) -> io::Result<()> {
-        // Moved into place: a reader sees the old one or the new one.
+        // Renamed into place, so that a reader sees either the old or the new file.
         let replacement = self.config.with_extension("new");
         std::fs::write(&replacement, config.to_string())?;
         std::fs::rename(&replacement, &self.config)?;
         self.signal("HUP")
     }
 
-    /// Kills it and waits until it is gone.
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Whether it has ended by itself, and how.
+    /// Whether the process exited with code 0; `None` while it runs.
     pub fn ended(&mut self) -> Option<bool> {
         self.child.try_wait().ok().flatten().map(|status| status.success())
     }
 
-    /// The last lines that it has written to standard error.
+    /// The last lines that the process has written to standard error.
     pub fn log(&self) -> Vec<String> {
         self.log.lock().unwrap_or_else(std::sync::PoisonError::into_inner).iter().cloned().collect()
     }
 }
 
-/// Sends a signal by its name to a process. It starts a program, which may block for long on a busy machine.
+/// Sends a signal by its name to a process. Runs `kill`, whose start may block for long on a busy machine.
 pub fn send_signal(process: u32, name: &str) -> io::Result<()> {
     let status = Command::new("kill").args([&format!("-{name}"), &process.to_string()]).status()?;
     if status.success() {
--- a/crates/gaugesaddle-testbed/src/processor.rs
+++ b/crates/gaugesaddle-testbed/src/processor.rs
@@ -1,13 +1,13 @@
 //! A model of a node's machine: processor sharing over its cores, a queue in front, slow start, and overload under
-//! lasting load. No clock and no I/O: the host supplies the time and asks what has ended.
+//! sustained load. It uses no clock and no I/O: the caller supplies the time and receives the completed jobs.
 
 use crate::scenario::{Kind, Overload};
 use std::collections::VecDeque;
 
-/// Span over which a changing speed is taken as constant.
+/// Longest step over which a changing speed is taken as constant, in microseconds.
 const MAX_STEP_US: f64 = 5_000.0;
 
-/// Fraction of its full capacity that a node of that age has.
+/// Fraction of full capacity that a node has at an age.
 pub fn slow_start_fraction(cold_from: f64, ramp_us: f64, age_us: f64) -> f64 {
     if ramp_us <= 0.0 {
         return 1.0;
@@ -17,7 +17,7 @@
 
 /// Work that a node can do between two ages, in microseconds of a standard core.
 pub fn work_between(speed: f64, cold_from: f64, ramp_us: f64, from_us: f64, to_us: f64) -> f64 {
-    // Capacity rises linearly: the mean of both ends, and full capacity after it.
+    // Capacity rises linearly during slow start, so its mean is that of both ends; after it, capacity is full.
     let from = from_us.max(0.0);
     let ramp_end = ramp_us.clamp(from, to_us.max(from));
     let ramp_work = (slow_start_fraction(cold_from, ramp_us, from)
@@ -32,7 +32,7 @@
     remaining_us: f64,
 }
 
-/// The machine. Times are microseconds of the run.
+/// The machine of a node. Times are in microseconds since the start of the run.
 pub struct Processor {
     cores: f64,
     speed: f64,
@@ -42,9 +42,9 @@
     slots: usize,
     queue: usize,
     overload: Overload,
-    /// Factor of a slowdown.
+    /// Factor by which processing is slowed down.
     pub slow: f64,
-    /// Whether it accepts requests and ends none.
+    /// Whether it accepts requests and completes none.
     pub hung: bool,
     running: Vec<Job>,
     waiting: VecDeque<Job>,
@@ -55,7 +55,7 @@
 }
 
 impl Processor {
-    /// A machine of that kind, with its start; in slow start or at full capacity.
+    /// A machine of a kind that starts at a time, in slow start (`cold`) or at full capacity.
     pub fn new(kind: &Kind, overload: Overload, started: u64, cold: bool) -> Processor {
         Processor {
             cores: kind.cores as f64,
@@ -95,7 +95,7 @@
         true
     }
 
-    /// Work of a core in a microsecond at a time.
+    /// Work that a core does per microsecond at a time.
     fn rate(&self, at: f64) -> f64 {
         if self.hung {
             return 0.0;
@@ -105,12 +105,12 @@
         self.speed * capacity / self.slow / slowdown
     }
 
-    /// Work of each running job in a microsecond.
+    /// Work that each running job receives per microsecond at a time.
     fn rate_per_job(&self, at: f64) -> f64 {
         self.rate(at) * (self.cores / self.running.len().max(1) as f64).min(1.0)
     }
 
-    /// Runs up to that time; adds the jobs that have ended by then.
+    /// Runs up to a time and appends the jobs that have completed by then to `ended`.
     pub fn run(&mut self, now: u64, ended: &mut Vec<u64>) {
         let now = now as f64;
         while self.now < now {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Becomes overloaded, or recovers.
+    /// Enters or leaves overload once the load has been beyond its threshold for long enough.
     fn update_overload(&mut self) {
         let jobs_per_core = self.in_flight() as f64 / self.cores;
         let threshold_crossed = if self.overloaded {
@@ -157,22 +157,22 @@
         }
     }
 
-    /// Time at which to run again at the latest.
+    /// Latest time at which to call [`Processor::run`] again; `None` while the machine is idle and not overloaded.
     pub fn next(&self) -> Option<u64> {
         let rate_per_job = self.rate_per_job(self.now);
         let least_remaining_us = self.running.iter().map(|j| j.remaining_us).fold(f64::INFINITY, f64::min);
         let wait = if least_remaining_us.is_finite() && rate_per_job > 0.0 {
             least_remaining_us / rate_per_job
         } else if self.overloaded || self.in_flight() > 0 {
-            50_000.0 // nothing ends by itself: look again for a change
+            50_000.0 // no completion is predictable: check again for a change of state
         } else {
             return None;
         };
-        // Further ahead the speed may have changed.
+        // Limited, since the speed may change by then.
         Some((self.now + wait.clamp(1.0, 50_000.0)).ceil() as u64)
     }
 
-    /// Removes a queued job; whether there was one.
+    /// Removes a queued job; returns whether it was queued.
     pub fn drop_waiting(&mut self, id: u64) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|j| j.id != id);
--- a/crates/gaugesaddle-testbed/src/processor/tests.rs
+++ b/crates/gaugesaddle-testbed/src/processor/tests.rs
@@ -13,13 +13,13 @@
     Processor::new(&kind, overload, 0, cold)
 }
 
-/// Runs until that job ends.
+/// Runs until a job completes; returns the time in milliseconds.
 fn end_of(p: &mut Processor, id: u64) -> f64 {
     let mut ended = Vec::new();
     while !ended.contains(&id) {
-        let next = p.next().expect("something runs");
+        let next = p.next().expect("a running job");
         p.run(next, &mut ended);
-        assert!(next < 60_000_000, "never ends");
+        assert!(next < 60_000_000, "the job does not complete within 60 s");
     }
     p.now / 1e3
 }
@@ -36,7 +36,7 @@
 fn jobs_share_a_core_and_excess_jobs_are_queued_or_rejected() {
     let mut p = machine(false);
     assert!(p.offer(0, 1, 20_000) && p.offer(0, 2, 20_000) && p.offer(0, 3, 20_000));
-    assert!(!p.offer(0, 4, 20_000), "two slots and one place in the queue");
+    assert!(!p.offer(0, 4, 20_000), "two slots and a queue of one are full");
     assert!((end_of(&mut p, 1) - 20.0).abs() < 0.1);
     assert!((end_of(&mut p, 3) - 30.0).abs() < 0.1);
 }
@@ -46,7 +46,7 @@
     let mut p = machine(true);
     assert!(p.offer(0, 1, 20_000));
     let cold = end_of(&mut p, 1);
-    // Half speed at first, a little more by then; the end is seen at the next look, 20 ms at the latest.
+    // Half speed at first and slightly more by the end; the completion is seen within 20 ms.
     assert!((19.0..=20.0).contains(&cold), "{cold}");
     let work = work_between(2.0, 0.5, 1e6, 0.0, cold * 1e3);
     assert!((work - 20_000.0).abs() < 300.0, "{work}");
@@ -63,11 +63,11 @@
     p.run(90_000, &mut ended);
     assert!(!p.overloaded);
     p.run(120_000, &mut ended);
-    assert!(p.overloaded, "two requests a core for 0.1 s");
+    assert!(p.overloaded, "two requests per core for 0.1 s");
     end_of(&mut p, 1);
     let now = p.now as u64;
     p.run(now + 300_000, &mut ended);
-    assert!(!p.overloaded, "rested");
+    assert!(!p.overloaded, "recovered after 0.1 s of low load");
 }
 
 #[test]
--- a/crates/gaugesaddle-testbed/src/program.rs
+++ b/crates/gaugesaddle-testbed/src/program.rs
@@ -1,14 +1,14 @@
-//! Where the built programs are.
+//! Paths of the programs of this workspace.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// A program of this workspace that was built with the same profile as what runs now: it lies in the same folder,
-/// or, for a test, in the one above.
+/// The path of a program of this workspace that was built with the same profile as the running one: in the same
+/// folder or, for a test, in its parent folder.
 ///
 /// # Panics
-/// Where it has not been built; `cargo test` builds it for the tests of its own package, `cargo run` does not.
+/// The program has not been built. `cargo test` builds it for the tests of its own package; `cargo run` does not.
 pub fn path(name: &str) -> PathBuf {
     let found = expected_path(name);
     assert!(found.is_file(), "{}: not built; run `cargo build` with the same profile first", found.display());
@@ -16,7 +16,7 @@
 }
 
 fn expected_path(name: &str) -> PathBuf {
-    let current = std::env::current_exe().expect("a path to this program");
+    let current = std::env::current_exe().expect("the path of the running program");
     let mut folder = current.parent().unwrap_or(Path::new("."));
     if folder.file_name().is_some_and(|n| n == "deps" || n == "examples") {
         folder = folder.parent().unwrap_or(folder);
@@ -24,8 +24,9 @@
     folder.join(format!("{name}{}", std::env::consts::EXE_SUFFIX))
 }
 
-/// The same, brought up to date by cargo where this program was itself started by `cargo run`. Cargo builds a package by
-/// itself with other features of the libraries than two together: who builds both before builds once.
+/// The path of a program, built by cargo first if the running program was itself started by `cargo run`. Cargo selects
+/// other library features for one package alone than for two together, so building both in advance avoids a second
+/// build.
 ///
 /// # Errors
 /// Cargo cannot be run, or the build fails.
@@ -33,7 +34,7 @@
     static BUILT: std::sync::Once = std::sync::Once::new();
     if std::env::var_os("CARGO").is_some() {
         let both = "cargo build --release -p gaugesaddle -p gaugesaddle-testbed";
-        BUILT.call_once(|| eprintln!("{name} is brought up to date by cargo; to build once: {both}"));
+        BUILT.call_once(|| eprintln!("building {name}; to build only once, run first: {both}"));
     }
     if let Some(cargo) = std::env::var_os("CARGO") {
         let mut build = Command::new(cargo);
@@ -45,13 +46,13 @@
             build.current_dir(root);
         }
         if !build.status()?.success() {
-            return Err(std::io::Error::other(format!("{name} could not be built")));
+            return Err(std::io::Error::other(format!("cargo could not build {name}")));
         }
     }
     Ok(path(name))
 }
 
-/// Long options, value names and subcommands that a help text names.
+/// The long options, value names and subcommands in a help text, sorted and separated by spaces.
 pub fn interface(help: &str) -> String {
     let is_part = |c: char| c.is_ascii_alphanumeric() || "-<>_=".contains(c);
     let words = help.split(|c| !is_part(c)).filter(|word| {
--- a/crates/gaugesaddle-testbed/src/random.rs
+++ b/crates/gaugesaddle-testbed/src/random.rs
@@ -1,4 +1,4 @@
-//! Random numbers: a stream of its own for each purpose, so that a draw more in one place changes no other.
+//! Random numbers with a separate stream for each purpose, so that an additional draw from one stream changes no other.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -7,12 +7,12 @@
 pub struct RandomStream(Pcg64Mcg);
 
 impl RandomStream {
-    /// The stream of a purpose under a seed.
+    /// The stream for a seed and a purpose.
     pub fn new(seed: u64, purpose: &str) -> RandomStream {
         RandomStream(Pcg64Mcg::seed_from_u64(mix(seed, hash(purpose))))
     }
 
-    /// Uniform from 0 up to 1.
+    /// Uniform in [0, 1).
     pub fn unit(&mut self) -> f64 {
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
@@ -22,22 +22,22 @@
         self.0.next_u64()
     }
 
-    /// Uniform from 0 up to `below`, without it.
+    /// Uniform in 0..below.
     pub fn below(&mut self, below: usize) -> usize {
         ((self.unit() * below as f64) as usize).min(below.saturating_sub(1))
     }
 
-    /// True with that probability.
+    /// True with a probability.
     pub fn bernoulli(&mut self, probability: f64) -> bool {
         self.unit() < probability
     }
 
-    /// Exponential with that mean.
+    /// Exponentially distributed with a mean.
     pub fn exponential(&mut self, mean: f64) -> f64 {
         -mean * (1.0 - self.unit()).ln()
     }
 
-    /// Log-normal with that mean and coefficient of variation.
+    /// Log-normally distributed with a mean and a coefficient of variation.
     pub fn lognormal(&mut self, mean: f64, cv: f64) -> f64 {
         let variance = (1.0 + cv * cv).ln();
         let (a, b) = (1.0 - self.unit(), self.unit());
@@ -51,12 +51,12 @@
     }
 }
 
-/// FNV-1a.
+/// The 64-bit FNV-1a hash of a text.
 pub fn hash(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// Two numbers into one that looks like neither (SplitMix64's last steps).
+/// Mixes two numbers into one with the finalizer of SplitMix64.
 pub fn mix(a: u64, b: u64) -> u64 {
     let mut z = a.wrapping_add(b.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/gaugesaddle-testbed/src/record.rs
+++ b/crates/gaugesaddle-testbed/src/record.rs
@@ -1,24 +1,24 @@
 //! The records of a run. All stand-ins run in one process and use one monotonic clock, so that records of different
-//! stand-ins are in the order of their events. `tests/golden_documents.rs` holds their form in files.
+//! stand-ins are in the order of their events. `tests/golden_documents.rs` checks their serialized form.
 
 use crate::datagrams::Links;
 use serde::{Deserialize, Serialize};
 use std::sync::{Arc, Mutex};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Most records of a run: further ones are dropped and counted, and the audit is then without a verdict.
+/// Maximum number of records of a run; further ones are dropped and counted, and the audit then gives no verdict.
 const MAX_RECORDS: usize = 4_000_000;
 
 /// Microseconds since the start of the run.
 pub type Moment = u64;
 
-/// State of a node in discovery's list.
+/// State of a node in the list of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum NodeState {
     /// It accepts requests.
     Ready,
-    /// It finishes the requests that it has.
+    /// It completes its requests in flight.
     Draining,
     /// It has left.
     #[serde(rename = "gone")]
@@ -30,7 +30,7 @@
 pub struct Boot {
     /// Number of the node in the fleet.
     pub node: usize,
-    /// Number of the process among those of the node.
+    /// Number of the process among the successive processes of the node.
     pub boot: u32,
 }
 
@@ -92,7 +92,7 @@
         #[serde(rename = "ramp_us")]
         slow_start_us: u64,
     },
-    /// A node went down since it was sent too much in slow start.
+    /// A node failed because it received too much work during slow start.
     NodeFell {
         /// The process.
         boot: Boot,
@@ -102,7 +102,7 @@
         /// The process.
         boot: Boot,
     },
-    /// Discovery has a change of a node ready for a proxy.
+    /// A change of a node became available to a proxy.
     Published {
         /// The proxy.
         proxy: usize,
@@ -112,7 +112,7 @@
         #[serde(rename = "standing")]
         state: NodeState,
     },
-    /// Discovery has written a change of a node to a proxy.
+    /// Discovery has sent a change of a node to a proxy.
     #[serde(rename = "told")]
     Delivered {
         /// The proxy.
@@ -138,7 +138,7 @@
         key: u64,
         /// Deadline of the client, in microseconds from now.
         patience_us: u64,
-        /// Whether it is the first on its connection.
+        /// Whether it is the first request on its connection.
         fresh: bool,
     },
     /// No proxy could be reached.
@@ -156,14 +156,14 @@
         id: u64,
         /// The status.
         status: u16,
-        /// The attempt at a node that the body of a 200 names.
+        /// The number of the attempt at a node, from the body of a 200 response.
         attempt: Option<u64>,
         /// `Retry-After`, in milliseconds.
         retry_after_ms: Option<u64>,
     },
     /// A client has read bytes that belong to no request.
     Surplus {
-        /// Id of the last attempt on that connection.
+        /// Id of the last attempt on the connection.
         id: u64,
     },
     /// A client's connection ended before a complete response.
@@ -173,7 +173,7 @@
         /// Bytes of the response that were read.
         bytes: usize,
     },
-    /// No response came until long after the deadline.
+    /// No response was received until long after the deadline.
     Unanswered {
         /// Id of the attempt.
         id: u64,
@@ -198,7 +198,7 @@
     Received {
         /// The attempt.
         attempt: u64,
-        /// Id of the client's attempt that it is for.
+        /// Id of the client's attempt that it belongs to.
         id: u64,
         /// Its work, in microseconds on a standard core.
         work_us: u64,
@@ -223,7 +223,7 @@
         /// The status.
         status: u16,
     },
-    /// A stand-in read what it cannot use, or failed itself.
+    /// A stand-in received unexpected data, or an operation of the test bed failed.
     #[serde(rename = "strange")]
     Unexpected {
         /// A description.
@@ -241,7 +241,7 @@
     pub event: Event,
 }
 
-/// The records of a run; all stand-ins share it.
+/// The journal of a run, shared by all stand-ins.
 #[derive(Clone)]
 pub struct Journal {
     start: Instant,
@@ -250,7 +250,7 @@
 }
 
 impl Journal {
-    /// An empty journal whose time begins now.
+    /// An empty journal whose clock starts now.
     #[allow(clippy::new_without_default)]
     pub fn new() -> Journal {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -279,7 +279,7 @@
 
     /// Appends an event with the present time.
     pub fn put(&self, event: Event) -> Moment {
-        // The stamp is taken inside of the lock: no record is older than the one before it.
+        // The time is read under the lock, so that no record is older than the previous one.
         let mut guard = self.records.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let at = self.now();
         if guard.0.len() < MAX_RECORDS {
@@ -290,12 +290,12 @@
         at
     }
 
-    /// All records so far, and how many were dropped.
+    /// Removes and returns all records, with the number of dropped ones.
     pub fn take(&self) -> (Vec<Record>, u64) {
         std::mem::take(&mut *self.records.lock().unwrap_or_else(std::sync::PoisonError::into_inner))
     }
 
-    /// Calls a function with the records from the n-th on.
+    /// Calls a function with the records from an index on.
     pub fn read<T>(&self, from: usize, with: impl FnOnce(&[Record]) -> T) -> T {
         let guard = self.records.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         with(guard.0.get(from..).unwrap_or(&[]))
--- a/crates/gaugesaddle-testbed/src/regions.rs
+++ b/crates/gaugesaddle-testbed/src/regions.rs
@@ -1,4 +1,5 @@
-//! The regions of a run: their certificate authority, the proxies' operator files, and the links between gateways.
+//! The regions of a run: their certificate authority, the region sections of the proxies' operator files, and the links
+//! between gateways.
 
 use crate::authority::{Authority, KeyFiles};
 use crate::lease::Lease;
@@ -77,7 +78,7 @@
         self.gateways.iter().for_each(|(_, _, relay)| relay.block(cut));
     }
 
-    /// The section of a proxy's operator file.
+    /// The `[region]` section of a proxy's operator file.
     pub fn section(&self, proxy: usize) -> String {
         let (region, gateway, _) = &self.gateways[proxy];
         let (Regions { per_s, in_flight, hops, way_ms, .. }, key_files) =
--- a/crates/gaugesaddle-testbed/src/relay.rs
+++ b/crates/gaugesaddle-testbed/src/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that can delay, block and reset what passes: a link that fails while both of its ends go on.
+//! A TCP relay that can delay, block and reset connections: a link that fails while both endpoints keep running.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -10,10 +10,10 @@
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
-/// Size of the buffer of one direction of a connection.
+/// Buffer size for one direction of a connection, in bytes.
 const BUFFER: usize = 16 << 10;
 
-/// A link from an address of its own to another one. Runs on the thread that made it, in a `LocalSet`.
+/// A link from its own listening address to a target address. Runs on the thread that created it, in a `LocalSet`.
 pub struct Relay {
     address: SocketAddr,
     to: Cell<SocketAddr>,
@@ -25,7 +25,7 @@
 }
 
 impl Relay {
-    /// Listens at an address of the system's choice and forwards to another.
+    /// Listens at `bind` and forwards connections to `to`.
     ///
     /// # Errors
     /// The address cannot be bound.
@@ -57,13 +57,13 @@
         self.address
     }
 
-    /// Forwards new connections there from now on.
+    /// Forwards new connections to another target from now on.
     pub fn forward_to(&self, to: SocketAddr) {
         self.to.set(to);
     }
 
-    /// While true nothing passes, new connections included. Afterwards the connections on which data was pending are
-    /// reset: delivered late, the data would look as if it had been sent late.
+    /// While true, no data is forwarded and no new connection is established. Afterwards, connections with pending data
+    /// are reset: data delivered late would look as if it had been sent late.
     pub fn block(&self, blocked_now: bool) {
         self.blocked.set(blocked_now);
         self.changed.notify_waiters();
@@ -79,12 +79,12 @@
         self.tasks.borrow_mut().drain(..).for_each(|t| t.abort());
     }
 
-    /// Bytes forwarded, both ways.
+    /// Bytes forwarded in both directions.
     pub fn bytes_forwarded(&self) -> u64 {
         self.bytes_forwarded.get()
     }
 
-    /// Waits while the link is blocked; an error if it was.
+    /// Waits while the link is blocked; returns an error if it had to wait.
     async fn unblocked(&self) -> io::Result<()> {
         let was_blocked = self.blocked.get();
         while self.blocked.get() {
@@ -114,13 +114,13 @@
             ended.map(|()| shut_down_write(&near.0))
         };
         if tokio::try_join!(one, other).is_ok() {
-            // Both ends closed in order.
+            // Both endpoints closed their direction without an error.
             near.disarm();
             far.disarm();
         }
     }
 
-    /// One direction, until its end or an error.
+    /// Forwards one direction until end of stream or an error.
     async fn forward(&self, from: &TcpStream, to: &TcpStream) -> io::Result<()> {
         let mut buffer = vec![0; BUFFER];
         loop {
@@ -142,7 +142,7 @@
     let _ = socket2::SockRef::from(stream).shutdown(std::net::Shutdown::Write);
 }
 
-/// Resets its connection when dropped, unless it ended in order.
+/// Resets its connection when dropped, unless the connection was closed in both directions.
 struct ResetOnDrop(TcpStream);
 
 impl ResetOnDrop {
@@ -153,7 +153,7 @@
 
 impl Drop for ResetOnDrop {
     fn drop(&mut self) {
-        // A stream that ended in order has been shut down both ways: there is nothing left to reset.
+        // After an orderly close both directions have been shut down, and there is nothing left to reset.
         let _ = socket2::SockRef::from(&self.0).set_linger(Some(Duration::ZERO));
     }
 }
--- a/crates/gaugesaddle-testbed/src/relay/tests.rs
+++ b/crates/gaugesaddle-testbed/src/relay/tests.rs
@@ -30,7 +30,11 @@
         assert!(silent.is_err() && relay.bytes_forwarded() == 8);
         relay.block(false);
         let ended = stream.read(&mut buffer).await;
-        assert_eq!(ended.unwrap_err().kind(), io::ErrorKind::ConnectionReset, "something waited on it");
+        assert_eq!(
+            ended.unwrap_err().kind(),
+            io::ErrorKind::ConnectionReset,
+            "a connection with pending data is reset"
+        );
         let mut stream = TcpStream::connect(relay.address()).await.unwrap();
         stream.write_all(b"back").await.unwrap();
         stream.read_exact(&mut buffer).await.unwrap();
--- a/crates/gaugesaddle-testbed/src/scenario.rs
+++ b/crates/gaugesaddle-testbed/src/scenario.rs
@@ -1,7 +1,7 @@
-//! The description of a run: a fleet, its clients and its disturbances, from a TOML file or built in Rust on the
-//! defaults. Everything random is drawn ahead from the seed, see [`crate::plan`].
+//! The description of a run: a fleet, its clients and its disturbances, read from a TOML file or built in Rust from the
+//! defaults. Everything random is drawn from the seed before the run, see [`crate::plan`].
 //!
-//! The keys of the file are older than the names of the fields; `tests/golden_documents.rs` holds them.
+//! Some keys of the file differ from the field names, for compatibility; `tests/golden_documents.rs` checks them.
 
 mod deployment;
 mod disturbance;
@@ -13,16 +13,16 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Most proxies of a run as processes: each has an address of a network of 256.
+/// Maximum number of proxies that run as processes: each takes one address of a network of 256.
 pub const MAX_PROCESSES: usize = 256;
 
-/// A run. Names of times end in their unit; a key that is left out has its default.
+/// A scenario. Names of times end in their unit; omitted keys take their defaults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Scenario {
     /// Its name, for reports.
     pub name: String,
-    /// Seed of everything random.
+    /// Seed of all random numbers.
     pub seed: u64,
     /// Duration of the arrivals.
     pub seconds: f64,
@@ -38,9 +38,9 @@
     /// Whether capacity is allocated by demand (`[shares]`).
     #[serde(rename = "shares")]
     pub demand_allocation: bool,
-    /// Whether the proxies decide on failover between zones in common (`[failover]`).
+    /// Whether the proxies decide jointly on failover between zones (`[failover]`).
     pub failover: bool,
-    /// Cost to the goal when every request crosses zones once, as the proxies are configured.
+    /// Cost in the objective of the proxies when every request crosses zones once (`costs.cross_zone`).
     pub cross_zone: f64,
     /// Limits of a proxy.
     pub limits: Limits,
@@ -52,16 +52,16 @@
     pub clients: Clients,
     /// Discovery.
     pub discovery: Discovery,
-    /// The figures of the four rules.
+    /// Parameters of the four audited rules.
     pub rules: Rules,
-    /// Overload of nodes.
+    /// The overload model of the nodes.
     pub choke: Overload,
     /// Disturbances.
     pub events: Vec<ScheduledDisturbance>,
 }
 
 impl Default for Scenario {
-    /// Three proxies, three halls, twelve nodes of two kinds, and a class of each effect, at about half load.
+    /// Three proxies, three zones, twelve nodes of two kinds, and a class of each effect, at about half load.
     fn default() -> Scenario {
         let kind = |name: &str, count, speed| Kind { name: name.into(), count, speed, ..Kind::default() };
         let read = Class { weight: 0.5, ..Class::default() };
@@ -106,10 +106,10 @@
     }
 }
 
-/// Why a scenario is invalid.
+/// An error in a scenario.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// The text is not a scenario in TOML.
+    /// The text is not valid TOML, or has an unknown key or a value of the wrong type.
     #[error("{0}")]
     Syntax(#[from] toml::de::Error),
     /// A value is out of its range.
@@ -117,7 +117,7 @@
     Value {
         /// The key.
         key: &'static str,
-        /// The expectation.
+        /// The expected value.
         expected: &'static str,
     },
 }
@@ -126,7 +126,7 @@
     /// Reads a scenario from TOML and checks it.
     ///
     /// # Errors
-    /// The text is no scenario, or a value is out of its range.
+    /// The text cannot be parsed, or a value is out of its range.
     pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
         let scenario: Scenario = toml::from_str(text)?;
         scenario.check()?;
--- a/crates/gaugesaddle-testbed/src/scenario/deployment.rs
+++ b/crates/gaugesaddle-testbed/src/scenario/deployment.rs
@@ -6,15 +6,16 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Regions {
-    /// Number of regions; 1 turns federation off.
+    /// Number of regions; 1 disables federation.
     pub count: usize,
-    /// Whether each region is the last resort of the others; otherwise they do not know one another.
+    /// Whether the regions are federated: each is a last resort for the requests of the others. Otherwise they run
+    /// independently.
     pub joined: bool,
-    /// Budget towards each other region, and from it, over all proxies: requests per second.
+    /// Budget of requests to each other region, and from it, over all proxies: requests per second.
     pub per_s: u32,
-    /// The same budget, requests in flight.
+    /// The same budget as a number of requests in flight.
     pub in_flight: u32,
-    /// Most hops of a request.
+    /// Maximum number of hops of a request.
     pub hops: u32,
     /// Latency between regions, one way.
     pub way_ms: f64,
@@ -34,7 +35,7 @@
     pub sockets: usize,
     /// Memory, in megabytes.
     pub memory_mb: usize,
-    /// Most open requests.
+    /// Maximum number of open requests.
     pub open_cap: usize,
 }
 
@@ -66,7 +67,7 @@
     /// Duration of slow start.
     #[serde(rename = "ramp_s")]
     pub slow_start_s: f64,
-    /// Most connections per core; further ones are closed at once.
+    /// Maximum number of connections per core; further ones are closed on accept.
     pub connections: usize,
 }
 
@@ -101,7 +102,7 @@
     pub work_ms: f64,
     /// Coefficient of variation of the work.
     pub work_cv: f64,
-    /// Time that it waits without using a core.
+    /// Mean time that it waits without using a core.
     pub wait_ms: f64,
     /// Latency objective: a later response has no value.
     #[serde(rename = "aim_ms")]
@@ -111,7 +112,7 @@
     /// Priority weight.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// How long a zone deduplicates a key.
+    /// Time for which a zone deduplicates a key.
     pub window_ms: f64,
 }
 
@@ -150,9 +151,9 @@
 pub struct Clients {
     /// Mean requests per second, retries not counted.
     pub per_s: f64,
-    /// Most retries of a request, where a retry is safe.
+    /// Maximum number of retries of a request, where a retry is safe.
     pub retries: u32,
-    /// Backoff before a retry without `Retry-After`, doubled each time.
+    /// Range of the backoff before the first retry without `Retry-After`, doubled for each further retry.
     pub backoff_ms: [f64; 2],
     /// Fraction of the clients that follow `Retry-After`.
     pub honour: f64,
@@ -165,16 +166,16 @@
     pub leaving: f64,
     /// Fraction that writes its request slowly, in chunks.
     pub slow_writing: f64,
-    /// Fraction that reads its response late.
+    /// Fraction that starts reading its response late.
     pub slow_reading: f64,
     /// Fraction that sends one request on a connection and never closes it.
     #[serde(rename = "asking_once")]
     pub single_request: f64,
-    /// Most connections of clients to one proxy.
+    /// Maximum number of client connections to one proxy.
     pub connections: usize,
     /// By proxy, cyclic: its traffic relative to the others. Empty: clients prefer the proxies of their zone, evenly.
     pub uneven: Vec<f64>,
-    /// Interval at which the uneven weights move on by one proxy; 0: never.
+    /// Interval at which the uneven weights shift by one proxy; 0: never.
     pub moves_every_s: f64,
 }
 
@@ -198,19 +199,19 @@
     }
 }
 
-/// How changes of nodes reach the proxies.
+/// Discovery: the delays with which changes of nodes reach the proxies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Discovery {
-    /// Proxies poll one service; otherwise each has an agent beside it that pushes.
+    /// Whether the proxies poll a service; otherwise a local agent of each proxy pushes changes to it.
     #[serde(rename = "asked")]
     pub polled: bool,
     /// Delay of an announced change.
     pub notice_s: [f64; 2],
-    /// Delay until a crash is noticed.
+    /// Delay until a crash is detected.
     #[serde(rename = "silent_notice_s")]
     pub crash_notice_s: [f64; 2],
-    /// Delay until a new node is known.
+    /// Delay until a new node is announced.
     pub add_s: [f64; 2],
 }
 
@@ -220,22 +221,22 @@
     }
 }
 
-/// The figures of the four rules.
+/// Parameters of the four audited rules.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// Tolerance of each limit in time, for sockets and timers.
+    /// Tolerance of each time limit, for the latency of sockets and timers.
     pub slack_ms: f64,
-    /// Time after which a proxy that knows of a drain sends nothing new.
+    /// Time after which a proxy that has received a drain must send the node no new requests.
     pub drain_grace_ms: f64,
-    /// Time after which a change that can be polled counts as known.
+    /// Time after which a change that can be polled counts as received by a proxy.
     #[serde(rename = "told_latest_s")]
     pub report_deadline_s: f64,
-    /// A node in slow start goes down when it is sent more than this multiple of its present capacity ...
+    /// A node in slow start fails when it receives more work than this multiple of its current capacity ...
     pub fall_multiple: f64,
     /// ... within this window.
     pub fall_ms: f64,
-    /// Requests of mean work that are tolerated beyond that.
+    /// Tolerance beyond that limit, as a number of requests of mean work.
     pub fall_slack: f64,
 }
 
@@ -252,7 +253,7 @@
     }
 }
 
-/// When a node is overloaded, and how it recovers.
+/// The overload model: when a node becomes overloaded, and how it recovers.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Overload {
--- a/crates/gaugesaddle-testbed/src/scenario/disturbance.rs
+++ b/crates/gaugesaddle-testbed/src/scenario/disturbance.rs
@@ -1,4 +1,4 @@
-//! What happens to a fleet, and when.
+//! Disturbances of a fleet, and their times.
 
 use crate::datagrams::Links;
 use serde::{Deserialize, Serialize};
@@ -13,15 +13,15 @@
     pub disturbance: Disturbance,
 }
 
-/// What can happen. Nodes, zones and proxies are numbered from 0.
+/// A disturbance. Nodes, zones and proxies are numbered from 0.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "do", rename_all = "kebab-case")]
 pub enum Disturbance {
-    /// A node's process dies and resets its connections.
+    /// A node's process crashes and resets its connections.
     Crash {
         /// The node.
         node: usize,
-        /// Time until a successor starts, if any.
+        /// Time until a successor starts, if there is one.
         back_after_s: Option<f64>,
     },
     /// A node drains and leaves.
@@ -30,7 +30,7 @@
         node: usize,
         /// Duration of the drain.
         over_s: f64,
-        /// Time from its end until a successor starts, if any.
+        /// Time from the end of the drain until a successor starts, if there is one.
         back_after_s: Option<f64>,
     },
     /// A rolling deploy: nodes are replaced group by group.
@@ -42,14 +42,14 @@
         /// Interval between groups.
         every_s: f64,
     },
-    /// Nodes drain and leave for good, evenly over a time.
+    /// Nodes drain and leave permanently, evenly spread over a time.
     Shrink {
         /// Number of nodes, from the last one back.
         nodes: usize,
         /// Duration.
         over_s: f64,
     },
-    /// All nodes of a zone stop answering, and are replaced afterwards.
+    /// All nodes of a zone stop responding, and are replaced afterwards.
     #[serde(rename = "hall-out")]
     ZoneOutage {
         /// The zone.
@@ -58,7 +58,7 @@
         /// Duration.
         for_s: f64,
     },
-    /// A node is slower.
+    /// A node is slowed down.
     Slow {
         /// The node.
         node: usize,
@@ -67,7 +67,7 @@
         /// Duration.
         for_s: f64,
     },
-    /// A node accepts requests and answers none.
+    /// A node accepts requests and completes none.
     Hang {
         /// The node.
         node: usize,
@@ -94,7 +94,7 @@
         /// Duration.
         for_s: f64,
     },
-    /// Nothing passes between a proxy and a node; connections stay open.
+    /// No data passes between a proxy and a node; connections stay open.
     #[serde(rename = "cut")]
     LinkPartition {
         /// The proxy.
@@ -104,7 +104,7 @@
         /// Duration.
         for_s: f64,
     },
-    /// The link between a proxy and a node is slower.
+    /// The latency between a proxy and a node increases.
     Delay {
         /// The proxy.
         proxy: usize,
@@ -115,7 +115,7 @@
         /// Duration.
         for_s: f64,
     },
-    /// Discovery does not answer.
+    /// Discovery does not respond.
     DiscoveryDown {
         /// Duration.
         for_s: f64,
@@ -136,17 +136,17 @@
         /// Duration.
         for_s: f64,
     },
-    /// A proxy is ended (SIGTERM, with a grace period) and started again.
+    /// A proxy is terminated (SIGTERM, with a grace period) and started again.
     RestartProxy {
         /// The proxy.
         proxy: usize,
     },
-    /// A proxy is killed (SIGKILL) for good.
+    /// A proxy is killed (SIGKILL) permanently.
     LoseProxy {
         /// The proxy.
         proxy: usize,
     },
-    /// A proxy is ended (SIGTERM) for good.
+    /// A proxy is terminated (SIGTERM) permanently.
     LeaveProxy {
         /// The proxy.
         proxy: usize,
@@ -167,36 +167,36 @@
     Network {
         /// The state of the network.
         links: Links,
-        /// By zone, its group: proxies reach no nodes in zones of another group. Empty: they reach all.
+        /// Group of each zone: a proxy reaches no nodes in zones of another group. Empty: proxies reach all nodes.
         #[serde(default)]
         #[serde(rename = "halls")]
         zones: Vec<u8>,
         /// Duration.
         for_s: f64,
     },
-    /// Clients that all reconnect at once, each from an address and on connections of its own.
+    /// Many clients reconnect at once, each from its own address and on its own connections.
     #[serde(rename = "crowd")]
     ReconnectStorm {
         /// Number of clients.
         clients: usize,
-        /// Duration over which they arrive.
+        /// Duration over which the clients arrive.
         over_s: f64,
-        /// Most attempts of a client.
+        /// Maximum number of attempts of a client.
         #[serde(rename = "tries")]
         attempts: u32,
-        /// Backoff between two attempts that follow no `Retry-After`.
+        /// Range of the constant backoff between attempts without `Retry-After`.
         wait_ms: [f64; 2],
-        /// Fraction that follows `Retry-After`.
+        /// Fraction of the clients that follow `Retry-After`.
         honour: f64,
     },
-    /// The links between regions are slower.
+    /// The latency between regions increases.
     RegionDelay {
         /// Additional latency, each way.
         by_ms: f64,
         /// Duration.
         for_s: f64,
     },
-    /// Nothing passes between regions; connections stay open.
+    /// No data passes between regions; connections stay open.
     #[serde(rename = "region-cut")]
     RegionPartition {
         /// Duration.
@@ -209,9 +209,9 @@
         /// Interval between changes.
         every_s: f64,
     },
-    /// More requests arrive.
+    /// The arrival rate increases.
     Burst {
-        /// Factor of the rate.
+        /// Factor of the arrival rate.
         factor: f64,
         /// Duration.
         for_s: f64,
--- a/crates/gaugesaddle-testbed/src/scenario/proxy_settings.rs
+++ b/crates/gaugesaddle-testbed/src/scenario/proxy_settings.rs
@@ -1,10 +1,10 @@
-//! The settings that the platform gives a proxy of a scenario.
+//! The settings that the platform passes to a proxy of a scenario.
 
 use super::{zone_name, Class, Effect, Scenario};
 use serde_json::{json, Value};
 
 impl Scenario {
-    /// The settings that a proxy of this deployment is told.
+    /// The settings of a proxy, by its position in the fleet.
     pub fn settings(&self, position: usize) -> Value {
         let us = |ms: f64| (ms * 1000.0) as u64;
         let class = |c: &Class| {
--- a/crates/gaugesaddle-testbed/src/scenario/validation.rs
+++ b/crates/gaugesaddle-testbed/src/scenario/validation.rs
@@ -1,21 +1,22 @@
-//! Checks of a scenario, before anything is played.
+//! Validation of a scenario before it is run.
 
 use super::{
     Class, Clients, Disturbance, Kind, Scenario, ScenarioError, ScheduledDisturbance, MAX_PROCESSES,
 };
 
-/// Most zones, regions and nodes of a fleet: the names and addresses of a run allow no more.
+/// Maximum numbers of zones, regions and nodes of a fleet, bounded by the names and addresses of a run.
 const MAX_ZONES: usize = 64;
 const MAX_REGIONS: usize = 8;
 const MAX_NODES: usize = 512;
-/// Most requests a second that the clients' thread can send.
+/// Maximum request rate of the clients, which share one thread.
 const MAX_REQUESTS_PER_S: f64 = 20_000.0;
-/// Most clients of a storm, and attempts of each.
+/// Maximum number of clients of a reconnect storm, and of attempts of each client.
 const MAX_STORM_CLIENTS: usize = 20_000;
 const MAX_STORM_ATTEMPTS: u32 = 1000;
+/// Maximum number of key changes of one disturbance.
 const MAX_KEY_CHANGES: u32 = 1000;
 
-/// One check: whether it holds, the key that it is about, and what was expected.
+/// The result of one check: whether it passed, the key that it concerns, and the expected value.
 type Check = (bool, &'static str, &'static str);
 
 fn is_fraction(value: f64) -> bool {
@@ -31,7 +32,7 @@
 }
 
 impl Scenario {
-    /// Checks a scenario that is played by processes.
+    /// Checks a scenario whose proxies run as processes.
     ///
     /// # Errors
     /// The first value that is out of its range.
@@ -65,25 +66,21 @@
         [
             ((0.1..=3600.0).contains(&self.seconds), "seconds", "0.1 to 3600"),
             (self.proxies > 0, "proxies", "1 to 256"),
-            (
-                self.proxies <= max_proxies,
-                "proxies",
-                "fewer: 1 to 256 as processes, 1 to 4096 in virtual time",
-            ),
+            (self.proxies <= max_proxies, "proxies", "1 to 256 as processes, 1 to 4096 in virtual time"),
             ((1..=MAX_ZONES).contains(&self.zones), "halls", "1 to 64"),
             (
                 (1..=MAX_REGIONS).contains(&regions) && divides(self.zones) && divides(self.proxies),
                 "regions.count",
-                "1 to 8, with as many halls and proxies in each",
+                "1 to 8, dividing the numbers of halls and proxies evenly",
             ),
-            ((1..=MAX_NODES).contains(&self.nodes()), "kinds", "1 to 512 nodes together"),
+            ((1..=MAX_NODES).contains(&self.nodes()), "kinds", "1 to 512 nodes in total"),
         ]
     }
 
     fn check_features(&self) -> [Check; 3] {
         [
-            (self.peers || !self.demand_allocation, "shares", "peers beside it"),
-            (self.peers || !self.failover, "failover", "peers beside it"),
+            (self.peers || !self.demand_allocation, "shares", "peers to be enabled too"),
+            (self.peers || !self.failover, "failover", "peers to be enabled too"),
             (is_range([0.0, self.cross_zone]), "cross_zone", "0 or more"),
         ]
     }
@@ -92,11 +89,11 @@
         [(
             self.events.iter().all(|event| self.is_possible(event)),
             "events",
-            "nodes, halls and proxies that there are, and sound figures",
+            "existing nodes, halls and proxies, and values within their ranges",
         )]
     }
 
-    /// Whether a disturbance names nodes, zones and proxies of this fleet, with sound figures.
+    /// Whether a disturbance refers to existing nodes, zones and proxies, and its values are within their ranges.
     fn is_possible(&self, event: &ScheduledDisturbance) -> bool {
         let has_node = |node: usize| node < self.nodes();
         let has_proxy = |proxy: usize| proxy < self.proxies;
@@ -178,16 +175,16 @@
             "clients.per_s",
             "above 0, up to 20000",
         ),
-        (fractions.into_iter().all(is_fraction), "clients", "parts from 0 to 1"),
+        (fractions.into_iter().all(is_fraction), "clients", "fractions from 0 to 1"),
         (
             clients.uneven.iter().copied().all(is_positive) && is_range([0.0, clients.moves_every_s]),
             "clients.uneven",
-            "parts above 0, and a time",
+            "weights above 0, and an interval of 0 or more",
         ),
         (
             is_range(clients.backoff_ms) && is_range(clients.patience),
             "clients",
-            "ranges from the less to the more",
+            "ranges from a lower to a higher value",
         ),
     ]
 }
--- a/crates/gaugesaddle-testbed/src/scripted/backend.rs
+++ b/crates/gaugesaddle-testbed/src/scripted/backend.rs
@@ -1,4 +1,4 @@
-//! Backends whose responses the test words.
+//! Backends whose responses the test defines.
 
 use super::{read_message, Message};
 use std::io::{BufReader, Read, Write};
@@ -6,17 +6,17 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// What a backend does with a request.
+/// The reaction of a backend to a request.
 pub enum Reply {
-    /// Writes this and keeps the connection open.
+    /// Writes this text and keeps the connection open.
     Respond(String),
-    /// Writes this and closes it.
+    /// Writes this text and closes the connection.
     RespondAndClose(String),
-    /// Nothing; the connection stays open.
+    /// Sends no response; the connection stays open.
     NoResponse,
 }
 
-/// A 200 with that body.
+/// A 200 response with a body.
 pub fn ok(body: &str) -> Reply {
     Reply::Respond(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
@@ -28,7 +28,7 @@
     closed: Mutex<usize>,
 }
 
-/// A backend on a port of its own.
+/// A backend that listens on its own port.
 pub struct Backend {
     /// Where it listens.
     pub address: SocketAddr,
@@ -36,7 +36,7 @@
 }
 
 impl Backend {
-    /// Starts one that answers each request by that function.
+    /// Starts a backend that calls `answer` for each request.
     pub fn start(answer: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Backend {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -70,23 +70,24 @@
         *seen.closed.lock().unwrap() += 1;
     }
 
-    /// The requests that it has received.
+    /// The requests received so far.
     pub fn requests(&self) -> Vec<Message> {
         self.seen.requests.lock().unwrap().clone()
     }
 
-    /// Connections that it has accepted.
+    /// Number of connections accepted so far.
     pub fn opened(&self) -> usize {
         *self.seen.opened.lock().unwrap()
     }
 
-    /// Connections of these that have ended.
+    /// Number of accepted connections that have ended.
     pub fn closed(&self) -> usize {
         *self.seen.closed.lock().unwrap()
     }
 }
 
-/// An address whose connections come up only once [`UnacceptingBackend::accept_all`] is called: its accept queue is full.
+/// A listener whose accept queue is full, so that connections are established only after
+/// [`UnacceptingBackend::accept_all`] is called.
 pub struct UnacceptingBackend {
     /// Where it listens.
     pub address: SocketAddr,
@@ -95,7 +96,7 @@
 }
 
 impl UnacceptingBackend {
-    /// Fills its queue.
+    /// Listens and fills the accept queue.
     pub fn start() -> UnacceptingBackend {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -105,7 +106,8 @@
         UnacceptingBackend { address, listener, queued }
     }
 
-    /// Accepts all connections; joined after [`UnacceptingBackend::finish`], it returns the number of bytes read.
+    /// Accepts all connections on a thread that ends after [`UnacceptingBackend::finish`] and returns the number of
+    /// bytes read.
     pub fn accept_all(self) -> std::thread::JoinHandle<usize> {
         drop(self.queued);
         std::thread::spawn(move || {
@@ -121,7 +123,7 @@
         })
     }
 
-    /// No more comes.
+    /// Ends the thread of [`UnacceptingBackend::accept_all`].
     pub fn finish(address: SocketAddr) {
         TcpStream::connect(address).unwrap().write_all(b"done").unwrap();
     }
--- a/crates/gaugesaddle-testbed/src/scripted/client.rs
+++ b/crates/gaugesaddle-testbed/src/scripted/client.rs
@@ -1,4 +1,4 @@
-//! Clients that write bytes.
+//! Clients that write raw bytes.
 
 use super::{read_message, Message, Proxy, WAIT_TIMEOUT};
 use std::io::{BufReader, Read, Write};
@@ -16,27 +16,27 @@
         Client::try_open(to).unwrap()
     }
 
-    /// Connects, if someone listens.
+    /// Connects, and returns an error instead of panicking.
     ///
     /// # Errors
-    /// Nobody listens there.
+    /// The connection cannot be established, for example because it is refused.
     pub fn try_open(to: SocketAddr) -> std::io::Result<Client> {
         let stream = TcpStream::connect(to)?;
         stream.set_read_timeout(Some(WAIT_TIMEOUT))?;
         Ok(Client { stream: BufReader::new(stream) })
     }
 
-    /// Writes; that nobody reads it shows in what comes back.
+    /// Writes text. Write errors are ignored, since they show in the response.
     pub fn send(&mut self, text: &str) {
         let _ = self.stream.get_mut().write_all(text.as_bytes());
     }
 
-    /// Reads an answer; `None` where the connection ends before its end.
+    /// Reads a response; `None` if the connection ends before its end.
     pub fn read_response(&mut self) -> Option<Message> {
         read_message(&mut self.stream)
     }
 
-    /// Whether the proxy has closed the connection by now.
+    /// Whether the proxy has closed the connection, without waiting.
     pub fn is_closed(&mut self) -> bool {
         let stream = self.stream.get_ref();
         stream.set_nonblocking(true).unwrap();
@@ -48,13 +48,13 @@
         }
     }
 
-    /// Whether the proxy has closed the connection; waits for it.
+    /// Waits for the next byte or the end of the connection; returns whether the connection ended.
     pub fn wait_for_close(&mut self) -> bool {
         matches!(self.stream.read(&mut [0]), Ok(0) | Err(_))
     }
 }
 
-/// A request of one of the classes in [`super::settings`], with an id of its own.
+/// A request of one of the classes in [`super::settings`], with a unique id.
 pub fn request(class: &str, left_ms: u64) -> String {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     let id = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -70,9 +70,9 @@
     )
 }
 
-/// Sends a request on a connection of its own.
+/// Sends a request on a new connection and returns the response.
 pub fn send_request(proxy: &Proxy, text: &str) -> Message {
     let mut client = Client::open(proxy.address);
     client.send(text);
-    client.read_response().expect("a whole answer")
+    client.read_response().expect("a complete response")
 }
--- a/crates/gaugesaddle-testbed/src/scripted/discovery.rs
+++ b/crates/gaugesaddle-testbed/src/scripted/discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery service that publishes what the test says, and fails in the ways that the test asks for.
+//! A discovery service that publishes the lists of a test and injects failures.
 
 use super::{read_message, until};
 use serde_json::{json, Value};
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// An entry of the list.
+/// An endpoint in a list of discovery.
 pub fn endpoint(name: &str, address: SocketAddr, status: &str, since_ms: u64) -> Value {
     json!({"name": name, "address": address.to_string(), "zone": "east", "type": "m1", "group": 1,
            "status": status, "weight": 1.0, "since_ms": since_ms})
@@ -17,26 +17,27 @@
 #[derive(Default)]
 struct ListState {
     index: u64,
-    /// By name, with the version that brought it.
+    /// By name, with the version of the last change.
     entries: BTreeMap<String, (u64, Value)>,
-    /// The version that was told as a whole list; 0: none was, and `lines` are changes of a list that it never told.
+    /// The version that was published as a snapshot; 0: none was, and `entries` are changes to a list that was never
+    /// published.
     snapshot_version: u64,
-    /// The next answer, word for word.
+    /// The next response body, verbatim.
     scripted_answer: Option<String>,
-    /// Lists come in many lines.
+    /// Whether lists are formatted over several lines.
     indented: bool,
-    /// The next list stops in its middle.
+    /// Whether the next response body is cut off after its first half.
     truncated: bool,
-    /// The last version given, and calls when it was.
+    /// The version of the last response, and the number of calls at that time.
     last_response: (u64, usize),
-    /// How often it has fallen silent and come back: even, it speaks.
+    /// Number of starts and ends of outages; even: the service responds.
     outage_transitions: u64,
-    /// In place of silence it closes what is open and what comes.
+    /// Whether an outage closes connections, instead of leaving calls without a response.
     resets: bool,
 }
 
 impl ListState {
-    /// What a call is answered; `None`: nothing yet. `over`: it may wait no longer.
+    /// The response to a call; `None`: none yet. `timed_out`: the wait of the call is over.
     fn answer(&mut self, after: Option<u64>, timed_out: bool, calls: usize) -> Option<String> {
         if let Some(response) = self.scripted_answer.take() {
             self.last_response = (self.index, calls);
@@ -77,8 +78,8 @@
     }
 }
 
-/// Discovery: answers a call once there is news, or after its wait. One that falls silent swallows the calls that are out
-/// and those that come: they are not answered either when it is back.
+/// A discovery service with long polling: it responds to a call once there is a newer version, or after the wait of the
+/// call. Calls that are pending or arrive during an outage receive no response, not even after it has ended.
 #[derive(Clone)]
 pub struct Discovery {
     /// Where it listens.
@@ -89,12 +90,12 @@
 }
 
 impl Discovery {
-    /// Starts one that has nothing to tell.
+    /// Starts a service with nothing published.
     pub fn start() -> Discovery {
         Discovery::listen(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
-    /// Starts one at an address that refused until now, with the whole list to tell.
+    /// Starts a service at a given address with a snapshot to publish.
     pub fn start_at(address: SocketAddr, lines: &[Value]) -> Discovery {
         let discovery = Discovery::listen(TcpListener::bind(address).unwrap());
         discovery.state.0.lock().unwrap().apply(true, lines);
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Waits for news; `None` once the other side has closed the connection.
+    /// Waits for a response to a call; `None` once the proxy has closed the connection, or an outage closes it.
     fn await_response(&self, stream: &TcpStream, call: &str) -> Option<String> {
         let number = |key: &str| {
             let (_, rest) = call.split_once(key)?;
@@ -154,17 +155,17 @@
         None
     }
 
-    /// Connections that the proxy has closed.
+    /// Number of connections that the proxy closed while a call was pending.
     pub fn closed(&self) -> usize {
         *self.closed.lock().unwrap()
     }
 
-    /// Falls silent; returns once a call that came after that is swallowed.
+    /// Starts an outage without responses; returns once a call has arrived during it.
     pub fn stop_answering(&self) {
         self.fail(false);
     }
 
-    /// Closes what is open and what comes; returns once one that came after that is closed.
+    /// Starts an outage that closes connections; returns once a call has arrived during it.
     pub fn reset(&self) {
         self.fail(true);
     }
@@ -172,25 +173,25 @@
     fn fail(&self, resets: bool) {
         let before = {
             let mut state = self.state.0.lock().unwrap();
-            assert!(state.outage_transitions % 2 == 0, "it speaks no more");
+            assert!(state.outage_transitions % 2 == 0, "an outage has already started");
             (state.outage_transitions, state.resets) = (state.outage_transitions + 1, resets);
             self.calls()
         };
-        until("a call in vain", || self.calls() > before);
+        until("a call during the outage", || self.calls() > before);
     }
 
-    /// From closing what comes to swallowing it; returns once a call is swallowed.
+    /// Changes an outage that closes connections to one without responses; returns once a call has arrived during it.
     pub fn stop_resetting(&self) {
         let before = {
             let mut state = self.state.0.lock().unwrap();
-            assert!(state.outage_transitions % 2 == 1, "it speaks");
+            assert!(state.outage_transitions % 2 == 1, "no outage has started");
             state.resets = false;
             self.calls()
         };
-        until("a call in vain", || self.calls() > before);
+        until("a call during the outage", || self.calls() > before);
     }
 
-    /// Counts from the start again, and has this list.
+    /// Restarts the version numbers and publishes a snapshot, as a restarted service does.
     pub fn restart_with(&self, lines: &[Value]) {
         let mut state = self.state.0.lock().unwrap();
         state.index = 0;
@@ -198,7 +199,7 @@
         self.state.1.notify_all();
     }
 
-    /// Has something to tell from this moment on, of which the next answer brings half and then nothing.
+    /// Publishes a snapshot or changes, of which the next response contains only the first half of the body.
     pub fn publish_truncated(&self, whole: bool, lines: &[Value]) {
         let mut state = self.state.0.lock().unwrap();
         state.apply(whole, lines);
@@ -206,35 +207,35 @@
         self.state.1.notify_all();
     }
 
-    /// Speaks again and has something to tell from this moment on, whether or not it is asked.
+    /// Ends an outage and publishes a snapshot or changes, without waiting for a call.
     pub fn resume(&self, whole: bool, lines: &[Value]) {
         let mut state = self.state.0.lock().unwrap();
-        assert!(state.outage_transitions % 2 == 1, "it speaks");
+        assert!(state.outage_transitions % 2 == 1, "no outage has started");
         state.outage_transitions += 1;
         state.apply(whole, lines);
         self.state.1.notify_all();
     }
 
-    /// Tells the whole list or changes, and waits until the proxy has asked again: it holds them then.
+    /// Publishes a snapshot or changes and waits for the next call of the proxy, which has applied them by then.
     pub fn publish(&self, whole: bool, lines: &[Value]) {
         self.state.0.lock().unwrap().apply(whole, lines);
         self.await_next_call();
     }
 
-    /// The same, word for word, to whoever asks next.
+    /// Sends a verbatim body in response to the next call, and waits for the call after it.
     pub fn answer_with(&self, answer: &str) {
         self.state.0.lock().unwrap().scripted_answer = Some(answer.into());
         self.await_next_call();
     }
 
-    /// Lists come in many lines from now on.
+    /// Formats lists over several lines from now on.
     pub fn indent(&self) {
         self.state.0.lock().unwrap().indented = true;
     }
 
     fn await_next_call(&self) {
         self.state.1.notify_all();
-        until("the next call of discovery", || {
+        until("the next call to discovery", || {
             let state = self.state.0.lock().unwrap();
             state.scripted_answer.is_none()
                 && state.last_response.0 >= state.index
@@ -242,7 +243,7 @@
         });
     }
 
-    /// Calls so far.
+    /// Number of calls received so far.
     pub fn calls(&self) -> usize {
         *self.calls.lock().unwrap()
     }
--- a/crates/gaugesaddle-testbed/src/scripted/proxy.rs
+++ b/crates/gaugesaddle-testbed/src/scripted/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy under test, as a process with a configuration of its own.
+//! The proxy under test, as a process with its own configuration.
 
 use super::{until, Client};
 use crate::lease::Lease;
@@ -36,16 +36,17 @@
     })
 }
 
-/// An address that nobody has or gets: each call gives another, on a network of this process's own. (One that the system
-/// draws and that is let go may be drawn again by the next test before its proxy binds it, and two proxies then serve on
-/// one address without a complaint, for they share it as an upgrade's two processes do.)
+/// An address that is in use by no other process or test: each call returns another one, from a network that this
+/// process has leased. An ephemeral port that is bound and released may be assigned again to the next test before the
+/// proxy binds it; two proxies then serve at one address without an error, since they share it as the two processes of
+/// an upgrade do.
 pub fn free_address() -> SocketAddr {
-    static OWN: LazyLock<Lease> = LazyLock::new(|| Lease::take().expect("a network of its own"));
+    static OWN: LazyLock<Lease> = LazyLock::new(|| Lease::take().expect("a lease of a network"));
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     OWN.named(NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
-/// A proxy's configuration in that deployment, listening on a free address.
+/// The configuration of a proxy in the deployment of [`settings`], listening at a free address.
 pub fn config(discovery: SocketAddr, known: &[Value]) -> Value {
     json!({
         "name": "n1", "listen": free_address().to_string(), "discovery": discovery.to_string(),
@@ -54,7 +55,7 @@
     })
 }
 
-/// A running proxy; it is killed with its test.
+/// A running proxy. It is killed when dropped.
 pub struct Proxy {
     child: Child,
     /// Where it listens.
@@ -63,24 +64,25 @@
 }
 
 impl Proxy {
-    /// Starts one and waits until it says that it is ready.
+    /// Starts a proxy and waits until it reports ready.
     pub fn start(config: &Value) -> Proxy {
         let proxy = Proxy::spawn(config);
-        until("ready", || proxy.ready() == 200);
+        until("the proxy to report ready", || proxy.ready() == 200);
         proxy
     }
 
-    /// Starts one.
+    /// Starts a proxy.
     pub fn spawn(config: &Value) -> Proxy {
         Proxy::spawn_with(config, "unlimited", &[])
     }
 
-    /// With the system's own limit on descriptors, which the configuration does not tell, and with arguments.
+    /// Starts a proxy with a limit on descriptors set by `ulimit`, which is not part of the configuration, and with
+    /// arguments.
     pub fn spawn_with(config: &Value, descriptors: &str, arguments: &[&str]) -> Proxy {
         Proxy::spawn_as(config, descriptors, arguments, &[])
     }
 
-    /// With variables of its own.
+    /// Starts a proxy with additional environment variables.
     pub fn spawn_in(config: &Value, variables: &[(&str, &OsStr)]) -> Proxy {
         Proxy::spawn_as(config, "unlimited", &[], variables)
     }
@@ -118,24 +120,24 @@
         Proxy { child, address, log }
     }
 
-    /// Its process.
+    /// Its process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// The status of its readiness, 0 if it does not answer.
+    /// The status of its readiness endpoint; 0 if it does not respond.
     pub fn ready(&self) -> u16 {
         let Ok(mut client) = Client::try_open(self.address) else { return 0 };
         client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
         client.read_response().map_or(0, |a| a.status())
     }
 
-    /// What it has written to standard error.
+    /// The text that it has written to standard error.
     pub fn log(&self) -> String {
         self.log.lock().unwrap().clone()
     }
 
-    /// Sends a signal by its name, `-HUP` or `-STOP`.
+    /// Sends a signal as an option of `kill`, such as `-HUP` or `-STOP`.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         assert!(Command::new("kill").args([name, &pid]).status().unwrap().success());
@@ -146,7 +148,7 @@
         self.signal("-TERM");
     }
 
-    /// Replaces the file of the configuration and has the proxy read it again.
+    /// Replaces the configuration file and makes the proxy reload it by SIGHUP.
     pub fn reload(&self, config: &str) {
         std::fs::write(Proxy::file(self.address), config).unwrap();
         self.signal("-HUP");
@@ -156,10 +158,10 @@
         std::env::temp_dir().join(format!("gaugesaddle-{address}.json"))
     }
 
-    /// Waits for its end.
+    /// Waits for the exit of its process.
     pub fn exit(&mut self) -> ExitStatus {
         let mut status = None;
-        until("the end of the process", || {
+        until("the exit of the process", || {
             status = self.child.try_wait().unwrap();
             status.is_some()
         });
--- a/crates/gaugesaddle-testbed/src/tier.rs
+++ b/crates/gaugesaddle-testbed/src/tier.rs
@@ -1,14 +1,15 @@
-//! The auditor of membership: whether proxies that know one another hold what is true, by their logs against what
-//! happened to them.
+//! The audit of membership: checks the views of the proxies of a tier, from their logs, against the events of the run.
 //!
-//! What a proxy holds of another is read from its log alone, one line a transition. A pair is audited only while both
-//! run and the network between them loses nothing and connects them, directly or over a third. Rules:
+//! The view that a proxy has of another is read from its log alone, which has one line per transition. A pair is
+//! audited only while both run and the network between them is lossless and connects them, directly or through a third
+//! proxy. Rules:
 //!
-//! - a process that can be reached is held alive, in its present incarnation, at the latest [`CONVERGENCE_US`] after
-//!   that became possible, and from then on;
-//! - one that has ended is held alive no longer than [`DETECTION_US`];
-//! - nobody goes back to a former incarnation, holds one alive that never was, or calls one departed that did not leave;
-//! - no two processes have one boot number.
+//! - a reachable process is seen as alive, in its current incarnation, at most [`CONVERGENCE_US`] after it became
+//!   reachable, and from then on;
+//! - a process that has ended is seen as alive for at most [`DETECTION_US`];
+//! - no view returns to a former incarnation, shows an incarnation as alive that never existed, or shows a process as
+//!   departed that did not leave;
+//! - no two processes have the same boot number.
 
 mod checks;
 mod history;
@@ -24,22 +25,22 @@
 use std::collections::HashMap;
 use std::fmt;
 
-/// Most time until all agree after a start, a repaired network or a continued process.
+/// Maximum time until all views agree after a start, a repaired network or a continued process.
 pub const CONVERGENCE_US: u64 = 3_000_000;
 
-/// Most time until the end of a process is known to all.
+/// Maximum time until all proxies have detected the end of a process.
 pub const DETECTION_US: u64 = 6_000_000;
 
 /// Tolerance for the scheduling of real processes and their logs.
 pub const SLACK_US: u64 = 500_000;
 
-/// How long two processes must have reached each other for a death to be a false one.
+/// Time for which two processes must have reached each other for a detected death to count as false.
 const FALSE_DEATH_REACH_US: u64 = 1_000_000;
 
-/// Most findings with their text; further ones are only counted.
+/// Maximum number of findings that are kept with their text; further ones are only counted.
 const MAX_FINDINGS: usize = 50;
 
-/// What happened to a process, by its index, or to the network.
+/// An event of a process, by its index, or of the network.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TierEvent {
     /// It was started.
@@ -48,7 +49,7 @@
     Stopped(usize),
     /// It was continued.
     Continued(usize),
-    /// It was asked to end in order.
+    /// It was asked to terminate (SIGTERM).
     Terminated(usize),
     /// It has ended.
     Ended(usize),
@@ -56,33 +57,33 @@
     Links(Links),
 }
 
-/// A rule that was broken.
+/// A violated rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum TierViolation {
-    /// A process that runs and can be reached is not held alive.
+    /// A process that runs and is reachable is not seen as alive.
     NotSeen,
-    /// A process that has ended is held alive.
+    /// A process that has ended is seen as alive.
     NotForgotten,
-    /// A former incarnation was held alive after a later one.
+    /// A former incarnation was seen as alive after a later one.
     WentBack,
-    /// An incarnation was held alive that never existed.
+    /// An incarnation that never existed was seen as alive.
     Invented,
-    /// A process is held departed that did not leave.
+    /// A process that did not leave is seen as departed.
     NeverDeparted,
-    /// Two processes have one boot number.
+    /// Two processes have the same boot number.
     OldBoot,
 }
 
-/// One case of a broken rule.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TierFinding {
     /// The rule.
     pub violation: TierViolation,
     /// Time from the start, in microseconds.
     pub at: u64,
-    /// The viewer and the process that it holds a view of.
+    /// The viewer and the viewed process.
     pub pair: (usize, usize),
-    /// A description for people.
+    /// A description for the printed verdict.
     pub description: String,
 }
 
@@ -93,22 +94,23 @@
     pub findings: Vec<TierFinding>,
     /// Number of findings, by rule.
     pub counts: HashMap<TierViolation, usize>,
-    /// Time from each end of a process until a survivor knew of it, by survivor.
+    /// Time from each end of a process until its detection by a survivor, one entry per survivor.
     pub death_known: Vec<u64>,
-    /// Time from each start (the first line of its log) until another proxy knew of it, by proxy.
+    /// Time from each start (the first line of the log) until another proxy saw the process as alive, one entry per
+    /// proxy.
     pub start_known: Vec<u64>,
-    /// Time from each repaired network and each continued process until all held one another alive.
+    /// Time from each repaired network and each continued process until all proxies saw one another as alive.
     pub agreed: Vec<u64>,
-    /// Number of times that a process was held dead that ran and could be reached all the last second.
+    /// Number of times that a process was seen as dead that had run and been reachable throughout the last second.
     pub false_deaths: u64,
-    /// The first of them.
+    /// The first of the false deaths.
     pub first_false_deaths: Vec<TierFinding>,
-    /// Time for which pairs could be audited, in pair-seconds.
+    /// Time for which pairs were audited, in pair-seconds.
     pub audited_pair_s: f64,
 }
 
 impl TierVerdict {
-    /// No rule was broken, and some pair could be audited.
+    /// Whether no rule was violated and at least one pair was audited.
     pub fn is_clean(&self) -> bool {
         self.counts.is_empty() && self.audited_pair_s > 0.0
     }
@@ -118,7 +120,7 @@
         self.counts.get(&violation).copied().unwrap_or(0)
     }
 
-    /// Joined with the verdict on another tier.
+    /// Combines two verdicts on different tiers.
     fn merged_with(mut self, other: TierVerdict) -> TierVerdict {
         other.counts.into_iter().for_each(|(violation, n)| *self.counts.entry(violation).or_default() += n);
         self.findings.extend(other.findings);
@@ -178,7 +180,7 @@
     }
 }
 
-/// The value below which that fraction of them lies; 0 of none.
+/// The quantile of a list of times; 0 if it is empty.
 pub fn quantile(times: &[u64], part: f64) -> u64 {
     let mut times = times.to_vec();
     times.sort_unstable();
@@ -186,7 +188,7 @@
     times.get(at).copied().unwrap_or(0)
 }
 
-/// Checks logs (by index, each line with its time) against what happened, both in the order of time.
+/// Audits logs (by index, each line with its time) against the events, both ordered by time.
 pub fn audit_tier(
     size: usize, events: &[(u64, TierEvent)], logs: &[Vec<(u64, String)>], end: u64,
 ) -> TierVerdict {
@@ -219,7 +221,7 @@
     verdict
 }
 
-/// The same for several tiers that do not know one another, each by its members.
+/// Audits several independent tiers, each given by its members.
 pub fn audit_tiers(
     tiers: &[Vec<usize>], events: &[(u64, TierEvent)], logs: &[Vec<(u64, String)>], end: u64,
 ) -> TierVerdict {
@@ -241,7 +243,7 @@
     tiers.iter().map(one).fold(TierVerdict::default(), TierVerdict::merged_with)
 }
 
-/// The facts of a run's proxies, from its records.
+/// The events of a run's proxies and their network, from its records.
 pub fn tier_events(records: &[Record]) -> Vec<(u64, TierEvent)> {
     let tier_event = |r: &Record| match &r.event {
         Event::ProxyUp { proxy } => Some(TierEvent::Up(*proxy)),
--- a/crates/gaugesaddle-testbed/src/tier/checks.rs
+++ b/crates/gaugesaddle-testbed/src/tier/checks.rs
@@ -1,17 +1,17 @@
-//! The rules, for one pair of processes at a time.
+//! The rules of the audit, checked for one pair of processes at a time.
 
 use super::history::TierHistory;
 use super::log_parser::{parse_view, LoggedView};
 use super::{TierFinding, TierVerdict, TierViolation, CONVERGENCE_US, DETECTION_US, MAX_FINDINGS, SLACK_US};
 
-/// What a viewer holds of a process, by time: the boot number of a live incarnation, or none.
+/// The views that a proxy had of a process, by time: the boot number of the incarnation seen as alive, or none.
 type Views = Vec<(u64, Option<u32>)>;
 
 fn view_at(views: &Views, at: u64) -> Option<u32> {
     views.iter().rev().find(|v| v.0 <= at).and_then(|v| v.1)
 }
 
-/// Checks what one proxy holds of another.
+/// Checks the views that one proxy has of another.
 pub(super) fn check_pair(
     history: &TierHistory, viewer: usize, index: usize, logged_views: &[&LoggedView],
     verdict: &mut TierVerdict,
@@ -23,7 +23,7 @@
     for s in logged_views {
         let is_alive = matches!(s.state.as_str(), "alive" | "suspect");
         let known = history.incarnations[index].iter().position(|l| l.boot == s.boot);
-        // What an earlier incarnation of the viewer held does not count.
+        // The views of an earlier incarnation of the viewer do not count.
         let own = history.incarnations[viewer].iter().filter(|l| l.up <= s.at).count();
         if own != highest.0 {
             highest = (own, 0);
@@ -67,7 +67,7 @@
                 verdict.first_false_deaths.push(TierFinding {
                     violation: TierViolation::NotSeen,
                     at: s.at,
-                    pair: pair,
+                    pair,
                     description,
                 });
             }
@@ -77,7 +77,7 @@
     check_end_detected(history, pair, &views, verdict);
 }
 
-/// A process that can be reached is held alive.
+/// Checks that a reachable process is seen as alive.
 fn check_held_alive(
     history: &TierHistory, (viewer, index): (usize, usize), views: &Views, verdict: &mut TierVerdict,
 ) {
@@ -96,7 +96,7 @@
         let changes = views.iter().copied().filter(|v| (due + 1..to).contains(&v.0));
         let samples: Vec<(u64, Option<u32>)> =
             [(due, view_at(views, due))].into_iter().chain(changes).collect();
-        // A wrong view that is corrected in time is counted as a false death, and breaks no rule.
+        // A wrong view that is corrected within the limit violates no rule; `check_pair` counts it as a false death.
         let mut wrong = None;
         for (at, holds) in samples.into_iter().filter(|l| l.0 < to).chain([(to, Some(boot))]) {
             if holds != Some(boot) {
@@ -119,7 +119,7 @@
     }
 }
 
-/// A process that has ended is not held alive.
+/// Checks that a process that has ended is not seen as alive for longer than the limit.
 fn check_end_detected(
     history: &TierHistory, (viewer, index): (usize, usize), views: &Views, verdict: &mut TierVerdict,
 ) {
@@ -135,7 +135,7 @@
         let until = own.end.min(own.terminated.unwrap_or(u64::MAX)).min(history.end);
         let known =
             views.iter().find(|v| v.0 > incarnation.end && v.1 != Some(incarnation.boot)).map(|v| v.0);
-        // Only the time in which the viewer could learn of it counts.
+        // Only the time counts in which the viewer ran and the network was undisturbed.
         let last = known.unwrap_or(until).min(until);
         let informed = history.constant_spans(|at| (at < last && history.informed(viewer, at)).then_some(()));
         let within =
@@ -156,7 +156,8 @@
     }
 }
 
-/// Measures, after each repaired network and each continued process, the time until all that run held one another alive.
+/// Measures, after each repaired network and each continued process, the time until all running proxies saw one another
+/// as alive.
 pub(super) fn check_agreement(history: &TierHistory, logs: &[Vec<(u64, String)>], verdict: &mut TierVerdict) {
     let mut restored_at: Vec<u64> = Vec::new();
     for pair in history.links.windows(2) {
--- a/crates/gaugesaddle-testbed/src/tier/history.rs
+++ b/crates/gaugesaddle-testbed/src/tier/history.rs
@@ -1,4 +1,4 @@
-//! What happened to the processes of a tier and to the network between them, by time.
+//! The history of the processes of a tier and of the network between them.
 
 use super::log_parser::own_boot;
 use super::{TierEvent, FALSE_DEATH_REACH_US};
@@ -7,13 +7,13 @@
 /// One process of a proxy.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Incarnation {
-    /// Its start.
+    /// Time of its start.
     pub(super) up: u64,
-    /// The first line of its log.
+    /// Time of the first line of its log.
     pub(super) logged_at: u64,
     /// Its boot number; 0 where it ended before it logged one.
     pub(super) boot: u32,
-    /// When it was asked to end.
+    /// Time at which it was asked to terminate.
     pub(super) terminated: Option<u64>,
     pub(super) end: u64,
 }
@@ -22,12 +22,12 @@
 pub(super) struct TierHistory {
     pub(super) size: usize,
     pub(super) end: u64,
-    /// By index, in the order of their starts.
+    /// By index, ordered by start.
     pub(super) incarnations: Vec<Vec<Incarnation>>,
-    /// By index, when it was stopped and continued.
+    /// By index, the times at which it was stopped and continued.
     pub(super) pauses: Vec<Vec<(u64, u64)>>,
     pub(super) links: Vec<(u64, Links)>,
-    /// Every time at which any of this changes.
+    /// Every time at which a process or the network changes.
     pub(super) change_times: Vec<u64>,
 }
 
@@ -71,7 +71,7 @@
         }
         for (index, lines) in logs.iter().enumerate() {
             for (at, boot) in lines.iter().filter_map(|(at, line)| own_boot(line).map(|b| (*at, b))) {
-                // A process that was killed before it spoke is none.
+                // A process that was killed before it logged its start keeps boot number 0 and is ignored.
                 let incarnation =
                     history.incarnations[index].iter_mut().rev().find(|l| l.up <= at && at <= l.end);
                 if let Some(incarnation) = incarnation.filter(|l| l.boot == 0) {
@@ -86,7 +86,7 @@
         history
     }
 
-    /// The incarnation that has logged its start and was not asked to end.
+    /// The incarnation that has logged its start, runs and was not asked to terminate.
     pub(super) fn incarnation(&self, index: usize, at: u64) -> Option<&Incarnation> {
         self.incarnations[index]
             .iter()
@@ -106,26 +106,26 @@
         &last.unwrap_or(&self.links[0]).1
     }
 
-    /// Whether datagrams pass in time in both directions.
+    /// Whether two processes reach each other in both directions without loss, directly or through a third.
     pub(super) fn reach(&self, a: usize, b: usize, at: u64) -> bool {
         let links = self.links(at);
         links.lossless() && links.connected(a, b, |k| self.runs(k, at), self.size)
     }
 
-    /// Whether both ran and reached each other all the last second. A death that was concluded during a partition and is
-    /// logged as the network is repaired was right when it was concluded.
+    /// Whether both ran and reached each other throughout the last second. A death that was detected during a partition
+    /// and logged only when the network was repaired was correct when it was detected.
     pub(super) fn reached_throughout(&self, a: usize, b: usize, at: u64) -> bool {
         let since = at.saturating_sub(FALSE_DEATH_REACH_US);
         let changes = self.change_times.iter().copied().filter(|m| (since..=at).contains(m));
         changes.chain([since]).all(|at| self.runs(a, at) && self.runs(b, at) && self.reach(a, b, at))
     }
 
-    /// Whether a process can learn of deaths.
+    /// Whether a process can detect deaths: it runs and the network is undisturbed.
     pub(super) fn informed(&self, index: usize, at: u64) -> bool {
         self.runs(index, at) && self.links(at).calm()
     }
 
-    /// The spans in which a value is known and unchanged.
+    /// The spans in which a value is defined and constant: start, end and value.
     pub(super) fn constant_spans<T: PartialEq>(
         &self, known: impl Fn(u64) -> Option<T>,
     ) -> Vec<(u64, u64, T)> {
--- a/crates/gaugesaddle-testbed/src/tier/log_parser.rs
+++ b/crates/gaugesaddle-testbed/src/tier/log_parser.rs
@@ -1,6 +1,6 @@
-//! What a line of a proxy's log says of the membership.
+//! Parser of the membership lines in a proxy's log.
 
-/// A line about another process.
+/// A log line with the view of another process.
 pub(super) struct LoggedView {
     pub(super) at: u64,
     pub(super) index: usize,
@@ -13,12 +13,13 @@
     u32::from_str_radix(hex.trim_end_matches([',', ':']), 16).ok()
 }
 
-/// The message of the membership in a line. The module's name before it ends in the same word.
+/// The membership message in a line. The last `peers: ` is its prefix, since the module name before it ends in the same
+/// word.
 fn tier_message(line: &str) -> Option<&str> {
     line.rsplit_once("peers: ").map(|l| l.1)
 }
 
-/// The boot number that a process logs of itself.
+/// The own boot number that a process logs at its start.
 pub(super) fn own_boot(line: &str) -> Option<u32> {
     let rest = tier_message(line)?.strip_prefix("this is ")?;
     number(rest.split("boot ").nth(1)?.split(' ').next()?)
@@ -35,8 +36,8 @@
     Some(LoggedView { at, index, state, boot, cause })
 }
 
-/// A line of a proxy's log with its time from the start of the run (`start`, in Unix microseconds); `None` where it has
-/// no time.
+/// A line of a proxy's log with its time since the start of the run (`start`, in Unix microseconds); `None` if the line
+/// has no timestamp.
 pub fn parse_timed_line(line: &str, start: u64) -> Option<(u64, String)> {
     let stamp = line.split_whitespace().next()?;
     let (date, time) = stamp.strip_suffix('Z')?.split_once('T')?;
@@ -45,7 +46,7 @@
     let (date, time) = (numbers(date, '-')?, numbers(time, ':')?);
     let ([year, month, day], [hours, minutes, seconds]) =
         (date[..].try_into().ok()?, time[..].try_into().ok()?);
-    // Days since 1970 in years that begin in March: the leap day is their last.
+    // Days since 1970, counted in years that begin in March, so that a leap day is the last day of a year.
     let (y, m): (f64, f64) = if month > 2.0 { (year, month - 3.0) } else { (year - 1.0, month + 9.0) };
     let leaps = (y / 4.0).floor() - (y / 100.0).floor() + (y / 400.0).floor();
     let days = 365.0 * y + leaps + ((153.0 * m + 2.0) / 5.0).floor() + day - 719_469.0;
--- a/crates/gaugesaddle-testbed/src/tier/tests.rs
+++ b/crates/gaugesaddle-testbed/src/tier/tests.rs
@@ -5,9 +5,9 @@
 #[test]
 fn a_log_line_is_parsed_into_its_time_and_view() {
     let line = "2026-03-01T00:00:01.500000Z  INFO gaugesaddle::peers: peers: 3 is suspect after alive, boot 00a1b2c3, incarnation 2: no answer";
-    let (at, text) = parse_timed_line(line, 1_772_323_200_000_000).expect("timed");
+    let (at, text) = parse_timed_line(line, 1_772_323_200_000_000).expect("a line with a timestamp");
     assert_eq!(at, 1_500_000);
-    let view = parse_view(at, &text).expect("about another");
+    let view = parse_view(at, &text).expect("a view of another process");
     assert_eq!((view.index, view.state.as_str(), view.boot), (3, "suspect", 0x00a1_b2c3));
     assert_eq!(
         super::log_parser::own_boot("x::peers: peers: this is 2 of 30, boot 0000beef, at 127.0.0.1:1"),
@@ -48,14 +48,22 @@
 #[test]
 fn a_violation_of_each_rule_is_found() {
     let (a, b) = ([line(S, 1, "alive", 9)], [line(S, 0, "alive", 7)]);
-    assert_eq!(both(&[], &[], &b).count(TierViolation::NotSeen), 1, "never met");
+    assert_eq!(both(&[], &[], &b).count(TierViolation::NotSeen), 1, "the viewer never saw the process");
     assert_eq!(both(&[(5 * S, TierEvent::Ended(1))], &a, &b).count(TierViolation::NotForgotten), 1);
     let dead = [a[0].clone(), line(8 * S, 1, "dead", 9)];
     let verdict = both(&[], &dead, &b);
-    assert_eq!((verdict.count(TierViolation::NotSeen), verdict.false_deaths), (1, 1), "held dead for good");
+    assert_eq!(
+        (verdict.count(TierViolation::NotSeen), verdict.false_deaths),
+        (1, 1),
+        "a permanent false death"
+    );
     let corrected = [dead.to_vec(), vec![line(9 * S, 1, "alive", 9)]].concat();
     let verdict = both(&[], &corrected, &b);
-    assert_eq!((verdict.is_clean(), verdict.false_deaths), (true, 1), "a mistake, and soon mended");
+    assert_eq!(
+        (verdict.is_clean(), verdict.false_deaths),
+        (true, 1),
+        "a false death that was corrected within the limit"
+    );
     let left = [a[0].clone(), line(8 * S, 1, "left", 9)];
     assert_eq!(both(&[], &left, &b).count(TierViolation::NeverDeparted), 1);
     let invented = [a[0].clone(), line(8 * S, 1, "alive", 77)];
--- a/crates/gaugesaddle-testbed/src/world.rs
+++ b/crates/gaugesaddle-testbed/src/world.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario: stand-ins on this thread, proxies as processes, one journal for all.
+//! Runs a scenario: stand-ins on the calling thread, proxies as processes, and one journal for all records.
 
 mod nodes;
 mod proxies;
@@ -28,21 +28,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time-out of a proxy's start.
+/// Timeout until a started proxy reports ready.
 const PROXY_READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Grace period after SIGTERM, beyond the longest deadline.
+/// Additional grace period after SIGTERM, beyond the accepting phase and the longest deadline.
 const STOP_GRACE: Duration = Duration::from_millis(700);
 
-/// Interval of the reports of a run in progress.
+/// Interval of progress reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What is played in the place of the proxies.
+/// The implementation that runs as the proxies of a scenario.
 #[derive(Clone, Debug)]
 pub enum ProxyImplementation {
-    /// The proxy, as processes.
+    /// A program, as one process for each proxy.
     Program(Program),
-    /// A relay with a fault, in this process.
+    /// A relay in this process with an injected fault, to test the audit.
     Faulty(Fault),
 }
 
@@ -54,7 +54,7 @@
     pub verdict: Verdict,
     /// The last lines of each proxy's log.
     pub logs: Vec<Vec<String>>,
-    /// 99th percentile of how late first attempts began, in microseconds: the lateness of this process itself.
+    /// 99th percentile of the delay with which first attempts started, in microseconds: the lateness of the test bed.
     pub late_p99_us: u64,
     /// The audit of membership, where the proxies form a tier.
     pub tier: Option<TierVerdict>,
@@ -63,26 +63,26 @@
 }
 
 impl Outcome {
-    /// Whether neither audit found anything, and both had a verdict.
+    /// Whether neither audit has findings, and both reached a verdict.
     pub fn is_clean(&self) -> bool {
         self.verdict.is_clean() && self.tier.as_ref().is_none_or(TierVerdict::is_clean)
     }
 }
 
-/// The state of a run in progress.
+/// A progress report of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
     /// Time since the start of the clients.
     pub seconds: f64,
     /// The records since the last report.
     pub new_records: Vec<Record>,
-    /// By node: name, zone, state, requests in flight.
+    /// Name, zone, state and number of requests in flight of each node.
     pub nodes: Vec<(String, usize, &'static str, usize)>,
-    /// By proxy: state.
+    /// State of each proxy.
     pub proxies: Vec<&'static str>,
 }
 
-/// Plays a scenario and audits it. `look` is called a few times a second.
+/// Runs a scenario and audits it. `report` is called a few times a second.
 ///
 /// # Errors
 /// The scenario is invalid, a stand-in cannot be started, or a proxy does not become ready.
@@ -110,7 +110,7 @@
     Ok(Outcome { records, verdict, logs, late_p99_us, tier, datagrams })
 }
 
-/// What a run leaves to be audited.
+/// The unaudited outcome of a run.
 struct RawOutcome {
     records: Vec<Record>,
     dropped: u64,
@@ -118,7 +118,7 @@
     late_p99_us: u64,
     /// Start of the run, in Unix microseconds.
     start: u64,
-    /// Time from the start, before the proxies were asked to end.
+    /// Time from the start of the run until the proxies were asked to terminate.
     end: u64,
     datagrams: Vec<(u64, u64)>,
 }
@@ -147,16 +147,16 @@
     shared: Rc<SharedState>,
     slots: RefCell<Vec<NodeSlot>>,
     agents: Vec<Rc<Agent>>,
-    /// The links that the plan disturbs, by proxy and node.
+    /// Relays for the links that the plan disturbs, by proxy and node.
     relays: HashMap<(usize, usize), Rc<Relay>>,
     proxies: RefCell<Vec<Option<RunningProxy>>>,
     states: RefCell<Vec<&'static str>>,
     start_count: Cell<u64>,
-    /// By proxy and node, the time of the last change that discovery was given: changes do not overtake one another.
+    /// Time of the last scheduled change, by proxy and node: a later change is published after it.
     last_delivery: RefCell<HashMap<(usize, usize), u64>>,
     random: RefCell<RandomStream>,
     logs: RefCell<Vec<Vec<String>>>,
-    /// The federation, where there are several regions.
+    /// The federation, if there are several regions and they are joined.
     federation: Option<Federation>,
     /// The network between the proxies of a tier.
     datagrams: Option<Datagrams>,
@@ -208,7 +208,7 @@
         Ok(world)
     }
 
-    /// Starts all nodes, and all proxies but those that join later.
+    /// Starts all nodes, and all proxies except those that join later.
     async fn start_all(&self) -> io::Result<()> {
         let slots = self.slots.borrow().len();
         for slot in 0..slots {
@@ -272,7 +272,7 @@
         for task in [arrivals, steps] {
             task.await.map_err(io::Error::other)?;
         }
-        // The auditor must see that nothing is sent late.
+        // The records must include requests that a proxy sends too late, so that the audit finds them.
         tokio::time::sleep(Duration::from_millis(1200)).await;
         report(&self.progress(start, &mut seen));
         let end = self.journal.now();
@@ -320,7 +320,7 @@
     }
 }
 
-/// What all nodes of a run share.
+/// The state that all nodes of a run share.
 fn shared_state(s: &Scenario, journal: &Journal) -> Rc<SharedState> {
     Rc::new(SharedState {
         journal: journal.clone(),
@@ -335,7 +335,7 @@
     })
 }
 
-/// A slot for each node of a scenario; zones by turns.
+/// A slot for each node of a scenario, assigned to the zones in turn.
 fn node_slots(s: &Scenario) -> Vec<NodeSlot> {
     let kinds = s.kinds.iter().flat_map(|kind| std::iter::repeat_n(kind, kind.count));
     let slot = |(number, kind): (usize, &Kind)| NodeSlot {
@@ -349,7 +349,7 @@
     kinds.enumerate().map(slot).collect()
 }
 
-/// A relay for each link that a plan disturbs.
+/// Starts a relay for each link that a plan disturbs.
 async fn start_relays(plan: &Plan, lease: &Lease) -> io::Result<HashMap<(usize, usize), Rc<Relay>>> {
     let mut relays = HashMap::new();
     for (_, step) in &plan.steps {
--- a/crates/gaugesaddle-testbed/src/world/nodes.rs
+++ b/crates/gaugesaddle-testbed/src/world/nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes of a run: their starts, and what discovery learns of them.
+//! The nodes of a run: their starts, and the publication of their states to discovery.
 
 use super::World;
 use crate::agent::ListEntry;
@@ -9,18 +9,18 @@
 use std::rc::Rc;
 
 impl World {
-    /// Starts a process of a node. At the start of a run it is at full capacity and known to the proxies; restarted, it is
-    /// in slow start and announced with a delay.
+    /// Starts a process of a node. At the start of a run it has full capacity and is published immediately; a restarted
+    /// one is in slow start and is published with a delay.
     pub(super) async fn start_node(&self, slot: usize, restarted: bool) -> io::Result<()> {
         let (boot, name, zone, kind) = {
             let mut slots = self.slots.borrow_mut();
             let p = &mut slots[slot];
             if restarted && p.node.as_ref().is_some_and(|n| !n.failed.get()) && !p.draining {
-                return Ok(()); // it runs
+                return Ok(()); // already running
             }
             let boot = Boot { node: slot, boot: p.boots };
             p.boots += 1;
-            // A drained node is followed by one of another name; a crashed one comes back under its own.
+            // The successor of a drained node has a new name; a crashed node restarts under its own name.
             if p.draining {
                 p.name = format!("n{slot}-{}", boot.boot);
             }
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Publishes a state of a node to each agent, with a delay of its own.
+    /// Publishes a state of a node to each agent of its region, each after its own random delay.
     pub(super) fn publish(&self, node: &Rc<Node>, state: NodeState, after_s: [f64; 2]) {
         let now = self.journal.now();
         let region = self.s.region(node.boot.node);
--- a/crates/gaugesaddle-testbed/src/world/proxies.rs
+++ b/crates/gaugesaddle-testbed/src/world/proxies.rs
@@ -1,4 +1,4 @@
-//! The proxies of a run: processes that are started, stopped, killed and ended.
+//! The proxies of a run: starting, stopping, killing and terminating them.
 
 use super::{ProxyImplementation, RunningProxy, World, PROXY_READY_TIMEOUT, STOP_GRACE};
 use crate::faulty::Faulty;
@@ -14,7 +14,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// Port of a proxy for the datagrams of its tier.
+/// Port of a proxy for membership datagrams.
 const PEER_PORT: u16 = 7946;
 
 impl World {
@@ -29,7 +29,7 @@
         })
     }
 
-    /// The operator's file of a proxy and its text, where it needs one.
+    /// The path and the text of a proxy's operator file, if it needs one.
     pub(super) fn operator_file(&self, proxy: usize) -> Option<(PathBuf, String)> {
         let mut text = self.federation.as_ref().map(|j| j.section(proxy)).unwrap_or_default();
         if let Some(datagrams) = &self.datagrams {
@@ -54,7 +54,7 @@
 
     pub(super) async fn start_proxy(&self, proxy: usize) -> io::Result<()> {
         if self.proxies.borrow()[proxy].is_some() {
-            return Ok(()); // it runs
+            return Ok(()); // already running
         }
         self.start_count.set(self.start_count.get() + 1);
         self.journal.put(Event::ProxyUp { proxy });
@@ -69,8 +69,9 @@
                 }
                 let folder = self.folder.clone();
                 let name = format!("p{proxy}");
-                // Writing over its files and spawning it may block for seconds beside builds (a file system flushes a file that
-                // is truncated and written again); clients go on meanwhile, or answers in time would be read late.
+                // Replacing its files and spawning it may block for seconds while builds run on the machine (a file
+                // system flushes a file that is truncated and written again). On this thread, that would delay the
+                // clients, and responses that arrived in time would be read late.
                 let starting = tokio::task::spawn_blocking(move || {
                     if let Some((path, text)) = operator_file {
                         std::fs::write(path, text)?;
@@ -112,13 +113,13 @@
         Err(io::Error::other(format!("proxy {proxy} did not become ready: {log}")))
     }
 
-    /// Records the processes that ended by themselves.
+    /// Records the processes that exited without being asked to.
     pub(super) fn watch_proxies(&self) {
         for proxy in 0..self.s.proxies {
             let mut proxies = self.proxies.borrow_mut();
             let Some(RunningProxy::Process(process)) = &mut proxies[proxy] else { continue };
             if self.states.borrow()[proxy] == "ending" {
-                continue; // it was told to
+                continue; // it was asked to terminate
             }
             if process.ended().is_some() {
                 self.logs.borrow_mut()[proxy].extend(process.log());
@@ -135,9 +136,10 @@
             Some(RunningProxy::Process(process)) => process.id(),
             _ => return,
         };
-        // Not on the thread that drives the clients.
+        // Blocks, so it must not run on the thread that drives the clients.
         let signal = |name| tokio::task::spawn_blocking(move || send_signal(id, name));
-        // The record of a stop lies before it, that of its end after it.
+        // The stop is recorded before it takes effect and the continuation after it, so that the audit never assumes
+        // that a stopped proxy runs.
         if stop {
             self.journal.put(Event::ProxyStopped { proxy });
             let _ = signal("STOP").await;
@@ -153,7 +155,7 @@
         match running {
             Some(RunningProxy::Process(mut process)) => {
                 self.journal.put(Event::ProxyKilled { proxy });
-                // Not on the thread that drives the clients, since it waits for the end.
+                // Waits for the exit, so it must not run on the thread that drives the clients.
                 let killing = tokio::task::spawn_blocking(move || {
                     process.kill();
                     process.log()
@@ -170,7 +172,7 @@
         self.states.borrow_mut()[proxy] = "down";
     }
 
-    /// SIGTERM, time to finish, and SIGKILL where that was not enough.
+    /// Sends SIGTERM, waits for the grace period, and sends SIGKILL if the process has not exited by then.
     pub(super) async fn terminate_proxy(&self, proxy: usize) {
         if self.proxies.borrow()[proxy].is_none() {
             return;
@@ -185,7 +187,7 @@
             None => return,
         }
         let longest = self.s.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
-        // The accepting phase, the longest deadline, and what the platform adds.
+        // The accepting phase of 0.5 s, the longest deadline, and the additional grace period of the platform.
         let end = tokio::time::Instant::now() + Duration::from_secs_f64(longest / 1e3 + 0.5) + STOP_GRACE;
         let ended_cleanly = loop {
             let ended = match &mut self.proxies.borrow_mut()[proxy] {
@@ -221,7 +223,7 @@
     }
 }
 
-/// Address of a proxy for the datagrams of its tier.
+/// Address of a proxy for membership datagrams.
 pub(super) fn peer_listen(lease: &Lease, proxy: usize) -> SocketAddr {
     SocketAddr::new(lease.proxy(proxy).ip(), PEER_PORT)
 }
--- a/crates/gaugesaddle-testbed/src/world/steps.rs
+++ b/crates/gaugesaddle-testbed/src/world/steps.rs
@@ -1,4 +1,4 @@
-//! The steps of a plan, carried out on the fleet.
+//! Execution of the steps of a plan on the fleet.
 
 use super::{RunningProxy, World};
 use crate::datagrams::Links;
@@ -75,7 +75,7 @@
         }
     }
 
-    /// A node stops answering; its connections stay open.
+    /// Makes a node stop responding; its connections stay open.
     fn vanish_node(&self, slot: usize) {
         if let Some(node) = self.node(slot) {
             node.hang(true);
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Starts a node's process; one that hangs there or was overloaded ends first.
+    /// Starts a node's process; a previous one that is frozen or has failed is terminated first.
     async fn replace_node(&self, slot: usize) {
         if let Some(old) = self.node(slot).filter(|node| node.frozen.get() || node.failed.get()) {
             self.take_node(slot);
@@ -95,8 +95,8 @@
         }
     }
 
-    /// The record of a change lies before it where the network gets worse, and after it where it gets better: the
-    /// auditor of membership then assumes no more of the network than there was.
+    /// Changes the network between the proxies. A disturbance is recorded before it takes effect and a repair after it,
+    /// so that the audit of membership never assumes a better network than the actual one.
     fn set_network(&self, links: Links) {
         let worse = !links.calm();
         if worse {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Records that the test bed itself failed at something.
+    /// Records a failure of the test bed itself.
     pub(super) fn record_unexpected(&self, text: String) {
         self.journal.put(Event::Unexpected { text });
     }
