--- a/crates/gaugesaddle-testbed/src/scripted/discovery.rs
+++ b/crates/gaugesaddle-testbed/src/scripted/discovery.rs
@@ -38,42 +38,42 @@
 
 impl ListState {
     /// The response to a call; `None`: none yet. `timed_out`: the wait of the call is over.
-    fn answer(&mut self, after: Option<u64>, timed_out: bool, calls: usize) -> Option<String> {
+    fn respond(&mut self, after: Option<u64>, timed_out: bool, calls: usize) -> Option<String> {
         if let Some(response) = self.scripted_answer.take() {
             self.last_response = (self.index, calls);
             return Some(response);
         }
-        let whole = after.is_none_or(|after| after < self.snapshot_version);
+        let snapshot = after.is_none_or(|after| after < self.snapshot_version);
         match after {
             None if self.snapshot_version == 0 => return None,
             Some(after) if after >= self.index && !timed_out => return None,
             Some(after) if after >= self.index => {}
             _ => self.last_response = (self.index, calls),
         }
-        let is_departed = |line: &Value| line["status"] == "gone";
-        let changed = self.entries.values().filter(|(version, line)| {
-            if whole {
-                !is_departed(line)
+        let is_departed = |entry: &Value| entry["status"] == "gone";
+        let changed = self.entries.values().filter(|(version, entry)| {
+            if snapshot {
+                !is_departed(entry)
             } else {
                 after.is_some_and(|after| *version > after)
             }
         });
-        let lines: Vec<&Value> = changed.map(|l| &l.1).collect();
-        let list = json!({"index": self.index, "snapshot": whole, "endpoints": lines});
+        let endpoints: Vec<&Value> = changed.map(|l| &l.1).collect();
+        let list = json!({"index": self.index, "snapshot": snapshot, "endpoints": endpoints});
         if self.indented {
             return serde_json::to_string_pretty(&list).ok();
         }
         Some(list.to_string())
     }
 
-    fn apply(&mut self, whole: bool, lines: &[Value]) {
+    fn apply(&mut self, snapshot: bool, endpoints: &[Value]) {
         self.index += 1;
-        if whole {
+        if snapshot {
             (self.entries, self.snapshot_version) = (BTreeMap::new(), self.index);
         }
-        for line in lines {
-            let name = line["name"].as_str().unwrap_or_default().to_string();
-            self.entries.insert(name, (self.index, line.clone()));
+        for entry in endpoints {
+            let name = entry["name"].as_str().unwrap_or_default().to_string();
+            self.entries.insert(name, (self.index, entry.clone()));
         }
     }
 }
@@ -96,9 +96,9 @@
     }
 
     /// Starts a service at a given address with a snapshot to publish.
-    pub fn start_at(address: SocketAddr, lines: &[Value]) -> Discovery {
+    pub fn start_at(address: SocketAddr, endpoints: &[Value]) -> Discovery {
         let discovery = Discovery::listen(TcpListener::bind(address).unwrap());
-        discovery.state.0.lock().unwrap().apply(true, lines);
+        discovery.state.0.lock().unwrap().apply(true, endpoints);
         discovery
     }
 
@@ -141,7 +141,7 @@
         stream.set_nonblocking(true).unwrap();
         while !matches!(stream.peek(&mut [0]), Ok(0)) {
             if transitions % 2 == 0 && transitions == state.outage_transitions {
-                if let Some(answer) = state.answer(after, Instant::now() >= end, self.calls()) {
+                if let Some(answer) = state.respond(after, Instant::now() >= end, self.calls()) {
                     stream.set_nonblocking(false).unwrap();
                     return Some(answer);
                 }
@@ -192,33 +192,33 @@
     }
 
     /// Restarts the version numbers and publishes a snapshot, as a restarted service does.
-    pub fn restart_with(&self, lines: &[Value]) {
+    pub fn restart_with(&self, endpoints: &[Value]) {
         let mut state = self.state.0.lock().unwrap();
         state.index = 0;
-        state.apply(true, lines);
+        state.apply(true, endpoints);
         self.state.1.notify_all();
     }
 
     /// Publishes a snapshot or changes, of which the next response contains only the first half of the body.
-    pub fn publish_truncated(&self, whole: bool, lines: &[Value]) {
+    pub fn publish_truncated(&self, snapshot: bool, endpoints: &[Value]) {
         let mut state = self.state.0.lock().unwrap();
-        state.apply(whole, lines);
+        state.apply(snapshot, endpoints);
         state.truncated = true;
         self.state.1.notify_all();
     }
 
     /// Ends an outage and publishes a snapshot or changes, without waiting for a call.
-    pub fn resume(&self, whole: bool, lines: &[Value]) {
+    pub fn resume(&self, snapshot: bool, endpoints: &[Value]) {
         let mut state = self.state.0.lock().unwrap();
         assert!(state.outage_transitions % 2 == 1, "no outage has started");
         state.outage_transitions += 1;
-        state.apply(whole, lines);
+        state.apply(snapshot, endpoints);
         self.state.1.notify_all();
     }
 
     /// Publishes a snapshot or changes and waits for the next call of the proxy, which has applied them by then.
-    pub fn publish(&self, whole: bool, lines: &[Value]) {
-        self.state.0.lock().unwrap().apply(whole, lines);
+    pub fn publish(&self, snapshot: bool, endpoints: &[Value]) {
+        self.state.0.lock().unwrap().apply(snapshot, endpoints);
         self.await_next_call();
     }
 
--- a/crates/gaugesaddle-testbed/src/scripted/proxy.rs
+++ b/crates/gaugesaddle-testbed/src/scripted/proxy.rs
@@ -83,7 +83,7 @@
     }
 
     /// Starts a proxy with additional environment variables.
-    pub fn spawn_in(config: &Value, variables: &[(&str, &OsStr)]) -> Proxy {
+    pub fn spawn_with_env(config: &Value, variables: &[(&str, &OsStr)]) -> Proxy {
         Proxy::spawn_as(config, "unlimited", &[], variables)
     }
 
--- a/crates/gaugesaddle/tests/service.rs
+++ b/crates/gaugesaddle/tests/service.rs
@@ -148,7 +148,7 @@
     // One that is put back counts as started now; nothing here is about what a cold one bears.
     config["settings"]["rules"]["cold_from"] = json!(1.0);
     let temporary = [("TMPDIR", folder.0.as_os_str())];
-    let mut first = Proxy::spawn_in(&config, &temporary);
+    let mut first = Proxy::spawn_with_env(&config, &temporary);
     until("ready", || first.ready() == 200);
     assert_eq!(call(admin, "PUT /api/exclude?target=a"), 200);
     let address = first.address;
@@ -184,7 +184,7 @@
     let mut next = config.clone();
     let admin_next = free_address();
     next["admin"] = json!(admin_next.to_string());
-    let second = Proxy::spawn_in(&next, &temporary);
+    let second = Proxy::spawn_with_env(&next, &temporary);
     until("the second is ready", || call(admin_next, "GET /api/ready") == 200);
     // Told to one of two, it holds in both.
     assert_eq!(call(admin_next, "PUT /api/include?target=a"), 200);
@@ -211,14 +211,14 @@
     // One that is put back counts as started now; nothing here is about what a cold one bears.
     config["settings"]["rules"]["cold_from"] = json!(1.0);
     let temporary = [("TMPDIR", folder.0.as_os_str())];
-    let mut first = Proxy::spawn_in(&config, &temporary);
+    let mut first = Proxy::spawn_with_env(&config, &temporary);
     until("ready", || first.ready() == 200);
     let mut next = config.clone();
     let admin_next = free_address();
     next["admin"] = json!(admin_next.to_string());
     next["discovery"] = json!(silent.address.to_string());
     next["known"] = json!({"index": 0, "snapshot": true, "endpoints": []});
-    let second = Proxy::spawn_in(&next, &temporary);
+    let second = Proxy::spawn_with_env(&next, &temporary);
     until("the two have met", || first.log().contains("another process is to replace this one"));
     assert_eq!(call(admin, "PUT /api/exclude?target=a"), 200);
     until("it was passed on", || second.log().contains("from the other process"));
@@ -248,14 +248,14 @@
     let discovery = Discovery::start();
     let (config, _) = with_admin(&discovery, &[("a", &a), ("b", &b)]);
     let temporary = [("TMPDIR", folder.0.as_os_str())];
-    let mut first = Proxy::spawn_in(&config, &temporary);
+    let mut first = Proxy::spawn_with_env(&config, &temporary);
     until("ready", || first.ready() == 200);
     discovery.publish(true, &[endpoint("a", a.address, "ready", 0), endpoint("b", b.address, "ready", 0)]);
     discovery.stop_answering();
     let mut next = config.clone();
     let admin_next = free_address();
     next["admin"] = json!(admin_next.to_string());
-    let second = Proxy::spawn_in(&next, &temporary);
+    let second = Proxy::spawn_with_env(&next, &temporary);
     until("the second is ready", || call(admin_next, "GET /api/ready") == 200);
     let serve = |n: usize| {
         // Both listen: the system deals out connections among them.
--- a/crates/gaugesaddle/tests/tier/mod.rs
+++ b/crates/gaugesaddle/tests/tier/mod.rs
@@ -116,7 +116,7 @@
         let mut config = self.config(place);
         config["admin"] = free_address().to_string().into();
         let file = self.file_with(place, state_of);
-        let proxy = Proxy::spawn_in(
+        let proxy = Proxy::spawn_with_env(
             &config,
             &[("TMPDIR", self.folder.as_os_str()), ("GAUGESADDLE_CONFIG", file.as_os_str())],
         );
