--- a/crates/gaugesaddle-measure/src/relay.rs
+++ b/crates/gaugesaddle-measure/src/relay.rs
@@ -115,7 +115,7 @@
 
 /// Runs the measurement.
 pub fn measure(pairs: usize, seconds: f64) -> io::Result<Value> {
-    let program = program::built("gaugesaddle")?;
+    let program = program::build("gaugesaddle")?;
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     // The process under measurement has the last core to itself; clients and nodes use the others.
     let core = (cores > 1 && Command::new("taskset").arg("-V").output().is_ok()).then(|| cores - 1);
--- a/crates/gaugesaddle-measure/src/runs.rs
+++ b/crates/gaugesaddle-measure/src/runs.rs
@@ -1,13 +1,13 @@
 //! Running one or many scenarios with the proxy, and statistics over runs.
 
-use gaugesaddle_testbed::{program, run, Cast, Outcome, Program, Scenario};
+use gaugesaddle_testbed::{program, run, Outcome, Program, ProxyImplementation, Scenario};
 use std::io;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
 /// The proxy's program, built if it is not up to date.
-pub fn cast() -> io::Result<Cast> {
-    Ok(Cast::Program(Program { path: program::built("gaugesaddle")?, arguments: Vec::new() }))
+pub fn cast() -> io::Result<ProxyImplementation> {
+    Ok(ProxyImplementation::Program(Program { path: program::build("gaugesaddle")?, arguments: Vec::new() }))
 }
 
 /// Runs a scenario with the proxy.
@@ -16,7 +16,7 @@
 }
 
 /// Runs a scenario with the result of [`cast`], so that the build of the proxy is not part of a measurement.
-pub fn play_with(cast: &Cast, s: &Scenario) -> io::Result<Outcome> {
+pub fn play_with(cast: &ProxyImplementation, s: &Scenario) -> io::Result<Outcome> {
     run(s, cast, &mut |_| {})
 }
 
--- a/crates/gaugesaddle-proxy-simulation/src/tier.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/tier.rs
@@ -17,7 +17,7 @@
 mod observation;
 
 use gaugesaddle_testbed::random::{mix, RandomStream};
-pub use gaugesaddle_testbed::tier::Fact;
+pub use gaugesaddle_testbed::tier::TierEvent;
 pub use membership_factory::{address, MembershipFactory};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -101,7 +101,7 @@
     /// Maximum number of bytes sent by one process in one second.
     pub max_bytes_per_second: u64,
     /// Actual events of processes and network, by time, to audit the logs against.
-    pub facts: Vec<(u64, Fact)>,
+    pub tier_events: Vec<(u64, TierEvent)>,
     /// Log lines with their times, by index.
     pub logs: Vec<Vec<(u64, String)>>,
 }
@@ -236,7 +236,7 @@
                 let mut out = Vec::new();
                 if let Some(r) = &mut self.running[*index] {
                     r.process.leave(self.now + r.clock_offset, &mut out);
-                    self.report.facts.push((self.now, Fact::Terminated(*index)));
+                    self.report.tier_events.push((self.now, TierEvent::Terminated(*index)));
                 }
                 self.send_datagrams(*index, out);
                 self.end_process(*index);
@@ -244,13 +244,13 @@
             Step::Suspend(index) => {
                 if let Some(r) = &mut self.running[*index] {
                     r.is_suspended = true;
-                    self.report.facts.push((self.now, Fact::Stopped(*index)));
+                    self.report.tier_events.push((self.now, TierEvent::Stopped(*index)));
                 }
                 self.reset_pairs(|i, j| i == *index || j == *index);
             }
             Step::Resume(index) => {
                 let Some(r) = self.running[*index].as_mut().filter(|r| r.is_suspended) else { return };
-                self.report.facts.push((self.now, Fact::Continued(*index)));
+                self.report.tier_events.push((self.now, TierEvent::Continued(*index)));
                 (r.is_suspended, r.next_run) = (false, u64::MAX);
                 let (now, mut out) = (self.now + r.clock_offset, Vec::new());
                 // A host handles all received datagrams before timers.
@@ -263,7 +263,7 @@
             }
             Step::Links(links) => {
                 self.links = links.clone();
-                self.report.facts.push((self.now, Fact::Links(links.clone())));
+                self.report.tier_events.push((self.now, TierEvent::Links(links.clone())));
                 self.reset_pairs(|_, _| true);
             }
         }
@@ -274,7 +274,7 @@
             return;
         }
         self.starts += 1;
-        self.report.facts.push((self.now, Fact::Up(index)));
+        self.report.tier_events.push((self.now, TierEvent::Up(index)));
         // Boot numbers are random, so that their order does not reveal the order of starts.
         let boot = (mix(self.seed, u64::from(self.starts)) as u32).max(1);
         self.boots.insert(boot, u64::from(self.starts));
@@ -295,7 +295,7 @@
 
     fn end_process(&mut self, index: usize) {
         let Some(ended) = self.running[index].take() else { return };
-        self.report.facts.push((self.now, Fact::Ended(index)));
+        self.report.tier_events.push((self.now, TierEvent::Ended(index)));
         let observers = |i: &usize| {
             let observer = self.running[*i].as_ref().filter(|r| !r.is_suspended);
             observer.is_some_and(|r| r.process.live_boot(index) == Some(ended.boot))
--- a/crates/gaugesaddle-proxy-simulation/src/world.rs
+++ b/crates/gaugesaddle-proxy-simulation/src/world.rs
@@ -340,7 +340,7 @@
         self.served[request_index] |=
             status == 200 && self.now <= START + planned.at_us + (class.objective_ms * 1e3) as u64;
         if number < planned.retries && may_retry(class.effect, status, true) {
-            let retry_after = (status == 503 && planned.honours).then_some(RETRY_AFTER_US);
+            let retry_after = (status == 503 && planned.follows_retry_after).then_some(RETRY_AFTER_US);
             let wait = retry_after.unwrap_or(planned.backoff_us << number.min(8));
             self.schedule(self.now + wait, WorldEvent::SendRequest(request_index, number + 1));
         }
--- a/crates/gaugesaddle-proxy-simulation/tests/tier.rs
+++ b/crates/gaugesaddle-proxy-simulation/tests/tier.rs
@@ -229,13 +229,13 @@
     steps.push((12 * S, Step::Kill(2)));
     let play = |kind: Faulty| {
         let report = play(&kind, 4, &script_with_starts(4, &steps), 24 * S, 3);
-        let verdict = audit_tier(4, &report.facts, &report.logs, 24 * S);
+        let verdict = audit_tier(4, &report.tier_events, &report.logs, 24 * S);
         (report, verdict)
     };
     let (report, verdict) = play(Faulty::None);
     assert_converged(&report, "correct processes");
     assert!(verdict.is_clean(), "{verdict}");
-    assert!(verdict.judged_s > 50.0 && verdict.death_known.len() == 16 * 3, "{verdict}");
+    assert!(verdict.audited_pair_s > 50.0 && verdict.death_known.len() == 16 * 3, "{verdict}");
     let (report, verdict) = play(Faulty::RetainsDead);
     assert!(!report.disagreements.is_empty() && verdict.count(TierViolation::NotForgotten) > 0, "{verdict}");
     let (report, verdict) = play(Faulty::TrustsAll);
@@ -252,7 +252,7 @@
         let (members, steps) = random_script(seed);
         let end = steps.last().expect("steps").0 + 3 * MAX_CONVERGENCE_US;
         let report = play(&MembershipFactory::default(), members, &steps, end, seed);
-        let verdict = audit_tier(members, &report.facts, &report.logs, end);
+        let verdict = audit_tier(members, &report.tier_events, &report.logs, end);
         assert!(verdict.is_clean(), "seed {seed}, {members} processes, {steps:?}:\n{verdict}");
     }
 }
--- a/crates/gaugesaddle-testbed/src/clients.rs
+++ b/crates/gaugesaddle-testbed/src/clients.rs
@@ -106,7 +106,7 @@
             }
             let requested_delay_us = ended
                 .requested_delay_ms
-                .filter(|_| request.honours)
+                .filter(|_| request.follows_retry_after)
                 .map(|ms| ms.min(MAX_RETRY_DELAY_MS) * 1000);
             let doubled = if request.storm_client.is_some() { 0 } else { number.min(8) };
             let wait = requested_delay_us.unwrap_or(request.backoff_us << doubled);
@@ -233,7 +233,7 @@
         if request.slow_reading {
             tokio::time::sleep(SLOW_READ_DELAY).await;
         }
-        let leaves = request.leaves_us.filter(|_| number == 0).map(Duration::from_micros);
+        let leaves = request.disconnects_after_us.filter(|_| number == 0).map(Duration::from_micros);
         let end = sent + leaves.unwrap_or(Duration::from_micros(request.patience_us) + LATE_RESPONSE_WAIT);
         let before = reader.unread();
         let answer = tokio::time::timeout_at(end, reader.message()).await;
@@ -276,7 +276,7 @@
             self.close(proxy, request);
         } else if answer.wants_close() || request.storm_client.is_some() {
             self.close(proxy, request);
-        } else if request.once && number == 0 {
+        } else if request.single_request && number == 0 {
             // The client keeps this connection open and unused; it counts against the limit on connections.
             self.single_use.borrow_mut().push((proxy, reader));
         } else {
--- a/crates/gaugesaddle-testbed/src/hunt.rs
+++ b/crates/gaugesaddle-testbed/src/hunt.rs
@@ -8,7 +8,7 @@
 use crate::datagrams::{lock, Links, LossyPath};
 use crate::random::{mix, RandomStream};
 use crate::scenario::{Clients, Disturbance, Scenario, ScheduledDisturbance};
-use crate::world::{run, Cast};
+use crate::world::{run, ProxyImplementation};
 use std::fmt;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -187,7 +187,9 @@
 }
 
 /// Runs a scenario and returns the first line of its failure, `None` if the run is clean.
-fn find_failure(s: &Scenario, cast: &Cast, count: &Mutex<HuntSummary>) -> io::Result<Option<String>> {
+fn find_failure(
+    s: &Scenario, cast: &ProxyImplementation, count: &Mutex<HuntSummary>,
+) -> io::Result<Option<String>> {
     let outcome = run(s, cast, &mut |_| {})?;
     let mut count = lock(count);
     count.runs += 1;
@@ -223,7 +225,8 @@
 /// # Errors
 /// A scenario cannot be run, or a finding cannot be saved.
 pub fn hunt(
-    cast: &Cast, seed: u64, within: Duration, lanes: usize, into: &Path, report: &(dyn Fn(&str) + Sync),
+    cast: &ProxyImplementation, seed: u64, within: Duration, lanes: usize, into: &Path,
+    report: &(dyn Fn(&str) + Sync),
 ) -> io::Result<HuntSummary> {
     let (hunted, next, end) =
         (Mutex::new(HuntSummary::default()), AtomicU64::new(0), Instant::now() + within);
--- a/crates/gaugesaddle-testbed/src/node.rs
+++ b/crates/gaugesaddle-testbed/src/node.rs
@@ -1,10 +1,11 @@
-//! A stand-in node: HTTP/1.1, work by the model in [`crate::processor`], and every fault that a scenario asks for.
+//! A stand-in node: an HTTP/1.1 server whose processing times follow the model in [`crate::processor`], and that
+//! injects the faults of a scenario.
 
 use crate::http::{Message, Reader};
-use crate::processor::{present_work, Processor};
+use crate::processor::{work_between, Processor};
 use crate::random::RandomStream;
 use crate::record::{Boot, Event, Journal, Moment};
-use crate::scenario::{Choke, Effect, Kind, Rules};
+use crate::scenario::{Effect, Kind, Overload, Rules};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -16,25 +17,26 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::task::AbortHandle;
 
-/// Facts of a request that its sender does not send.
+/// Parameters of a planned request that are not transmitted; the node looks them up by the request id.
 #[derive(Clone, Copy, Debug)]
-pub struct Facts {
+pub struct RequestParameters {
     pub class: usize,
     pub key: u64,
     pub work_us: u64,
     pub wait_us: u64,
 }
 
-/// A zone's deduplication of keys: when each was first seen. Expired ones are dropped as new ones come.
+/// Idempotency keys that a zone deduplicates, with the time of their first arrival. Expired keys are removed when a
+/// key arrives.
 #[derive(Default)]
-pub struct Memory {
+pub struct Deduplication {
     seen: HashMap<u64, Moment>,
     order: VecDeque<(Moment, u64)>,
 }
 
-impl Memory {
-    /// Whether the key is seen for the first time within the window.
-    pub fn first(&mut self, now: Moment, key: u64, window_us: u64) -> bool {
+impl Deduplication {
+    /// Records a key; returns whether it arrives for the first time within the window.
+    pub fn is_new(&mut self, now: Moment, key: u64, window_us: u64) -> bool {
         while let Some((at, old)) = self.order.front().copied().filter(|o| o.0 + window_us < now) {
             self.order.pop_front();
             if self.seen.get(&old) == Some(&at) {
@@ -50,18 +52,18 @@
     }
 }
 
-/// What all nodes of a run share.
-pub struct Fleet {
+/// State shared by all nodes of a run.
+pub struct SharedState {
     pub journal: Journal,
-    pub facts: RefCell<HashMap<u64, Facts>>,
-    /// By zone.
-    pub memories: RefCell<Vec<Memory>>,
+    pub parameters: RefCell<HashMap<u64, RequestParameters>>,
+    /// Received idempotency keys, by zone.
+    pub seen_keys: RefCell<Vec<Deduplication>>,
     /// Effect and window of each class.
     pub classes: Vec<(Effect, u64)>,
     pub rules: Rules,
     /// Mean work of a request, for the tolerance of slow-start budgets.
     pub mean_work_us: f64,
-    pub choke: Choke,
+    pub overload: Overload,
     pub next_attempt: Cell<u64>,
     pub random: RefCell<RandomStream>,
 }
@@ -72,38 +74,38 @@
     pub name: String,
     pub zone: usize,
     pub kind: Kind,
-    /// Its address for each proxy.
+    /// Its listening address for each proxy.
     pub addresses: Vec<SocketAddr>,
     pub started: Moment,
-    fleet: Rc<Fleet>,
+    shared: Rc<SharedState>,
     slow_start: bool,
     processor: RefCell<Processor>,
     running: RefCell<HashMap<u64, oneshot::Sender<()>>>,
     wake: Notify,
     tasks: RefCell<Vec<AbortHandle>>,
     open: Cell<usize>,
-    /// Work received during slow start.
+    /// Work received within the last window during slow start, with its time of arrival.
     budget: RefCell<VecDeque<(Moment, f64)>>,
     pub frozen: Cell<bool>,
     stopping: Cell<bool>,
-    /// Whether its connections end with a reset.
+    /// Whether its connections are reset when they are dropped.
     crashed: Cell<bool>,
-    pub fell: Cell<bool>,
-    pub spoil: Cell<f64>,
-    pub resets: Cell<f64>,
+    pub failed: Cell<bool>,
+    pub corrupt_fraction: Cell<f64>,
+    pub reset_fraction: Cell<f64>,
 }
 
-/// How a node goes down.
+/// How a node's process terminates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Down {
+pub enum Termination {
     /// Its connections are reset at once.
     Crash,
-    /// It finishes the requests that it has.
+    /// It completes its requests in flight first.
     Leave,
 }
 
 /// Parameters of a node's process.
-pub struct Start<'a> {
+pub struct NodeParameters<'a> {
     pub boot: Boot,
     pub name: String,
     pub zone: usize,
@@ -114,7 +116,7 @@
 }
 
 impl Node {
-    pub async fn start(fleet: &Rc<Fleet>, with: Start<'_>) -> io::Result<Rc<Node>> {
+    pub async fn start(shared: &Rc<SharedState>, with: NodeParameters<'_>) -> io::Result<Rc<Node>> {
         let mut listeners = Vec::new();
         for _ in 0..with.proxies {
             listeners.push(TcpListener::bind(with.bind).await?);
@@ -122,7 +124,7 @@
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<io::Result<_>>()?;
         let (boot, zone, kind, cold) = (with.boot, with.zone, with.kind, with.slow_start);
         let cold_from = if cold { kind.initial_capacity } else { 1.0 };
-        let started = fleet.journal.put(Event::NodeUp {
+        let started = shared.journal.put(Event::NodeUp {
             boot,
             zone,
             speed: kind.speed * kind.cores as f64,
@@ -136,9 +138,9 @@
             kind: kind.clone(),
             addresses,
             started,
-            fleet: fleet.clone(),
+            shared: shared.clone(),
             slow_start: cold,
-            processor: RefCell::new(Processor::new(kind, fleet.choke, started, cold)),
+            processor: RefCell::new(Processor::new(kind, shared.overload, started, cold)),
             running: RefCell::default(),
             wake: Notify::new(),
             tasks: RefCell::default(),
@@ -147,15 +149,15 @@
             frozen: Cell::default(),
             stopping: Cell::default(),
             crashed: Cell::default(),
-            fell: Cell::default(),
-            spoil: Cell::default(),
-            resets: Cell::default(),
+            failed: Cell::default(),
+            corrupt_fraction: Cell::default(),
+            reset_fraction: Cell::default(),
         });
         for (proxy, listener) in listeners.into_iter().enumerate() {
             let this = node.clone();
             node.track(tokio::task::spawn_local(this.accept(listener, proxy)).abort_handle());
         }
-        node.track(tokio::task::spawn_local(node.clone().work()).abort_handle());
+        node.track(tokio::task::spawn_local(node.clone().drive_processor()).abort_handle());
         Ok(node)
     }
 
@@ -173,32 +175,32 @@
     }
 
     /// Whether it is overloaded.
-    pub fn is_choked(&self) -> bool {
-        self.processor.borrow().choked
+    pub fn is_overloaded(&self) -> bool {
+        self.processor.borrow().overloaded
     }
 
-    /// Slower by that factor from now on.
+    /// Slows processing down by a factor from now on; 1 is the normal speed.
     pub fn slow(&self, factor: f64) {
         self.advance();
         self.processor.borrow_mut().slow = factor.max(1e-3);
         self.wake.notify_one();
     }
 
-    /// Accepts requests and answers none while true.
+    /// While true, the node accepts requests and completes none.
     pub fn hang(&self, hung: bool) {
         self.advance();
         self.processor.borrow_mut().hung = hung;
         self.wake.notify_one();
     }
 
-    /// Ends its process. One that leaves finishes the requests that it has, for two seconds at most.
-    pub fn down(self: &Rc<Self>, how: Down) {
+    /// Terminates its process. [`Termination::Leave`] waits at most two seconds for the requests in flight.
+    pub fn terminate(self: &Rc<Self>, how: Termination) {
         if self.stopping.replace(true) {
             return;
         }
         let this = self.clone();
         tokio::task::spawn_local(async move {
-            if how == Down::Leave {
+            if how == Termination::Leave {
                 for _ in 0..200 {
                     if this.in_flight() == 0 && this.running.borrow().is_empty() {
                         break;
@@ -206,8 +208,8 @@
                     tokio::time::sleep(Duration::from_millis(10)).await;
                 }
             }
-            this.kill(how == Down::Crash);
-            this.fleet.journal.put(Event::NodeDown { boot: this.boot });
+            this.kill(how == Termination::Crash);
+            this.shared.journal.put(Event::NodeDown { boot: this.boot });
         });
     }
 
@@ -221,7 +223,7 @@
         loop {
             let Ok((stream, _)) = listener.accept().await else { return };
             if self.stopping.get() || self.open.get() >= self.kind.connections * self.kind.cores {
-                continue; // closed at once
+                continue; // dropping the stream closes the connection
             }
             let _ = stream.set_nodelay(true);
             self.open.set(self.open.get() + 1);
@@ -230,15 +232,15 @@
         }
     }
 
-    /// Drives the processor, and completes the requests whose work is done.
-    async fn work(self: Rc<Self>) {
+    /// Drives the processor and completes the requests whose work is done.
+    async fn drive_processor(self: Rc<Self>) {
         loop {
             self.advance();
             let next = self.processor.borrow().next();
             match next {
                 None => self.wake.notified().await,
                 Some(at) => {
-                    let at = tokio::time::Instant::from_std(self.fleet.journal.instant(at));
+                    let at = tokio::time::Instant::from_std(self.shared.journal.instant(at));
                     tokio::select! {
                         () = tokio::time::sleep_until(at) => {}
                         () = self.wake.notified() => {}
@@ -250,7 +252,7 @@
 
     fn advance(&self) {
         let mut ended = Vec::new();
-        self.processor.borrow_mut().run(self.fleet.journal.now(), &mut ended);
+        self.processor.borrow_mut().run(self.shared.journal.now(), &mut ended);
         let mut running = self.running.borrow_mut();
         for id in ended {
             if let Some(done) = running.remove(&id) {
@@ -259,12 +261,12 @@
         }
     }
 
-    /// Counts received work against the slow-start budget; beyond it the node goes down.
-    fn bear(self: &Rc<Self>, at: Moment, work_us: u64) {
-        if !self.slow_start || self.fell.get() {
+    /// Charges received work to the slow-start budget; a node that exceeds it fails and resets its connections.
+    fn charge_slow_start_budget(self: &Rc<Self>, at: Moment, work_us: u64) {
+        if !self.slow_start || self.failed.get() {
             return;
         }
-        let (rules, kind) = (&self.fleet.rules, &self.kind);
+        let (rules, kind) = (&self.shared.rules, &self.kind);
         let (window, ramp) = (rules.fall_ms * 1e3, kind.slow_start_s * 1e6);
         let age = (at - self.started) as f64;
         if age > ramp + window {
@@ -277,25 +279,25 @@
         }
         let sent: f64 = budget.iter().map(|b| b.1).sum();
         let speed = kind.speed * kind.cores as f64;
-        // Before its start there was no capacity, and after it a whole window is granted.
-        let able = present_work(
+        // A node has no capacity before its start, so the first window begins there and is granted in full.
+        let capacity = work_between(
             speed,
             kind.initial_capacity,
             ramp,
             (age - window).max(0.0),
             (age - window).max(0.0) + window,
         );
-        if sent > rules.fall_multiple * able + rules.fall_slack * self.fleet.mean_work_us {
+        if sent > rules.fall_multiple * capacity + rules.fall_slack * self.shared.mean_work_us {
             drop(budget);
-            self.fell.set(true);
-            self.fleet.journal.put(Event::NodeFell { boot: self.boot });
+            self.failed.set(true);
+            self.shared.journal.put(Event::NodeFell { boot: self.boot });
             let this = self.clone();
             tokio::task::spawn_local(async move { this.kill(true) });
         }
     }
 }
 
-/// A connection of a proxy.
+/// A connection from a proxy.
 struct Connection {
     node: Rc<Node>,
     reader: Reader<TcpStream>,
@@ -311,12 +313,13 @@
 }
 
 /// An attempt whose last byte was received.
-struct Taken {
+struct ReceivedAttempt {
     attempt: u64,
     id: u64,
-    facts: Facts,
-    /// Whether it takes effect when it runs: its zone had not seen its key within the window.
-    counts: bool,
+    request: RequestParameters,
+    /// Whether it takes effect when it runs: false for a safe request, and for a keyed one whose key its zone has
+    /// received within the window.
+    takes_effect: bool,
 }
 
 impl Connection {
@@ -333,35 +336,35 @@
             while self.node.frozen.get() {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
-            let fleet = self.node.fleet.clone();
-            let attempt = fleet.next_attempt.get();
-            fleet.next_attempt.set(attempt + 1);
-            fleet.journal.put(Event::Arriving { attempt, boot: self.node.boot, proxy });
-            let reset = fleet.random.borrow_mut().bernoulli(self.node.resets.get());
-            if reset && fleet.random.borrow_mut().bernoulli(0.5) {
-                return self.reset_at_end(); // unread
+            let shared = self.node.shared.clone();
+            let attempt = shared.next_attempt.get();
+            shared.next_attempt.set(attempt + 1);
+            shared.journal.put(Event::Arriving { attempt, boot: self.node.boot, proxy });
+            let reset = shared.random.borrow_mut().bernoulli(self.node.reset_fraction.get());
+            if reset && shared.random.borrow_mut().bernoulli(0.5) {
+                return self.reset_at_end(); // reset before the request is read
             }
             let Ok(message) = self.reader.message().await else { return };
-            let Some(taken) = self.take(attempt, &message).await else { return };
+            let Some(received) = self.receive(attempt, &message).await else { return };
             if reset {
-                self.effect(&taken);
-                return self.reset_at_end(); // read and run
+                self.record_effect(&received);
+                return self.reset_at_end(); // reset after the request has run
             }
-            if !self.answer(taken).await {
+            if !self.respond(received).await {
                 return;
             }
         }
     }
 
-    /// Identifies the request; `None`: it was answered with an error and the connection ends.
-    async fn take(&mut self, attempt: u64, message: &Message) -> Option<Taken> {
-        let fleet = self.node.fleet.clone();
+    /// Identifies the request. `None`: an error response was sent and the connection must be closed.
+    async fn receive(&mut self, attempt: u64, message: &Message) -> Option<ReceivedAttempt> {
+        let shared = self.node.shared.clone();
         let text = message.header("x-correlation-id").unwrap_or("");
         let id = Some(text).filter(|t| t.len() == 16).and_then(|t| u64::from_str_radix(t, 16).ok());
-        let facts = id.and_then(|id| fleet.facts.borrow().get(&id).copied());
-        let Some((id, facts)) = id.zip(facts) else {
+        let request = id.and_then(|id| shared.parameters.borrow().get(&id).copied());
+        let Some((id, request)) = id.zip(request) else {
             let path = message.path().to_string();
-            fleet.journal.put(Event::Unexpected {
+            shared.journal.put(Event::Unexpected {
                 text: format!("node {}: no such request: {path} {text}", self.node.name),
             });
             let status = if text.is_empty() { "404 Not Found" } else { "400 Bad Request" };
@@ -370,15 +373,15 @@
                 .await;
             return None;
         };
-        let at = fleet.journal.put(Event::Received { attempt, id, work_us: facts.work_us });
-        self.node.bear(at, facts.work_us);
-        let (effect, window_us) = fleet.classes[facts.class];
-        let counts = match effect {
+        let at = shared.journal.put(Event::Received { attempt, id, work_us: request.work_us });
+        self.node.charge_slow_start_budget(at, request.work_us);
+        let (effect, window_us) = shared.classes[request.class];
+        let takes_effect = match effect {
             Effect::Safe => false,
             Effect::Unsafe => true,
-            Effect::Keyed => fleet.memories.borrow_mut()[self.node.zone].first(at, facts.key, window_us),
+            Effect::Keyed => shared.seen_keys.borrow_mut()[self.node.zone].is_new(at, request.key, window_us),
         };
-        Some(Taken { attempt, id, facts, counts })
+        Some(ReceivedAttempt { attempt, id, request, takes_effect })
     }
 
     async fn write(&mut self, text: &str) -> io::Result<()> {
@@ -386,20 +389,20 @@
     }
 
     /// Records the effect of a request that has run.
-    fn effect(&self, taken: &Taken) {
-        if taken.counts {
-            let (attempt, key) = (taken.attempt, taken.facts.key);
-            self.node.fleet.journal.put(Event::Effect { attempt, key });
+    fn record_effect(&self, received: &ReceivedAttempt) {
+        if received.takes_effect {
+            let (attempt, key) = (received.attempt, received.request.key);
+            self.node.shared.journal.put(Event::Effect { attempt, key });
         }
     }
 
-    /// Processes and answers; false: the connection cannot be used further.
-    async fn answer(&mut self, taken: Taken) -> bool {
-        let (node, attempt) = (self.node.clone(), taken.attempt);
-        let journal = node.fleet.journal.clone();
+    /// Processes an attempt and responds to it; returns whether the connection can be reused.
+    async fn respond(&mut self, received: ReceivedAttempt) -> bool {
+        let (node, attempt) = (self.node.clone(), received.attempt);
+        let journal = node.shared.journal.clone();
         node.advance();
-        if !node.processor.borrow_mut().offer(journal.now(), attempt, taken.facts.work_us) {
-            // Recorded before it is written: the proxy may act on it at once.
+        if !node.processor.borrow_mut().offer(journal.now(), attempt, received.request.work_us) {
+            // Recorded before the response is written, since the proxy may act on it immediately.
             journal.put(Event::Rejected { attempt });
             return self
                 .write("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
@@ -414,35 +417,36 @@
                 return false;
             },
             _ = self.reader.first_byte() => {
-                // The proxy has closed it, or sent more than it should. What is queued is dropped, what runs goes on.
+                // The proxy closed the connection or sent unexpected bytes: a queued attempt is dropped, and a running
+                // one completes.
                 if node.processor.borrow_mut().drop_waiting(attempt) {
                     node.running.borrow_mut().remove(&attempt);
                 } else if ended.await.is_ok() {
-                    self.effect(&taken);
+                    self.record_effect(&received);
                 }
                 return false;
             }
         }
-        self.effect(&taken);
-        tokio::time::sleep(Duration::from_micros(taken.facts.wait_us)).await;
-        let spoilt = node.fleet.random.borrow_mut().bernoulli(node.spoil.get());
-        let body = format!("attempt={attempt} id={:016x}", taken.id);
-        let good = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        if !spoilt {
+        self.record_effect(&received);
+        tokio::time::sleep(Duration::from_micros(received.request.wait_us)).await;
+        let corrupted = node.shared.random.borrow_mut().bernoulli(node.corrupt_fraction.get());
+        let body = format!("attempt={attempt} id={:016x}", received.id);
+        let valid = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        if !corrupted {
             journal.put(Event::Replied { attempt, status: 200 });
-            return self.write(&good).await.is_ok();
+            return self.write(&valid).await.is_ok();
         }
-        let way = node.fleet.random.borrow_mut().below(6);
-        let (text, status, goes_on) = match way {
+        let corruption = node.shared.random.borrow_mut().below(6);
+        let (text, status, reusable) = match corruption {
             0 => ("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".to_string(), 500, true),
             1 => (format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len() + 9), 0, false),
             2 => ("\u{1}\u{2}noise without an end".repeat(3), 0, false),
             3 => (format!("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{body}"), 0, false),
-            4 => (format!("{good}{good}"), 200, true),
-            _ => (format!("HTTP/1.1 100 Continue\r\n\r\n{good}"), 200, true),
+            4 => (format!("{valid}{valid}"), 200, true),
+            _ => (format!("HTTP/1.1 100 Continue\r\n\r\n{valid}"), 200, true),
         };
         journal.put(Event::Replied { attempt, status });
-        self.write(&text).await.is_ok() && goes_on
+        self.write(&text).await.is_ok() && reusable
     }
 }
 
--- a/crates/gaugesaddle-testbed/src/relay.rs
+++ b/crates/gaugesaddle-testbed/src/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that can delay, block and reset what passes: a link that fails while both of its ends go on.
+//! A TCP relay that can delay, block and reset connections: a link that fails while both endpoints keep running.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -10,10 +10,10 @@
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
-/// Size of the buffer of one direction of a connection.
+/// Buffer size for one direction of a connection, in bytes.
 const BUFFER: usize = 16 << 10;
 
-/// A link from an address of its own to another one. Runs on the thread that made it, in a `LocalSet`.
+/// A link from its own listening address to a target address. Runs on the thread that created it, in a `LocalSet`.
 pub struct Relay {
     address: SocketAddr,
     to: Cell<SocketAddr>,
@@ -21,11 +21,11 @@
     delay_us: Cell<u64>,
     changed: Notify,
     tasks: RefCell<Vec<AbortHandle>>,
-    passed: Cell<u64>,
+    bytes_forwarded: Cell<u64>,
 }
 
 impl Relay {
-    /// Listens at an address of the system's choice and forwards to another.
+    /// Listens at `bind` and forwards connections to `to`.
     ///
     /// # Errors
     /// The address cannot be bound.
@@ -38,12 +38,12 @@
             delay_us: Cell::default(),
             changed: Notify::new(),
             tasks: RefCell::default(),
-            passed: Cell::default(),
+            bytes_forwarded: Cell::default(),
         });
         let this = relay.clone();
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let handle = tokio::task::spawn_local(this.clone().pass(stream)).abort_handle();
+                let handle = tokio::task::spawn_local(this.clone().serve(stream)).abort_handle();
                 let mut tasks = this.tasks.borrow_mut();
                 tasks.retain(|t| !t.is_finished());
                 tasks.push(handle);
@@ -57,15 +57,15 @@
         self.address
     }
 
-    /// Forwards new connections there from now on.
-    pub fn lead_to(&self, to: SocketAddr) {
+    /// Forwards new connections to another target from now on.
+    pub fn forward_to(&self, to: SocketAddr) {
         self.to.set(to);
     }
 
-    /// While true nothing passes, new connections included. Afterwards the connections on which data was pending are
-    /// reset: delivered late, the data would look as if it had been sent late.
-    pub fn block(&self, silent: bool) {
-        self.blocked.set(silent);
+    /// While true, no data is forwarded and no new connection is established. Afterwards, connections with pending data
+    /// are reset: data delivered late would look as if it had been sent late.
+    pub fn block(&self, blocked_now: bool) {
+        self.blocked.set(blocked_now);
         self.changed.notify_waiters();
     }
 
@@ -79,48 +79,48 @@
         self.tasks.borrow_mut().drain(..).for_each(|t| t.abort());
     }
 
-    /// Bytes forwarded, both ways.
-    pub fn passed(&self) -> u64 {
-        self.passed.get()
+    /// Bytes forwarded in both directions.
+    pub fn bytes_forwarded(&self) -> u64 {
+        self.bytes_forwarded.get()
     }
 
-    /// Waits while the link is blocked; an error if it was.
+    /// Waits while the link is blocked; returns an error if it had to wait.
     async fn unblocked(&self) -> io::Result<()> {
-        let waits = self.blocked.get();
+        let was_blocked = self.blocked.get();
         while self.blocked.get() {
             self.changed.notified().await;
         }
-        if waits {
+        if was_blocked {
             Err(io::ErrorKind::ConnectionReset.into())
         } else {
             Ok(())
         }
     }
 
-    async fn pass(self: Rc<Self>, near: TcpStream) {
-        let near = Resetting(near);
+    async fn serve(self: Rc<Self>, near: TcpStream) {
+        let near = ResetOnDrop(near);
         if self.unblocked().await.is_err() {
             return;
         }
         let Ok(far) = TcpStream::connect(self.to.get()).await else { return };
-        let far = Resetting(far);
+        let far = ResetOnDrop(far);
         let (_, _) = (near.0.set_nodelay(true), far.0.set_nodelay(true));
         let one = async {
             let ended = self.forward(&near.0, &far.0).await;
-            ended.map(|()| shut(&far.0))
+            ended.map(|()| shut_down_write(&far.0))
         };
         let other = async {
             let ended = self.forward(&far.0, &near.0).await;
-            ended.map(|()| shut(&near.0))
+            ended.map(|()| shut_down_write(&near.0))
         };
         if tokio::try_join!(one, other).is_ok() {
-            // Both ends closed in order.
+            // Both endpoints closed their direction without an error.
             near.disarm();
             far.disarm();
         }
     }
 
-    /// One direction, until its end or an error.
+    /// Forwards one direction until end of stream or an error.
     async fn forward(&self, from: &TcpStream, to: &TcpStream) -> io::Result<()> {
         let mut buffer = vec![0; BUFFER];
         loop {
@@ -133,27 +133,27 @@
                 return Ok(());
             }
             Borrowed(to).write_all(&buffer[..n]).await?;
-            self.passed.set(self.passed.get() + n as u64);
+            self.bytes_forwarded.set(self.bytes_forwarded.get() + n as u64);
         }
     }
 }
 
-fn shut(stream: &TcpStream) {
+fn shut_down_write(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).shutdown(std::net::Shutdown::Write);
 }
 
-/// Resets its connection when dropped, unless it ended in order.
-struct Resetting(TcpStream);
+/// Resets its connection when dropped, unless the connection was closed in both directions.
+struct ResetOnDrop(TcpStream);
 
-impl Resetting {
+impl ResetOnDrop {
     fn disarm(&self) {
         let _ = socket2::SockRef::from(&self.0).set_linger(None);
     }
 }
 
-impl Drop for Resetting {
+impl Drop for ResetOnDrop {
     fn drop(&mut self) {
-        // A stream that ended in order has been shut down both ways: there is nothing left to reset.
+        // After an orderly close both directions have been shut down, and there is nothing left to reset.
         let _ = socket2::SockRef::from(&self.0).set_linger(Some(Duration::ZERO));
     }
 }
@@ -199,7 +199,7 @@
     fn poll_shutdown(
         self: std::pin::Pin<&mut Self>, _: &mut std::task::Context<'_>,
     ) -> std::task::Poll<io::Result<()>> {
-        shut(self.0);
+        shut_down_write(self.0);
         std::task::Poll::Ready(Ok(()))
     }
 }
--- a/crates/gaugesaddle-testbed/src/world/nodes.rs
+++ b/crates/gaugesaddle-testbed/src/world/nodes.rs
@@ -1,26 +1,26 @@
-//! The nodes of a run: their starts, and what discovery learns of them.
+//! The nodes of a run: their starts, and the publication of their states to discovery.
 
 use super::World;
 use crate::agent::ListEntry;
-use crate::node::{Node, Start};
+use crate::node::{Node, NodeParameters};
 use crate::record::{Boot, NodeState};
 use crate::scenario::zone_name;
 use std::io;
 use std::rc::Rc;
 
 impl World {
-    /// Starts a process of a node. At the start of a run it is at full capacity and known to the proxies; restarted, it is
-    /// in slow start and announced with a delay.
+    /// Starts a process of a node. At the start of a run it has full capacity and is published immediately; a restarted
+    /// one is in slow start and is published with a delay.
     pub(super) async fn start_node(&self, slot: usize, restarted: bool) -> io::Result<()> {
         let (boot, name, zone, kind) = {
             let mut slots = self.slots.borrow_mut();
             let p = &mut slots[slot];
-            if restarted && p.node.as_ref().is_some_and(|n| !n.fell.get()) && !p.draining {
-                return Ok(()); // it runs
+            if restarted && p.node.as_ref().is_some_and(|n| !n.failed.get()) && !p.draining {
+                return Ok(()); // already running
             }
             let boot = Boot { node: slot, boot: p.boots };
             p.boots += 1;
-            // A drained node is followed by one of another name; a crashed one comes back under its own.
+            // The successor of a drained node has a new name; a crashed node restarts under its own name.
             if p.draining {
                 p.name = format!("n{slot}-{}", boot.boot);
             }
@@ -28,13 +28,13 @@
             (boot, p.name.clone(), p.zone, p.kind.clone())
         };
         let (proxies, bind) = (self.s.proxies, self.lease.peer());
-        let start = Start { boot, name, zone, kind: &kind, slow_start: restarted, proxies, bind };
-        let node = Node::start(&self.fleet, start).await?;
+        let start = NodeParameters { boot, name, zone, kind: &kind, slow_start: restarted, proxies, bind };
+        let node = Node::start(&self.shared, start).await?;
         self.slots.borrow_mut()[slot].node = Some(node.clone());
         for ((proxy, of), relay) in &self.relays {
             if *of == slot {
                 relay.reset();
-                relay.lead_to(node.addresses[*proxy]);
+                relay.forward_to(node.addresses[*proxy]);
             }
         }
         if restarted {
@@ -59,15 +59,15 @@
         }
     }
 
-    /// Publishes a state of a node to each agent, with a delay of its own.
+    /// Publishes a state of a node to each agent of its region, each after its own random delay.
     pub(super) fn publish(&self, node: &Rc<Node>, state: NodeState, after_s: [f64; 2]) {
         let now = self.journal.now();
         let region = self.s.region(node.boot.node);
         let own = self.agents.iter().enumerate().filter(|(p, _)| self.s.region(*p) == region);
         for (proxy, agent) in own {
             let wait = (self.random.borrow_mut().uniform(after_s) * 1e6) as u64;
-            let mut delivered = self.delivered.borrow_mut();
-            let last = delivered.entry((proxy, node.boot.node)).or_default();
+            let mut last_delivery = self.last_delivery.borrow_mut();
+            let last = last_delivery.entry((proxy, node.boot.node)).or_default();
             let at = (now + wait).max(*last + 1000);
             *last = at;
             let (agent, list_entry) = (agent.clone(), self.list_entry(node, proxy, state));
--- a/crates/gaugesaddle-testbed/src/world/proxies.rs
+++ b/crates/gaugesaddle-testbed/src/world/proxies.rs
@@ -1,6 +1,6 @@
-//! The proxies of a run: processes that are started, stopped, killed and ended.
+//! The proxies of a run: starting, stopping, killing and terminating them.
 
-use super::{Actor, Cast, World, PROXY_READY_TIMEOUT, STOP_GRACE};
+use super::{ProxyImplementation, RunningProxy, World, PROXY_READY_TIMEOUT, STOP_GRACE};
 use crate::faulty::Faulty;
 use crate::lease::Lease;
 use crate::process::{send_signal, Process};
@@ -14,7 +14,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// Port of a proxy for the datagrams of its tier.
+/// Port of a proxy for membership datagrams.
 const PEER_PORT: u16 = 7946;
 
 impl World {
@@ -23,15 +23,15 @@
         json!({
             "name": format!("p{proxy}"), "listen": self.lease.proxy(proxy).to_string(),
             "discovery": self.agents[proxy].address().to_string(),
-            "seed": format!("{:016x}", mix(self.s.seed, 1000 * self.starts.get() + proxy as u64)),
+            "seed": format!("{:016x}", mix(self.s.seed, 1000 * self.start_count.get() + proxy as u64)),
             "limits": {"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
             "known": known, "settings": self.s.settings(proxy),
         })
     }
 
-    /// The operator's file of a proxy and its text, where it needs one.
+    /// The path and the text of a proxy's operator file, if it needs one.
     pub(super) fn operator_file(&self, proxy: usize) -> Option<(PathBuf, String)> {
-        let mut text = self.joined.as_ref().map(|j| j.section(proxy)).unwrap_or_default();
+        let mut text = self.federation.as_ref().map(|j| j.section(proxy)).unwrap_or_default();
         if let Some(datagrams) = &self.datagrams {
             let addresses = datagrams.addresses();
             let own = (0..self.s.proxies).filter(|p| self.s.region(*p) == self.s.region(proxy));
@@ -54,13 +54,13 @@
 
     pub(super) async fn start_proxy(&self, proxy: usize) -> io::Result<()> {
         if self.proxies.borrow()[proxy].is_some() {
-            return Ok(()); // it runs
+            return Ok(()); // already running
         }
-        self.starts.set(self.starts.get() + 1);
+        self.start_count.set(self.start_count.get() + 1);
         self.journal.put(Event::ProxyUp { proxy });
         let agent = &self.agents[proxy];
-        let actor = match &self.cast {
-            Cast::Program(program) => {
+        let running = match &self.implementation {
+            ProxyImplementation::Program(program) => {
                 let config = self.config(proxy, &agent.initial_list());
                 let mut program = program.clone();
                 let operator_file = self.operator_file(proxy);
@@ -69,31 +69,32 @@
                 }
                 let folder = self.folder.clone();
                 let name = format!("p{proxy}");
-                // Writing over its files and spawning it may block for seconds beside builds (a file system flushes a file that
-                // is truncated and written again); clients go on meanwhile, or answers in time would be read late.
+                // Replacing its files and spawning it may block for seconds while builds run on the machine (a file
+                // system flushes a file that is truncated and written again). On this thread, that would delay the
+                // clients, and responses that arrived in time would be read late.
                 let starting = tokio::task::spawn_blocking(move || {
                     if let Some((path, text)) = operator_file {
                         std::fs::write(path, text)?;
                     }
                     Process::start(&program, &folder, &name, &config)
                 });
-                Actor::Process(starting.await.map_err(io::Error::other)??)
+                RunningProxy::Process(starting.await.map_err(io::Error::other)??)
             }
-            Cast::Faulty(fault) => {
+            ProxyImplementation::Faulty(fault) => {
                 let (listen, discovery) = (self.lease.proxy(proxy), agent.address());
-                Actor::Faulty(Faulty::start(*fault, &self.s, listen, discovery).await?)
+                RunningProxy::Faulty(Faulty::start(*fault, &self.s, listen, discovery).await?)
             }
         };
-        self.proxies.borrow_mut()[proxy] = Some(actor);
+        self.proxies.borrow_mut()[proxy] = Some(running);
         self.states.borrow_mut()[proxy] = "up";
         Ok(())
     }
 
-    pub(super) async fn until_ready(&self, proxy: usize) -> io::Result<()> {
+    pub(super) async fn wait_until_ready(&self, proxy: usize) -> io::Result<()> {
         let end = tokio::time::Instant::now() + PROXY_READY_TIMEOUT;
         while tokio::time::Instant::now() < end {
             let faulty = match &self.proxies.borrow()[proxy] {
-                Some(Actor::Faulty(f)) => Some(f.is_ready()),
+                Some(RunningProxy::Faulty(f)) => Some(f.is_ready()),
                 _ => None,
             };
             let ready = match faulty {
@@ -106,19 +107,19 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         let log = match &self.proxies.borrow()[proxy] {
-            Some(Actor::Process(p)) => p.log().join("\n"),
+            Some(RunningProxy::Process(p)) => p.log().join("\n"),
             _ => String::new(),
         };
         Err(io::Error::other(format!("proxy {proxy} did not become ready: {log}")))
     }
 
-    /// Records the processes that ended by themselves.
+    /// Records the processes that exited without being asked to.
     pub(super) fn watch_proxies(&self) {
         for proxy in 0..self.s.proxies {
             let mut proxies = self.proxies.borrow_mut();
-            let Some(Actor::Process(process)) = &mut proxies[proxy] else { continue };
+            let Some(RunningProxy::Process(process)) = &mut proxies[proxy] else { continue };
             if self.states.borrow()[proxy] == "ending" {
-                continue; // it was told to
+                continue; // it was asked to terminate
             }
             if process.ended().is_some() {
                 self.logs.borrow_mut()[proxy].extend(process.log());
@@ -132,12 +133,13 @@
     /// Stops a proxy (SIGSTOP) or continues it (SIGCONT).
     pub(super) async fn stop_proxy(&self, proxy: usize, stop: bool) {
         let id = match &self.proxies.borrow()[proxy] {
-            Some(Actor::Process(process)) => process.id(),
+            Some(RunningProxy::Process(process)) => process.id(),
             _ => return,
         };
-        // Not on the thread that drives the clients.
+        // Blocks, so it must not run on the thread that drives the clients.
         let signal = |name| tokio::task::spawn_blocking(move || send_signal(id, name));
-        // The record of a stop lies before it, that of its end after it.
+        // The stop is recorded before it takes effect and the continuation after it, so that the audit never assumes
+        // that a stopped proxy runs.
         if stop {
             self.journal.put(Event::ProxyStopped { proxy });
             let _ = signal("STOP").await;
@@ -149,11 +151,11 @@
     }
 
     pub(super) async fn kill_proxy(&self, proxy: usize) {
-        let actor = self.proxies.borrow_mut()[proxy].take();
-        match actor {
-            Some(Actor::Process(mut process)) => {
+        let running = self.proxies.borrow_mut()[proxy].take();
+        match running {
+            Some(RunningProxy::Process(mut process)) => {
                 self.journal.put(Event::ProxyKilled { proxy });
-                // Not on the thread that drives the clients, since it waits for the end.
+                // Waits for the exit, so it must not run on the thread that drives the clients.
                 let killing = tokio::task::spawn_blocking(move || {
                     process.kill();
                     process.log()
@@ -161,7 +163,7 @@
                 let log = killing.await.unwrap_or_default();
                 self.logs.borrow_mut()[proxy].extend(log);
             }
-            Some(Actor::Faulty(faulty)) => {
+            Some(RunningProxy::Faulty(faulty)) => {
                 self.journal.put(Event::ProxyKilled { proxy });
                 faulty.stop();
             }
@@ -170,39 +172,39 @@
         self.states.borrow_mut()[proxy] = "down";
     }
 
-    /// SIGTERM, time to finish, and SIGKILL where that was not enough.
-    pub(super) async fn end_proxy(&self, proxy: usize) {
+    /// Sends SIGTERM, waits for the grace period, and sends SIGKILL if the process has not exited by then.
+    pub(super) async fn terminate_proxy(&self, proxy: usize) {
         if self.proxies.borrow()[proxy].is_none() {
             return;
         }
         self.states.borrow_mut()[proxy] = "ending";
         self.journal.put(Event::ProxyTerminated { proxy });
         match &self.proxies.borrow()[proxy] {
-            Some(Actor::Process(process)) => {
+            Some(RunningProxy::Process(process)) => {
                 let _ = process.signal("TERM");
             }
-            Some(Actor::Faulty(faulty)) => faulty.stop(),
+            Some(RunningProxy::Faulty(faulty)) => faulty.stop(),
             None => return,
         }
         let longest = self.s.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
-        // The accepting phase, the longest deadline, and what the platform adds.
+        // The accepting phase of 0.5 s, the longest deadline, and the additional grace period of the platform.
         let end = tokio::time::Instant::now() + Duration::from_secs_f64(longest / 1e3 + 0.5) + STOP_GRACE;
-        let well = loop {
+        let ended_cleanly = loop {
             let ended = match &mut self.proxies.borrow_mut()[proxy] {
-                Some(Actor::Process(process)) => process.ended(),
+                Some(RunningProxy::Process(process)) => process.ended(),
                 _ => Some(true),
             };
             match ended {
-                Some(well) => break well,
+                Some(ended_cleanly) => break ended_cleanly,
                 None if tokio::time::Instant::now() >= end => break false,
                 None => tokio::time::sleep(Duration::from_millis(5)).await,
             }
         };
-        if let Some(Actor::Process(mut process)) = self.proxies.borrow_mut()[proxy].take() {
+        if let Some(RunningProxy::Process(mut process)) = self.proxies.borrow_mut()[proxy].take() {
             process.kill();
             self.logs.borrow_mut()[proxy].extend(process.log());
         }
-        self.journal.put(Event::ProxyEnded { proxy, clean: well });
+        self.journal.put(Event::ProxyEnded { proxy, clean: ended_cleanly });
         self.states.borrow_mut()[proxy] = "down";
     }
 
@@ -212,8 +214,8 @@
                 self.journal.put(Event::Unexpected { text: format!("discovery did not move: {e}") });
             }
         }
-        for (proxy, actor) in self.proxies.borrow().iter().enumerate() {
-            if let Some(Actor::Process(process)) = actor {
+        for (proxy, running) in self.proxies.borrow().iter().enumerate() {
+            if let Some(RunningProxy::Process(process)) = running {
                 let known = json!({"index": 0, "snapshot": true, "endpoints": []});
                 let _ = process.reload(&self.config(proxy, &known));
             }
@@ -221,7 +223,7 @@
     }
 }
 
-/// Address of a proxy for the datagrams of its tier.
+/// Address of a proxy for membership datagrams.
 pub(super) fn peer_listen(lease: &Lease, proxy: usize) -> SocketAddr {
     SocketAddr::new(lease.proxy(proxy).ip(), PEER_PORT)
 }
--- a/crates/gaugesaddle-testbed/tests/faulty.rs
+++ b/crates/gaugesaddle-testbed/tests/faulty.rs
@@ -1,8 +1,8 @@
 //! Guards against an audit that misses violations: a relay with one fault runs in place of the proxies, over real
 //! sockets, and the audit must report exactly the violations of that fault.
 
-use gaugesaddle_testbed::scenario::{Choke, Clients, Kind};
-use gaugesaddle_testbed::{run, Cast, Disturbance, Fault, Scenario, Verdict, Violation};
+use gaugesaddle_testbed::scenario::{Clients, Kind, Overload};
+use gaugesaddle_testbed::{run, Disturbance, Fault, ProxyImplementation, Scenario, Verdict, Violation};
 use std::collections::BTreeSet;
 
 /// A light load; the tests add the drains and cold nodes that a fault needs to take effect.
@@ -11,14 +11,14 @@
     let clients =
         Clients { per_s: 60.0, leaving: 0.0, single_request: 0.0, retries: 0, ..defaults.clients.clone() };
     let kinds = vec![Kind { name: "fast".into(), count: 6, speed: 2.0, ..Kind::default() }];
-    let choke = Choke { at: 1e9, ..Choke::default() };
+    let choke = Overload { at: 1e9, ..Overload::default() };
     let mut classes = defaults.classes.clone();
     classes.iter_mut().for_each(|c| c.weight = 1.0);
     Scenario { proxies: 2, seconds: 5.0, clients, classes, kinds, choke, ..defaults }.seed(5)
 }
 
 fn verdict(s: &Scenario, fault: Fault) -> Verdict {
-    run(s, &Cast::Faulty(fault), &mut |_| {}).expect("scenario runs").verdict
+    run(s, &ProxyImplementation::Faulty(fault), &mut |_| {}).expect("scenario runs").verdict
 }
 
 /// The kinds of violations in a run with a fault.
