--- a/crates/gaugesaddle/tests/service.rs
+++ b/crates/gaugesaddle/tests/admin_and_hot_restart.rs
@@ -17,7 +17,7 @@
 }
 
 /// The status of a call, 0 where there was no answer.
-fn call(admin: SocketAddr, text: &str) -> u16 {
+fn admin_call(admin: SocketAddr, text: &str) -> u16 {
     let Ok(mut client) = Client::try_open(admin) else { return 0 };
     client.send(&format!("{text} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"));
     client.answer().map_or(0, |a| a.status())
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_backend_that_is_out_gets_nothing_whatever_the_list_says() {
+fn an_excluded_backend_gets_no_requests_whatever_the_list_says() {
     let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
     let discovery = Discovery::start();
     let (config, admin) = with_admin(&discovery, &[("a", &a), ("b", &b)]);
@@ -51,7 +51,7 @@
         serve(4);
         !a.requests().is_empty() && !b.requests().is_empty()
     });
-    assert_eq!(call(admin, "PUT /api/exclude?target=a"), 200);
+    assert_eq!(admin_call(admin, "PUT /api/exclude?target=a"), 200);
     let before = a.requests().len();
     serve(20);
     // Told anew as ready, and as restarted: the ban holds.
@@ -59,12 +59,12 @@
     let seen = discovery.calls();
     until("the list was taken", || discovery.calls() > seen);
     serve(20);
-    assert_eq!(call(admin, "PUT /api/exclude?target=a"), 200, "twice is as good as once");
+    assert_eq!(admin_call(admin, "PUT /api/exclude?target=a"), 200, "twice is as good as once");
     discovery.publish(false, &[line("a", a.address, "ready", 1_000)]);
     until("the change was taken", || discovery.calls() > seen + 1);
     serve(20);
     assert_eq!(a.requests().len(), before);
-    assert_eq!(call(admin, "PUT /api/include?target=a"), 200, "once ends both");
+    assert_eq!(admin_call(admin, "PUT /api/include?target=a"), 200, "once ends both");
     until("it is used again", || {
         serve(4);
         a.requests().len() > before
@@ -78,18 +78,18 @@
         ("GET /api/none", 404),
         ("GET /api/ready", 200),
     ] {
-        assert_eq!(call(admin, text), status, "{text}");
+        assert_eq!(admin_call(admin, text), status, "{text}");
     }
     // With all of them out there is nothing to serve with, and the front is told so.
-    assert_eq!(call(admin, "PUT /api/exclude?target=a"), 200);
-    assert_eq!(call(admin, "PUT /api/exclude?target=b"), 200);
-    assert_eq!((proxy.ready(), call(admin, "GET /api/ready")), (503, 503));
+    assert_eq!(admin_call(admin, "PUT /api/exclude?target=a"), 200);
+    assert_eq!(admin_call(admin, "PUT /api/exclude?target=b"), 200);
+    assert_eq!((proxy.ready(), admin_call(admin, "GET /api/ready")), (503, 503));
     assert_eq!(ask(&proxy, &request("read", 300)).status(), 503);
 }
 
 /// Callers that say nothing, or half a call, hold up nobody and cost a bounded number of places.
 #[test]
-fn bad_callers_on_the_second_address_delay_no_good_one() {
+fn incomplete_admin_requests_do_not_delay_valid_ones() {
     let backend = Backend::start(|_| ok("x"));
     let discovery = Discovery::start();
     let (config, admin) = with_admin(&discovery, &[("a", &backend)]);
@@ -102,7 +102,7 @@
         })
         .collect();
     let start = Instant::now();
-    assert_eq!(call(admin, "GET /api/ready"), 200);
+    assert_eq!(admin_call(admin, "GET /api/ready"), 200);
     assert!(start.elapsed() < Duration::from_secs(1));
     assert!(bad.iter_mut().all(Client::ends), "each loses its place");
     assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
@@ -110,7 +110,7 @@
 
 /// Told to drain the proxy says no, answers what comes on kept connections and lets go of them; it comes back.
 #[test]
-fn a_drain_sends_clients_away_and_ends() {
+fn evacuation_closes_connections_and_rejoin_reverts_it() {
     let backend = Backend::start(|_| ok("x"));
     let discovery = Discovery::start();
     let (config, admin) = with_admin(&discovery, &[("a", &backend)]);
@@ -124,14 +124,14 @@
         })
         .collect();
     let start = Instant::now();
-    assert_eq!(call(admin, "PUT /api/evacuate"), 200);
-    assert_eq!((proxy.ready(), call(admin, "GET /api/ready")), (503, 503));
+    assert_eq!(admin_call(admin, "PUT /api/evacuate"), 200);
+    assert_eq!((proxy.ready(), admin_call(admin, "GET /api/ready")), (503, 503));
     clients[0].send(&request("read", 7000));
     assert_eq!(clients[0].answer().map(|a| a.status()), Some(200), "asked on while it drains");
     assert!(clients[0].ends(), "and closed with its answer");
     assert!(clients[1].ends(), "nothing is held idle");
     assert!(start.elapsed() < Duration::from_secs(4));
-    assert_eq!(call(admin, "PUT /api/rejoin"), 200);
+    assert_eq!(admin_call(admin, "PUT /api/rejoin"), 200);
     until("ready", || proxy.ready() == 200);
     assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
 }
@@ -139,7 +139,7 @@
 /// Clients ask on through an upgrade, each on a connection that it keeps while it may: none is turned away, none
 /// loses an answer; what the operators took out stays out, whichever process they told.
 #[test]
-fn a_second_process_replaces_the_first_without_loss() {
+fn a_hot_restart_loses_no_request_and_keeps_exclusions() {
     let folder = Folder::new("upgrade");
     let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
     let discovery = Discovery::start();
@@ -149,14 +149,14 @@
     let temporary = [("TMPDIR", folder.0.as_os_str())];
     let mut first = Proxy::spawn_in(&config, &temporary);
     until("ready", || first.ready() == 200);
-    assert_eq!(call(admin, "PUT /api/exclude?target=a"), 200);
+    assert_eq!(admin_call(admin, "PUT /api/exclude?target=a"), 200);
     let address = first.address;
     let stop = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
     let clients: Vec<_> = (0..4)
         .map(|_| {
             let stop = stop.clone();
             std::thread::spawn(move || {
-                let (mut client, mut asked, mut kept) = (Client::open(address), 0, false);
+                let (mut client, mut served_count, mut kept) = (Client::open(address), 0, false);
                 while !stop.load(std::sync::atomic::Ordering::Relaxed) {
                     let text = request("read", 7000);
                     client.send(&text);
@@ -170,13 +170,13 @@
                     let answer = answer.expect("a whole answer");
                     kept = true;
                     assert_eq!(answer.status(), 200);
-                    asked += 1;
+                    served_count += 1;
                     if answer.header("connection") == Some("close") {
                         (client, kept) = (Client::open(address), false);
                     }
                     std::thread::sleep(Duration::from_millis(5));
                 }
-                asked
+                served_count
             })
         })
         .collect();
@@ -184,10 +184,10 @@
     let admin_next = free_address();
     next["admin"] = json!(admin_next.to_string());
     let second = Proxy::spawn_in(&next, &temporary);
-    until("the second is ready", || call(admin_next, "GET /api/ready") == 200);
+    until("the second is ready", || admin_call(admin_next, "GET /api/ready") == 200);
     // Told to one of two, it holds in both.
-    assert_eq!(call(admin_next, "PUT /api/include?target=a"), 200);
-    assert_eq!(call(admin_next, "PUT /api/exclude?target=b"), 200);
+    assert_eq!(admin_call(admin_next, "PUT /api/include?target=a"), 200);
+    assert_eq!(admin_call(admin_next, "PUT /api/exclude?target=b"), 200);
     first.terminate();
     assert!(first.exit().success());
     let before = b.requests().len();
@@ -195,14 +195,14 @@
     until("the second serves alone", || a.requests().len() > served + 50);
     assert_eq!(b.requests().len(), before, "b stays out");
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
-    let asked: Vec<usize> = clients.into_iter().map(|c| c.join().expect("no loss")).collect();
-    assert!(asked.iter().all(|n| *n > 10), "{asked:?}");
+    let served_count: Vec<usize> = clients.into_iter().map(|c| c.join().expect("no loss")).collect();
+    assert!(served_count.iter().all(|n| *n > 10), "{served_count:?}");
     drop(second);
 }
 
 /// An order that reaches the old process while the new one has no list yet holds in the new one, too.
 #[test]
-fn an_order_that_is_passed_on_before_the_first_list_holds() {
+fn an_exclusion_relayed_before_the_first_list_is_applied() {
     let folder = Folder::new("early");
     let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
     let (discovery, silent) = (Discovery::start(), Discovery::start());
@@ -219,10 +219,10 @@
     next["known"] = json!({"index": 0, "snapshot": true, "endpoints": []});
     let second = Proxy::spawn_in(&next, &temporary);
     until("the two have met", || first.log().contains("another process is to replace this one"));
-    assert_eq!(call(admin, "PUT /api/exclude?target=a"), 200);
+    assert_eq!(admin_call(admin, "PUT /api/exclude?target=a"), 200);
     until("it was passed on", || second.log().contains("from the other process"));
     silent.publish(true, &[line("a", a.address, "ready", 0), line("b", b.address, "ready", 0)]);
-    until("the second is ready", || call(admin_next, "GET /api/ready") == 200);
+    until("the second is ready", || admin_call(admin_next, "GET /api/ready") == 200);
     first.terminate();
     assert!(first.exit().success());
     let before = (a.requests().len(), b.requests().len());
@@ -231,7 +231,7 @@
         b.requests().len() > before.1 + 30
     });
     assert_eq!(a.requests().len(), before.0, "a stays out");
-    assert_eq!(call(admin_next, "PUT /api/include?target=a"), 200);
+    assert_eq!(admin_call(admin_next, "PUT /api/include?target=a"), 200);
     until("it is used again", || {
         (0..5).for_each(|_| assert_eq!(ask(&second, &request("read", 7000)).status(), 200));
         a.requests().len() > before.0
@@ -241,7 +241,7 @@
 /// Discovery is silent while a process is replaced by another that starts with the same old list. What the agent has at
 /// its return counts as told to both, and neither sends to the server that leaves.
 #[test]
-fn a_drain_in_a_silence_amid_an_upgrade_holds_in_both_processes() {
+fn a_drain_after_an_outage_during_a_hot_restart_applies_to_both_processes() {
     let folder = Folder::new("drain");
     let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
     let discovery = Discovery::start();
@@ -255,7 +255,7 @@
     let admin_next = free_address();
     next["admin"] = json!(admin_next.to_string());
     let second = Proxy::spawn_in(&next, &temporary);
-    until("the second is ready", || call(admin_next, "GET /api/ready") == 200);
+    until("the second is ready", || admin_call(admin_next, "GET /api/ready") == 200);
     let serve = |n: usize| {
         // Both listen: the system deals out connections among them.
         (0..n).for_each(|_| assert_eq!(ask(&second, &request("read", 7000)).status(), 200));
@@ -264,9 +264,9 @@
         serve(10);
         a.requests().len() > 5 && b.requests().len() > 5
     });
-    let told = Instant::now();
+    let published_at = Instant::now();
     discovery.resume(false, &[line("a", a.address, "draining", 0)]);
-    std::thread::sleep((told + Duration::from_millis(550)).saturating_duration_since(Instant::now()));
+    std::thread::sleep((published_at + Duration::from_millis(550)).saturating_duration_since(Instant::now()));
     let (leaving, served) = (a.requests().len(), b.requests().len());
     serve(100);
     first.terminate();
--- a/crates/gaugesaddle/tests/bodies.rs
+++ b/crates/gaugesaddle/tests/bodies.rs
@@ -125,44 +125,44 @@
     read_request(&mut stream)
 }
 
-fn vote(framing: &str) -> String {
+fn vote_head(framing: &str) -> String {
     request("vote", 7000).replace("Content-Length: 4", framing).trim_end_matches("body").into()
 }
 
 #[test]
-fn bodies_of_every_size_and_framing_arrive_as_they_were_sent() {
+fn request_bodies_of_every_size_and_framing_arrive_unchanged() {
     let (address, seen) = backend(|body| ok_with(&format!("Content-Length: {}", body.len()), body));
     let (proxy, _discovery) = proxy(address, 192);
-    let none = Duration::ZERO;
+    let no_pause = Duration::ZERO;
     for size in [0, 1, 65_535, 65_536, 65_537, 200_000, 6 << 20] {
         let body = bytes(size);
-        let plain = vote(&format!("Content-Length: {size}"));
-        assert!(exchange(&proxy, &plain, &body, 16 << 10, none) == Some(body.clone()), "{size}");
+        let plain = vote_head(&format!("Content-Length: {size}"));
+        assert!(exchange(&proxy, &plain, &body, 16 << 10, no_pause) == Some(body.clone()), "{size}");
         assert!(seen.recv().unwrap() == body, "{size}");
         let pieces = chunked(&body, 1 + size / 7);
-        let head = vote("Transfer-Encoding: chunked");
-        assert!(exchange(&proxy, &head, &pieces, 16 << 10, none) == Some(body.clone()), "chunked {size}");
+        let head = vote_head("Transfer-Encoding: chunked");
+        assert!(exchange(&proxy, &head, &pieces, 16 << 10, no_pause) == Some(body.clone()), "chunked {size}");
         assert!(seen.recv().unwrap() == body, "chunked {size}");
     }
     // Dribbled at 64 kB a second, for longer than a body may stand still.
     let body = bytes(200_000);
-    let head = vote("Content-Length: 200000");
+    let head = vote_head("Content-Length: 200000");
     assert!(exchange(&proxy, &head, &body, 6_400, Duration::from_millis(100)) == Some(body));
     // Longer than is passed on.
-    let told = exchange(&proxy, &vote("Content-Length: 60000000"), b"x", 1, none).unwrap();
-    assert_eq!(String::from_utf8_lossy(&told), "http/1.1 413 payload too large");
+    let result = exchange(&proxy, &vote_head("Content-Length: 60000000"), b"x", 1, no_pause).unwrap();
+    assert_eq!(String::from_utf8_lossy(&result), "http/1.1 413 payload too large");
 }
 
 /// A quarter of 16 MB holds none of these whole: they are passed on while they come, at the same time.
 #[test]
-fn with_little_memory_large_bodies_are_passed_on_while_they_come() {
+fn bodies_larger_than_memory_are_streamed() {
     let (address, seen) = backend(|body| ok_with(&format!("Content-Length: {}", body.len()), body));
     let (proxy, _discovery) = proxy(address, 16);
     std::thread::scope(|scope| {
         for _ in 0..4 {
             scope.spawn(|| {
                 let body = bytes(8 << 20);
-                let head = vote(&format!("Content-Length: {}", body.len()));
+                let head = vote_head(&format!("Content-Length: {}", body.len()));
                 assert!(exchange(&proxy, &head, &body, 64 << 10, Duration::ZERO) == Some(body));
             });
         }
@@ -170,17 +170,17 @@
     (0..4).for_each(|_| assert_eq!(seen.recv().unwrap().len(), 8 << 20));
     // One that breaks off has never run, and says nothing against the backend.
     let mut stream = TcpStream::connect(proxy.address).unwrap();
-    stream.write_all(vote("Content-Length: 8000000").as_bytes()).unwrap();
+    stream.write_all(vote_head("Content-Length: 8000000").as_bytes()).unwrap();
     stream.write_all(&bytes(6 << 20)).unwrap();
     drop(stream);
     let body = bytes(10);
-    let next = exchange(&proxy, &vote("Content-Length: 10"), &body, 10, Duration::ZERO);
+    let next = exchange(&proxy, &vote_head("Content-Length: 10"), &body, 10, Duration::ZERO);
     assert_eq!(next, Some(body.clone()));
     assert_eq!(seen.recv().unwrap(), body, "of the broken one no backend saw the end");
 }
 
 #[test]
-fn answers_in_every_framing_arrive_whole_and_a_cut_one_can_be_told() {
+fn responses_of_every_framing_arrive_whole_and_truncation_is_detectable() {
     let body = bytes(300_000);
     for (framing, sent) in [
         ("Content-Length: 300000", body.clone()),
@@ -190,8 +190,8 @@
         let text = ok_with(framing, &sent);
         let (address, _seen) = backend(move |_| text.clone());
         let (proxy, _discovery) = proxy(address, 192);
-        let told = exchange(&proxy, &request("read", 7000), b"", 1, Duration::ZERO);
-        assert!(told.as_ref() == Some(&body), "{framing}: {:?}", told.map(|b| b.len()));
+        let result = exchange(&proxy, &request("read", 7000), b"", 1, Duration::ZERO);
+        assert!(result.as_ref() == Some(&body), "{framing}: {:?}", result.map(|b| b.len()));
     }
     for (framing, sent) in [
         ("Content-Length: 300000", body[..200_000].to_vec()),
@@ -200,7 +200,7 @@
         let text = ok_with(&format!("{framing}\r\nX-Then: Connection: close"), &sent);
         let (address, _seen) = backend(move |_| text.clone());
         let (proxy, _discovery) = proxy(address, 192);
-        let told = exchange(&proxy, &request("read", 7000), b"", 1, Duration::ZERO);
-        assert_eq!(told.map(|b| b.len()), None, "{framing}: cut, and the client sees it");
+        let result = exchange(&proxy, &request("read", 7000), b"", 1, Duration::ZERO);
+        assert_eq!(result.map(|b| b.len()), None, "{framing}: cut, and the client sees it");
     }
 }
--- a/crates/gaugesaddle/tests/rules.rs
+++ b/crates/gaugesaddle/tests/fault_scenarios.rs
@@ -5,7 +5,7 @@
 use gaugesaddle_testbed::{program, run, Cast, Disturbance, Outcome, Program, Scenario};
 
 /// Three proxies and nine nodes at moderate load.
-fn small(name: &str, seed: u64) -> Scenario {
+fn small_scenario(name: &str, seed: u64) -> Scenario {
     let defaults = Scenario::default();
     let clients = Clients { per_s: 90.0, ..defaults.clients.clone() };
     let kind = |name: &str, count, speed| Kind { name: name.into(), count, speed, ..Kind::default() };
@@ -13,30 +13,30 @@
     Scenario { seconds: 6.0, clients, kinds, ..defaults }.seed(seed).named(name)
 }
 
-fn play(s: &Scenario) -> Outcome {
+fn run_scenario(s: &Scenario) -> Outcome {
     let program = Program { path: program::path("gaugesaddle"), arguments: Vec::new() };
     run(s, &Cast::Program(program), &mut |_| {}).expect("a run")
 }
 
 /// So many runs at a time: each waits far more than it works, but two cores carry no more.
-const SIDE_BY_SIDE: usize = 7;
+const PARALLEL_RUNS: usize = 7;
 
 /// Plays them and wants each clean and served at least so well.
-fn clean(scenarios: Vec<(Scenario, f64)>) {
+fn assert_all_clean(scenarios: Vec<(Scenario, f64)>) {
     let mut failed = Vec::new();
-    for group in scenarios.chunks(SIDE_BY_SIDE) {
+    for group in scenarios.chunks(PARALLEL_RUNS) {
         let threads: Vec<_> = group
             .iter()
             .cloned()
-            .map(|(s, least)| {
+            .map(|(s, min_g)| {
                 std::thread::spawn(move || {
-                    let outcome = play(&s);
+                    let outcome = run_scenario(&s);
                     let verdict = &outcome.verdict;
-                    let good = verdict.is_clean() && verdict.fallen == 0 && verdict.g >= least;
+                    let good = verdict.is_clean() && verdict.fallen == 0 && verdict.g >= min_g;
                     let errors = outcome.logs.iter().flatten().filter(|l| l.contains("ERROR"));
                     let errors = errors.cloned().collect::<Vec<_>>();
-                    let told = || format!("{}, seed {}:\n{verdict}{}", s.name, s.seed, errors.join("\n"));
-                    (!good || !errors.is_empty()).then(told)
+                    let report = || format!("{}, seed {}:\n{verdict}{}", s.name, s.seed, errors.join("\n"));
+                    (!good || !errors.is_empty()).then(report)
                 })
             })
             .collect();
@@ -48,46 +48,52 @@
 /// What happens to nodes. What a fleet in trouble must still serve is far below what it does serve: the rules are
 /// what is tested here, and a service that is not quite gone.
 #[test]
-fn rules_hold_while_nodes_come_go_and_fail() {
+fn the_audit_is_clean_while_nodes_join_leave_and_fail() {
     let crash = Disturbance::Crash { node: 1, back_after_s: Some(1.0) };
     let hang = Disturbance::Hang { node: 4, for_s: 2.0 };
     let deploy = Disturbance::Deploy { nodes: 4, group: 1, every_s: 0.8 };
-    clean(vec![
-        (small("calm", 1), 0.95),
-        (small("crash", 2).event(1.0, crash.clone()), 0.7),
+    assert_all_clean(vec![
+        (small_scenario("calm", 1), 0.95),
+        (small_scenario("crash", 2).event(1.0, crash.clone()), 0.7),
         (
-            small("two crashes", 3)
+            small_scenario("two crashes", 3)
                 .event(1.0, crash)
                 .event(1.5, Disturbance::Crash { node: 5, back_after_s: None }),
             0.7,
         ),
         (
-            small("drain", 4)
+            small_scenario("drain", 4)
                 .event(0.8, Disturbance::Drain { node: 0, over_s: 3.0, back_after_s: Some(0.2) }),
             0.7,
         ),
-        (small("deploy", 5).event(0.5, deploy.clone()), 0.7),
+        (small_scenario("deploy", 5).event(0.5, deploy.clone()), 0.7),
         (
-            small("deploy in pairs", 6).event(0.5, Disturbance::Deploy { nodes: 6, group: 2, every_s: 1.5 }),
+            small_scenario("deploy in pairs", 6)
+                .event(0.5, Disturbance::Deploy { nodes: 6, group: 2, every_s: 1.5 }),
             0.6,
         ),
-        (small("shrink", 7).event(0.5, Disturbance::Shrink { nodes: 4, over_s: 2.0 }), 0.6),
-        (small("hang", 8).event(1.0, hang.clone()), 0.7),
-        (small("slow", 9).event(1.0, Disturbance::Slow { node: 0, factor: 8.0, for_s: 3.0 }), 0.7),
+        (small_scenario("shrink", 7).event(0.5, Disturbance::Shrink { nodes: 4, over_s: 2.0 }), 0.6),
+        (small_scenario("hang", 8).event(1.0, hang.clone()), 0.7),
+        (small_scenario("slow", 9).event(1.0, Disturbance::Slow { node: 0, factor: 8.0, for_s: 3.0 }), 0.7),
         (
-            small("spoilt answers", 10).event(0.5, Disturbance::Spoil { node: 2, fraction: 0.3, for_s: 4.0 }),
+            small_scenario("spoilt answers", 10)
+                .event(0.5, Disturbance::Spoil { node: 2, fraction: 0.3, for_s: 4.0 }),
             0.7,
         ),
-        (small("resets", 11).event(0.5, Disturbance::Resets { node: 3, fraction: 0.3, for_s: 4.0 }), 0.7),
-        (small("a hall out", 12).event(1.0, Disturbance::ZoneOutage { zone: 1, for_s: 2.0 }), 0.4),
         (
-            small("burst and deploy", 13)
+            small_scenario("resets", 11)
+                .event(0.5, Disturbance::Resets { node: 3, fraction: 0.3, for_s: 4.0 }),
+            0.7,
+        ),
+        (small_scenario("a hall out", 12).event(1.0, Disturbance::ZoneOutage { zone: 1, for_s: 2.0 }), 0.4),
+        (
+            small_scenario("burst and deploy", 13)
                 .event(0.5, deploy)
                 .event(2.0, Disturbance::Burst { factor: 3.0, for_s: 1.5 }),
             0.3,
         ),
         (
-            small("hang in a burst", 14)
+            small_scenario("hang in a burst", 14)
                 .event(1.0, hang)
                 .event(1.5, Disturbance::Burst { factor: 3.0, for_s: 1.0 }),
             0.3,
@@ -97,16 +103,16 @@
 
 /// What happens to proxies, links, discovery and clients.
 #[test]
-fn rules_hold_while_proxies_links_and_discovery_fail() {
-    let slow = |mut s: Scenario| {
+fn the_audit_is_clean_while_proxies_links_and_discovery_fail() {
+    let with_slow_clients = |mut s: Scenario| {
         (s.clients.slow_writing, s.clients.slow_reading, s.clients.leaving) = (0.2, 0.2, 0.1);
         s
     };
-    let once = |mut s: Scenario| {
+    let with_single_requests = |mut s: Scenario| {
         (s.clients.single_request, s.limits.sockets, s.clients.connections) = (0.9, 192, 64);
         s
     };
-    let asked = |mut s: Scenario| {
+    let with_polled_discovery = |mut s: Scenario| {
         s.discovery.polled = true;
         s
     };
@@ -114,50 +120,65 @@
     let delay = Disturbance::Delay { proxy: 1, node: 1, by_ms: 40.0, for_s: 3.0 };
     let kill = Disturbance::KillProxy { proxy: 0, back_after_s: 1.0 };
     // Discovery is silent for seconds, two of three proxies die in the silence, and it comes back into a release.
-    let lost_and_back = small("most killed while discovery is down, back into a release", 32)
+    let lost_and_back = small_scenario("most killed while discovery is down, back into a release", 32)
         .event(0.8, Disturbance::DiscoveryDown { for_s: 2.2 })
         .event(1.3, Disturbance::KillProxy { proxy: 0, back_after_s: 0.4 })
         .event(1.3, Disturbance::KillProxy { proxy: 2, back_after_s: 1.9 })
         .event(2.8, Disturbance::Deploy { nodes: 6, group: 2, every_s: 0.9 });
     let deploy = Disturbance::Deploy { nodes: 3, group: 1, every_s: 1.0 };
-    clean(
+    assert_all_clean(
         vec![
-            (small("a proxy killed", 21).event(1.5, kill.clone()), 0.7),
+            (small_scenario("a proxy killed", 21).event(1.5, kill.clone()), 0.7),
             (
-                small("all proxies killed in turn", 22)
+                small_scenario("all proxies killed in turn", 22)
                     .event(0.5, kill)
                     .event(2.0, Disturbance::KillProxy { proxy: 1, back_after_s: 0.5 })
                     .event(3.5, Disturbance::KillProxy { proxy: 2, back_after_s: 0.5 }),
                 0.6,
             ),
-            (small("a restart in order", 23).event(1.0, Disturbance::RestartProxy { proxy: 1 }), 0.7),
             (
-                small("a restart amid a deploy", 24)
+                small_scenario("a restart in order", 23).event(1.0, Disturbance::RestartProxy { proxy: 1 }),
+                0.7,
+            ),
+            (
+                small_scenario("a restart amid a deploy", 24)
                     .event(0.5, deploy.clone())
                     .event(1.0, Disturbance::RestartProxy { proxy: 0 }),
                 0.6,
             ),
-            (small("a proxy stopped", 25).event(1.0, Disturbance::StopProxy { proxy: 2, for_s: 2.0 }), 0.3),
-            (small("links cut and slow", 26).event(1.0, cut).event(1.0, delay), 0.6),
             (
-                small("discovery down in a deploy", 27)
+                small_scenario("a proxy stopped", 25)
+                    .event(1.0, Disturbance::StopProxy { proxy: 2, for_s: 2.0 }),
+                0.3,
+            ),
+            (small_scenario("links cut and slow", 26).event(1.0, cut).event(1.0, delay), 0.6),
+            (
+                small_scenario("discovery down in a deploy", 27)
                     .event(0.3, deploy.clone())
                     .event(1.0, Disturbance::DiscoveryDown { for_s: 3.0 }),
                 0.5,
             ),
             (
-                small("discovery moved in a deploy", 28)
+                small_scenario("discovery moved in a deploy", 28)
                     .event(0.3, deploy.clone())
                     .event(1.5, Disturbance::DiscoveryMove {}),
                 0.6,
             ),
-            (small("an asked list", 29).event(0.5, deploy), 0.6),
+            (small_scenario("an asked list", 29).event(0.5, deploy), 0.6),
             (lost_and_back, 0.4),
-            (slow(small("slow and leaving clients", 30)), 0.6),
-            (once(small("clients that ask once and stay", 31)), 0.8),
+            (with_slow_clients(small_scenario("slow and leaving clients", 30)), 0.6),
+            (with_single_requests(small_scenario("clients that ask once and stay", 31)), 0.8),
         ]
         .into_iter()
-        .map(|(s, least)| if s.name == "an asked list" { (asked(s), least) } else { (s, least) })
+        .map(
+            |(s, min_g)| {
+                if s.name == "an asked list" {
+                    (with_polled_discovery(s), min_g)
+                } else {
+                    (s, min_g)
+                }
+            },
+        )
         .collect(),
     );
 }
--- a/crates/gaugesaddle/tests/operator.rs
+++ b/crates/gaugesaddle/tests/operator.rs
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-fn command(arguments: &[&str]) -> Output {
+fn run_command(arguments: &[&str]) -> Output {
     Command::new(program::path("gaugesaddle"))
         .args(arguments)
         .env_remove("GAUGESADDLE_CONFIG")
@@ -19,14 +19,14 @@
         .unwrap()
 }
 
-fn state(socket: &Path) -> Value {
-    let told = command(&["state", "--json", "--socket", socket.to_str().unwrap()]);
-    assert!(told.status.success(), "{}", String::from_utf8_lossy(&told.stderr));
-    serde_json::from_slice(&told.stdout).unwrap()
+fn read_state(socket: &Path) -> Value {
+    let output = run_command(&["state", "--json", "--socket", socket.to_str().unwrap()]);
+    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    serde_json::from_slice(&output.stdout).unwrap()
 }
 
 /// A proxy with a state socket, one backend and a discovery.
-struct Setting {
+struct Fixture {
     folder: Folder,
     file: PathBuf,
     socket: PathBuf,
@@ -36,35 +36,35 @@
     config: Value,
 }
 
-fn setting(name: &str, more: &str) -> Setting {
+fn start_fixture(name: &str, extra_settings: &str) -> Fixture {
     let folder = Folder::new(name);
     let socket = folder.0.join("state.sock");
-    let file = folder.file("gaugesaddle.toml", &format!("[state]\nsocket = {socket:?}\n{more}"));
+    let file = folder.file("gaugesaddle.toml", &format!("[state]\nsocket = {socket:?}\n{extra_settings}"));
     let backend = Backend::start(|m| if m.start.contains("slow") { Reply::NoResponse } else { ok("x") });
     let discovery = Discovery::start();
     let config = config(discovery.address, &[line("a", backend.address, "ready", 0)]);
     let proxy = Proxy::spawn_with(&config, "unlimited", &["--config", file.to_str().unwrap()]);
     until("ready", || proxy.ready() == 200);
-    Setting { folder, file, socket, proxy, backend, discovery, config }
+    Fixture { folder, file, socket, proxy, backend, discovery, config }
 }
 
 #[test]
-fn check_tells_whether_a_file_would_be_taken() {
+fn the_check_command_reports_whether_a_file_is_valid() {
     let folder = Folder::new("check");
     let good = folder.file("good.toml", "[state]\nsocket = \"/run/x.sock\"\n");
-    let told = command(&["check", good.to_str().unwrap()]);
-    assert_eq!(told.status.code(), Some(0));
-    assert!(String::from_utf8_lossy(&told.stdout).contains("good"));
+    let output = run_command(&["check", good.to_str().unwrap()]);
+    assert_eq!(output.status.code(), Some(0));
+    assert!(String::from_utf8_lossy(&output.stdout).contains("good"));
     let bad = folder.file("bad.toml", "[state]\nconnections = 0\n");
-    let told = command(&["check", bad.to_str().unwrap()]);
-    assert_eq!(told.status.code(), Some(1));
-    let text = String::from_utf8_lossy(&told.stderr).into_owned();
+    let output = run_command(&["check", bad.to_str().unwrap()]);
+    assert_eq!(output.status.code(), Some(1));
+    let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
         text.contains("line 2: state.connections: expected a whole number from 1 to 64, got 0"),
         "{text}"
     );
-    assert_eq!(command(&["check", "/nowhere/at/all"]).status.code(), Some(1));
-    assert_ne!(command(&["chekc"]).status.code(), Some(0));
+    assert_eq!(run_command(&["check", "/nowhere/at/all"]).status.code(), Some(1));
+    assert_ne!(run_command(&["chekc"]).status.code(), Some(0));
     // A proxy that is to serve with a bad file does not start.
     let mut proxy =
         Proxy::spawn_with(&config(free_address(), &[]), "unlimited", &["--config", bad.to_str().unwrap()]);
@@ -74,8 +74,8 @@
 
 /// Each request is counted once and under what its client saw.
 #[test]
-fn the_state_adds_up_with_what_clients_and_backends_saw() {
-    let s = setting("adds-up", "");
+fn state_counters_match_what_clients_and_backends_observed() {
+    let s = start_fixture("adds-up", "");
     for _ in 0..20 {
         assert_eq!(ask(&s.proxy, &request("read", 7000)).status(), 200);
     }
@@ -87,49 +87,52 @@
     drop(gone);
     // A backend that owes an answer is soon taken for silent, and a request that may not be repeated is refused unsent
     // then: first the leaving must be known, and the backend in use again.
-    until("it has left", || state(&s.socket)["classes"][0]["left"] == 1);
-    let mut again = 0;
+    until("it has left", || read_state(&s.socket)["classes"][0]["left"] == 1);
+    let mut retries = 0;
     until("the backend is asked again", || {
-        again += 1;
+        retries += 1;
         ask(&s.proxy, &request("read", 7000)).status() == 200
     });
     let late = ask(&s.proxy, &request("pay", 300).replace("/a?", "/slow?")).status();
     assert_eq!(late, 502);
-    until("all ended", || state(&s.socket)["open"] == 0);
-    let told = state(&s.socket);
-    let read = &told["classes"][0];
-    assert_eq!((read["name"].as_str(), read["taken"].as_u64()), (Some("read"), Some(21 + again)));
+    until("all ended", || read_state(&s.socket)["open"] == 0);
+    let snapshot = read_state(&s.socket);
+    let read = &snapshot["classes"][0];
+    assert_eq!((read["name"].as_str(), read["taken"].as_u64()), (Some("read"), Some(21 + retries)));
     assert_eq!((read["in_aim"].as_u64(), read["left"].as_u64()), (Some(21), Some(1)));
-    let pay = &told["classes"][2];
+    let pay = &snapshot["classes"][2];
     assert_eq!((pay["taken"].as_u64(), pay["failed"]["module"].as_u64()), (Some(1), Some(1)));
-    let backend = &told["backends"][0];
+    let backend = &snapshot["backends"][0];
     assert_eq!((backend["name"].as_str(), backend["state"].as_str()), (Some("a"), Some("ready")));
     assert_eq!(backend["attempts"].as_u64(), Some(s.backend.requests().len() as u64));
     let outcomes = backend["outcomes"].as_array().unwrap();
-    let of = |name: &str| outcomes.iter().find(|o| o[0] == name).unwrap()[1].as_u64().unwrap();
+    let outcome_count = |name: &str| outcomes.iter().find(|o| o[0] == name).unwrap()[1].as_u64().unwrap();
     // Whether the module calls the late one off or its time runs out first is the module's to say.
-    assert_eq!((of("ok"), of("cancelled") + of("timed_out")), (21, 2));
+    assert_eq!((outcome_count("ok"), outcome_count("cancelled") + outcome_count("timed_out")), (21, 2));
     assert_eq!(outcomes.iter().map(|o| o[1].as_u64().unwrap()).sum::<u64>(), 23);
-    let reason = |text: &str| {
-        let all = told["reasons"].as_array().unwrap();
+    let reason_count = |text: &str| {
+        let all = snapshot["reasons"].as_array().unwrap();
         all.iter().find(|r| r[0] == text).unwrap_or_else(|| panic!("{text}"))[1].as_u64()
     };
-    assert_eq!((reason("wrong: form"), reason("closed: left before its answer")), (Some(1), Some(1)));
-    assert_eq!(told["list"]["index"], 0);
+    assert_eq!(
+        (reason_count("wrong: form"), reason_count("closed: left before its answer")),
+        (Some(1), Some(1))
+    );
+    assert_eq!(snapshot["list"]["index"], 0);
     s.discovery.publish(true, &[line("b", s.backend.address, "ready", 0)]);
-    until("the new list", || state(&s.socket)["list"]["index"] == 1);
-    let told = state(&s.socket);
-    let names: Vec<_> = told["backends"].as_array().unwrap().iter().map(|b| b["name"].clone()).collect();
+    until("the new list", || read_state(&s.socket)["list"]["index"] == 1);
+    let snapshot = read_state(&s.socket);
+    let names: Vec<_> = snapshot["backends"].as_array().unwrap().iter().map(|b| b["name"].clone()).collect();
     assert_eq!(names, [json!("b")], "a row leaves with its backend");
     // For people.
-    let table = command(&["--config", s.file.to_str().unwrap(), "state"]);
+    let table = run_command(&["--config", s.file.to_str().unwrap(), "state"]);
     let table = String::from_utf8_lossy(&table.stdout).into_owned();
     assert!(table.contains("serving") && table.contains("wrong: form"), "{table}");
 }
 
 #[test]
-fn only_the_owner_may_open_the_socket_and_it_goes_with_the_proxy() {
-    let mut s = setting("owner", "");
+fn the_state_socket_is_private_and_removed_on_exit() {
+    let mut s = start_fixture("owner", "");
     let mode = std::fs::metadata(&s.socket).unwrap().permissions().mode();
     assert_eq!(mode & 0o777, 0o600);
     assert_eq!(std::fs::read_dir(&s.folder.0).unwrap().count(), 2, "no draft is left");
@@ -139,7 +142,7 @@
     let mut second = Proxy::spawn_with(&other, "unlimited", &["--config", s.file.to_str().unwrap()]);
     assert!(!second.exit().success());
     until("its reason", || second.log().contains("state.socket") && second.log().contains("answers"));
-    state(&s.socket);
+    read_state(&s.socket);
     s.proxy.terminate();
     assert!(s.proxy.exit().success());
     assert!(!s.socket.exists());
@@ -147,7 +150,7 @@
     drop(std::os::unix::net::UnixListener::bind(&s.socket).unwrap());
     let third = Proxy::spawn_with(&other, "unlimited", &["--config", s.file.to_str().unwrap()]);
     until("ready", || third.ready() == 200);
-    state(&s.socket);
+    read_state(&s.socket);
     // A file that is no socket is left alone.
     let file = s.folder.file("precious", "text");
     let toml = s.folder.file("precious.toml", &format!("[state]\nsocket = {file:?}\n"));
@@ -159,10 +162,10 @@
 
 /// Callers that say nothing, too much, or nonsense.
 #[test]
-fn bad_callers_cost_the_others_a_few_seconds_at_most() {
-    let s = setting("callers", "connections = 1\n");
+fn misbehaving_state_socket_clients_delay_others_for_seconds_at_most() {
+    let s = start_fixture("callers", "connections = 1\n");
     let mut silent = UnixStream::connect(&s.socket).unwrap();
-    let said = |text: &[u8]| {
+    let exchange = |text: &[u8]| {
         let mut caller = UnixStream::connect(&s.socket).unwrap();
         let _ = caller.write_all(text);
         let mut answer = String::new();
@@ -170,17 +173,17 @@
         answer
     };
     // It waits until the silent one has lost its place.
-    assert!(said(b"what?\n").contains("error"));
+    assert!(exchange(b"what?\n").contains("error"));
     assert_eq!(silent.read(&mut [0]).unwrap_or(0), 0, "closed");
-    let long = said(&[b'x'; 1 << 20]);
+    let long = exchange(&[b'x'; 1 << 20]);
     assert!(long.is_empty() || long.contains("error"), "{long}");
-    assert!(said(b"state\n").contains("\"classes\""));
+    assert!(exchange(b"state\n").contains("\"classes\""));
     assert_eq!(ask(&s.proxy, &request("read", 7000)).status(), 200);
 }
 
 #[test]
-fn sighup_takes_up_what_it_says_and_a_bad_file_changes_nothing() {
-    let s = setting("sighup", "");
+fn sighup_applies_a_valid_file_and_ignores_an_invalid_one() {
+    let s = start_fixture("sighup", "");
     let config = s.config.to_string();
     // Bad: nothing changes, neither of this file nor of the platform's.
     let elsewhere = Discovery::start();
@@ -191,7 +194,7 @@
     until("the reason", || {
         s.proxy.log().contains("stays as it was") && s.proxy.log().contains("state.socket")
     });
-    state(&s.socket);
+    read_state(&s.socket);
     assert_eq!(elsewhere.calls(), 0);
     // Another socket, and a level that wants a restart.
     let second = s.folder.0.join("second.sock");
@@ -199,7 +202,7 @@
     s.proxy.reload(&config);
     until("the second socket", || second.exists());
     until("the old one is gone", || !s.socket.exists());
-    state(&second);
+    read_state(&second);
     until("what is not taken up", || s.proxy.log().contains("not taken up before a restart: log.level"));
     // Off.
     std::fs::write(&s.file, "").unwrap();
--- a/crates/gaugesaddle/tests/proxy.rs
+++ b/crates/gaugesaddle/tests/proxy.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_request_goes_on_unchanged_and_so_does_its_answer() {
+fn requests_and_responses_are_forwarded_unchanged() {
     let backend = Backend::start(|_| ok("the answer"));
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     let sent = request("vote", 7000);
@@ -92,7 +92,7 @@
 
 /// Two requests with one id: the second is not sent on, and the first is answered as ever.
 #[test]
-fn the_id_of_an_open_request_is_refused() {
+fn a_duplicate_correlation_id_is_rejected_while_the_first_is_open() {
     let (open, held) = std::sync::mpsc::channel::<()>();
     let held = std::sync::Mutex::new(held);
     let backend = Backend::start(move |_| {
@@ -117,7 +117,7 @@
 
 /// Clients that say nothing, or half of something, hold a place for a short time only.
 #[test]
-fn clients_that_never_ask_are_closed() {
+fn connections_without_a_complete_request_are_closed() {
     let backend = Backend::start(|_| ok("x"));
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     let (pay, start) = (request("pay", 7000), std::time::Instant::now());
@@ -150,7 +150,7 @@
 
 /// What a good answer takes: a request is held for lost, and a copy of it sent, after some times that. On a busy machine an
 /// answer that takes no time at all is late by as much now and then, and the copy would be counted.
-const WORK: Duration = Duration::from_millis(20);
+const SERVICE_TIME: Duration = Duration::from_millis(20);
 
 /// After the warm-up the first backend to be asked does `first`, whoever is asked next serves.
 fn outcome_of(first: impl Fn() -> Reply + Clone + Send + Sync + 'static, class: &str) -> (u16, usize) {
@@ -160,7 +160,7 @@
         Backend::start(move |_| match asked.fetch_add(1, std::sync::atomic::Ordering::SeqCst) {
             10 => first(),
             _ => {
-                std::thread::sleep(WORK);
+                std::thread::sleep(SERVICE_TIME);
                 ok("served")
             }
         })
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn what_never_ran_is_sent_again() {
+fn requests_known_not_to_have_run_are_retried() {
     let full = || Reply::Respond("HTTP/1.1 503 x\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".into());
     assert_eq!(outcome_of(full, "pay"), (200, 2));
     let over = || Reply::Respond("HTTP/1.1 504 x\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".into());
@@ -182,7 +182,7 @@
 
 /// An unsafe request that may have run is failed, and sent once: no broken answer passes for a refusal.
 #[test]
-fn what_may_have_run_is_not_sent_again() {
+fn requests_that_may_have_run_are_not_retried() {
     let cases: [fn() -> Reply; 6] = [
         || Reply::Respond("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n".into()),
         || Reply::Respond("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n".into()),
@@ -203,8 +203,8 @@
 /// Answers that can't be used: the connection lives on and is no more used, the attempt has failed at once and
 /// may have run.
 #[test]
-fn a_spoilt_answer_is_a_failed_attempt() {
-    let spoilt: [fn() -> String; 11] = [
+fn a_malformed_response_is_a_failed_attempt() {
+    let malformed: [fn() -> String; 11] = [
         || "\u{1}\u{2}noise\r\n\r\n".into(),
         || "HTTP/1.1 OK 200\r\nContent-Length: 1\r\n\r\nx".into(),
         || "HTTP/1.1 2x0 OK\r\nContent-Length: 1\r\n\r\nx".into(),
@@ -217,7 +217,7 @@
         || format!("HTTP/1.1 200 OK\r\n{}", "X-Pad: pppppppppppppp\r\n".repeat(100_000)),
         || "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx".into(),
     ];
-    for answer in spoilt {
+    for answer in malformed {
         let start = std::time::Instant::now();
         let reply = move || Reply::Respond(answer());
         assert_eq!(outcome_of(reply, "read"), (200, 2), "{:.60}", answer());
@@ -231,7 +231,7 @@
 
 /// A good answer is served whatever comes with it, and what is left over is nobody's.
 #[test]
-fn more_than_an_answer_is_served_once() {
+fn surplus_response_bytes_are_discarded() {
     let next = std::sync::atomic::AtomicUsize::new(0);
     let backend = Backend::start(move |_| {
         let n = next.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
@@ -257,7 +257,7 @@
 
 /// The request is at fault, wherever it goes: not sent again, nor held against the backend.
 #[test]
-fn a_client_error_of_a_backend_is_passed_on() {
+fn a_client_error_from_a_backend_is_forwarded() {
     let backend = Backend::start(|m| match m.header("x-bad") {
         Some(_) => Reply::Respond("HTTP/1.1 400 Bad Request\r\nContent-Length: 3\r\n\r\nbad".into()),
         None => ok("x"),
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn a_refused_connection_proves_that_nothing_ran() {
+fn a_refused_connection_counts_as_not_executed() {
     let backend = Backend::start(|_| ok("served"));
     let discovery = Discovery::start();
     let lines = [line("a", free_address(), "ready", 0), line("b", backend.address, "ready", 0)];
@@ -285,7 +285,7 @@
 
 /// A backend that closed an idle connection has not seen the next request: it goes out on a new one.
 #[test]
-fn a_stale_pooled_connection_costs_no_attempt() {
+fn a_stale_pooled_connection_is_replaced_without_a_retry() {
     let closing = std::sync::atomic::AtomicBool::new(true);
     let backend = Backend::start(move |_| {
         if closing.swap(false, std::sync::atomic::Ordering::SeqCst) {
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn connections_are_kept_and_carry_one_request_at_a_time() {
+fn connections_are_reused_and_carry_one_request_at_a_time() {
     let backend = Backend::start(|m| {
         if m.start.contains("slow") {
             std::thread::sleep(Duration::from_millis(500));
@@ -319,7 +319,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_attempt() {
+fn a_client_disconnect_cancels_its_attempt() {
     let backend = Backend::start(|_| Reply::NoResponse);
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     let mut client = Client::open(proxy.address);
@@ -332,7 +332,7 @@
 /// The deadline ends attempts as timed out and the module answers; the safety net stays unused, also where
 /// less time is left than a tick.
 #[test]
-fn a_deadline_brings_one_answer_from_the_module() {
+fn an_expired_deadline_is_answered_once_by_the_balancer() {
     let backend = Backend::start(|_| Reply::NoResponse);
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     assert_eq!(ask(&proxy, &request("pay", 500)).status(), 502);
@@ -345,7 +345,7 @@
 }
 
 #[test]
-fn a_refusal_is_given_at_once_and_says_when_to_come_back() {
+fn a_rejection_is_immediate_and_carries_retry_after() {
     let (discovery, backend) = (Discovery::start(), Backend::start(|_| ok("x")));
     let proxy = Proxy::spawn(&config(discovery.address, &[line("a", backend.address, "draining", 0)]));
     until("an answer", || proxy.ready() == 503);
@@ -357,7 +357,7 @@
 }
 
 #[test]
-fn a_backend_that_drains_or_is_gone_gets_nothing_new() {
+fn a_draining_or_removed_backend_gets_no_new_requests() {
     let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
     let (proxy, discovery) = proxy_for(&[("a", &a), ("b", &b)]);
     until("both served", || {
@@ -379,9 +379,9 @@
 
 /// A backend may be told to drain while the connection to it comes up: not a byte goes there then.
 #[test]
-fn a_drain_is_seen_after_the_connect() {
-    let late = UnacceptingBackend::start();
-    let address = late.address;
+fn a_drain_during_the_connect_prevents_the_attempt() {
+    let unaccepting = UnacceptingBackend::start();
+    let address = unaccepting.address;
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[line("a", address, "ready", 0)]);
     config["settings"]["limits"]["dial_timeout_us"] = json!(20_000_000);
@@ -391,7 +391,7 @@
     // Long enough as a rule for the attempt to wait in the queue.
     std::thread::sleep(Duration::from_millis(300));
     discovery.publish(false, &[line("a", address, "draining", 0)]);
-    let bytes = late.let_in();
+    let bytes = unaccepting.let_in();
     assert_eq!(client.answer().map(|a| a.status()), Some(503));
     UnacceptingBackend::done(address);
     assert_eq!(bytes.join().unwrap(), 0);
@@ -413,7 +413,7 @@
 }
 
 #[test]
-fn a_malformed_list_is_refused_and_the_old_one_stays() {
+fn a_malformed_list_is_rejected_and_the_previous_one_stays() {
     let backend = Backend::start(|_| ok("x"));
     let (proxy, discovery) = proxy_for(&[("a", &backend)]);
     let bad = json!({"index": 9, "snapshot": true, "endpoints": [{"name": "b"}]});
@@ -427,7 +427,7 @@
 
 /// An agent that takes calls and never answers: the proxy serves from what it knew, and asks anew.
 #[test]
-fn a_silent_agent_does_not_wedge_the_watch() {
+fn an_unresponsive_discovery_agent_does_not_block_the_watch() {
     let backend = Backend::start(|_| ok("x"));
     let (proxy, discovery) = proxy_for(&[("a", &backend)]);
     until("a second call after the first was given up", || discovery.calls() >= 2);
@@ -437,7 +437,7 @@
 
 /// Where the list must be asked for, the watch begins when the module asks, again after each failure.
 #[test]
-fn a_subscription_is_asked_for_by_the_module() {
+fn a_subscription_starts_when_the_balancer_requests_it() {
     let backend = Backend::start(|_| ok("x"));
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[line("a", free_address(), "draining", 0)]);
@@ -473,7 +473,7 @@
 
 /// Neither clients that keep their connection for good nor hundreds that never ask shut others out.
 #[test]
-fn with_its_sockets_taken_a_new_client_still_gets_in() {
+fn a_new_client_is_admitted_while_all_sockets_are_in_use() {
     let backend = Backend::start(|_| ok("x"));
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[line("a", backend.address, "ready", 0)]);
@@ -496,7 +496,7 @@
 /// connection and keep it for good. Before the mend all of that third stood
 /// waiting in the proxy until each had been idle for 5 s, and half of the requests never reached it.
 #[test]
-fn clients_that_ask_once_and_stay_leave_room_for_the_next() {
+fn idle_connections_of_single_request_clients_are_closed_for_new_ones() {
     let backend = Backend::start(|_| ok("x"));
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[line("a", backend.address, "ready", 0)]);
@@ -504,20 +504,20 @@
     config["limits"]["sockets"] = json!(sockets);
     let proxy = Proxy::start(&config);
     let mut steady = Client::open(proxy.address);
-    let mut held: Vec<Client> = Vec::new();
+    let mut connected: Vec<Client> = Vec::new();
     let start = std::time::Instant::now();
     for turn in 0..400 {
         // A usual client that asks again and again keeps its connection through all of it.
         steady.send(&request("read", 7000));
         assert_eq!(steady.answer().map(|a| a.status()), Some(200), "turn {turn}: cut off");
         until("a connection that the clients may open", || {
-            held.retain_mut(|c| !c.has_ended());
-            held.len() < sockets / 3 - 1
+            connected.retain_mut(|c| !c.has_ended());
+            connected.len() < sockets / 3 - 1
         });
         let mut client = Client::open(proxy.address);
         client.send(&request("read", 7000));
         assert_eq!(client.answer().map(|a| a.status()), Some(200), "turn {turn}");
-        held.push(client);
+        connected.push(client);
     }
     // Each of six thirds would have waited for 5 s.
     assert!(start.elapsed() < Duration::from_secs(10), "{:?}", start.elapsed());
@@ -527,7 +527,7 @@
 /// With every place taken by connections that were asked on and idle a moment ago, a request of which half has
 /// come goes on, and is served.
 #[test]
-fn a_request_half_there_is_not_cut_off_for_room() {
+fn a_partially_received_request_is_not_evicted() {
     let backend = Backend::start(|_| ok("x"));
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[line("a", backend.address, "ready", 0)]);
@@ -554,7 +554,7 @@
 
 /// Out of descriptors the proxy lives on, and serves again once it has some.
 #[test]
-fn the_proxy_outlives_a_want_of_descriptors() {
+fn the_proxy_recovers_from_descriptor_exhaustion() {
     let backend = Backend::start(|_| ok("x"));
     let discovery = Discovery::start();
     let config = config(discovery.address, &[line("a", backend.address, "ready", 0)]);
@@ -567,7 +567,7 @@
 }
 
 #[test]
-fn sigterm_finishes_what_was_taken_and_ends_well() {
+fn sigterm_completes_admitted_requests_and_exits_successfully() {
     let backend = Backend::start(|m| {
         if m.start.contains("slow") {
             std::thread::sleep(Duration::from_millis(1500));
@@ -636,7 +636,7 @@
 }
 
 #[test]
-fn a_bad_configuration_is_one_line_that_names_the_key() {
+fn an_invalid_configuration_is_reported_in_one_line_with_its_key() {
     let good = config(free_address(), &[]);
     let bad = |pointer: &str, value: Value| {
         let mut config = good.clone();
--- a/crates/gaugesaddle/tests/crossings.rs
+++ b/crates/gaugesaddle/tests/race_conditions.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 /// From a client's close on, an attempt that begins later than this is one too many.
-const LEFT: Duration = Duration::from_millis(100);
+const DISCONNECT_DETECTION_BOUND: Duration = Duration::from_millis(100);
 
 fn ready(name: &str, backend: &Backend) -> Value {
     line(name, backend.address, "ready", 0)
@@ -19,40 +19,40 @@
 /// A backend that answers nothing before it is let go, and a word for each request that has reached it.
 struct Gated {
     backend: Backend,
-    came: mpsc::Receiver<()>,
-    go: mpsc::Sender<Reply>,
+    arrivals: mpsc::Receiver<()>,
+    replies: mpsc::Sender<Reply>,
 }
 
 impl Gated {
     fn start() -> Gated {
-        let ((tell, came), (go, gate)) = (mpsc::channel(), mpsc::channel());
-        let (tell, gate) = (Mutex::new(tell), Mutex::new(gate));
+        let ((arrived, arrivals), (replies, queued_replies)) = (mpsc::channel(), mpsc::channel());
+        let (arrived, queued_replies) = (Mutex::new(arrived), Mutex::new(queued_replies));
         let backend = Backend::start(move |_| {
-            let _ = tell.lock().unwrap().send(());
-            gate.lock().unwrap().recv().unwrap_or(Reply::NoResponse)
+            let _ = arrived.lock().unwrap().send(());
+            queued_replies.lock().unwrap().recv().unwrap_or(Reply::NoResponse)
         });
-        Gated { backend, came, go }
+        Gated { backend, arrivals, replies }
     }
 
-    fn has_one(&self) {
-        self.came.recv_timeout(Duration::from_secs(20)).expect("a request");
+    fn wait_for_request(&self) {
+        self.arrivals.recv_timeout(Duration::from_secs(20)).expect("a request");
     }
 }
 
 /// A client's bare connection, of which each half can be ended alone.
-fn open(proxy: &Proxy) -> TcpStream {
+fn connect(proxy: &Proxy) -> TcpStream {
     let stream = TcpStream::connect(proxy.address).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     stream
 }
 
-fn id_of(text: &str) -> String {
+fn correlation_id(text: &str) -> String {
     let at = text.find("X-Correlation-Id: ").unwrap() + "X-Correlation-Id: ".len();
     text[at..at + 16].to_string()
 }
 
-fn has_had(backend: &Backend, text: &str) -> bool {
-    let id = id_of(text);
+fn has_received(backend: &Backend, text: &str) -> bool {
+    let id = correlation_id(text);
     backend.requests().iter().any(|m| m.header("x-correlation-id") == Some(&id))
 }
 
@@ -61,7 +61,7 @@
 /// A client leaves while its request is held, and what it had sent behind that request stands unread before its end: the
 /// end was not seen, and the request was sent on when a backend came.
 #[test]
-fn a_client_that_left_with_more_sent_behind_is_seen_to_have_gone() {
+fn a_disconnect_behind_unread_bytes_cancels_the_waiting_request() {
     // The last is more than is read ahead. (Of more than the system itself holds the end does not even arrive.)
     for behind in ["\r\n".to_string(), request("read", 7000), "x".repeat(40_000)] {
         let backend = Backend::start(|_| ok("x"));
@@ -70,18 +70,18 @@
         leaving["status"] = json!("draining");
         let proxy = Proxy::spawn(&config(discovery.address, &[leaving.clone()]));
         discovery.publish(true, &[leaving]);
-        let held = request("read", 7000);
-        let mut client = open(&proxy);
+        let waiting = request("read", 7000);
+        let mut client = connect(&proxy);
         client.set_nonblocking(true).unwrap();
-        let _ = client.write_all((held.clone() + &behind).as_bytes());
+        let _ = client.write_all((waiting.clone() + &behind).as_bytes());
         // Taken: an id that is open is refused.
-        until("the request is held", || ask(&proxy, &held).status() == 409);
+        until("the request is held", || ask(&proxy, &waiting).status() == 409);
         drop(client);
-        std::thread::sleep(LEFT);
+        std::thread::sleep(DISCONNECT_DETECTION_BOUND);
         discovery.publish(true, &[ready("a", &backend)]);
         assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
         assert!(
-            !has_had(&backend, &held),
+            !has_received(&backend, &waiting),
             "sent on for a client that has gone, {} bytes behind",
             behind.len()
         );
@@ -90,31 +90,31 @@
 
 /// Two requests in one piece; the client leaves while the first is at work. The second is nobody's any more.
 #[test]
-fn a_second_request_is_not_sent_on_after_its_client_left() {
+fn a_pipelined_request_is_not_forwarded_after_the_client_disconnects() {
     let gated = Gated::start();
     let discovery = Discovery::start();
     let proxy = Proxy::start(&config(discovery.address, &[ready("a", &gated.backend)]));
     discovery.publish(true, &[ready("a", &gated.backend)]);
     let (first, second) = (request("read", 7000), request("read", 7000));
-    let mut client = open(&proxy);
+    let mut client = connect(&proxy);
     client.write_all((first + &second).as_bytes()).unwrap();
-    gated.has_one();
+    gated.wait_for_request();
     drop(client);
-    std::thread::sleep(LEFT);
-    gated.go.send(ok("first")).unwrap();
-    gated.go.send(ok("probe")).unwrap();
+    std::thread::sleep(DISCONNECT_DETECTION_BOUND);
+    gated.replies.send(ok("first")).unwrap();
+    gated.replies.send(ok("probe")).unwrap();
     assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
-    assert!(!has_had(&gated.backend, &second), "begun after its client left");
+    assert!(!has_received(&gated.backend, &second), "begun after its client left");
 }
 
 /// A client that ends its sending only has gone as well: nobody would tell its close from it.
 #[test]
-fn a_half_closed_client_has_gone() {
+fn a_half_close_counts_as_a_disconnect() {
     let backend = Backend::start(|_| Reply::NoResponse);
     let discovery = Discovery::start();
     let proxy = Proxy::start(&config(discovery.address, &[ready("a", &backend)]));
     discovery.publish(true, &[ready("a", &backend)]);
-    let mut client = open(&proxy);
+    let mut client = connect(&proxy);
     client.write_all(request("read", 7000).as_bytes()).unwrap();
     until("the attempt", || backend.requests().len() == 1);
     client.shutdown(Shutdown::Write).unwrap();
@@ -124,21 +124,21 @@
 
 /// The client leaves while the connection for its attempt comes up: not a byte goes out on it.
 #[test]
-fn a_client_that_leaves_during_the_connect_costs_the_backend_nothing() {
-    let late = UnacceptingBackend::start();
+fn a_client_disconnect_during_the_upstream_connect_sends_no_bytes() {
+    let unaccepting = UnacceptingBackend::start();
     let discovery = Discovery::start();
-    let mut config = config(discovery.address, &[line("a", late.address, "ready", 0)]);
+    let mut config = config(discovery.address, &[line("a", unaccepting.address, "ready", 0)]);
     config["settings"]["limits"]["dial_timeout_us"] = json!(20_000_000);
     let proxy = Proxy::start(&config);
-    let held = request("pay", 20_000);
-    let mut client = open(&proxy);
-    client.write_all((held.clone() + "\r\n").as_bytes()).unwrap();
-    until("it is taken", || ask(&proxy, &held).status() == 409);
+    let waiting = request("pay", 20_000);
+    let mut client = connect(&proxy);
+    client.write_all((waiting.clone() + "\r\n").as_bytes()).unwrap();
+    until("it is taken", || ask(&proxy, &waiting).status() == 409);
     drop(client);
-    let again = held.replace("X-Time-Left-Ms: 20000", "X-Time-Left-Ms: 50");
+    let again = waiting.replace("X-Time-Left-Ms: 20000", "X-Time-Left-Ms: 50");
     until("it is over", || ask(&proxy, &again).status() != 409);
-    let address = late.address;
-    let bytes = late.let_in();
+    let address = unaccepting.address;
+    let bytes = unaccepting.let_in();
     std::thread::sleep(Duration::from_millis(1_500)); // the system tries a connect anew after a second
     UnacceptingBackend::done(address);
     assert_eq!(bytes.join().unwrap(), 0);
@@ -148,8 +148,8 @@
 
 /// An attempt may have run; the connection for its repeat comes up after the window in which the backends know the key.
 #[test]
-fn a_repeat_is_not_begun_after_its_window() {
-    let (gated, late) = (Gated::start(), UnacceptingBackend::start());
+fn a_retry_is_not_sent_after_its_idempotency_window() {
+    let (gated, unaccepting) = (Gated::start(), UnacceptingBackend::start());
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[ready("a", &gated.backend)]);
     config["settings"]["limits"]["dial_timeout_us"] = json!(20_000_000);
@@ -158,19 +158,19 @@
     discovery.publish(true, &[ready("a", &gated.backend)]);
     // Repeats are held to a part of the requests: some have to come first.
     for _ in 0..20 {
-        gated.go.send(ok("x")).unwrap();
+        gated.replies.send(ok("x")).unwrap();
         assert_eq!(ask(&proxy, &request("vote", 7000)).status(), 200);
-        gated.has_one();
+        gated.wait_for_request();
     }
-    let mut client = open(&proxy);
+    let mut client = connect(&proxy);
     client.write_all(request("vote", 7000).as_bytes()).unwrap();
-    gated.has_one();
+    gated.wait_for_request();
     let begun = Instant::now();
-    discovery.publish(false, &[line("b", late.address, "ready", 0)]);
-    gated.go.send(Reply::Respond("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".into())).unwrap();
+    discovery.publish(false, &[line("b", unaccepting.address, "ready", 0)]);
+    gated.replies.send(Reply::Respond("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".into())).unwrap();
     std::thread::sleep((begun + window).saturating_duration_since(Instant::now()));
-    let address = late.address;
-    let bytes = late.let_in();
+    let address = unaccepting.address;
+    let bytes = unaccepting.let_in();
     let mut answer = [0; 12];
     client.read_exact(&mut answer).unwrap();
     assert_eq!(&answer, b"HTTP/1.1 502", "it may have run, and can't be repeated any more");
@@ -182,7 +182,7 @@
 
 /// Half a request has come on a connection between requests when the process lets go of those: it is answered.
 #[test]
-fn a_request_half_there_at_the_end_is_answered() {
+fn a_partially_received_request_is_answered_during_shutdown() {
     let backend = Backend::start(|_| ok("x"));
     let discovery = Discovery::start();
     let mut proxy = Proxy::start(&config(discovery.address, &[ready("a", &backend)]));
@@ -205,25 +205,25 @@
 
 /// Several requests came in one piece before the end: each is answered, and the last answer says that it is the last.
 #[test]
-fn requests_behind_one_another_at_the_end_are_all_answered() {
+fn pipelined_requests_are_all_answered_during_shutdown() {
     let gated = Gated::start();
     let discovery = Discovery::start();
     let mut proxy = Proxy::start(&config(discovery.address, &[ready("a", &gated.backend)]));
     discovery.publish(true, &[ready("a", &gated.backend)]);
     let mut client = Client::open(proxy.address);
     client.send(&(request("read", 7000) + &request("vote", 7000) + &request("read", 7000)));
-    gated.has_one();
+    gated.wait_for_request();
     proxy.terminate();
     until("it ends", || proxy.ready() != 200);
-    (0..3).for_each(|_| gated.go.send(ok("x")).unwrap());
-    let said: Vec<Option<String>> = (0..3)
+    (0..3).for_each(|_| gated.replies.send(ok("x")).unwrap());
+    let connection_headers: Vec<Option<String>> = (0..3)
         .map(|n| {
             let answer = client.answer().unwrap_or_else(|| panic!("request {n} has no answer"));
             assert_eq!(answer.status(), 200);
             answer.header("connection").map(String::from)
         })
         .collect();
-    assert_eq!(said, [None, None, Some("close".to_string())]);
+    assert_eq!(connection_headers, [None, None, Some("close".to_string())]);
     assert!(client.ends());
     assert!(proxy.exit().success());
 }
@@ -231,13 +231,13 @@
 /// The last answer is still on its way to a slow reader when its connection ends over bytes that nobody read: closed at
 /// once, it would be reset, and the rest of the answer with it.
 #[test]
-fn a_close_over_unread_bytes_does_not_take_the_last_answer_with_it() {
+fn closing_with_unread_bytes_does_not_reset_the_last_response() {
     let length = 12 << 20;
     let backend = Backend::start(move |_| ok(&"z".repeat(length)));
     let discovery = Discovery::start();
     let mut proxy = Proxy::start(&config(discovery.address, &[ready("a", &backend)]));
     discovery.publish(true, &[ready("a", &backend)]);
-    let mut client = open(&proxy);
+    let mut client = connect(&proxy);
     client.write_all(request("read", 7000).as_bytes()).unwrap();
     let mut first = [0; 1];
     client.read_exact(&mut first).unwrap();
@@ -269,7 +269,7 @@
 
 /// SIGTERM before any list, during a silence of discovery: there is nothing to wait for.
 #[test]
-fn an_end_before_the_first_list_is_clean() {
+fn shutdown_before_the_first_endpoint_list_is_clean() {
     let discovery = Discovery::start();
     let mut proxy = Proxy::spawn(&config(discovery.address, &[]));
     until("it listens", || proxy.ready() == 503);
@@ -283,7 +283,7 @@
 /// SIGTERM comes twice, SIGHUP between and after, the backend hangs: one answer by the deadline, then a clean end well
 /// before anybody would kill it.
 #[test]
-fn signals_on_top_of_one_another_and_a_hanging_backend_end_in_time() {
+fn overlapping_signals_and_a_hanging_backend_do_not_delay_shutdown() {
     let backend = Backend::start(|_| Reply::NoResponse);
     let discovery = Discovery::start();
     let config = config(discovery.address, &[ready("a", &backend)]);
@@ -308,7 +308,7 @@
 /// Half a request, of which the rest does not come: the end does not wait for it, and whoever sends it later finds a
 /// closed connection while the process could still answer elsewhere.
 #[test]
-fn half_a_request_that_never_ends_does_not_hold_up_the_end() {
+fn an_incomplete_request_does_not_delay_shutdown() {
     let backend = Backend::start(|_| ok("x"));
     let discovery = Discovery::start();
     let mut proxy = Proxy::start(&config(discovery.address, &[ready("a", &backend)]));
@@ -329,15 +329,15 @@
 /// A new configuration comes while a request is at work: its classes stand in another order and have other effects, its
 /// limits and tenants are others. All that goes on under the one of the start, and the log says what did not change.
 #[test]
-fn settings_that_change_under_a_request_change_nothing_before_a_restart() {
+fn reloaded_settings_that_need_a_restart_do_not_affect_open_requests() {
     let gated = Gated::start();
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[ready("a", &gated.backend)]);
     let proxy = Proxy::start(&config);
     discovery.publish(true, &[ready("a", &gated.backend)]);
-    let mut client = open(&proxy);
+    let mut client = connect(&proxy);
     client.write_all(request("pay", 7000).as_bytes()).unwrap();
-    gated.has_one();
+    gated.wait_for_request();
     let settings = &mut config["settings"];
     let mut profiles = settings["profiles"].as_array().unwrap().clone();
     profiles.reverse();
@@ -350,12 +350,12 @@
         ["settings.profiles", "settings.customers"].iter().all(|key| log.contains(key))
     });
     // Under the new one it might be sent again, for there it may.
-    gated.go.send(Reply::RespondAndClose(String::new())).unwrap();
+    gated.replies.send(Reply::RespondAndClose(String::new())).unwrap();
     let mut answer = [0; 12];
     client.read_exact(&mut answer).unwrap();
     assert_eq!(&answer, b"HTTP/1.1 502");
     for _ in 0..3 {
-        gated.go.send(ok("x")).unwrap();
+        gated.replies.send(ok("x")).unwrap();
         assert_eq!(ask(&proxy, &request("pay", 7000)).status(), 200, "as it was, with no account");
     }
     assert_eq!(gated.backend.requests().len(), 4, "each was sent once");
@@ -371,7 +371,7 @@
 
 /// A process that starts with a list is ready at once, whatever discovery does: silent, refusing, or asked and down.
 #[test]
-fn a_start_is_ready_without_discovery() {
+fn a_process_with_a_known_list_is_ready_without_discovery() {
     let backend = Backend::start(|_| ok("x"));
     let silent = Discovery::start();
     for (mode, address) in [
@@ -395,7 +395,7 @@
 /// Idle clients hold every descriptor that clients may have while discovery is down, and go on coming: the server that
 /// leaves at its return is known in time, and who has something to ask gets in.
 #[test]
-fn a_crowd_of_idle_clients_takes_no_descriptor_from_discovery_or_backends() {
+fn idle_clients_do_not_exhaust_descriptors_for_discovery_and_backends() {
     const GRACE: Duration = Duration::from_millis(550);
     let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
     let discovery = Discovery::start();
@@ -407,7 +407,7 @@
     discovery.publish(true, &[ready("a", &a), ready("b", &b)]);
     let (stop, stopped) = mpsc::channel::<()>();
     let address = proxy.address;
-    let crowd = std::thread::spawn(move || {
+    let idle_clients = std::thread::spawn(move || {
         let mut idle = Vec::new();
         while matches!(stopped.try_recv(), Err(mpsc::TryRecvError::Empty)) {
             idle.extend(TcpStream::connect(address));
@@ -420,14 +420,14 @@
     while down.elapsed() < Duration::from_millis(1_200) {
         assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
     }
-    let told = Instant::now();
+    let published_at = Instant::now();
     discovery.resume(false, &[line("a", a.address, "draining", 0)]);
-    std::thread::sleep((told + GRACE).saturating_duration_since(Instant::now()));
+    std::thread::sleep((published_at + GRACE).saturating_duration_since(Instant::now()));
     let before = a.requests().len();
     (0..20).for_each(|_| assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200));
     assert_eq!(a.requests().len(), before, "sent to a server that has left");
     drop(stop);
-    assert!(crowd.join().unwrap() > 64, "it was no crowd");
+    assert!(idle_clients.join().unwrap() > 64, "it was no crowd");
     assert!(!proxy.log().contains("accept: failed"), "{}", proxy.log());
 }
 
@@ -436,7 +436,7 @@
 /// A long body with a stated length has gone to the backend whole, which then breaks off: it may have run. Its client
 /// must not hear that trying again is harmless.
 #[test]
-fn a_long_request_that_went_whole_may_have_run() {
+fn a_streamed_request_sent_in_full_counts_as_possibly_executed() {
     let backend = Backend::start(|_| Reply::RespondAndClose(String::new()));
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[ready("a", &backend)]);
@@ -456,8 +456,8 @@
 
 /// The watch breaks, the call after it is swallowed, and then a server leaves: told 6 s later, whatever failed before.
 #[test]
-fn a_call_swallowed_after_a_broken_one_is_followed_in_time() {
-    const TOLD: Duration = Duration::from_secs(6);
+fn a_drain_after_a_failed_and_an_unanswered_discovery_call_is_applied_in_time() {
+    const PUBLISH_DELAY: Duration = Duration::from_secs(6);
     const GRACE: Duration = Duration::from_millis(550);
     let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
     let discovery = Discovery::start();
@@ -467,9 +467,9 @@
     discovery.publish(true, &[ready("a", &a), ready("b", &b)]);
     discovery.reset();
     discovery.swallow();
-    let told = Instant::now() + TOLD;
+    let published_at = Instant::now() + PUBLISH_DELAY;
     discovery.resume(false, &[line("a", a.address, "draining", 0)]);
-    std::thread::sleep((told + GRACE).saturating_duration_since(Instant::now()));
+    std::thread::sleep((published_at + GRACE).saturating_duration_since(Instant::now()));
     let before = a.requests().len();
     (0..40).for_each(|_| assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200));
     assert_eq!(a.requests().len(), before, "sent to a server that has left");
--- a/crates/gaugesaddle/tests/region.rs
+++ b/crates/gaugesaddle/tests/region.rs
@@ -31,10 +31,10 @@
     /// Names, addresses and budgets.
     others: &'a [(&'a str, Option<SocketAddr>, &'a str)],
     backends: &'a [SocketAddr],
-    more: &'a str,
+    extra_settings: &'a str,
 }
 
-const WIDE: &str = "{ per_s = 1000, in_flight = 100 }";
+const LARGE_BUDGET: &str = "{ per_s = 1000, in_flight = 100 }";
 
 impl Site {
     fn start(test: &str, plan: &Plan) -> Site {
@@ -61,7 +61,7 @@
             KeyFiles { folder: folder.0.clone() }.to_toml(),
             plan.listen.map(|at| format!("listen = \"{at}\"")).unwrap_or_default(),
         );
-        text += plan.more;
+        text += plan.extra_settings;
         text += "\n[region.rule]\nenter_ms = 200\nleave_ms = 300\nrelapse_ms = 100\nreturn_ms = 500\n";
         for (name, address, budget) in plan.others {
             let addresses = address.map(|a| format!("\"{a}\"")).unwrap_or_default();
@@ -75,19 +75,19 @@
 
     fn try_state(&self) -> Option<Value> {
         let socket = self.folder.0.join("state.sock");
-        let told = std::process::Command::new(program::path("gaugesaddle"))
+        let result = std::process::Command::new(program::path("gaugesaddle"))
             .args(["state", "regions", "--json", "--socket", socket.to_str().unwrap()])
             .env_remove("GAUGESADDLE_CONFIG")
             .output()
             .unwrap();
-        told.status.success().then(|| serde_json::from_slice(&told.stdout).unwrap())
+        result.status.success().then(|| serde_json::from_slice(&result.stdout).unwrap())
     }
 
     fn state(&self) -> Value {
         self.try_state().expect("a proxy that answers")
     }
 
-    fn is(&self, state: &str) -> bool {
+    fn in_state(&self, state: &str) -> bool {
         self.state()["state"] == state
     }
 
@@ -101,14 +101,14 @@
     authority: Authority,
     north: Site,
     south: Site,
-    gates: [SocketAddr; 2],
+    gateway_addresses: [SocketAddr; 2],
     _lease: Lease,
 }
 
-fn pair(test: &str, north: &[SocketAddr], south: &[SocketAddr], budget: &str) -> Pair {
+fn start_pair(test: &str, north: &[SocketAddr], south: &[SocketAddr], budget: &str) -> Pair {
     let authority = Authority::new();
     let lease = Lease::take().unwrap();
-    let gates = [lease.proxy(0), lease.proxy(1)];
+    let gateway_addresses = [lease.proxy(0), lease.proxy(1)];
     let site = |i: usize, name: &str, other: &str, backends: &[SocketAddr]| {
         Site::start(
             test,
@@ -116,27 +116,27 @@
                 name,
                 keys: &authority.issue(name),
                 trust: &authority.pem,
-                listen: Some(gates[i]),
-                others: &[(other, Some(gates[1 - i]), budget)],
+                listen: Some(gateway_addresses[i]),
+                others: &[(other, Some(gateway_addresses[1 - i]), budget)],
                 backends,
-                more: "",
+                extra_settings: "",
             },
         )
     };
     let (north, south) = (site(0, "north", "south", north), site(1, "south", "north", south));
-    Pair { authority, north, south, gates, _lease: lease }
+    Pair { authority, north, south, gateway_addresses, _lease: lease }
 }
 
 #[test]
-fn what_a_lost_region_cannot_serve_the_other_serves() {
+fn requests_of_a_failed_region_are_served_by_the_other() {
     let backend = Backend::start(|_| ok("from the south"));
-    let two = pair("serves", &[], &[backend.address; 3], WIDE);
-    until("the north spills", || two.north.is("spilling"));
+    let regions = start_pair("serves", &[], &[backend.address; 3], LARGE_BUDGET);
+    until("the north spills", || regions.north.in_state("spilling"));
     for class in ["read", "vote", "pay"] {
         // What a client writes about regions is none of it: neither believed nor passed on.
         let forged = request(class, 7000)
             .replace("Host:", "Region-Path: south, north;left=0\r\nRegion-Fate: ran\r\nHost:");
-        let answer = ask(&two.north.proxy, &forged);
+        let answer = ask(&regions.north.proxy, &forged);
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"from the south"[..]), "{class}");
         assert_eq!(
             (answer.header("region-fate"), answer.header("region-took-us")),
@@ -158,23 +158,23 @@
     );
     // The view is of a moment ago.
     until("both have counted", || {
-        (two.north.count("sent"), two.north.count("ran"), two.south.count("taken")) == (3, 3, 3)
+        (regions.north.count("sent"), regions.north.count("ran"), regions.south.count("taken")) == (3, 3, 3)
     });
 }
 
 #[test]
-fn two_regions_that_fail_over_to_each_other_give_up_at_once() {
+fn requests_are_rejected_without_a_loop_while_both_regions_spill() {
     // Listed, and nobody there.
     let lost = [free_address(), free_address()];
-    let two = pair("both", &lost, &lost, WIDE);
+    let regions = start_pair("both", &lost, &lost, LARGE_BUDGET);
     until("both spill", || {
-        for site in [&two.north, &two.south] {
+        for site in [&regions.north, &regions.south] {
             assert_eq!(ask(&site.proxy, &request("read", 4000)).status(), 503);
         }
-        two.north.is("spilling") && two.south.is("spilling")
+        regions.north.in_state("spilling") && regions.south.in_state("spilling")
     });
     for class in ["read", "vote", "pay"] {
-        for site in [&two.north, &two.south] {
+        for site in [&regions.north, &regions.south] {
             let began = Instant::now();
             let answer = ask(&site.proxy, &request(class, 7000));
             assert_eq!(answer.status(), 503, "{class}: known not to have run");
@@ -182,57 +182,57 @@
             assert!(began.elapsed() < Duration::from_millis(6500), "not kept until its time is up");
         }
     }
-    until("both have barred some", || two.north.count("barred") > 0 && two.south.count("barred") > 0);
+    until("both have barred some", || regions.north.count("barred") > 0 && regions.south.count("barred") > 0);
 }
 
 /// Backends come back: what comes is served at home again, and nothing leaves any more.
 #[test]
-fn a_region_that_is_back_takes_its_requests_home() {
+fn a_recovered_region_serves_its_own_requests_again() {
     let (south, home) = (Backend::start(|_| ok("south")), Backend::start(|_| ok("home")));
-    let two = pair("back", &[], &[south.address; 3], WIDE);
-    until("the north spills", || two.north.is("spilling"));
-    assert_eq!(ask(&two.north.proxy, &request("vote", 7000)).body, b"south");
-    two.north.discovery.publish(true, &[line("n", home.address, "ready", 0)]);
+    let regions = start_pair("back", &[], &[south.address; 3], LARGE_BUDGET);
+    until("the north spills", || regions.north.in_state("spilling"));
+    assert_eq!(ask(&regions.north.proxy, &request("vote", 7000)).body, b"south");
+    regions.north.discovery.publish(true, &[line("n", home.address, "ready", 0)]);
     until("home", || {
-        ask(&two.north.proxy, &request("read", 7000));
-        two.north.is("local")
+        ask(&regions.north.proxy, &request("read", 7000));
+        regions.north.in_state("local")
     });
     std::thread::sleep(Duration::from_millis(100)); // past the next view
-    let sent = two.north.count("sent");
+    let sent = regions.north.count("sent");
     for _ in 0..20 {
-        assert_eq!(ask(&two.north.proxy, &request("vote", 7000)).body, b"home");
+        assert_eq!(ask(&regions.north.proxy, &request("vote", 7000)).body, b"home");
     }
-    assert_eq!(two.north.count("sent"), sent);
-    let log = two.north.proxy.log();
+    assert_eq!(regions.north.count("sent"), sent);
+    let log = regions.north.proxy.log();
     for change in ["spilling after local", "returning after spilling", "local after returning"] {
         assert!(log.contains(change), "{change}: {log}");
     }
 }
 
 #[test]
-fn the_switch_is_taken_up_without_a_restart() {
+fn the_failover_switch_is_reloaded_without_a_restart() {
     let south = Backend::start(|_| ok("south"));
     let (authority, lease) = (Authority::new(), Lease::take().unwrap());
-    let gate = lease.proxy(0);
+    let gateway_address = lease.proxy(0);
     let keys = [authority.issue("north"), authority.issue("south")];
     let plan = |i: usize| Plan {
         name: ["north", "south"][i],
         keys: &keys[i],
         trust: &authority.pem,
-        listen: (i == 1).then_some(gate),
-        others: if i == 0 { &[] } else { &[("north", None, WIDE)] },
+        listen: (i == 1).then_some(gateway_address),
+        others: if i == 0 { &[] } else { &[("north", None, LARGE_BUDGET)] },
         backends: &[],
-        more: "",
+        extra_settings: "",
     };
-    let others = [("south", Some(gate), WIDE)];
+    let others = [("south", Some(gateway_address), LARGE_BUDGET)];
     let north_plan = Plan { others: &others, ..plan(0) };
     let backends = [south.address];
     let _south = Site::start("switch", &Plan { backends: &backends, ..plan(1) });
     let north = Site::start("switch", &north_plan);
-    until("it spills", || north.is("spilling"));
+    until("it spills", || north.in_state("spilling"));
     let switch = |text: &str| {
-        let sound = Site::text(&north.folder, &north_plan);
-        let text = sound.replace("enabled = true\n", &format!("enabled = true\n{text}\n"));
+        let valid = Site::text(&north.folder, &north_plan);
+        let text = valid.replace("enabled = true\n", &format!("enabled = true\n{text}\n"));
         north.folder.file("gaugesaddle.toml", &text);
         north.proxy.signal("-HUP");
     };
@@ -254,21 +254,21 @@
 
 /// A budget of five a second, asked of by many at once: no second of the other region's records holds more.
 #[test]
-fn the_budget_holds_in_every_second() {
+fn the_spillover_rate_budget_holds_in_every_second() {
     let stamps = Arc::new(std::sync::Mutex::new(Vec::new()));
-    let kept = stamps.clone();
+    let recorded = stamps.clone();
     let south = Backend::start(move |_| {
-        kept.lock().unwrap().push(Instant::now());
+        recorded.lock().unwrap().push(Instant::now());
         ok("south")
     });
-    let two = pair("budget", &[], &[south.address; 3], "{ per_s = 5, in_flight = 100 }");
-    until("the north spills", || two.north.is("spilling"));
+    let regions = start_pair("budget", &[], &[south.address; 3], "{ per_s = 5, in_flight = 100 }");
+    until("the north spills", || regions.north.in_state("spilling"));
     let end = Instant::now() + Duration::from_millis(4000);
     std::thread::scope(|s| {
         for _ in 0..8 {
             s.spawn(|| {
                 while Instant::now() < end {
-                    let status = ask(&two.north.proxy, &request("vote", 3000)).status();
+                    let status = ask(&regions.north.proxy, &request("vote", 3000)).status();
                     assert!(status == 200 || status == 503, "{status}");
                 }
             });
@@ -285,21 +285,21 @@
 }
 
 /// A gateway of the test's own: it accepts, and then does what the test says.
-fn stand_in(then: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
+fn fake_gateway(handle: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let then = Arc::new(then);
+    let handle = Arc::new(handle);
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let then = then.clone();
-            std::thread::spawn(move || then(stream));
+            let handle = handle.clone();
+            std::thread::spawn(move || handle(stream));
         }
     });
     address
 }
 
 /// The north alone, with the south's gateway wherever the test put it.
-fn north_with(test: &str, authority: &Authority, gate: SocketAddr) -> Site {
+fn start_north(test: &str, authority: &Authority, gateway_address: SocketAddr) -> Site {
     Site::start(
         test,
         &Plan {
@@ -307,27 +307,27 @@
             keys: &authority.issue("north"),
             trust: &authority.pem,
             listen: None,
-            others: &[("south", Some(gate), WIDE)],
+            others: &[("south", Some(gateway_address), LARGE_BUDGET)],
             backends: &[],
-            more: "",
+            extra_settings: "",
         },
     )
 }
 
 /// Nothing can have reached a gateway that was never shaken hands with: refused at once, for every class.
 #[test]
-fn a_gateway_that_refuses_stalls_or_talks_nonsense_in_the_handshake() {
+fn a_failed_gateway_handshake_counts_as_not_executed() {
     let authority = Authority::new();
-    let stalls = stand_in(|stream| {
+    let stalls = fake_gateway(|stream| {
         std::thread::sleep(Duration::from_secs(20));
         drop(stream);
     });
-    let nonsense = stand_in(|mut stream| {
+    let nonsense = fake_gateway(|mut stream| {
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n");
     });
-    for (test, gate) in [("refuses", free_address()), ("stalls", stalls), ("nonsense", nonsense)] {
-        let north = north_with(test, &authority, gate);
-        until("it spills", || north.is("spilling"));
+    for (test, gateway_address) in [("refuses", free_address()), ("stalls", stalls), ("nonsense", nonsense)] {
+        let north = start_north(test, &authority, gateway_address);
+        until("it spills", || north.in_state("spilling"));
         for class in ["vote", "pay", "read"] {
             let began = Instant::now();
             assert_eq!(ask(&north.proxy, &request(class, 2500)).status(), 503, "{test}: {class}");
@@ -340,28 +340,28 @@
 /// The gateway dies, or falls silent, with requests on it: a vote that it may have run is failed and never refused; a
 /// read is refused. No other attempt of either goes out.
 #[test]
-fn a_gateway_that_dies_or_falls_silent_with_requests_on_it() {
+fn a_gateway_failure_with_requests_in_flight_fails_unsafe_ones_without_retry() {
     for signal in ["-KILL", "-STOP"] {
-        let held = Backend::start(|_| Reply::NoResponse);
-        let two = pair(&format!("dies{signal}"), &[], &[held.address; 3], WIDE);
-        until("the north spills", || two.north.is("spilling"));
-        let ended = |class: &'static str| {
+        let unresponsive = Backend::start(|_| Reply::NoResponse);
+        let regions = start_pair(&format!("dies{signal}"), &[], &[unresponsive.address; 3], LARGE_BUDGET);
+        until("the north spills", || regions.north.in_state("spilling"));
+        let send = |class: &'static str| {
             let text = request(class, 3000);
-            let address = two.north.proxy.address;
+            let address = regions.north.proxy.address;
             std::thread::spawn(move || {
                 let mut client = Client::open(address);
                 client.send(&text);
                 client.answer().map(|a| a.status())
             })
         };
-        let all = [ended("vote"), ended("pay"), ended("read")];
-        until("all three are there", || held.requests().len() == 3);
-        two.south.proxy.signal(signal);
+        let all = [send("vote"), send("pay"), send("read")];
+        until("all three are there", || unresponsive.requests().len() == 3);
+        regions.south.proxy.signal(signal);
         let statuses: Vec<_> = all.into_iter().map(|t| t.join().unwrap()).collect();
         assert_eq!(statuses, [Some(502), Some(502), Some(503)], "{signal}");
-        assert_eq!(held.requests().len(), 3, "{signal}: nothing goes twice");
+        assert_eq!(unresponsive.requests().len(), 3, "{signal}: nothing goes twice");
         if signal == "-STOP" {
-            two.south.proxy.signal("-CONT");
+            regions.south.proxy.signal("-CONT");
         }
     }
 }
@@ -369,18 +369,19 @@
 /// A request may stand in the socket of a stopped gateway until its client was answered, and a reset of its stream need not
 /// come with it: when the gateway wakes, no backend gets it.
 #[test]
-fn a_gateway_that_wakes_refuses_what_it_reads_after_the_deadline() {
+fn a_resumed_gateway_rejects_requests_past_their_deadline() {
     let south = Backend::start(|_| ok("south"));
-    let two = pair("wakes", &[], &[south.address; 3], WIDE);
-    until("the south is ready", || two.south.proxy.ready() == 200);
-    let config = client_config(Some(&two.authority.issue("north")), &two.authority.pem);
+    let regions = start_pair("wakes", &[], &[south.address; 3], LARGE_BUDGET);
+    until("the south is ready", || regions.south.proxy.ready() == 200);
+    let config = client_config(Some(&regions.authority.issue("north")), &regions.authority.pem);
     let answer = block_on(async {
-        let mut gateway = GatewayConnection::open(config, two.gates[1], "south").await.unwrap();
+        let mut gateway =
+            GatewayConnection::open(config, regions.gateway_addresses[1], "south").await.unwrap();
         let deadline = gateway.clock().await.unwrap() + 300_000;
-        two.south.proxy.signal("-STOP");
-        let mut request = hop("vote", Some("north;left=0"), "7000");
+        regions.south.proxy.signal("-STOP");
+        let mut request = forwarded_request("vote", Some("north;left=0"), "7000");
         request.headers_mut().insert(GATEWAY_DEADLINE, deadline.into());
-        let proxy = &two.south.proxy;
+        let proxy = &regions.south.proxy;
         let (answer, ()) = tokio::join!(gateway.send(request), async {
             tokio::time::sleep(Duration::from_millis(400)).await; // past the deadline
             proxy.signal("-CONT");
@@ -396,17 +397,17 @@
 
 /// The same from end to end, over the sender that ships.
 #[test]
-fn what_stood_in_the_socket_of_a_stopped_gateway_reaches_no_backend() {
+fn requests_buffered_by_a_stopped_gateway_reach_no_backend() {
     let south = Backend::start(|_| ok("south"));
-    let two = pair("stood", &[], &[south.address; 3], WIDE);
-    until("the north spills", || two.north.is("spilling"));
+    let regions = start_pair("stood", &[], &[south.address; 3], LARGE_BUDGET);
+    until("the north spills", || regions.north.in_state("spilling"));
     // Both connections are up, and the gateway's clock known: what follows is sent at once.
     for _ in 0..2 {
-        assert_eq!(ask(&two.north.proxy, &request("vote", 7000)).status(), 200);
+        assert_eq!(ask(&regions.north.proxy, &request("vote", 7000)).status(), 200);
     }
-    two.south.proxy.signal("-STOP");
+    regions.south.proxy.signal("-STOP");
     // All at once: the first failure makes the north wait before it sends more.
-    let address = two.north.proxy.address;
+    let address = regions.north.proxy.address;
     let asked = ["vote", "pay", "read"].map(|class| {
         std::thread::spawn(move || {
             let mut client = Client::open(address);
@@ -416,8 +417,8 @@
     });
     let statuses: Vec<_> = asked.into_iter().map(|thread| thread.join().unwrap()).collect();
     assert_eq!(statuses, [Some(502), Some(502), Some(503)], "sent, and not answered in time");
-    two.south.proxy.signal("-CONT");
-    until("another is served", || ask(&two.north.proxy, &request("vote", 7000)).status() == 200);
+    regions.south.proxy.signal("-CONT");
+    until("another is served", || ask(&regions.north.proxy, &request("vote", 7000)).status() == 200);
     // What woke with the gateway would have been passed on before that.
     let is_late = |left: &str| left.parse::<u64>().unwrap() < 2000;
     let late = south.requests().iter().filter(|m| m.header("x-time-left-ms").is_some_and(is_late)).count();
@@ -425,13 +426,13 @@
 }
 
 #[test]
-fn a_request_without_a_deadline_by_the_gateways_clock_is_refused_as_not_executed() {
+fn a_request_without_a_valid_gateway_deadline_is_rejected_as_not_executed() {
     let south = Backend::start(|_| ok("south"));
-    let two = pair("deadline", &[], &[south.address; 3], WIDE);
-    until("the south is ready", || two.south.proxy.ready() == 200);
-    let north = two.authority.issue("north");
+    let regions = start_pair("deadline", &[], &[south.address; 3], LARGE_BUDGET);
+    until("the south is ready", || regions.south.proxy.ready() == 200);
+    let north = regions.authority.issue("north");
     let with = |deadline: &str| {
-        let mut request = hop("vote", Some("north;left=0"), "7000");
+        let mut request = forwarded_request("vote", Some("north;left=0"), "7000");
         request.headers_mut().insert("region-deadline-us", deadline.parse().unwrap());
         request
     };
@@ -447,47 +448,47 @@
         with("99000000"),
     ];
     let answers = block_on(async {
-        let config = client_config(Some(&north), &two.authority.pem);
-        tokio::time::timeout(LONG, ask_gateway(config, two.gates[1], "south", requests))
+        let config = client_config(Some(&north), &regions.authority.pem);
+        tokio::time::timeout(LONG, ask_gateway(config, regions.gateway_addresses[1], "south", requests))
             .await
             .expect("an end")
     });
     let answers = answers.expect("answers");
-    let told: Vec<_> = answers
+    let result: Vec<_> = answers
         .iter()
         .map(|a| (a.status().as_u16(), a.headers()["region-fate"].to_str().unwrap().to_string()))
         .collect();
     let unreadable = (400, "not-run".to_string());
     let passed = (503, "not-run".to_string());
-    assert_eq!(told[..5], vec![unreadable; 5]);
-    assert_eq!(told[5..], [passed, (200, "ran".into())]);
+    assert_eq!(result[..5], vec![unreadable; 5]);
+    assert_eq!(result[5..], [passed, (200, "ran".into())]);
     assert!(answers.iter().all(|a| a.headers().contains_key("region-clock-us")));
     assert_eq!(south.requests().len(), 1, "only the sound one reached a backend");
     assert!(south.requests()[0].header("region-deadline-us").is_none(), "between gateways only");
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_request_back_from_the_other_region() {
-    let held = Backend::start(|_| Reply::NoResponse);
-    let two = pair("leaves", &[], &[held.address; 3], WIDE);
-    until("the north spills", || two.north.is("spilling"));
-    let mut client = Client::open(two.north.proxy.address);
+fn a_client_disconnect_cancels_its_request_in_the_other_region() {
+    let unresponsive = Backend::start(|_| Reply::NoResponse);
+    let regions = start_pair("leaves", &[], &[unresponsive.address; 3], LARGE_BUDGET);
+    until("the north spills", || regions.north.in_state("spilling"));
+    let mut client = Client::open(regions.north.proxy.address);
     client.send(&request("vote", 7000));
-    until("it is there", || held.requests().len() == 1);
+    until("it is there", || unresponsive.requests().len() == 1);
     drop(client);
-    until("it is called off", || held.closed() == 1);
+    until("it is called off", || unresponsive.closed() == 1);
     until("its places are free", || {
-        let (north, south) = (two.north.state(), two.south.state());
+        let (north, south) = (regions.north.state(), regions.south.state());
         north["others"][0]["in_flight"][0] == 0 && south["others"][0]["taken_in_flight"][0] == 0
     });
 }
 
 #[test]
-fn less_time_than_the_way_takes_is_not_sent() {
+fn a_request_with_less_time_than_the_round_trip_is_not_forwarded() {
     let south = Backend::start(|_| ok("south"));
-    let two = pair("short", &[], &[south.address; 3], WIDE);
-    until("the north spills", || two.north.is("spilling"));
-    let answer = ask(&two.north.proxy, &request("vote", 25));
+    let regions = start_pair("short", &[], &[south.address; 3], LARGE_BUDGET);
+    until("the north spills", || regions.north.in_state("spilling"));
+    let answer = ask(&regions.north.proxy, &request("vote", 25));
     assert_eq!(answer.status(), 503);
     assert!(south.requests().is_empty());
 }
@@ -497,7 +498,7 @@
 }
 
 /// As another region's gateway sends it, but for what the test says of its headers.
-fn hop(class: &str, path: Option<&str>, left: &str) -> Request<Full<Bytes>> {
+fn forwarded_request(class: &str, path: Option<&str>, left: &str) -> Request<Full<Bytes>> {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     let id = NEXT.fetch_add(1, Ordering::Relaxed);
     let mut request = Request::builder()
@@ -517,45 +518,45 @@
 }
 
 #[test]
-fn the_gateway_believes_only_the_peer_whose_certificate_it_is() {
+fn the_gateway_accepts_only_trusted_peers_and_valid_paths() {
     let south = Backend::start(|_| ok("south"));
-    let two = pair("door", &[], &[south.address; 3], WIDE);
-    until("the south is ready", || two.south.proxy.ready() == 200);
-    let gate = two.gates[1];
-    let (pem, stranger) = (two.authority.pem.as_str(), Authority::new());
+    let regions = start_pair("door", &[], &[south.address; 3], LARGE_BUDGET);
+    until("the south is ready", || regions.south.proxy.ready() == 200);
+    let gateway_address = regions.gateway_addresses[1];
+    let (pem, stranger) = (regions.authority.pem.as_str(), Authority::new());
     let ask = |keys: Option<&Keys>, trust: &str, requests: Vec<Request<Full<Bytes>>>| {
         block_on(async {
-            let asked = ask_gateway(client_config(keys, trust), gate, "south", requests);
+            let asked = ask_gateway(client_config(keys, trust), gateway_address, "south", requests);
             tokio::time::timeout(LONG, asked).await.expect("an end")
         })
     };
-    let good = || vec![hop("read", Some("north;left=0"), "7000")];
+    let good = || vec![forwarded_request("read", Some("north;left=0"), "7000")];
     let refused = |keys: Option<&Keys>| assert!(ask(keys, pem, good()).is_err());
     refused(None);
     refused(Some(&stranger.issue("north")));
-    refused(Some(&two.authority.issue("east")));
-    refused(Some(&two.authority.issue_for("north", -1)));
+    refused(Some(&regions.authority.issue("east")));
+    refused(Some(&regions.authority.issue_for("north", -1)));
     // Plain text, garbage, a reset and a peer that only stands there.
-    let mut silent = Client::open(gate);
+    let mut silent = Client::open(gateway_address);
     for text in
         ["GET / HTTP/1.1\r\n\r\n", "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", "\u{16}\u{3}\u{1}\u{2}\u{0}\u{1}"]
     {
-        let mut client = Client::open(gate);
+        let mut client = Client::open(gateway_address);
         client.send(text);
         // An alert may come before the end.
         assert!((0..64).any(|_| client.ends()));
     }
     assert!(silent.ends(), "a handshake that never comes");
-    let north = two.authority.issue("north");
+    let north = regions.authority.issue("north");
     let answers = ask(Some(&north), pem, good()).expect("the north is let in");
     assert_eq!(answers[0].status(), 200);
     assert_eq!(answers[0].headers()["region-fate"], "ran");
     let fates = |requests: Vec<Request<Full<Bytes>>>| {
         let answers = ask(Some(&north), pem, requests).expect("answers");
-        let told = |a: &Response<Bytes>| {
+        let result = |a: &Response<Bytes>| {
             (a.status().as_u16(), a.headers()["region-fate"].to_str().unwrap().to_string())
         };
-        answers.iter().map(told).collect::<Vec<_>>()
+        answers.iter().map(result).collect::<Vec<_>>()
     };
     let before = south.requests().len();
     let many = (0..1000).map(|n| format!("r{n}")).collect::<Vec<_>>().join(", ") + ", north;left=1";
@@ -571,40 +572,44 @@
         (Some("north;left=0"), "99999999999999999999999"),
         (Some("north;left=0"), "soon"),
     ];
-    let told = fates(bad.iter().map(|(path, left)| hop("vote", *path, left)).collect());
-    assert!(told.iter().all(|t| *t == (400, "not-run".into())), "{told:?}");
+    let result = fates(bad.iter().map(|(path, left)| forwarded_request("vote", *path, left)).collect());
+    assert!(result.iter().all(|t| *t == (400, "not-run".into())), "{result:?}");
     assert_eq!(south.requests().len(), before, "nothing of it reached a backend");
     until("counted", || {
-        let count = |key| two.south.state()[key].as_u64().unwrap();
+        let count = |key| regions.south.state()[key].as_u64().unwrap();
         count("barred") >= bad.len() as u64 && count("strangers") >= 8
     });
-    assert_eq!(fates(vec![hop("read", Some("north;left=0"), "1")])[0].1, "not-run", "no time at all");
+    assert_eq!(
+        fates(vec![forwarded_request("read", Some("north;left=0"), "1")])[0].1,
+        "not-run",
+        "no time at all"
+    );
     assert_eq!(fates(good())[0], (200, "ran".into()), "others are unharmed");
 }
 
 /// Keys are replaced under load, twice within a second among them, and by wrong ones: not one request is lost.
 #[test]
-fn keys_change_in_service_without_a_lost_request() {
+fn keys_are_rotated_without_losing_a_request() {
     let south = Backend::start(|_| ok("south"));
-    let two = pair("keys", &[], &[south.address; 3], WIDE);
-    until("the north spills", || two.north.is("spilling"));
+    let regions = start_pair("keys", &[], &[south.address; 3], LARGE_BUDGET);
+    until("the north spills", || regions.north.in_state("spilling"));
     let next = Authority::new();
-    let both = format!("{}{}", two.authority.pem, next.pem);
+    let both = format!("{}{}", regions.authority.pem, next.pem);
     let (stop, served) = (AtomicBool::new(false), AtomicUsize::new(0));
     let files = |site: &Site| KeyFiles { folder: site.folder.0.clone() };
-    let sites = [(&two.north, "north"), (&two.south, "south")];
+    let sites = [(&regions.north, "north"), (&regions.south, "south")];
     let all = |key: &str| sites.map(|(s, _)| s.state()[key].as_u64().unwrap());
     std::thread::scope(|s| {
         for _ in 0..4 {
             s.spawn(|| {
                 while !stop.load(Ordering::Relaxed) {
-                    let answer = ask(&two.north.proxy, &request("vote", 7000));
+                    let answer = ask(&regions.north.proxy, &request("vote", 7000));
                     assert_eq!(answer.status(), 200, "a vote was lost");
                     served.fetch_add(1, Ordering::Relaxed);
                 }
             });
         }
-        let change = |authority: &Authority, trust: &str| {
+        let replace_keys = |authority: &Authority, trust: &str| {
             let before = all("keys_taken");
             for (site, name) in sites {
                 files(site).put_all(&authority.issue(name), trust).unwrap();
@@ -615,13 +620,13 @@
             });
         };
         // Trust first, old and new; then certificates of the new; then the old trust goes.
-        change(&two.authority, &both);
-        change(&next, &both);
-        change(&next, &next.pem);
-        (0..3).for_each(|_| change(&next, &next.pem));
+        replace_keys(&regions.authority, &both);
+        replace_keys(&next, &both);
+        replace_keys(&next, &next.pem);
+        (0..3).for_each(|_| replace_keys(&next, &next.pem));
         // Wrong ones: another's key, half a file, one that others may read, one that has ended.
         let (good, other) = (next.issue("north"), next.issue("north"));
-        let files = files(&two.north);
+        let files = files(&regions.north);
         let half = &good.certificate[..good.certificate.len() / 2];
         let wrong: [(&str, &dyn Fn()); 5] = [
             ("do not match", &|| files.put("key.pem", &other.key, 0o600).unwrap()),
@@ -633,21 +638,21 @@
         for (expected, put) in wrong {
             files.put_all(&good, &next.pem).unwrap();
             put();
-            two.north.proxy.signal("-HUP");
-            until(expected, || two.north.proxy.log().contains(expected));
+            regions.north.proxy.signal("-HUP");
+            until(expected, || regions.north.proxy.log().contains(expected));
         }
-        change(&next, &next.pem);
+        replace_keys(&next, &next.pem);
         let count = served.load(Ordering::Relaxed);
         until("more votes", || served.load(Ordering::Relaxed) > count + 20);
         stop.store(true, Ordering::Relaxed);
     });
-    let log = two.north.proxy.log();
+    let log = regions.north.proxy.log();
     assert!(!log.contains("PRIVATE KEY") && !log.contains("BEGIN"), "{log}");
-    until("all that left was served", || two.north.count("ran") == two.north.count("sent"));
+    until("all that left was served", || regions.north.count("ran") == regions.north.count("sent"));
 }
 
 #[test]
-fn check_covers_the_section_and_its_files() {
+fn the_check_command_covers_the_region_section_and_its_files() {
     let authority = Authority::new();
     let folder = Folder::new("region-check");
     let files = KeyFiles { folder: folder.0.clone() };
@@ -657,26 +662,27 @@
         keys: &keys,
         trust: &authority.pem,
         listen: None,
-        others: &[("south", Some(free_address()), WIDE)],
+        others: &[("south", Some(free_address()), LARGE_BUDGET)],
         backends: &[],
-        more: "",
+        extra_settings: "",
     };
     let check = |text: &str| {
         let file = folder.file("gaugesaddle.toml", text);
         let arguments = ["check", file.to_str().unwrap()];
-        let told = std::process::Command::new(program::path("gaugesaddle")).args(arguments).output().unwrap();
-        (told.status.code(), String::from_utf8_lossy(&told.stderr).into_owned())
+        let result =
+            std::process::Command::new(program::path("gaugesaddle")).args(arguments).output().unwrap();
+        (result.status.code(), String::from_utf8_lossy(&result.stderr).into_owned())
     };
-    let sound = Site::text(&folder, &plan);
-    let (code, told) = check(&sound);
-    assert!(code == Some(1) && told.contains("region.certificate: expected a readable file"), "{told}");
+    let valid = Site::text(&folder, &plan);
+    let (code, result) = check(&valid);
+    assert!(code == Some(1) && result.contains("region.certificate: expected a readable file"), "{result}");
     files.put_all(&keys, &authority.pem).unwrap();
-    assert_eq!(check(&sound).0, Some(0), "{}", check(&sound).1);
+    assert_eq!(check(&valid).0, Some(0), "{}", check(&valid).1);
     files.put("key.pem", &authority.issue("north").key, 0o600).unwrap();
-    let (code, told) = check(&sound);
+    let (code, result) = check(&valid);
     assert!(
-        code == Some(1) && told.contains("region.key: expected the private key of the certificate"),
-        "{told}"
+        code == Some(1) && result.contains("region.key: expected the private key of the certificate"),
+        "{result}"
     );
-    assert_eq!(check(&sound.replace("per_s = 1000", "per_s = 0")).0, Some(1));
+    assert_eq!(check(&valid.replace("per_s = 1000", "per_s = 0")).0, Some(1));
 }
--- a/crates/gaugesaddle/tests/tier/mod.rs
+++ b/crates/gaugesaddle/tests/tier/mod.rs
@@ -19,103 +19,104 @@
 /// A tier on loopback, its proxies started and stopped by the test.
 pub struct Tier {
     pub proxies: Vec<Option<Proxy>>,
-    pub ways: Datagrams,
+    pub network: Datagrams,
     pub discovery: Discovery,
     pub backend: Backend,
-    pub listens: Vec<SocketAddr>,
+    pub listen_addresses: Vec<SocketAddr>,
     pub folder: PathBuf,
     pub lease: Lease,
-    keyed: bool,
+    with_key: bool,
     /// Added to each operator's file.
-    more: String,
+    extra_settings: String,
 }
 
 impl Tier {
-    pub fn told(name: &str, places: usize, keyed: bool) -> Tier {
+    pub fn prepare(name: &str, size: usize, with_key: bool) -> Tier {
         let lease = Lease::take().unwrap();
         let folder = std::env::temp_dir().join(format!("gs-peers-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        let listens: Vec<SocketAddr> =
-            (0..places).map(|p| SocketAddr::new(lease.proxy(p).ip(), 7946)).collect();
-        let ways = Datagrams::start(&listens, lease.peer().ip(), 1).unwrap();
+        let listen_addresses: Vec<SocketAddr> =
+            (0..size).map(|p| SocketAddr::new(lease.proxy(p).ip(), 7946)).collect();
+        let network = Datagrams::start(&listen_addresses, lease.peer().ip(), 1).unwrap();
         let key = folder.join("key");
         std::fs::write(&key, [7; 48]).unwrap();
         std::fs::set_permissions(&key, std::fs::Permissions::from_mode(0o600)).unwrap();
         Tier {
-            proxies: (0..places).map(|_| None).collect(),
-            ways,
+            proxies: (0..size).map(|_| None).collect(),
+            network,
             discovery: Discovery::start(),
             backend: Backend::start(|_| ok("x")),
-            listens,
+            listen_addresses,
             folder,
             lease,
-            keyed,
-            more: String::new(),
+            with_key,
+            extra_settings: String::new(),
         }
     }
 
     /// All of them run and hold one another alive.
-    pub fn start(name: &str, places: usize) -> Tier {
-        Tier::start_with(name, places, "")
+    pub fn start(name: &str, size: usize) -> Tier {
+        Tier::start_with(name, size, "")
     }
 
-    /// All but the last place, which the test has; with more in each operator's file.
-    pub fn start_but_last(name: &str, places: usize, more: &str) -> Tier {
-        let mut tier = Tier::told(name, places, true);
-        tier.add(more);
-        (0..places - 1).for_each(|p| tier.run(p));
+    /// All but the last PLACE, which the test has; with more in each operator's file.
+    pub fn start_all_but_last(name: &str, size: usize, extra_settings: &str) -> Tier {
+        let mut tier = Tier::prepare(name, size, true);
+        tier.add_settings(extra_settings);
+        (0..size - 1).for_each(|p| tier.start_proxy(p));
         tier
     }
 
     /// All of them, with more in each operator's file.
-    pub fn start_with(name: &str, places: usize, more: &str) -> Tier {
-        let mut tier = Tier::start_but_last(name, places, more);
-        tier.run(places - 1);
-        tier.agree("all know one another");
+    pub fn start_with(name: &str, size: usize, extra_settings: &str) -> Tier {
+        let mut tier = Tier::start_all_but_last(name, size, extra_settings);
+        tier.start_proxy(size - 1);
+        tier.wait_for_agreement("all know one another");
         tier
     }
 
-    pub fn socket(&self, place: usize) -> PathBuf {
-        self.folder.join(format!("{place}.sock"))
+    pub fn socket(&self, index: usize) -> PathBuf {
+        self.folder.join(format!("{index}.sock"))
     }
 
-    pub fn file(&self, place: usize) -> PathBuf {
-        self.file_with(place, place)
+    pub fn file(&self, index: usize) -> PathBuf {
+        self.file_with(index, index)
     }
 
     /// Of a process whose state is read at another place.
-    fn file_with(&self, place: usize, state_of: usize) -> PathBuf {
-        let addresses: Vec<String> = self.ways.addresses().iter().map(|a| format!("\"{a}\"")).collect();
-        let key = if self.keyed { format!("key = {:?}\n", self.folder.join("key")) } else { String::new() };
+    fn file_with(&self, index: usize, state_of: usize) -> PathBuf {
+        let addresses: Vec<String> = self.network.addresses().iter().map(|a| format!("\"{a}\"")).collect();
+        let key =
+            if self.with_key { format!("key = {:?}\n", self.folder.join("key")) } else { String::new() };
         let text = format!(
             "[state]\nsocket = {:?}\n[peers]\nenabled = true\nlisten = \"{}\"\nown = {}\naddresses = [{}]\n{key}{}",
             self.socket(state_of),
-            self.listens[place],
-            addresses[place],
+            self.listen_addresses[index],
+            addresses[index],
             addresses.join(", "),
-            self.more
+            self.extra_settings
         );
         let file = self.folder.join(format!("{state_of}.toml"));
         std::fs::write(&file, text).unwrap();
         file
     }
 
-    fn config(&self, place: usize) -> serde_json::Value {
+    fn config(&self, index: usize) -> serde_json::Value {
         let mut config = config(self.discovery.address, &[line("a", self.backend.address, "ready", 0)]);
-        config["name"] = format!("p{place}").into();
-        config["listen"] = self.lease.proxy(place).to_string().into();
-        config["seed"] = format!("{:x}", place + 1).into();
-        config["settings"]["group_size"] = self.listens.len().into();
-        config["settings"]["position"] = place.into();
+        config["name"] = format!("p{index}").into();
+        config["listen"] = self.lease.proxy(index).to_string().into();
+        config["seed"] = format!("{:x}", index + 1).into();
+        config["settings"]["group_size"] = self.listen_addresses.len().into();
+        config["settings"]["position"] = index.into();
         config
     }
 
     /// A process of a place, with a second address by which its successor finds it; the successor's state is read at a
     /// place of its own, which is no member of the tier.
-    pub fn run_for_upgrade(&mut self, place: usize, state_of: usize) {
-        let mut config = self.config(place);
+    pub fn start_for_hot_restart(&mut self, index: usize, state_of: usize) {
+        let mut config = self.config(index);
         config["admin"] = free_address().to_string().into();
-        let file = self.file_with(place, state_of);
+        let file = self.file_with(index, state_of);
         let proxy = Proxy::spawn_in(
             &config,
             &[("TMPDIR", self.folder.as_os_str()), ("GAUGESADDLE_CONFIG", file.as_os_str())],
@@ -128,69 +129,71 @@
     }
 
     /// Adds to each operator's file.
-    pub fn add(&mut self, more: &str) {
-        self.more += more;
+    pub fn add_settings(&mut self, extra_settings: &str) {
+        self.extra_settings += extra_settings;
     }
 
     /// One that stands in a zone and has a list, and an agent, of its own.
-    pub fn run_in(&mut self, place: usize, zone: &str, discovery: SocketAddr, lines: &[serde_json::Value]) {
-        let mut config = self.config(place);
+    pub fn start_proxy_in_zone(
+        &mut self, index: usize, zone: &str, discovery: SocketAddr, lines: &[serde_json::Value],
+    ) {
+        let mut config = self.config(index);
         config["settings"]["my_zone"] = zone.into();
         config["discovery"] = discovery.to_string().into();
         config["known"]["endpoints"] = lines.into();
-        self.run_with(place, &config);
+        self.start_proxy_with(index, &config);
     }
 
-    pub fn run(&mut self, place: usize) {
-        let config = self.config(place);
-        self.run_with(place, &config);
+    pub fn start_proxy(&mut self, index: usize) {
+        let config = self.config(index);
+        self.start_proxy_with(index, &config);
     }
 
-    fn run_with(&mut self, place: usize, config: &serde_json::Value) {
-        let file = self.file(place);
+    fn start_proxy_with(&mut self, index: usize, config: &serde_json::Value) {
+        let file = self.file(index);
         let proxy = Proxy::spawn_with(config, "unlimited", &["--config", file.to_str().unwrap()]);
-        self.proxies[place] = Some(proxy);
-        until("its state", || self.state(place).is_some());
+        self.proxies[index] = Some(proxy);
+        until("its state", || self.state(index).is_some());
     }
 
-    pub fn kill(&mut self, place: usize) {
-        self.proxies[place] = None;
+    pub fn kill(&mut self, index: usize) {
+        self.proxies[index] = None;
     }
 
-    pub fn proxy(&self, place: usize) -> &Proxy {
-        self.proxies[place].as_ref().expect("runs")
+    pub fn proxy(&self, index: usize) -> &Proxy {
+        self.proxies[index].as_ref().expect("runs")
     }
 
     pub fn running(&self) -> Vec<usize> {
         (0..self.proxies.len()).filter(|p| self.proxies[*p].is_some()).collect()
     }
 
-    pub fn state(&self, place: usize) -> Option<Snapshot> {
-        gaugesaddle::state::request(&self.socket(place)).ok()
+    pub fn state(&self, index: usize) -> Option<Snapshot> {
+        gaugesaddle::state::request(&self.socket(index)).ok()
     }
 
     /// A part of its state as people read it.
-    pub fn table(&self, place: usize, part: &str) -> String {
+    pub fn table(&self, index: usize, part: &str) -> String {
         let program = gaugesaddle_testbed::program::path("gaugesaddle");
         let mut command = std::process::Command::new(program);
-        let shown = command.args(["state", part, "--socket"]).arg(self.socket(place)).output().unwrap();
+        let shown = command.args(["state", part, "--socket"]).arg(self.socket(index)).output().unwrap();
         String::from_utf8_lossy(&shown.stdout).into_owned()
     }
 
-    pub fn view(&self, place: usize) -> MembershipView {
-        self.state(place).and_then(|s| s.peers).expect("its view")
+    pub fn view(&self, index: usize) -> MembershipView {
+        self.state(index).and_then(|s| s.peers).expect("its view")
     }
 
-    pub fn row(&self, place: usize, of: usize) -> MemberRow {
-        self.view(place).peers.swap_remove(of)
+    pub fn row(&self, index: usize, of: usize) -> MemberRow {
+        self.view(index).peers.swap_remove(of)
     }
 
     /// Each of these holds exactly the others of them for alive, in their present processes.
-    pub fn agrees(&self, places: &[usize]) -> bool {
-        let views: Vec<MembershipView> = places.iter().map(|p| self.view(*p)).collect();
+    pub fn agrees(&self, indices: &[usize]) -> bool {
+        let views: Vec<MembershipView> = indices.iter().map(|p| self.view(*p)).collect();
         views.iter().all(|view| {
             view.peers.iter().all(|row| {
-                let at = places.iter().position(|p| *p == usize::from(row.place));
+                let at = indices.iter().position(|p| *p == usize::from(row.place));
                 match at {
                     Some(at) => row.state == "alive" && row.boot.as_ref() == Some(&views[at].boot),
                     None => row.state != "alive" && row.state != "suspect",
@@ -199,29 +202,29 @@
         })
     }
 
-    pub fn agree(&self, what: &str) {
+    pub fn wait_for_agreement(&self, what: &str) {
         let running = self.running();
         until(what, || self.agrees(&running));
     }
 
     /// The same, and within a time.
-    pub fn agree_within(&self, what: &str, within: Duration) {
+    pub fn expect_agreement_within(&self, what: &str, within: Duration) {
         let begun = Instant::now();
-        self.agree(what);
+        self.wait_for_agreement(what);
         assert!(begun.elapsed() < within, "{what}: only after {:?}", begun.elapsed());
     }
 
     /// Each of these has asked so many more questions: time for every fault to show.
-    pub fn asked(&self, places: &[usize], more: u64) {
-        let before: Vec<u64> = places.iter().map(|p| self.view(*p).asked).collect();
+    pub fn wait_for_probes(&self, indices: &[usize], count: u64) {
+        let before: Vec<u64> = indices.iter().map(|p| self.view(*p).asked).collect();
         until("their questions", || {
-            places.iter().zip(&before).all(|(p, before)| self.view(*p).asked >= before + more)
+            indices.iter().zip(&before).all(|(p, before)| self.view(*p).asked >= before + count)
         });
     }
 
     /// Lines of a proxy's log in which it calls another dead.
-    pub fn deaths(&self, place: usize) -> Vec<String> {
-        let log = self.proxy(place).log();
+    pub fn death_log_lines(&self, index: usize) -> Vec<String> {
+        let log = self.proxy(index).log();
         log.lines().filter(|l| l.contains(" is dead after ")).map(String::from).collect()
     }
 }
@@ -234,30 +237,30 @@
 }
 
 /// A member of the tier that says of itself what the test words: the real protocol, with no proxy behind it.
-pub struct Liar {
+pub struct FakeMember {
     body: Arc<Mutex<Vec<u8>>>,
     stop: Arc<AtomicBool>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Liar {
+impl FakeMember {
     /// At that place, which no proxy has.
-    pub fn start(tier: &Tier, place: usize) -> Liar {
+    pub fn start(tier: &Tier, index: usize) -> FakeMember {
         let (body, stop) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicBool::new(false)));
-        let socket = UdpSocket::bind(tier.listens[place]).unwrap();
+        let socket = UdpSocket::bind(tier.listen_addresses[index]).unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
         let config = TierConfig {
-            addresses: tier.ways.addresses().to_vec(),
-            own_index: place as u16,
+            addresses: tier.network.addresses().to_vec(),
+            own_index: index as u16,
             broadcast_address: None,
-            name: format!("p{place}"),
+            name: format!("p{index}"),
             zone: String::new(),
         };
         let auth = Authenticator::from_secret(&[7; 48]).unwrap();
         let begun = Instant::now();
         let now = move || Time(1_000_000 + begun.elapsed().as_micros() as u64);
         let mut peers = Membership::new(Settings::default(), auth, config, Boot(77), 7, now()).unwrap();
-        let (says, stopped) = (body.clone(), stop.clone());
+        let (shared_body, stopped) = (body.clone(), stop.clone());
         let thread = std::thread::spawn(move || {
             let (mut out, mut buffer, mut published) = (Vec::new(), [0; 2048], now());
             while !stopped.load(Ordering::Relaxed) {
@@ -266,7 +269,7 @@
                 }
                 if now() >= published {
                     published = now() + Micros(250_000);
-                    peers.publish(now(), &says.lock().unwrap());
+                    peers.publish(now(), &shared_body.lock().unwrap());
                 }
                 peers.run_due_timers(now(), &mut out);
                 for output in out.drain(..) {
@@ -276,16 +279,16 @@
                 }
             }
         });
-        Liar { body, stop, thread: Some(thread) }
+        FakeMember { body, stop, thread: Some(thread) }
     }
 
     /// What its records hold from now on.
-    pub fn say(&self, body: Vec<u8>) {
+    pub fn set_record(&self, body: Vec<u8>) {
         *self.body.lock().unwrap() = body;
     }
 }
 
-impl Drop for Liar {
+impl Drop for FakeMember {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         self.thread.take().into_iter().for_each(|t| drop(t.join()));
--- a/crates/gaugesaddle/tests/zones.rs
+++ b/crates/gaugesaddle/tests/zones.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use tier::Tier;
 
-const ON: &str = "[failover]\nenabled = true\n";
+const ENABLED: &str = "[failover]\nenabled = true\n";
 
 /// Two backends in each of two zones.
 struct Fleet(Vec<(&'static str, &'static str, Backend)>);
@@ -36,10 +36,10 @@
 }
 
 /// Clients of all these proxies, who take every answer, until it is dropped.
-struct Asking(Arc<AtomicBool>, Vec<std::thread::JoinHandle<()>>);
+struct ClientLoad(Arc<AtomicBool>, Vec<std::thread::JoinHandle<()>>);
 
-impl Asking {
-    fn of(addresses: Vec<SocketAddr>) -> Asking {
+impl ClientLoad {
+    fn of(addresses: Vec<SocketAddr>) -> ClientLoad {
         let stop = Arc::new(AtomicBool::new(false));
         let one = |address: SocketAddr| {
             let stop = stop.clone();
@@ -53,11 +53,11 @@
                 }
             })
         };
-        Asking(stop.clone(), addresses.into_iter().map(one).collect())
+        ClientLoad(stop.clone(), addresses.into_iter().map(one).collect())
     }
 }
 
-impl Drop for Asking {
+impl Drop for ClientLoad {
     fn drop(&mut self) {
         self.0.store(true, Ordering::Relaxed);
         self.1.drain(..).for_each(|t| drop(t.join()));
@@ -65,47 +65,49 @@
 }
 
 /// A tier whose even places stand in the east, the odd ones in the west; those that are blind do not reach the east.
-fn start(name: &str, places: usize, fleet: &Fleet, blind: &[usize]) -> (Tier, Vec<Discovery>, Asking) {
-    let mut tier = Tier::told(name, places, true);
-    tier.add(ON);
-    let discoveries: Vec<Discovery> = (0..places).map(|_| Discovery::start()).collect();
-    for (place, discovery) in discoveries.iter().enumerate() {
-        let lost: &[&str] = if blind.contains(&place) { &["east"] } else { &[] };
-        let zone = ["east", "west"][place % 2];
-        tier.run_in(place, zone, discovery.address, &fleet.lines(lost));
+fn start(
+    name: &str, size: usize, fleet: &Fleet, cut_from_east: &[usize],
+) -> (Tier, Vec<Discovery>, ClientLoad) {
+    let mut tier = Tier::prepare(name, size, true);
+    tier.add_settings(ENABLED);
+    let discoveries: Vec<Discovery> = (0..size).map(|_| Discovery::start()).collect();
+    for (index, discovery) in discoveries.iter().enumerate() {
+        let lost: &[&str] = if cut_from_east.contains(&index) { &["east"] } else { &[] };
+        let zone = ["east", "west"][index % 2];
+        tier.start_proxy_in_zone(index, zone, discovery.address, &fleet.lines(lost));
     }
-    tier.agree("all know one another");
-    let asking = Asking::of((0..places).map(|p| tier.proxy(p).address).collect());
-    (tier, discoveries, asking)
+    tier.wait_for_agreement("all know one another");
+    let load = ClientLoad::of((0..size).map(|p| tier.proxy(p).address).collect());
+    (tier, discoveries, load)
 }
 
-fn zones(tier: &Tier, place: usize) -> ZonesView {
-    tier.state(place).and_then(|s| s.zones).unwrap_or_default()
+fn zones(tier: &Tier, index: usize) -> ZonesView {
+    tier.state(index).and_then(|s| s.zones).unwrap_or_default()
 }
 
-fn zone(tier: &Tier, place: usize, name: &str) -> ZoneRow {
-    zones(tier, place).zones.into_iter().find(|z| z.name == name).unwrap_or_default()
+fn zone(tier: &Tier, index: usize, name: &str) -> ZoneRow {
+    zones(tier, index).zones.into_iter().find(|z| z.name == name).unwrap_or_default()
 }
 
 /// All of these hold one decision, which trusts that zone so far.
-fn trusted(tier: &Tier, places: &[usize], name: &str, far: impl Fn(f64) -> bool) -> bool {
-    let views: Vec<ZonesView> = places.iter().map(|p| zones(tier, *p)).collect();
+fn trusted(tier: &Tier, indices: &[usize], name: &str, far: impl Fn(f64) -> bool) -> bool {
+    let views: Vec<ZonesView> = indices.iter().map(|p| zones(tier, *p)).collect();
     let number = |v: &ZonesView| (v.epoch, v.round, v.by);
     views.iter().all(|v| v.by.is_some() && number(v) == number(&views[0]))
         && views[0].zones.iter().any(|z| z.name == name && far(z.trust))
 }
 
 #[test]
-fn one_that_alone_does_not_reach_its_zone_is_not_ready_and_its_voice_counts_against_nobody() {
+fn a_proxy_cut_off_from_its_own_zone_is_not_ready_and_outvoted() {
     let fleet = Fleet::start();
-    let (tier, discoveries, _asking) = start("blind", 5, &fleet, &[0]);
+    let (tier, discoveries, _load) = start("blind", 5, &fleet, &[0]);
     until("it knows that it is cut off", || zones(&tier, 0).cut_off.as_deref() == Some("east"));
     assert_eq!(tier.proxy(0).ready(), 503);
     assert!(tier.proxy(0).log().contains("zones: cut off from east, which most see: not ready"));
     until("the others know, too", || (1..5).all(|p| zones(&tier, p).blind == [(0, "east".to_string())]));
-    for place in 1..5 {
-        assert!(!zone(&tier, place, "east").lost, "one of five is not most");
-        assert_eq!(tier.proxy(place).ready(), 200);
+    for index in 1..5 {
+        assert!(!zone(&tier, index, "east").lost, "one of five is not most");
+        assert_eq!(tier.proxy(index).ready(), 200);
     }
     assert_eq!(ask(tier.proxy(0), &request("read", 7000)).status(), 200, "what comes is served by the west");
     let table = tier.table(0, "zones");
@@ -115,18 +117,18 @@
 }
 
 #[test]
-fn a_zone_lost_to_most_is_lost_for_all_and_comes_back_in_steps_though_who_decided_dies() {
+fn a_zone_lost_to_the_majority_recovers_in_steps_after_the_decider_dies() {
     let fleet = Fleet::start();
-    let (mut tier, discoveries, _asking) = start("zone-lost", 5, &fleet, &[]);
+    let (mut tier, discoveries, _load) = start("zone-lost", 5, &fleet, &[]);
     let all = [0, 1, 2, 3, 4];
     until("all hold one decision", || trusted(&tier, &all, "west", |t| t == 1.0));
     discoveries.iter().for_each(|d| d.publish(true, &fleet.lines(&["west"])));
     until("all hold it lost", || trusted(&tier, &all, "west", |t| t == 0.0));
-    for place in all {
-        assert_eq!(tier.proxy(place).ready(), 200, "who sees what most see is ready");
-        assert_eq!(zones(&tier, place).by, Some(0), "the lowest place decides");
-        assert_eq!(zone(&tier, place, "west").near.iter().sum::<f64>(), 0.0, "nothing stays there");
-        assert_eq!(zone(&tier, place, "east").to, 1.0);
+    for index in all {
+        assert_eq!(tier.proxy(index).ready(), 200, "who sees what most see is ready");
+        assert_eq!(zones(&tier, index).by, Some(0), "the lowest place decides");
+        assert_eq!(zone(&tier, index, "west").near.iter().sum::<f64>(), 0.0, "nothing stays there");
+        assert_eq!(zone(&tier, index, "east").to, 1.0);
     }
     let before = zones(&tier, 1).epoch;
     tier.kill(0);
@@ -140,13 +142,13 @@
 }
 
 #[test]
-fn of_two_sides_the_greater_one_decides_and_the_other_takes_it_up_at_the_heal() {
+fn the_majority_side_of_a_partition_decides_and_prevails_after_the_heal() {
     let fleet = Fleet::start();
-    let (tier, discoveries, _asking) = start("zone-torn", 5, &fleet, &[]);
+    let (tier, discoveries, _load) = start("zone-torn", 5, &fleet, &[]);
     until("all hold one decision", || trusted(&tier, &[0, 1, 2, 3, 4], "west", |t| t == 1.0));
     let before = zones(&tier, 0).epoch;
     // The decider is on the smaller side, and only there the west is lost.
-    tier.ways.set(Links { groups: vec![0, 0, 1, 1, 1], ..Links::default() });
+    tier.network.set(Links { groups: vec![0, 0, 1, 1, 1], ..Links::default() });
     until("the sides have parted", || {
         tier.view(0).living == 2 && tier.view(4).living == 3 && tier.view(1).living == 2
     });
@@ -158,31 +160,31 @@
     until("the greater side decides anew", || trusted(&tier, &[2, 3, 4], "east", |t| t == 0.0));
     let greater = zones(&tier, 2);
     assert!(greater.by == Some(2) && greater.epoch > before, "{greater:?}");
-    tier.ways.set(Links::default());
+    tier.network.set(Links::default());
     until("all hold the greater side's, or one after it", || {
         (0..5).all(|p| zones(&tier, p).epoch >= greater.epoch)
     });
 }
 
 #[test]
-fn half_of_the_proxies_are_not_most_and_a_zone_that_half_do_not_reach_stands() {
+fn a_zone_unreachable_for_exactly_half_of_the_proxies_stays_trusted() {
     let fleet = Fleet::start();
-    let (tier, _discoveries, _asking) = start("zone-half", 4, &fleet, &[0, 1]);
-    let blind = [(0, "east".to_string()), (1, "east".to_string())];
-    until("all know who is blind", || (0..4).all(|p| zones(&tier, p).blind == blind));
+    let (tier, _discoveries, _load) = start("zone-half", 4, &fleet, &[0, 1]);
+    let expected_blind = [(0, "east".to_string()), (1, "east".to_string())];
+    until("all know who is blind", || (0..4).all(|p| zones(&tier, p).blind == expected_blind));
     until("the one whose own zone it is is cut off", || tier.proxy(0).ready() == 503);
     let all = [0, 1, 2, 3];
     until("all hold one decision", || trusted(&tier, &all, "east", |t| t == 1.0));
     assert!(all.iter().all(|p| !zone(&tier, *p, "east").lost));
-    for place in [1, 2, 3] {
-        assert_eq!(tier.proxy(place).ready(), 200, "blind to another's zone, it serves by its own");
+    for index in [1, 2, 3] {
+        assert_eq!(tier.proxy(index).ready(), 200, "blind to another's zone, it serves by its own");
     }
 }
 
 #[test]
-fn a_zone_that_comes_and_goes_is_trusted_later_each_time() {
+fn a_flapping_zone_is_trusted_later_each_time() {
     let fleet = Fleet::start();
-    let (tier, discoveries, _asking) = start("zone-flaps", 3, &fleet, &[]);
+    let (tier, discoveries, _load) = start("zone-flaps", 3, &fleet, &[]);
     let all = [0, 1, 2];
     until("all hold one decision", || trusted(&tier, &all, "west", |t| t == 1.0));
     let waits = [0, 1, 2].map(|_| {
