--- a/crates/gaugesaddle/tests/admin_and_hot_restart.rs
+++ b/crates/gaugesaddle/tests/admin_and_hot_restart.rs
@@ -1,5 +1,5 @@
-//! A proxy handled by its operators under load: bad callers on the second address, backends taken out against the
-//! list, a drain, and a second process that replaces the first.
+//! Operations on a proxy under load: misbehaving clients of the admin address, excluded backends, evacuation, and a hot
+//! restart, in which a second process replaces the first.
 
 use gaugesaddle_testbed::scripted::*;
 use serde_json::{json, Value};
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// A proxy's configuration with a second address.
+/// A proxy's configuration with an admin address.
 fn with_admin(discovery: &Discovery, backends: &[(&str, &Backend)]) -> (Value, SocketAddr) {
     let lines: Vec<Value> = backends.iter().map(|(n, b)| line(n, b.address, "ready", 0)).collect();
     let mut config = config(discovery.address, &lines);
@@ -16,14 +16,14 @@
     (config, admin)
 }
 
-/// The status of a call, 0 where there was no answer.
+/// The status of a request to the admin address, 0 if there was no response.
 fn admin_call(admin: SocketAddr, text: &str) -> u16 {
     let Ok(mut client) = Client::try_open(admin) else { return 0 };
     client.send(&format!("{text} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"));
     client.answer().map_or(0, |a| a.status())
 }
 
-/// A folder that goes with its test.
+/// A temporary directory, removed when dropped.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -47,25 +47,25 @@
     let (config, admin) = with_admin(&discovery, &[("a", &a), ("b", &b)]);
     let proxy = Proxy::start(&config);
     let serve = |n| (0..n).for_each(|_| assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200));
-    until("both are used", || {
+    until("both backends receive requests", || {
         serve(4);
         !a.requests().is_empty() && !b.requests().is_empty()
     });
     assert_eq!(admin_call(admin, "PUT /api/exclude?target=a"), 200);
     let before = a.requests().len();
     serve(20);
-    // Told anew as ready, and as restarted: the ban holds.
+    // The exclusion holds when discovery lists the backend again as ready, and as restarted.
     discovery.publish(true, &[line("a", a.address, "ready", 0), line("b", b.address, "ready", 0)]);
     let seen = discovery.calls();
-    until("the list was taken", || discovery.calls() > seen);
+    until("the list is applied", || discovery.calls() > seen);
     serve(20);
-    assert_eq!(admin_call(admin, "PUT /api/exclude?target=a"), 200, "twice is as good as once");
+    assert_eq!(admin_call(admin, "PUT /api/exclude?target=a"), 200, "exclusion is idempotent");
     discovery.publish(false, &[line("a", a.address, "ready", 1_000)]);
-    until("the change was taken", || discovery.calls() > seen + 1);
+    until("the change is applied", || discovery.calls() > seen + 1);
     serve(20);
     assert_eq!(a.requests().len(), before);
-    assert_eq!(admin_call(admin, "PUT /api/include?target=a"), 200, "once ends both");
-    until("it is used again", || {
+    assert_eq!(admin_call(admin, "PUT /api/include?target=a"), 200, "one inclusion ends both exclusions");
+    until("backend a receives requests again", || {
         serve(4);
         a.requests().len() > before
     });
@@ -80,14 +80,14 @@
     ] {
         assert_eq!(admin_call(admin, text), status, "{text}");
     }
-    // With all of them out there is nothing to serve with, and the front is told so.
+    // With all backends excluded the proxy is not ready.
     assert_eq!(admin_call(admin, "PUT /api/exclude?target=a"), 200);
     assert_eq!(admin_call(admin, "PUT /api/exclude?target=b"), 200);
     assert_eq!((proxy.ready(), admin_call(admin, "GET /api/ready")), (503, 503));
     assert_eq!(ask(&proxy, &request("read", 300)).status(), 503);
 }
 
-/// Callers that say nothing, or half a call, hold up nobody and cost a bounded number of places.
+/// Connections to the admin address without a complete request delay no other one, and their number is bounded.
 #[test]
 fn incomplete_admin_requests_do_not_delay_valid_ones() {
     let backend = Backend::start(|_| ok("x"));
@@ -104,11 +104,12 @@
     let start = Instant::now();
     assert_eq!(admin_call(admin, "GET /api/ready"), 200);
     assert!(start.elapsed() < Duration::from_secs(1));
-    assert!(bad.iter_mut().all(Client::ends), "each loses its place");
+    assert!(bad.iter_mut().all(Client::ends), "each incomplete connection is closed");
     assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
 }
 
-/// Told to drain the proxy says no, answers what comes on kept connections and lets go of them; it comes back.
+/// After an evacuation request the proxy is not ready, answers requests on open connections and closes them; a rejoin
+/// request makes it ready again.
 #[test]
 fn evacuation_closes_connections_and_rejoin_reverts_it() {
     let backend = Backend::start(|_| ok("x"));
@@ -127,28 +128,32 @@
     assert_eq!(admin_call(admin, "PUT /api/evacuate"), 200);
     assert_eq!((proxy.ready(), admin_call(admin, "GET /api/ready")), (503, 503));
     clients[0].send(&request("read", 7000));
-    assert_eq!(clients[0].answer().map(|a| a.status()), Some(200), "asked on while it drains");
-    assert!(clients[0].ends(), "and closed with its answer");
-    assert!(clients[1].ends(), "nothing is held idle");
+    assert_eq!(
+        clients[0].answer().map(|a| a.status()),
+        Some(200),
+        "a request on an open connection is answered during the drain"
+    );
+    assert!(clients[0].ends(), "the connection is closed after the response");
+    assert!(clients[1].ends(), "the idle connection is closed");
     assert!(start.elapsed() < Duration::from_secs(4));
     assert_eq!(admin_call(admin, "PUT /api/rejoin"), 200);
-    until("ready", || proxy.ready() == 200);
+    until("the proxy is ready", || proxy.ready() == 200);
     assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
 }
 
-/// Clients ask on through an upgrade, each on a connection that it keeps while it may: none is turned away, none
-/// loses an answer; what the operators took out stays out, whichever process they told.
+/// Clients on persistent connections send requests during a hot restart: none is rejected or lost. Exclusions hold in
+/// both processes, whichever received them.
 #[test]
 fn a_hot_restart_loses_no_request_and_keeps_exclusions() {
     let folder = Folder::new("upgrade");
     let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
     let discovery = Discovery::start();
     let (mut config, admin) = with_admin(&discovery, &[("a", &a), ("b", &b)]);
-    // One that is put back counts as started now; nothing here is about what a cold one bears.
+    // An included backend counts as just started; slow start is turned off, as it is not part of this test.
     config["settings"]["rules"]["cold_from"] = json!(1.0);
     let temporary = [("TMPDIR", folder.0.as_os_str())];
     let mut first = Proxy::spawn_in(&config, &temporary);
-    until("ready", || first.ready() == 200);
+    until("the first process is ready", || first.ready() == 200);
     assert_eq!(admin_call(admin, "PUT /api/exclude?target=a"), 200);
     let address = first.address;
     let stop = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
@@ -160,14 +165,15 @@
                 while !stop.load(std::sync::atomic::Ordering::Relaxed) {
                     let text = request("read", 7000);
                     client.send(&text);
-                    // A proxy may close a kept connection between requests; a client sends what crosses that again, once.
+                    // A proxy may close an idle connection while a request is on its way to it; the client retries
+                    // that once.
                     let answer = client.answer().or_else(|| {
-                        assert!(kept, "a request on a new connection is lost");
+                        assert!(kept, "a request on a new connection was lost");
                         client = Client::open(address);
                         client.send(&text);
                         client.answer()
                     });
-                    let answer = answer.expect("a whole answer");
+                    let answer = answer.expect("a complete response");
                     kept = true;
                     assert_eq!(answer.status(), 200);
                     served_count += 1;
@@ -184,62 +190,64 @@
     let admin_next = free_address();
     next["admin"] = json!(admin_next.to_string());
     let second = Proxy::spawn_in(&next, &temporary);
-    until("the second is ready", || admin_call(admin_next, "GET /api/ready") == 200);
-    // Told to one of two, it holds in both.
+    until("the second process is ready", || admin_call(admin_next, "GET /api/ready") == 200);
+    // A request to one process applies to both.
     assert_eq!(admin_call(admin_next, "PUT /api/include?target=a"), 200);
     assert_eq!(admin_call(admin_next, "PUT /api/exclude?target=b"), 200);
     first.terminate();
     assert!(first.exit().success());
     let before = b.requests().len();
     let served = a.requests().len();
-    until("the second serves alone", || a.requests().len() > served + 50);
-    assert_eq!(b.requests().len(), before, "b stays out");
+    until("the second process serves alone", || a.requests().len() > served + 50);
+    assert_eq!(b.requests().len(), before, "b stays excluded");
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
-    let served_count: Vec<usize> = clients.into_iter().map(|c| c.join().expect("no loss")).collect();
+    let served_count: Vec<usize> =
+        clients.into_iter().map(|c| c.join().expect("the client lost no request")).collect();
     assert!(served_count.iter().all(|n| *n > 10), "{served_count:?}");
     drop(second);
 }
 
-/// An order that reaches the old process while the new one has no list yet holds in the new one, too.
+/// An exclusion that the old process receives while the new one has no list yet also applies to the new one.
 #[test]
 fn an_exclusion_relayed_before_the_first_list_is_applied() {
     let folder = Folder::new("early");
     let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
     let (discovery, silent) = (Discovery::start(), Discovery::start());
     let (mut config, admin) = with_admin(&discovery, &[("a", &a), ("b", &b)]);
-    // One that is put back counts as started now; nothing here is about what a cold one bears.
+    // An included backend counts as just started; slow start is turned off, as it is not part of this test.
     config["settings"]["rules"]["cold_from"] = json!(1.0);
     let temporary = [("TMPDIR", folder.0.as_os_str())];
     let mut first = Proxy::spawn_in(&config, &temporary);
-    until("ready", || first.ready() == 200);
+    until("the first process is ready", || first.ready() == 200);
     let mut next = config.clone();
     let admin_next = free_address();
     next["admin"] = json!(admin_next.to_string());
     next["discovery"] = json!(silent.address.to_string());
     next["known"] = json!({"index": 0, "snapshot": true, "endpoints": []});
     let second = Proxy::spawn_in(&next, &temporary);
-    until("the two have met", || first.log().contains("another process is to replace this one"));
+    until("the processes are connected", || first.log().contains("another process is to replace this one"));
     assert_eq!(admin_call(admin, "PUT /api/exclude?target=a"), 200);
-    until("it was passed on", || second.log().contains("from the other process"));
+    until("the exclusion was relayed", || second.log().contains("from the other process"));
     silent.publish(true, &[line("a", a.address, "ready", 0), line("b", b.address, "ready", 0)]);
-    until("the second is ready", || admin_call(admin_next, "GET /api/ready") == 200);
+    until("the second process is ready", || admin_call(admin_next, "GET /api/ready") == 200);
     first.terminate();
     assert!(first.exit().success());
     let before = (a.requests().len(), b.requests().len());
-    until("the second serves", || {
+    until("the second process serves", || {
         (0..5).for_each(|_| assert_eq!(ask(&second, &request("read", 7000)).status(), 200));
         b.requests().len() > before.1 + 30
     });
-    assert_eq!(a.requests().len(), before.0, "a stays out");
+    assert_eq!(a.requests().len(), before.0, "a stays excluded");
     assert_eq!(admin_call(admin_next, "PUT /api/include?target=a"), 200);
-    until("it is used again", || {
+    until("backend a receives requests again", || {
         (0..5).for_each(|_| assert_eq!(ask(&second, &request("read", 7000)).status(), 200));
         a.requests().len() > before.0
     });
 }
 
-/// Discovery is silent while a process is replaced by another that starts with the same old list. What the agent has at
-/// its return counts as told to both, and neither sends to the server that leaves.
+/// Discovery does not answer while a process is replaced by one that starts with the same outdated list. The drain
+/// that the agent publishes on its return applies to both: neither process sends to the draining server after the
+/// grace period.
 #[test]
 fn a_drain_after_an_outage_during_a_hot_restart_applies_to_both_processes() {
     let folder = Folder::new("drain");
@@ -248,19 +256,19 @@
     let (config, _) = with_admin(&discovery, &[("a", &a), ("b", &b)]);
     let temporary = [("TMPDIR", folder.0.as_os_str())];
     let mut first = Proxy::spawn_in(&config, &temporary);
-    until("ready", || first.ready() == 200);
+    until("the first process is ready", || first.ready() == 200);
     discovery.publish(true, &[line("a", a.address, "ready", 0), line("b", b.address, "ready", 0)]);
     discovery.stop_answering();
     let mut next = config.clone();
     let admin_next = free_address();
     next["admin"] = json!(admin_next.to_string());
     let second = Proxy::spawn_in(&next, &temporary);
-    until("the second is ready", || admin_call(admin_next, "GET /api/ready") == 200);
+    until("the second process is ready", || admin_call(admin_next, "GET /api/ready") == 200);
     let serve = |n: usize| {
-        // Both listen: the system deals out connections among them.
+        // Both processes listen on the port, and the kernel distributes connections between them.
         (0..n).for_each(|_| assert_eq!(ask(&second, &request("read", 7000)).status(), 200));
     };
-    until("both servers are used", || {
+    until("both servers receive requests", || {
         serve(10);
         a.requests().len() > 5 && b.requests().len() > 5
     });
@@ -272,6 +280,10 @@
     first.terminate();
     assert!(first.exit().success());
     serve(100);
-    assert_eq!(a.requests().len(), leaving, "sent after the grace");
+    assert_eq!(
+        a.requests().len(),
+        leaving,
+        "requests were sent to the draining server after the grace period"
+    );
     assert_eq!(b.requests().len(), served + 200);
 }
--- a/crates/gaugesaddle/tests/bodies.rs
+++ b/crates/gaugesaddle/tests/bodies.rs
@@ -1,5 +1,5 @@
-//! Bodies of every size and framing, from peers that are slow, write in small pieces or break off: each arrives as it
-//! was sent, in bounded memory, and what is cut short can be told from what is whole.
+//! Bodies of every size and framing, from peers that are slow, write in small pieces or disconnect: each arrives
+//! unchanged, in bounded memory, and a truncated body is distinguishable from a complete one.
 
 use gaugesaddle_testbed::scripted::*;
 use serde_json::json;
@@ -7,12 +7,13 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Bytes that tell a shift, a loss and a repeat.
+/// A pattern in which shifted, lost and repeated bytes are detectable.
 fn bytes(length: usize) -> Vec<u8> {
     (0..length).map(|i| b'a' + ((i ^ (i >> 8) ^ (i >> 16)) % 26) as u8).collect()
 }
 
-/// A backend by hand: reads requests, chunked ones too, and answers with what the function gives for a body.
+/// A backend on plain sockets: reads requests, chunked or not, and responds with the bytes that `answer` returns for
+/// a body.
 fn backend(
     answer: impl Fn(&[u8]) -> Vec<u8> + Send + Sync + 'static,
 ) -> (SocketAddr, std::sync::mpsc::Receiver<Vec<u8>>) {
@@ -107,7 +108,8 @@
     all
 }
 
-/// Sends a request in pieces and reads what comes until it is whole or the connection ends.
+/// Sends a request in pieces and reads until the response is complete or the connection ends. Returns the body, or the
+/// status line if it is not 200, or nothing if the response is truncated.
 fn exchange(proxy: &Proxy, head: &str, body: &[u8], piece: usize, pause: Duration) -> Option<Vec<u8>> {
     let mut stream = TcpStream::connect(proxy.address).unwrap();
     stream.set_read_timeout(Some(LONG)).unwrap();
@@ -144,16 +146,16 @@
         assert!(exchange(&proxy, &head, &pieces, 16 << 10, no_pause) == Some(body.clone()), "chunked {size}");
         assert!(seen.recv().unwrap() == body, "chunked {size}");
     }
-    // Dribbled at 64 kB a second, for longer than a body may stand still.
+    // Sent at 64 kB per second, for longer than the timeout of a body without progress.
     let body = bytes(200_000);
     let head = vote_head("Content-Length: 200000");
     assert!(exchange(&proxy, &head, &body, 6_400, Duration::from_millis(100)) == Some(body));
-    // Longer than is passed on.
+    // Longer than the maximum body size.
     let result = exchange(&proxy, &vote_head("Content-Length: 60000000"), b"x", 1, no_pause).unwrap();
     assert_eq!(String::from_utf8_lossy(&result), "http/1.1 413 payload too large");
 }
 
-/// A quarter of 16 MB holds none of these whole: they are passed on while they come, at the same time.
+/// A quarter of 16 MB cannot buffer any of these bodies whole: they are streamed, all at the same time.
 #[test]
 fn bodies_larger_than_memory_are_streamed() {
     let (address, seen) = backend(|body| ok_with(&format!("Content-Length: {}", body.len()), body));
@@ -168,7 +170,7 @@
         }
     });
     (0..4).for_each(|_| assert_eq!(seen.recv().unwrap().len(), 8 << 20));
-    // One that breaks off has never run, and says nothing against the backend.
+    // An aborted request body was not executed and does not count against the backend.
     let mut stream = TcpStream::connect(proxy.address).unwrap();
     stream.write_all(vote_head("Content-Length: 8000000").as_bytes()).unwrap();
     stream.write_all(&bytes(6 << 20)).unwrap();
@@ -176,7 +178,7 @@
     let body = bytes(10);
     let next = exchange(&proxy, &vote_head("Content-Length: 10"), &body, 10, Duration::ZERO);
     assert_eq!(next, Some(body.clone()));
-    assert_eq!(seen.recv().unwrap(), body, "of the broken one no backend saw the end");
+    assert_eq!(seen.recv().unwrap(), body, "a backend received the aborted body in full");
 }
 
 #[test]
@@ -201,6 +203,6 @@
         let (address, _seen) = backend(move |_| text.clone());
         let (proxy, _discovery) = proxy(address, 192);
         let result = exchange(&proxy, &request("read", 7000), b"", 1, Duration::ZERO);
-        assert_eq!(result.map(|b| b.len()), None, "{framing}: cut, and the client sees it");
+        assert_eq!(result.map(|b| b.len()), None, "{framing}: the client did not detect the truncation");
     }
 }
--- a/crates/gaugesaddle/tests/drains.rs
+++ b/crates/gaugesaddle/tests/drains.rs
@@ -1,5 +1,6 @@
-//! Told is told: what discovery has to say counts whether or not the proxy hears it. Every test opens with a way in which
-//! the news does not come, and judges by the first bytes that reach a server that leaves.
+//! Drains published by discovery: the grace period starts when a drain is published, whether or not the proxy
+//! receives it. Each test delays or loses the update in another way and checks that no request reaches the draining
+//! server after it.
 
 use gaugesaddle_testbed::peak_kb;
 use gaugesaddle_testbed::scripted::*;
@@ -8,10 +9,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The settings' time in which sends to a server that leaves must stop, and what the protocol adds.
+/// The time within which sends to a draining server must stop: 500 ms of the settings, and 50 ms for the protocol.
 const GRACE: Duration = Duration::from_millis(500 + 50);
 
-/// Clients that ask all the time, until it is dropped.
+/// Three clients that send requests continuously until [`Traffic::end`].
 struct Traffic(Arc<AtomicBool>, Vec<std::thread::JoinHandle<()>>);
 
 impl Traffic {
@@ -22,7 +23,7 @@
                 let mut client = Client::open(address);
                 while on.load(Ordering::SeqCst) {
                     client.send(&request("read", 7000));
-                    assert!(client.answer().is_some(), "each is answered");
+                    assert!(client.answer().is_some(), "each request is answered");
                 }
             }
         };
@@ -32,27 +33,32 @@
 
     fn end(mut self) {
         self.0.store(false, Ordering::SeqCst);
-        self.1.drain(..).for_each(|t| t.join().expect("every request answered"));
+        self.1.drain(..).for_each(|t| t.join().expect("every request is answered"));
     }
 }
 
-/// Both have been asked since.
+/// Waits until both backends have received more requests.
 fn wait_until_both_serve(a: &Backend, b: &Backend) {
     let before = (a.requests().len(), b.requests().len());
-    until("both serve", || a.requests().len() > before.0 + 3 && b.requests().len() > before.1 + 3);
+    until("both receive requests", || a.requests().len() > before.0 + 3 && b.requests().len() > before.1 + 3);
 }
 
-/// Waits out the grace from when the news was there, and a second more in which `leaving` must get nothing.
+/// Waits until the grace period from the publication is over, and for one second more, in which `leaving` must receive
+/// nothing.
 fn assert_nothing_sent_after_grace(published_at: Instant, leaving: &Backend, other: &Backend) {
     std::thread::sleep((published_at + GRACE).saturating_duration_since(Instant::now()));
     let (before, served) = (leaving.requests().len(), other.requests().len());
     std::thread::sleep(Duration::from_secs(1));
-    assert_eq!(leaving.requests().len() - before, 0, "sent after the grace");
+    assert_eq!(
+        leaving.requests().len() - before,
+        0,
+        "requests were sent to the draining server after the grace period"
+    );
     let served = other.requests().len() - served;
-    assert!(served > 10, "the other one serves: {served}");
+    assert!(served > 10, "the other server receives the requests: {served}");
 }
 
-/// Two servers, their lines, and a proxy that holds both as ready under load.
+/// A proxy under load with two ready servers, and its discovery agent.
 struct Pair {
     a: Backend,
     b: Backend,
@@ -78,20 +84,20 @@
         [line("a", self.a.address, "draining", 0)]
     }
 
-    /// The news were there at that moment: from then on for the grace, and never after it.
+    /// Checks that `a` receives nothing once the grace period from that moment is over, and ends the traffic.
     fn assert_grace_kept(self, published_at: Instant) {
         assert_nothing_sent_after_grace(published_at, &self.a, &self.b);
         self.traffic.end();
     }
 }
 
-/// The whole list: `a` as it says, `b` ready.
+/// The whole endpoint list: `a` with the given status, `b` ready.
 fn lines(a: &Backend, state: &str, b: &Backend) -> [Value; 2] {
     [line("a", a.address, state, 0), line("b", b.address, "ready", 0)]
 }
 
-/// The case of the trial: discovery is silent, a call goes out in the silence and is swallowed by it, discovery comes back
-/// with servers that leave. Before the mend that call was waited for up to 5.5 s, and its servers were sent requests.
+/// Discovery stops answering, a call sent meanwhile is never answered, and discovery returns with a drain. A proxy that
+/// waits up to 5.5 s for the lost call sends requests to the draining server.
 #[test]
 fn a_drain_published_after_an_outage_is_applied_despite_an_unanswered_call() {
     let pair = Pair::start();
@@ -107,7 +113,7 @@
     pair.traffic.end();
 }
 
-/// The watch falls silent and the drain comes in the same moment: the silence has to be noticed by the proxy itself.
+/// The watch stalls at the moment of the drain: the proxy must detect the stall by itself.
 #[test]
 fn a_drain_published_as_the_watch_stalls_is_applied_by_the_next_call() {
     let pair = Pair::start();
@@ -117,8 +123,8 @@
     pair.assert_grace_kept(published_at);
 }
 
-/// Every watch is reset, and so is what comes for a while; the drain comes in the moment in which it ends. The pauses of
-/// before grew to a second.
+/// All discovery connections are reset for 2.7 s, and the drain is published as the resets end. A retry delay that
+/// grows to one second applies the drain too late.
 #[test]
 fn a_drain_after_connection_resets_is_applied_by_the_next_call() {
     let pair = Pair::start();
@@ -129,7 +135,7 @@
     pair.assert_grace_kept(published_at);
 }
 
-/// The answer that brings the drain stops in its middle, on a connection that stays open.
+/// The response with the drain is truncated on a connection that stays open.
 #[test]
 fn a_truncated_list_is_requested_again() {
     let pair = Pair::start();
@@ -138,7 +144,8 @@
     pair.assert_grace_kept(published_at);
 }
 
-/// An agent that began to count anew: its changes are none of the list held, and the drain stands in the whole one only.
+/// A restarted agent counts its index from the start: its changes do not apply to the list in the proxy, and only the
+/// snapshot has the drain.
 #[test]
 fn an_older_index_makes_the_proxy_request_a_snapshot() {
     let pair = Pair::start();
@@ -148,7 +155,7 @@
     pair.assert_grace_kept(published_at);
 }
 
-/// A list in many lines says the same.
+/// A list that is formatted over several lines is applied like a compact one.
 #[test]
 fn an_indented_list_is_applied() {
     let pair = Pair::start();
@@ -158,7 +165,7 @@
     pair.assert_grace_kept(published_at);
 }
 
-/// A process starts with an old list. What its agent has counts as told from its first moment.
+/// A process starts with an outdated list: the grace period of the agent's drain starts with the process.
 #[test]
 fn a_new_process_replaces_its_outdated_list_within_the_grace_period() {
     let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
@@ -171,7 +178,7 @@
     traffic.end();
 }
 
-/// A process starts while discovery is down, refusing at first: what the agent gets at its return counts at once.
+/// A process starts while discovery refuses connections: the grace period of a drain starts when the agent is back.
 #[test]
 fn a_process_started_without_discovery_applies_the_first_list_in_time() {
     let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
@@ -179,14 +186,15 @@
     let proxy = Proxy::start(&config(address, &lines(&a, "ready", &b)));
     let traffic = Traffic::at(&proxy);
     wait_until_both_serve(&a, &b);
-    std::thread::sleep(Duration::from_millis(2_800)); // the pauses of before had grown to a second
+    std::thread::sleep(Duration::from_millis(2_800)); // a growing retry delay reaches one second by now
     let published_at = Instant::now();
     let _discovery = Discovery::start_at(address, &lines(&a, "draining", &b));
     assert_nothing_sent_after_grace(published_at, &a, &b);
     traffic.end();
 }
 
-/// SIGHUP while discovery is silent at the old address and nobody is at the new one yet, and twice in a row.
+/// SIGHUP changes the discovery address while the old agent does not answer and no agent listens at the new address
+/// yet; the last change is repeated.
 #[test]
 fn a_discovery_address_change_during_an_outage_loses_no_drain() {
     let mut pair = Pair::start();
@@ -202,7 +210,7 @@
     pair.assert_grace_kept(published_at);
 }
 
-/// A drain that is taken back, and a server that is gone and back under its name at another address.
+/// A drain is cancelled, and a removed server returns under its name with another address.
 #[test]
 fn a_cancelled_drain_and_a_returning_server_receive_requests_again() {
     let pair = Pair::start();
@@ -218,11 +226,12 @@
     let before = pair.a.requests().len();
     pair.discovery.publish(false, &[line("a", c.address, "ready", 0)]);
     wait_until_both_serve(&c, &pair.b);
-    assert_eq!(pair.a.requests().len(), before, "nothing goes to its old address");
+    assert_eq!(pair.a.requests().len(), before, "requests were sent to the old address");
     pair.traffic.end();
 }
 
-/// All servers leave at once: requests are refused with advice, never sent, and taken again when one is back.
+/// All servers drain at once: requests are rejected with Retry-After and not sent, and admitted again once a server
+/// is ready.
 #[test]
 fn requests_are_rejected_unsent_while_all_servers_drain() {
     let pair = Pair::start();
@@ -234,15 +243,16 @@
     let sent = (pair.a.requests().len(), pair.b.requests().len());
     let refused = ask(&pair.proxy, &request("pay", 300));
     assert_eq!(refused.status(), 503);
-    assert!(refused.header("retry-after").is_some(), "it says when to come back");
+    assert!(refused.header("retry-after").is_some(), "the rejection carries Retry-After");
     assert_eq!((pair.a.requests().len(), pair.b.requests().len()), sent);
     pair.discovery.publish(true, &lines(&pair.a, "ready", &pair.b));
     wait_until_both_serve(&pair.a, &pair.b);
     pair.traffic.end();
 }
 
-/// A list of a hundred thousand servers, and one that fits by its bytes and not by its lines: both are refused by name, the
-/// list held serves on, memory stays within what is told, and the next list that can be used is known in time.
+/// A list of 100 000 servers exceeds the size limit, and one of 2500 the line limit: both are rejected with the limit
+/// in the log, the previous list stays in use, memory stays within its limit, and the next valid list is applied in
+/// time.
 #[test]
 fn an_oversized_list_is_rejected_within_the_memory_limit() {
     let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
@@ -258,15 +268,15 @@
         json!({"index": 9_000, "snapshot": true, "endpoints": all}).to_string()
     };
     discovery.answer_with(&many(100_000));
-    until("it is refused by its bytes", || {
+    until("the list is rejected for its size", || {
         proxy.log().contains("discovery: the list: length limit exceeded")
     });
     discovery.answer_with(&many(2_500));
     let refused = "endpoints: expected no more than 2048 lines for the memory told, got 2500";
-    until("it is refused by its lines", || proxy.log().contains(refused));
+    until("the list is rejected for its number of lines", || proxy.log().contains(refused));
     wait_until_both_serve(&a, &b);
-    let peak = peak_kb(proxy.id()).expect("it runs") >> 10;
-    assert!(peak < 32, "{peak} MB");
+    let peak = peak_kb(proxy.id()).expect("the proxy runs") >> 10;
+    assert!(peak < 32, "peak memory of {peak} MB exceeds the limit of 32 MB");
     let published_at = Instant::now();
     discovery.publish(true, &lines(&a, "draining", &b));
     assert_nothing_sent_after_grace(published_at, &a, &b);
--- a/crates/gaugesaddle/tests/fault_scenarios.rs
+++ b/crates/gaugesaddle/tests/fault_scenarios.rs
@@ -1,5 +1,5 @@
-//! The four rules through fleets in trouble: real proxies among stand-in nodes, judged by the auditor of the test
-//! bed, which must see enough to judge and find nothing.
+//! The auditor's four rules under faults: proxy processes among simulated nodes. The auditor of the test bed must have
+//! enough records for a verdict and no findings.
 
 use gaugesaddle_testbed::scenario::{Clients, Kind};
 use gaugesaddle_testbed::{program, run, Cast, Disturbance, Outcome, Program, Scenario};
@@ -15,13 +15,14 @@
 
 fn run_scenario(s: &Scenario) -> Outcome {
     let program = Program { path: program::path("gaugesaddle"), arguments: Vec::new() };
-    run(s, &Cast::Program(program), &mut |_| {}).expect("a run")
+    run(s, &Cast::Program(program), &mut |_| {}).expect("the scenario runs")
 }
 
-/// So many runs at a time: each waits far more than it works, but two cores carry no more.
+/// Scenarios that run concurrently: each is mostly idle, but two cores sustain no more.
 const PARALLEL_RUNS: usize = 7;
 
-/// Plays them and wants each clean and served at least so well.
+/// Runs all scenarios and requires of each a clean verdict, no node overloaded during slow start, no error in the
+/// logs, and at least the given fraction of the requested weight served in time.
 fn assert_all_clean(scenarios: Vec<(Scenario, f64)>) {
     let mut failed = Vec::new();
     for group in scenarios.chunks(PARALLEL_RUNS) {
@@ -40,13 +41,15 @@
                 })
             })
             .collect();
-        failed.extend(threads.into_iter().filter_map(|t| t.join().expect("no panic")));
+        failed.extend(
+            threads.into_iter().filter_map(|t| t.join().expect("the scenario thread does not panic")),
+        );
     }
     assert!(failed.is_empty(), "{}", failed.join("\n"));
 }
 
-/// What happens to nodes. What a fleet in trouble must still serve is far below what it does serve: the rules are
-/// what is tested here, and a service that is not quite gone.
+/// Faults of nodes. The minimum fraction served is far below what a fleet usually serves under these faults: the test
+/// checks the auditor's rules, and that service does not collapse.
 #[test]
 fn the_audit_is_clean_while_nodes_join_leave_and_fail() {
     let crash = Disturbance::Crash { node: 1, back_after_s: Some(1.0) };
@@ -76,7 +79,7 @@
         (small_scenario("hang", 8).event(1.0, hang.clone()), 0.7),
         (small_scenario("slow", 9).event(1.0, Disturbance::Slow { node: 0, factor: 8.0, for_s: 3.0 }), 0.7),
         (
-            small_scenario("spoilt answers", 10)
+            small_scenario("malformed answers", 10)
                 .event(0.5, Disturbance::Spoil { node: 2, fraction: 0.3, for_s: 4.0 }),
             0.7,
         ),
@@ -85,15 +88,15 @@
                 .event(0.5, Disturbance::Resets { node: 3, fraction: 0.3, for_s: 4.0 }),
             0.7,
         ),
-        (small_scenario("a hall out", 12).event(1.0, Disturbance::ZoneOutage { zone: 1, for_s: 2.0 }), 0.4),
+        (small_scenario("zone outage", 12).event(1.0, Disturbance::ZoneOutage { zone: 1, for_s: 2.0 }), 0.4),
         (
-            small_scenario("burst and deploy", 13)
+            small_scenario("burst during a deploy", 13)
                 .event(0.5, deploy)
                 .event(2.0, Disturbance::Burst { factor: 3.0, for_s: 1.5 }),
             0.3,
         ),
         (
-            small_scenario("hang in a burst", 14)
+            small_scenario("hang during a burst", 14)
                 .event(1.0, hang)
                 .event(1.5, Disturbance::Burst { factor: 3.0, for_s: 1.0 }),
             0.3,
@@ -101,7 +104,7 @@
     ]);
 }
 
-/// What happens to proxies, links, discovery and clients.
+/// Faults of proxies, links, discovery and clients.
 #[test]
 fn the_audit_is_clean_while_proxies_links_and_discovery_fail() {
     let with_slow_clients = |mut s: Scenario| {
@@ -112,15 +115,15 @@
         (s.clients.single_request, s.limits.sockets, s.clients.connections) = (0.9, 192, 64);
         s
     };
-    let with_polled_discovery = |mut s: Scenario| {
+    let polled = |mut s: Scenario| {
         s.discovery.polled = true;
         s
     };
     let cut = Disturbance::LinkPartition { proxy: 0, node: 0, for_s: 2.0 };
     let delay = Disturbance::Delay { proxy: 1, node: 1, by_ms: 40.0, for_s: 3.0 };
     let kill = Disturbance::KillProxy { proxy: 0, back_after_s: 1.0 };
-    // Discovery is silent for seconds, two of three proxies die in the silence, and it comes back into a release.
-    let lost_and_back = small_scenario("most killed while discovery is down, back into a release", 32)
+    // Discovery is down for 2.2 s, two of three proxies are killed meanwhile, and a deploy starts when it is back.
+    let lost_and_back = small_scenario("most proxies killed while discovery is down, then a deploy", 32)
         .event(0.8, Disturbance::DiscoveryDown { for_s: 2.2 })
         .event(1.3, Disturbance::KillProxy { proxy: 0, back_after_s: 0.4 })
         .event(1.3, Disturbance::KillProxy { proxy: 2, back_after_s: 1.9 })
@@ -136,12 +139,9 @@
                     .event(3.5, Disturbance::KillProxy { proxy: 2, back_after_s: 0.5 }),
                 0.6,
             ),
+            (small_scenario("graceful restart", 23).event(1.0, Disturbance::RestartProxy { proxy: 1 }), 0.7),
             (
-                small_scenario("a restart in order", 23).event(1.0, Disturbance::RestartProxy { proxy: 1 }),
-                0.7,
-            ),
-            (
-                small_scenario("a restart amid a deploy", 24)
+                small_scenario("restart during a deploy", 24)
                     .event(0.5, deploy.clone())
                     .event(1.0, Disturbance::RestartProxy { proxy: 0 }),
                 0.6,
@@ -153,32 +153,24 @@
             ),
             (small_scenario("links cut and slow", 26).event(1.0, cut).event(1.0, delay), 0.6),
             (
-                small_scenario("discovery down in a deploy", 27)
+                small_scenario("discovery down during a deploy", 27)
                     .event(0.3, deploy.clone())
                     .event(1.0, Disturbance::DiscoveryDown { for_s: 3.0 }),
                 0.5,
             ),
             (
-                small_scenario("discovery moved in a deploy", 28)
+                small_scenario("discovery moved during a deploy", 28)
                     .event(0.3, deploy.clone())
                     .event(1.5, Disturbance::DiscoveryMove {}),
                 0.6,
             ),
-            (small_scenario("an asked list", 29).event(0.5, deploy), 0.6),
+            (small_scenario("polled discovery", 29).event(0.5, deploy), 0.6),
             (lost_and_back, 0.4),
-            (with_slow_clients(small_scenario("slow and leaving clients", 30)), 0.6),
-            (with_single_requests(small_scenario("clients that ask once and stay", 31)), 0.8),
+            (with_slow_clients(small_scenario("slow and disconnecting clients", 30)), 0.6),
+            (with_single_requests(small_scenario("single-request clients that stay connected", 31)), 0.8),
         ]
         .into_iter()
-        .map(
-            |(s, min_g)| {
-                if s.name == "an asked list" {
-                    (with_polled_discovery(s), min_g)
-                } else {
-                    (s, min_g)
-                }
-            },
-        )
+        .map(|(s, min_g)| if s.name == "polled discovery" { (polled(s), min_g) } else { (s, min_g) })
         .collect(),
     );
 }
--- a/crates/gaugesaddle/tests/golden_commands.rs
+++ b/crates/gaugesaddle/tests/golden_commands.rs
@@ -1,16 +1,16 @@
-//! The failure: a renamed field or option changes what operators' scripts call and read.
+//! Guards against a renamed field or option, which breaks the scripts that operators run on commands and the state.
 
 use gaugesaddle::registry::Snapshot;
 use gaugesaddle_testbed::program;
 use std::process::Command;
 
-/// Every field that a state has, each with a value of its own.
+/// A state with every field, each with a distinct value.
 const STATE: &str = include_str!("data/state.json");
 
 #[test]
 fn the_state_keeps_its_fields_and_their_order() {
-    let snapshot: Snapshot = serde_json::from_str(STATE).expect("it is read");
-    assert_eq!(serde_json::to_string_pretty(&snapshot).expect("it is written") + "\n", STATE);
+    let snapshot: Snapshot = serde_json::from_str(STATE).expect("the recorded state is deserialized");
+    assert_eq!(serde_json::to_string_pretty(&snapshot).expect("the state is serialized") + "\n", STATE);
 }
 
 fn run(arguments: &[&str]) -> std::process::Output {
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn options_and_value_names_of_every_command_are_the_recorded_ones() {
+fn options_and_value_names_match_the_golden_file() {
     let mut lines = Vec::new();
     for command in ["", "check", "edge", "state"] {
         let arguments: Vec<&str> = [command, "--help"].into_iter().filter(|a| !a.is_empty()).collect();
@@ -36,15 +36,15 @@
 }
 
 #[test]
-fn the_sections_of_the_state_are_the_recorded_ones() {
-    let help = String::from_utf8(run(&["state", "--help"]).stdout).expect("text");
+fn state_section_names_are_stable() {
+    let help = String::from_utf8(run(&["state", "--help"]).stdout).expect("the help is UTF-8");
     let names = help.lines().filter_map(|line| line.trim().strip_prefix("- "));
     let names: Vec<&str> = names.filter_map(|line| line.split(':').next()).collect();
     assert_eq!(names, ["regions", "peers", "shares", "zones"]);
 }
 
 #[test]
-fn exit_codes_are_the_recorded_ones() {
+fn exit_codes_are_stable() {
     let cases: [(&[&str], i32); 6] = [
         (&[], 1),
         (&["check", "/nowhere/at/all"], 1),
--- a/crates/gaugesaddle/tests/operator.rs
+++ b/crates/gaugesaddle/tests/operator.rs
@@ -1,5 +1,5 @@
-//! The operator's file and the state socket of the built proxy: what is told, what a reload takes up, and that
-//! nothing of it harms what is served.
+//! The operator's file and the state socket of the proxy: the reported state, the settings that a reload applies, and
+//! that neither disturbs the service.
 
 use gaugesaddle_testbed::authority::Folder;
 use gaugesaddle_testbed::program;
@@ -25,7 +25,7 @@
     serde_json::from_slice(&output.stdout).unwrap()
 }
 
-/// A proxy with a state socket, one backend and a discovery.
+/// A proxy with a state socket, one backend and a discovery agent.
 struct Fixture {
     folder: Folder,
     file: PathBuf,
@@ -44,7 +44,7 @@
     let discovery = Discovery::start();
     let config = config(discovery.address, &[line("a", backend.address, "ready", 0)]);
     let proxy = Proxy::spawn_with(&config, "unlimited", &["--config", file.to_str().unwrap()]);
-    until("ready", || proxy.ready() == 200);
+    until("the proxy is ready", || proxy.ready() == 200);
     Fixture { folder, file, socket, proxy, backend, discovery, config }
 }
 
@@ -65,14 +65,14 @@
     );
     assert_eq!(run_command(&["check", "/nowhere/at/all"]).status.code(), Some(1));
     assert_ne!(run_command(&["chekc"]).status.code(), Some(0));
-    // A proxy that is to serve with a bad file does not start.
+    // A proxy does not start with an invalid file.
     let mut proxy =
         Proxy::spawn_with(&config(free_address(), &[]), "unlimited", &["--config", bad.to_str().unwrap()]);
     assert!(!proxy.exit().success());
-    until("its reason", || proxy.log().contains("state.connections"));
+    until("the reason is logged", || proxy.log().contains("state.connections"));
 }
 
-/// Each request is counted once and under what its client saw.
+/// Each request is counted once, under the outcome that its client observed.
 #[test]
 fn state_counters_match_what_clients_and_backends_observed() {
     let s = start_fixture("adds-up", "");
@@ -80,22 +80,22 @@
         assert_eq!(ask(&s.proxy, &request("read", 7000)).status(), 200);
     }
     assert_eq!(ask(&s.proxy, "GET /read HTTP/1.1\r\n\r\n").status(), 400);
-    // One that its client leaves, and one whose time is up.
-    let mut gone = Client::open(s.proxy.address);
-    gone.send(&request("read", 7000).replace("/a?", "/slow?"));
-    until("its attempt", || s.backend.requests().len() == 21);
-    drop(gone);
-    // A backend that owes an answer is soon taken for silent, and a request that may not be repeated is refused unsent
-    // then: first the leaving must be known, and the backend in use again.
-    until("it has left", || read_state(&s.socket)["classes"][0]["left"] == 1);
+    // One request whose client disconnects, and one whose deadline expires.
+    let mut disconnecting = Client::open(s.proxy.address);
+    disconnecting.send(&request("read", 7000).replace("/a?", "/slow?"));
+    until("the attempt reaches the backend", || s.backend.requests().len() == 21);
+    drop(disconnecting);
+    // A backend with an overdue response is soon considered unresponsive, and a request that must not be retried is
+    // then rejected unsent. So wait until the disconnect is counted and the backend is in use again.
+    until("the disconnect is counted", || read_state(&s.socket)["classes"][0]["left"] == 1);
     let mut retries = 0;
-    until("the backend is asked again", || {
+    until("the backend receives requests again", || {
         retries += 1;
         ask(&s.proxy, &request("read", 7000)).status() == 200
     });
-    let late = ask(&s.proxy, &request("pay", 300).replace("/a?", "/slow?")).status();
-    assert_eq!(late, 502);
-    until("all ended", || read_state(&s.socket)["open"] == 0);
+    let late_status = ask(&s.proxy, &request("pay", 300).replace("/a?", "/slow?")).status();
+    assert_eq!(late_status, 502);
+    until("no request is open", || read_state(&s.socket)["open"] == 0);
     let snapshot = read_state(&s.socket);
     let read = &snapshot["classes"][0];
     assert_eq!((read["name"].as_str(), read["taken"].as_u64()), (Some("read"), Some(21 + retries)));
@@ -107,7 +107,7 @@
     assert_eq!(backend["attempts"].as_u64(), Some(s.backend.requests().len() as u64));
     let outcomes = backend["outcomes"].as_array().unwrap();
     let outcome_count = |name: &str| outcomes.iter().find(|o| o[0] == name).unwrap()[1].as_u64().unwrap();
-    // Whether the module calls the late one off or its time runs out first is the module's to say.
+    // The balancer may cancel the late attempt before its deadline expires, so either outcome is accepted.
     assert_eq!((outcome_count("ok"), outcome_count("cancelled") + outcome_count("timed_out")), (21, 2));
     assert_eq!(outcomes.iter().map(|o| o[1].as_u64().unwrap()).sum::<u64>(), 23);
     let reason_count = |text: &str| {
@@ -120,11 +120,11 @@
     );
     assert_eq!(snapshot["list"]["index"], 0);
     s.discovery.publish(true, &[line("b", s.backend.address, "ready", 0)]);
-    until("the new list", || read_state(&s.socket)["list"]["index"] == 1);
+    until("the new list is applied", || read_state(&s.socket)["list"]["index"] == 1);
     let snapshot = read_state(&s.socket);
     let names: Vec<_> = snapshot["backends"].as_array().unwrap().iter().map(|b| b["name"].clone()).collect();
-    assert_eq!(names, [json!("b")], "a row leaves with its backend");
-    // For people.
+    assert_eq!(names, [json!("b")], "the row of a removed backend is removed");
+    // The table for operators.
     let table = run_command(&["--config", s.file.to_str().unwrap(), "state"]);
     let table = String::from_utf8_lossy(&table.stdout).into_owned();
     assert!(table.contains("serving") && table.contains("wrong: form"), "{table}");
@@ -135,23 +135,23 @@
     let mut s = start_fixture("owner", "");
     let mode = std::fs::metadata(&s.socket).unwrap().permissions().mode();
     assert_eq!(mode & 0o777, 0o600);
-    assert_eq!(std::fs::read_dir(&s.folder.0).unwrap().count(), 2, "no draft is left");
-    // A second proxy on the same socket does not start and takes nothing away.
+    assert_eq!(std::fs::read_dir(&s.folder.0).unwrap().count(), 2, "a temporary file is left behind");
+    // A second proxy with the same socket path does not start and leaves the socket in place.
     let mut other = s.config.clone();
     other["listen"] = json!(free_address().to_string());
     let mut second = Proxy::spawn_with(&other, "unlimited", &["--config", s.file.to_str().unwrap()]);
     assert!(!second.exit().success());
-    until("its reason", || second.log().contains("state.socket") && second.log().contains("answers"));
+    until("a logged reason", || second.log().contains("state.socket") && second.log().contains("answers"));
     read_state(&s.socket);
     s.proxy.terminate();
     assert!(s.proxy.exit().success());
     assert!(!s.socket.exists());
-    // What a killed proxy leaves behind is replaced.
+    // A stale socket, as a killed proxy leaves it, is replaced.
     drop(std::os::unix::net::UnixListener::bind(&s.socket).unwrap());
     let third = Proxy::spawn_with(&other, "unlimited", &["--config", s.file.to_str().unwrap()]);
-    until("ready", || third.ready() == 200);
+    until("the proxy is ready", || third.ready() == 200);
     read_state(&s.socket);
-    // A file that is no socket is left alone.
+    // A regular file at the socket path is not replaced.
     let file = s.folder.file("precious", "text");
     let toml = s.folder.file("precious.toml", &format!("[state]\nsocket = {file:?}\n"));
     other["listen"] = json!(free_address().to_string());
@@ -160,7 +160,7 @@
     assert_eq!(std::fs::read_to_string(&file).unwrap(), "text");
 }
 
-/// Callers that say nothing, too much, or nonsense.
+/// Clients that send nothing, too much, or invalid requests.
 #[test]
 fn misbehaving_state_socket_clients_delay_others_for_seconds_at_most() {
     let s = start_fixture("callers", "connections = 1\n");
@@ -172,9 +172,9 @@
         let _ = caller.read_to_string(&mut answer);
         answer
     };
-    // It waits until the silent one has lost its place.
+    // This request waits until the connection of the silent client times out.
     assert!(exchange(b"what?\n").contains("error"));
-    assert_eq!(silent.read(&mut [0]).unwrap_or(0), 0, "closed");
+    assert_eq!(silent.read(&mut [0]).unwrap_or(0), 0, "the silent client is disconnected");
     let long = exchange(&[b'x'; 1 << 20]);
     assert!(long.is_empty() || long.contains("error"), "{long}");
     assert!(exchange(b"state\n").contains("\"classes\""));
@@ -185,28 +185,28 @@
 fn sighup_applies_a_valid_file_and_ignores_an_invalid_one() {
     let s = start_fixture("sighup", "");
     let config = s.config.to_string();
-    // Bad: nothing changes, neither of this file nor of the platform's.
+    // An invalid file: neither its settings nor those of the platform's file change.
     let elsewhere = Discovery::start();
     let mut moved = s.config.clone();
     moved["discovery"] = json!(elsewhere.address.to_string());
     std::fs::write(&s.file, "[state]\nsocket = 7\n").unwrap();
     s.proxy.reload(&moved.to_string());
-    until("the reason", || {
+    until("the reason is logged", || {
         s.proxy.log().contains("stays as it was") && s.proxy.log().contains("state.socket")
     });
     read_state(&s.socket);
     assert_eq!(elsewhere.calls(), 0);
-    // Another socket, and a level that wants a restart.
+    // Another socket path, which is applied, and a log level, which needs a restart.
     let second = s.folder.0.join("second.sock");
     std::fs::write(&s.file, format!("[log]\nlevel = \"debug\"\n[state]\nsocket = {second:?}\n")).unwrap();
     s.proxy.reload(&config);
-    until("the second socket", || second.exists());
-    until("the old one is gone", || !s.socket.exists());
+    until("the second socket exists", || second.exists());
+    until("the first socket is removed", || !s.socket.exists());
     read_state(&second);
-    until("what is not taken up", || s.proxy.log().contains("not taken up before a restart: log.level"));
-    // Off.
+    until("the setting is logged", || s.proxy.log().contains("not taken up before a restart: log.level"));
+    // No state socket.
     std::fs::write(&s.file, "").unwrap();
     s.proxy.reload(&config);
-    until("off", || !second.exists());
+    until("the second socket is removed", || !second.exists());
     assert_eq!(ask(&s.proxy, &request("read", 7000)).status(), 200);
 }
--- a/crates/gaugesaddle/tests/proxy.rs
+++ b/crates/gaugesaddle/tests/proxy.rs
@@ -1,10 +1,10 @@
-//! The built proxy over loopback sockets: what must hold whatever clients, backends and discovery do.
+//! The proxy process over loopback sockets: properties that hold whatever clients, backends and discovery do.
 
 use gaugesaddle_testbed::scripted::*;
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// A proxy that knows these backends, by name, and its discovery.
+/// A proxy with these named backends as ready, and its discovery agent.
 fn proxy_for(backends: &[(&str, &Backend)]) -> (Proxy, Discovery) {
     let discovery = Discovery::start();
     let lines: Vec<Value> = backends.iter().map(|(n, b)| line(n, b.address, "ready", 0)).collect();
@@ -18,17 +18,17 @@
     let sent = request("vote", 7000);
     let answer = ask(&proxy, &sent);
     assert_eq!((answer.status(), answer.body), (200, b"the answer".to_vec()));
-    let [seen] = &backend.requests()[..] else { panic!("one attempt") };
+    let [seen] = &backend.requests()[..] else { panic!("expected exactly one attempt") };
     assert_eq!(seen.start, "POST /vote/a?b=c HTTP/1.1");
     assert!(sent.contains(&format!("X-Correlation-Id: {}\r\n", seen.header("x-correlation-id").unwrap())));
     assert_eq!(seen.header("idempotency-key"), Some("k1"));
     assert_eq!(seen.body, b"body");
     let left: u64 = seen.header("x-time-left-ms").unwrap().parse().unwrap();
-    assert!(left < 7000, "the time left is the proxy's own: {left}");
+    assert!(left < 7000, "the time left excludes the time spent in the proxy: {left}");
 }
 
-/// Each is answered, its connection ends and nothing of it goes on: read on, the rest of one would be taken for
-/// a request of its own.
+/// Each malformed request is answered, its connection closed and nothing forwarded: if the proxy read on, the rest of
+/// one would be parsed as a request of its own (request smuggling).
 #[test]
 fn malformed_requests_reach_no_backend_and_end_their_connection() {
     let backend = Backend::start(|_| ok("x"));
@@ -66,7 +66,7 @@
         (pay.replace("Content-Length: 4", "Content-Length: -4"), 400),
         (pay.replace("Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5"), 400),
         (pay.replace("Content-Length: 4", "Content-Length: 60000000"), 413),
-        // A reader that goes by the other of the two finds another request in the body.
+        // A backend that uses the other of the two framings finds another request in the body.
         (pay.replace("Content-Length: 4", &format!("Content-Length: 4\r\n{chunked}")), 411),
         (pay.replace("Content-Length: 4", &format!("{chunked}\r\nContent-Length: 4")), 411),
         (pay.replace("Content-Length: 4", &format!("{chunked}\r\nX-A: b\r\ncontent-LENGTH: 4")), 411),
@@ -85,37 +85,37 @@
         assert!(client.ends(), "{shown}");
     }
     assert!(backend.requests().is_empty());
-    // The largest wait that can be written is a wait like any other.
+    // The largest possible deadline is valid.
     assert_eq!(ask(&proxy, &request("read", u64::MAX)).status(), 200);
     assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
 }
 
-/// Two requests with one id: the second is not sent on, and the first is answered as ever.
+/// Of two concurrent requests with one correlation id the second is rejected with 409 and the first is answered.
 #[test]
 fn a_duplicate_correlation_id_is_rejected_while_the_first_is_open() {
-    let (open, held) = std::sync::mpsc::channel::<()>();
-    let held = std::sync::Mutex::new(held);
+    let (release_tx, release_rx) = std::sync::mpsc::channel::<()>();
+    let release_rx = std::sync::Mutex::new(release_rx);
     let backend = Backend::start(move |_| {
-        let _ = held.lock().unwrap().recv();
+        let _ = release_rx.lock().unwrap().recv();
         ok("x")
     });
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     let text = request("read", 7000);
     let mut owner = Client::open(proxy.address);
     owner.send(&text);
-    until("the first", || backend.requests().len() == 1);
+    until("the first request reaches the backend", || backend.requests().len() == 1);
     let mut other = Client::open(proxy.address);
     other.send(&text);
     assert_eq!(other.answer().map(|a| a.status()), Some(409));
     assert!(other.ends());
-    drop(open);
+    drop(release_tx);
     assert_eq!(owner.answer().map(|a| a.status()), Some(200));
     assert_eq!(backend.requests().len(), 1);
     owner.send(&text);
-    assert_eq!(owner.answer().map(|a| a.status()), Some(200), "once answered, the id is free");
+    assert_eq!(owner.answer().map(|a| a.status()), Some(200), "the id may be used again after the response");
 }
 
-/// Clients that say nothing, or half of something, hold a place for a short time only.
+/// Connections without a request, or with an incomplete one, are closed after a short time.
 #[test]
 fn connections_without_a_complete_request_are_closed() {
     let backend = Backend::start(|_| ok("x"));
@@ -133,26 +133,32 @@
     let mut idle = Client::open(proxy.address);
     idle.send(&request("read", 7000));
     assert_eq!(idle.answer().map(|a| a.status()), Some(200));
-    let late = clients.pop().expect("the last").answer().map(|a| a.status());
-    assert_eq!(late, Some(408), "a body that never comes");
+    let late = clients.pop().expect("the client with the incomplete body").answer().map(|a| a.status());
+    assert_eq!(late, Some(408), "an incomplete body times out");
     clients.iter_mut().for_each(|c| assert!(c.ends()));
     assert!(start.elapsed() < Duration::from_secs(4), "{:?}", start.elapsed());
     idle.send(&request("read", 7000));
-    assert_eq!(idle.answer().map(|a| a.status()), Some(200), "one that is used stays longer");
+    assert_eq!(
+        idle.answer().map(|a| a.status()),
+        Some(200),
+        "a connection that has carried a request has a longer idle timeout"
+    );
     assert!(idle.ends());
     assert_eq!(backend.requests().len(), 2);
 }
 
-/// Requests enough that the module has retries to spend.
+/// Sends enough requests to fill the retry budget of the balancer.
 fn warm_up(proxy: &Proxy) {
     (0..10).for_each(|_| assert_eq!(ask(proxy, &request("read", 7000)).status(), 200));
 }
 
-/// What a good answer takes: a request is held for lost, and a copy of it sent, after some times that. On a busy machine an
-/// answer that takes no time at all is late by as much now and then, and the copy would be counted.
+/// Service time of a good response. The balancer sends a second copy of a request after some multiple of the usual
+/// latency; with immediate responses, scheduling delays of a busy machine would exceed it, and the copy would be
+/// counted.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
 
-/// After the warm-up the first backend to be asked does `first`, whoever is asked next serves.
+/// After the warm-up, the first attempt is answered by `first` and later ones are served. Returns the status and the
+/// number of attempts.
 fn outcome_of(first: impl Fn() -> Reply + Clone + Send + Sync + 'static, class: &str) -> (u16, usize) {
     let asked = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
     let start = || {
@@ -180,7 +186,8 @@
     assert_eq!(outcome_of(over, "pay"), (200, 2));
 }
 
-/// An unsafe request that may have run is failed, and sent once: no broken answer passes for a refusal.
+/// An unsafe request that may have been executed fails after one attempt: a broken response never counts as a
+/// rejection.
 #[test]
 fn requests_that_may_have_run_are_not_retried() {
     let cases: [fn() -> Reply; 6] = [
@@ -200,8 +207,8 @@
     }
 }
 
-/// Answers that can't be used: the connection lives on and is no more used, the attempt has failed at once and
-/// may have run.
+/// A malformed response on a connection that stays open: the attempt fails at once and may have been executed, and the
+/// connection is not reused.
 #[test]
 fn a_malformed_response_is_a_failed_attempt() {
     let malformed: [fn() -> String; 11] = [
@@ -222,14 +229,18 @@
         let reply = move || Reply::Respond(answer());
         assert_eq!(outcome_of(reply, "read"), (200, 2), "{:.60}", answer());
         assert_eq!(outcome_of(reply, "pay"), (502, 1), "{:.60}", answer());
-        assert!(start.elapsed() < Duration::from_secs(6), "not at the deadline: {:.60}", answer());
+        assert!(
+            start.elapsed() < Duration::from_secs(6),
+            "the failure was detected only at the deadline: {:.60}",
+            answer()
+        );
     }
-    // Many 1xx answers never end in one that counts.
+    // An endless series of 1xx responses without a final one.
     let endless = || Reply::Respond("HTTP/1.1 102 Processing\r\n\r\n".repeat(20_000));
     assert_eq!(outcome_of(endless, "read"), (200, 2));
 }
 
-/// A good answer is served whatever comes with it, and what is left over is nobody's.
+/// A good response is forwarded despite surplus bytes, unusable headers or 1xx responses; surplus bytes are discarded.
 #[test]
 fn surplus_response_bytes_are_discarded() {
     let next = std::sync::atomic::AtomicUsize::new(0);
@@ -255,7 +266,7 @@
     assert_eq!(backend.requests().len(), 30);
 }
 
-/// The request is at fault, wherever it goes: not sent again, nor held against the backend.
+/// A 4xx is the fault of the request: it is neither retried nor counted against the backend.
 #[test]
 fn a_client_error_from_a_backend_is_forwarded() {
     let backend = Backend::start(|m| match m.header("x-bad") {
@@ -278,12 +289,12 @@
     let discovery = Discovery::start();
     let lines = [line("a", free_address(), "ready", 0), line("b", backend.address, "ready", 0)];
     let proxy = Proxy::start(&config(discovery.address, &lines));
-    // The first that meets it may find no retry to spend yet; after that the module leaves it out.
+    // The first request to it may find the retry budget empty; after that the balancer excludes the backend.
     (0..10).for_each(|_| assert_ne!(ask(&proxy, &request("pay", 7000)).status(), 502));
     (0..10).for_each(|_| assert_eq!(ask(&proxy, &request("pay", 7000)).status(), 200));
 }
 
-/// A backend that closed an idle connection has not seen the next request: it goes out on a new one.
+/// A request whose pooled connection was closed by the backend while idle is sent on a new one.
 #[test]
 fn a_stale_pooled_connection_is_replaced_without_a_retry() {
     let closing = std::sync::atomic::AtomicBool::new(true);
@@ -296,7 +307,7 @@
     });
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     assert_eq!(ask(&proxy, &request("pay", 7000)).status(), 200);
-    until("the connection closed", || backend.closed() == 1);
+    until("the backend's close is complete", || backend.closed() == 1);
     assert_eq!(ask(&proxy, &request("pay", 7000)).status(), 200);
     assert_eq!((backend.requests().len(), backend.opened()), (2, 2));
 }
@@ -324,19 +335,19 @@
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     let mut client = Client::open(proxy.address);
     client.send(&request("pay", 60_000));
-    until("the attempt", || backend.requests().len() == 1);
+    until("the attempt reaches the backend", || backend.requests().len() == 1);
     drop(client);
-    until("its connection closed", || backend.closed() == 1);
+    until("the attempt's connection is closed", || backend.closed() == 1);
 }
 
-/// The deadline ends attempts as timed out and the module answers; the safety net stays unused, also where
-/// less time is left than a tick.
+/// An expired deadline ends attempts as timed out, and the balancer answers; the proxy's own deadline guard stays
+/// unused, even with less time left than a tick.
 #[test]
 fn an_expired_deadline_is_answered_once_by_the_balancer() {
     let backend = Backend::start(|_| Reply::NoResponse);
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     assert_eq!(ask(&proxy, &request("pay", 500)).status(), 502);
-    until("the attempt's connection closed", || backend.closed() == 1);
+    until("the attempt's connection is closed by the proxy", || backend.closed() == 1);
     for left in (0..16).cycle().take(160) {
         let status = ask(&proxy, &request("read", left)).status();
         assert!(matches!(status, 502 | 503), "{status}");
@@ -348,8 +359,8 @@
 fn a_rejection_is_immediate_and_carries_retry_after() {
     let (discovery, backend) = (Discovery::start(), Backend::start(|_| ok("x")));
     let proxy = Proxy::spawn(&config(discovery.address, &[line("a", backend.address, "draining", 0)]));
-    until("an answer", || proxy.ready() == 503);
-    // No backend takes requests: the module holds it for as long as an answer could still be in time.
+    until("the proxy listens", || proxy.ready() == 503);
+    // No backend is ready: the balancer queues the request as long as a response could still be in time.
     let answer = ask(&proxy, &request("read", 100));
     assert_eq!(answer.status(), 503);
     assert!(answer.header("retry-after").unwrap().parse::<u32>().unwrap() > 0);
@@ -360,24 +371,24 @@
 fn a_draining_or_removed_backend_gets_no_new_requests() {
     let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
     let (proxy, discovery) = proxy_for(&[("a", &a), ("b", &b)]);
-    until("both served", || {
+    until("both backends receive requests", || {
         ask(&proxy, &request("read", 7000));
         !a.requests().is_empty() && !b.requests().is_empty()
     });
     discovery.publish(false, &[line("a", a.address, "draining", 0)]);
-    until("the pool of a closed", || a.closed() == a.opened());
+    until("the connections to a are closed", || a.closed() == a.opened());
     let before = a.requests().len();
     (0..20).for_each(|_| assert_eq!(ask(&proxy, &request("read", 7000)).body, b"b"));
     discovery.publish(false, &[line("a", a.address, "ready", 0), line("b", b.address, "gone", 0)]);
-    until("the pool of b closed", || b.closed() == b.opened());
+    until("the connections to b are closed", || b.closed() == b.opened());
     (0..20).for_each(|_| assert_eq!(ask(&proxy, &request("read", 7000)).body, b"a"));
     assert!(a.requests().len() >= before + 20);
     discovery.publish(true, &[line("b", b.address, "ready", 0)]);
-    until("the pool of a closed again", || a.closed() == a.opened());
+    until("the connections to a are closed again", || a.closed() == a.opened());
     (0..20).for_each(|_| assert_eq!(ask(&proxy, &request("read", 7000)).body, b"b"));
 }
 
-/// A backend may be told to drain while the connection to it comes up: not a byte goes there then.
+/// A backend starts to drain while the connection to it is being established: no byte is sent on it.
 #[test]
 fn a_drain_during_the_connect_prevents_the_attempt() {
     let unaccepting = UnacceptingBackend::start();
@@ -388,7 +399,7 @@
     let proxy = Proxy::start(&config);
     let mut client = Client::open(proxy.address);
     client.send(&request("pay", 30_000));
-    // Long enough as a rule for the attempt to wait in the queue.
+    // Usually long enough for the connect to wait in the accept queue.
     std::thread::sleep(Duration::from_millis(300));
     discovery.publish(false, &[line("a", address, "draining", 0)]);
     let bytes = unaccepting.let_in();
@@ -397,18 +408,18 @@
     assert_eq!(bytes.join().unwrap(), 0);
 }
 
-/// A backend is known by its name: after a restart its old connections and its old address are not used.
+/// Backends are identified by name: after a restart neither old connections nor an old address are used.
 #[test]
 fn a_restarted_backend_gets_new_connections() {
     let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
     let (proxy, discovery) = proxy_for(&[("a", &old)]);
     assert_eq!(ask(&proxy, &request("read", 7000)).body, b"old");
     discovery.publish(false, &[line("a", old.address, "ready", 1_700_000_000_000)]);
-    until("the old connection closed", || old.closed() == 1);
+    until("the connection to the old process is closed", || old.closed() == 1);
     assert_eq!(ask(&proxy, &request("read", 7000)).body, b"old");
     assert_eq!(old.opened(), 2);
     discovery.publish(false, &[line("a", new.address, "ready", 1_700_000_000_000)]);
-    until("its connection closed", || old.closed() == 2);
+    until("the connection to the old address is closed", || old.closed() == 2);
     assert_eq!(ask(&proxy, &request("read", 7000)).body, b"new");
 }
 
@@ -422,20 +433,20 @@
         assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200, "after {text}");
     }
     discovery.publish(true, &[line("a", backend.address, "draining", 0)]);
-    until("the good list after them", || proxy.ready() == 503);
+    until("the valid list after them is applied", || proxy.ready() == 503);
 }
 
-/// An agent that takes calls and never answers: the proxy serves from what it knew, and asks anew.
+/// A discovery agent accepts calls and never answers: the proxy serves from its list and retries.
 #[test]
 fn an_unresponsive_discovery_agent_does_not_block_the_watch() {
     let backend = Backend::start(|_| ok("x"));
     let (proxy, discovery) = proxy_for(&[("a", &backend)]);
-    until("a second call after the first was given up", || discovery.calls() >= 2);
+    until("a second call after the first has timed out", || discovery.calls() >= 2);
     assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
     assert_eq!(proxy.ready(), 200);
 }
 
-/// Where the list must be asked for, the watch begins when the module asks, again after each failure.
+/// In mode `subscribe` the watch starts when the balancer requests it, and again after each failure.
 #[test]
 fn a_subscription_starts_when_the_balancer_requests_it() {
     let backend = Backend::start(|_| ok("x"));
@@ -446,11 +457,12 @@
     discovery.answer_with("no list");
     assert_eq!(proxy.ready(), 503);
     discovery.publish(true, &[line("a", backend.address, "ready", 0)]);
-    until("ready", || proxy.ready() == 200);
+    until("the proxy is ready", || proxy.ready() == 200);
     assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
 }
 
-/// More servers than the descriptors for them: each is served by, and the connection that has been idle longest makes room.
+/// More servers than descriptors for upstream connections: all are used, and the connection idle for longest is
+/// closed to make room.
 #[test]
 fn more_servers_than_descriptors_are_all_used() {
     let servers: Vec<Backend> = (0..40).map(|_| Backend::start(|_| ok("x"))).collect();
@@ -458,20 +470,20 @@
     let names: Vec<String> = (0..servers.len()).map(|n| format!("s{n}")).collect();
     let lines: Vec<Value> = names.iter().zip(&servers).map(|(n, b)| line(n, b.address, "ready", 0)).collect();
     let mut config = config(discovery.address, &lines);
-    config["limits"]["sockets"] = json!(64); // 16 of them for servers
+    config["limits"]["sockets"] = json!(64); // 16 of them for upstream connections
     let proxy = Proxy::start(&config);
     let mut client = Client::open(proxy.address);
     for n in 0..600 {
         client.send(&request("read", 7000));
         assert_eq!(client.answer().map(|a| a.status()), Some(200), "request {n}");
         let open = || servers.iter().map(|b| b.opened() - b.closed()).sum::<usize>();
-        until("no more than its part", || open() <= 16);
+        until("no more than 16 open upstream connections", || open() <= 16);
     }
     let used = servers.iter().filter(|b| !b.requests().is_empty()).count();
     assert!(used > 35, "{used} of 40 were used");
 }
 
-/// Neither clients that keep their connection for good nor hundreds that never ask shut others out.
+/// Neither clients that keep idle connections nor hundreds that never send a request block new ones.
 #[test]
 fn a_new_client_is_admitted_while_all_sockets_are_in_use() {
     let backend = Backend::start(|_| ok("x"));
@@ -492,9 +504,9 @@
     assert!(start.elapsed() < Duration::from_secs(8), "{:?}", start.elapsed());
 }
 
-/// The recorded day r0cab0c: clients hold a third of the descriptors at most, most of them ask once on a
-/// connection and keep it for good. Before the mend all of that third stood
-/// waiting in the proxy until each had been idle for 5 s, and half of the requests never reached it.
+/// Recorded day r0cab0c: clients may hold a third of the descriptors, and most send one request on a connection and
+/// keep it open. If idle connections are closed only after 5 s, they take the whole third and half of the requests
+/// never reach the proxy.
 #[test]
 fn idle_connections_of_single_request_clients_are_closed_for_new_ones() {
     let backend = Backend::start(|_| ok("x"));
@@ -507,10 +519,14 @@
     let mut connected: Vec<Client> = Vec::new();
     let start = std::time::Instant::now();
     for turn in 0..400 {
-        // A usual client that asks again and again keeps its connection through all of it.
+        // A client that keeps sending requests keeps its connection throughout.
         steady.send(&request("read", 7000));
-        assert_eq!(steady.answer().map(|a| a.status()), Some(200), "turn {turn}: cut off");
-        until("a connection that the clients may open", || {
+        assert_eq!(
+            steady.answer().map(|a| a.status()),
+            Some(200),
+            "turn {turn}: the connection in use was closed"
+        );
+        until("a client connection within the third is free", || {
             connected.retain_mut(|c| !c.has_ended());
             connected.len() < sockets / 3 - 1
         });
@@ -519,13 +535,13 @@
         assert_eq!(client.answer().map(|a| a.status()), Some(200), "turn {turn}");
         connected.push(client);
     }
-    // Each of six thirds would have waited for 5 s.
+    // The 400 connections are more than six times the third; closing only after 5 s each time would take over 30 s.
     assert!(start.elapsed() < Duration::from_secs(10), "{:?}", start.elapsed());
-    until("the count in the log", || proxy.log().contains("closed: too many idle +"));
+    until("the count is logged", || proxy.log().contains("closed: too many idle +"));
 }
 
-/// With every place taken by connections that were asked on and idle a moment ago, a request of which half has
-/// come goes on, and is served.
+/// While recently used idle connections take every client descriptor, a partially received request is not evicted,
+/// and it is served.
 #[test]
 fn a_partially_received_request_is_not_evicted() {
     let backend = Backend::start(|_| ok("x"));
@@ -533,7 +549,7 @@
     let mut config = config(discovery.address, &[line("a", backend.address, "ready", 0)]);
     config["limits"]["sockets"] = json!(64);
     let proxy = Proxy::start(&config);
-    // The connection is old, its request young.
+    // The connection is old, its current request new.
     let mut slow = Client::open(proxy.address);
     slow.send(&request("read", 7000));
     assert_eq!(slow.answer().map(|a| a.status()), Some(200));
@@ -549,19 +565,19 @@
         others.push(client);
     }
     slow.send(body);
-    assert_eq!(slow.answer().map(|a| a.status()), Some(200), "cut off");
+    assert_eq!(slow.answer().map(|a| a.status()), Some(200), "the connection was evicted");
 }
 
-/// Out of descriptors the proxy lives on, and serves again once it has some.
+/// The proxy survives the exhaustion of its descriptors and serves again once some are free.
 #[test]
 fn the_proxy_recovers_from_descriptor_exhaustion() {
     let backend = Backend::start(|_| ok("x"));
     let discovery = Discovery::start();
     let config = config(discovery.address, &[line("a", backend.address, "ready", 0)]);
     let proxy = Proxy::spawn_with(&config, "40", &[]);
-    until("ready", || proxy.ready() == 200);
+    until("the proxy is ready", || proxy.ready() == 200);
     let clients: Vec<Client> = (0..60).map(|_| Client::open(proxy.address)).collect();
-    until("a failed accept", || proxy.log().contains("accept: "));
+    until("a failed accept is logged", || proxy.log().contains("accept: "));
     drop(clients);
     (0..5).for_each(|_| assert_eq!(ask(&proxy, &request("read", 20_000)).status(), 200));
 }
@@ -580,29 +596,29 @@
     assert_eq!(idle.answer().map(|a| a.status()), Some(200));
     let mut slow = Client::open(proxy.address);
     slow.send(&request("read", 7000).replace("/a?", "/slow?"));
-    until("the slow request", || backend.requests().len() == 2);
+    until("the slow request reaches the backend", || backend.requests().len() == 2);
     proxy.terminate();
-    until("not ready", || proxy.ready() != 200);
-    let answer = slow.answer().expect("an answer to what was taken");
+    until("the proxy is not ready", || proxy.ready() != 200);
+    let answer = slow.answer().expect("a response to the admitted request");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     assert!(idle.ends());
     assert!(proxy.exit().success());
 }
 
-/// A connection that was accepted may have its first request on the way when the listener closes.
+/// The first request of an accepted connection may still be in transit when the listener closes.
 #[test]
 fn sigterm_waits_for_the_first_request_of_a_connection() {
     let backend = Backend::start(|_| ok("x"));
     let (mut proxy, _discovery) = proxy_for(&[("a", &backend)]);
     let mut fresh = Client::open(proxy.address);
     proxy.terminate();
-    until("the listener closed", || proxy.ready() == 0);
+    until("the listener is closed", || proxy.ready() == 0);
     fresh.send(&request("read", 7000));
     assert_eq!(fresh.answer().map(|a| a.status()), Some(200));
     assert!(proxy.exit().success());
 }
 
-/// Uncaught, SIGHUP would end the process; caught and not heeded, the old discovery would be asked for ever.
+/// An unhandled SIGHUP would end the process; an ignored one would leave the watch at the old discovery address.
 #[test]
 fn sighup_moves_the_watch_to_the_new_discovery() {
     let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
@@ -615,15 +631,15 @@
     proxy.reload(&config.to_string());
     second.publish(true, &[line("b", b.address, "ready", 0)]);
     assert_eq!(ask(&proxy, &request("read", 7000)).body, b"b");
-    // The log is read by a thread of its own.
+    // A separate thread reads the log, so lines arrive late.
     until("the log names the setting that needs a restart", || {
         proxy.log().contains("not taken up before a restart: limits.sockets")
     });
-    until("the connection to the old one closed", || first.closed() == 1);
+    until("the connection to the old agent is closed", || first.closed() == 1);
     for bad in ["", &config.to_string()[..200], r#"{"discovery":"nowhere"}"#] {
         let before = proxy.log().matches("stays as it was").count();
         proxy.reload(bad);
-        until("the refusal of a bad file", || proxy.log().matches("stays as it was").count() > before);
+        until("the rejection is logged", || proxy.log().matches("stays as it was").count() > before);
         assert_eq!(ask(&proxy, &request("read", 7000)).body, b"b");
     }
     config["discovery"] = json!(third.address.to_string());
@@ -658,7 +674,7 @@
     for (config, message) in cases {
         let mut proxy = Proxy::spawn(&config);
         assert!(!proxy.exit().success());
-        until("its message", || proxy.log().contains(message));
+        until("the message is logged", || proxy.log().contains(message));
         assert_eq!(proxy.log().lines().count(), 1, "{}", proxy.log());
     }
 }
--- a/crates/gaugesaddle/tests/race_conditions.rs
+++ b/crates/gaugesaddle/tests/race_conditions.rs
@@ -1,5 +1,5 @@
-//! Where two events cross. Every test brings about the bad order of one pair, as the rows of `docs/design/crossings.md`
-//! name them, and judges by what reaches the other side of a real connection.
+//! Races between two events, as listed in `docs/design/crossings.md`. Each test forces the unfavourable order of one
+//! pair and checks what arrives at the other end of a real connection.
 
 use gaugesaddle_testbed::scripted::*;
 use serde_json::{json, Value};
@@ -9,14 +9,14 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// From a client's close on, an attempt that begins later than this is one too many.
+/// Time after a client's close within which the proxy must detect it: no attempt may start later.
 const DISCONNECT_DETECTION_BOUND: Duration = Duration::from_millis(100);
 
 fn ready(name: &str, backend: &Backend) -> Value {
     line(name, backend.address, "ready", 0)
 }
 
-/// A backend that answers nothing before it is let go, and a word for each request that has reached it.
+/// A backend that announces each request on `arrivals` and answers it with the next of `replies`.
 struct Gated {
     backend: Backend,
     arrivals: mpsc::Receiver<()>,
@@ -35,11 +35,11 @@
     }
 
     fn wait_for_request(&self) {
-        self.arrivals.recv_timeout(Duration::from_secs(20)).expect("a request");
+        self.arrivals.recv_timeout(Duration::from_secs(20)).expect("a request reaches the backend");
     }
 }
 
-/// A client's bare connection, of which each half can be ended alone.
+/// A client's plain TCP connection, whose halves can be shut down separately.
 fn connect(proxy: &Proxy) -> TcpStream {
     let stream = TcpStream::connect(proxy.address).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
@@ -56,13 +56,14 @@
     backend.requests().iter().any(|m| m.header("x-correlation-id") == Some(&id))
 }
 
-// The client leaves.
+// Client disconnects.
 
-/// A client leaves while its request is held, and what it had sent behind that request stands unread before its end: the
-/// end was not seen, and the request was sent on when a backend came.
+/// A client disconnects while its request waits for a backend. Bytes that it sent after the request stand unread
+/// before the end of the stream and can hide it, so that the request is still forwarded once a backend is ready.
 #[test]
 fn a_disconnect_behind_unread_bytes_cancels_the_waiting_request() {
-    // The last is more than is read ahead. (Of more than the system itself holds the end does not even arrive.)
+    // The last case exceeds the proxy's read-ahead. (With more than the socket buffers hold, the FIN does not even
+    // arrive.)
     for behind in ["\r\n".to_string(), request("read", 7000), "x".repeat(40_000)] {
         let backend = Backend::start(|_| ok("x"));
         let discovery = Discovery::start();
@@ -74,21 +75,21 @@
         let mut client = connect(&proxy);
         client.set_nonblocking(true).unwrap();
         let _ = client.write_all((waiting.clone() + &behind).as_bytes());
-        // Taken: an id that is open is refused.
-        until("the request is held", || ask(&proxy, &waiting).status() == 409);
+        // A duplicate correlation id is rejected with 409 as long as the request is open.
+        until("the request waits in the proxy", || ask(&proxy, &waiting).status() == 409);
         drop(client);
         std::thread::sleep(DISCONNECT_DETECTION_BOUND);
         discovery.publish(true, &[ready("a", &backend)]);
         assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
         assert!(
             !has_received(&backend, &waiting),
-            "sent on for a client that has gone, {} bytes behind",
+            "forwarded for a disconnected client that had sent {} more bytes",
             behind.len()
         );
     }
 }
 
-/// Two requests in one piece; the client leaves while the first is at work. The second is nobody's any more.
+/// A client pipelines two requests and disconnects while the first is in flight: the second must not be forwarded.
 #[test]
 fn a_pipelined_request_is_not_forwarded_after_the_client_disconnects() {
     let gated = Gated::start();
@@ -104,10 +105,10 @@
     gated.replies.send(ok("first")).unwrap();
     gated.replies.send(ok("probe")).unwrap();
     assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
-    assert!(!has_received(&gated.backend, &second), "begun after its client left");
+    assert!(!has_received(&gated.backend, &second), "the attempt started after its client disconnected");
 }
 
-/// A client that ends its sending only has gone as well: nobody would tell its close from it.
+/// A half-close counts as a disconnect, as the proxy cannot distinguish it from a full close.
 #[test]
 fn a_half_close_counts_as_a_disconnect() {
     let backend = Backend::start(|_| Reply::NoResponse);
@@ -116,13 +117,13 @@
     discovery.publish(true, &[ready("a", &backend)]);
     let mut client = connect(&proxy);
     client.write_all(request("read", 7000).as_bytes()).unwrap();
-    until("the attempt", || backend.requests().len() == 1);
+    until("the attempt reaches the backend", || backend.requests().len() == 1);
     client.shutdown(Shutdown::Write).unwrap();
-    until("its attempt called off", || backend.closed() == 1);
-    assert_eq!(client.read(&mut [0]).unwrap_or(0), 0, "no answer after its end");
+    until("the attempt is cancelled", || backend.closed() == 1);
+    assert_eq!(client.read(&mut [0]).unwrap_or(0), 0, "a response after the client's half-close");
 }
 
-/// The client leaves while the connection for its attempt comes up: not a byte goes out on it.
+/// The client disconnects while the upstream connection is being established: no byte is sent on it.
 #[test]
 fn a_client_disconnect_during_the_upstream_connect_sends_no_bytes() {
     let unaccepting = UnacceptingBackend::start();
@@ -133,20 +134,21 @@
     let waiting = request("pay", 20_000);
     let mut client = connect(&proxy);
     client.write_all((waiting.clone() + "\r\n").as_bytes()).unwrap();
-    until("it is taken", || ask(&proxy, &waiting).status() == 409);
+    until("the request is open", || ask(&proxy, &waiting).status() == 409);
     drop(client);
-    let again = waiting.replace("X-Time-Left-Ms: 20000", "X-Time-Left-Ms: 50");
-    until("it is over", || ask(&proxy, &again).status() != 409);
+    let duplicate = waiting.replace("X-Time-Left-Ms: 20000", "X-Time-Left-Ms: 50");
+    until("the request is no longer open", || ask(&proxy, &duplicate).status() != 409);
     let address = unaccepting.address;
     let bytes = unaccepting.let_in();
-    std::thread::sleep(Duration::from_millis(1_500)); // the system tries a connect anew after a second
+    std::thread::sleep(Duration::from_millis(1_500)); // the kernel retransmits a SYN after one second
     UnacceptingBackend::done(address);
     assert_eq!(bytes.join().unwrap(), 0);
 }
 
-// A retry and its window.
+// Retries and the idempotency window.
 
-/// An attempt may have run; the connection for its repeat comes up after the window in which the backends know the key.
+/// An attempt may have been executed, and the connection for its retry is established only after the window in which
+/// the backends remember the idempotency key.
 #[test]
 fn a_retry_is_not_sent_after_its_idempotency_window() {
     let (gated, unaccepting) = (Gated::start(), UnacceptingBackend::start());
@@ -156,7 +158,7 @@
     let window = Duration::from_micros(config["settings"]["profiles"][1]["window_us"].as_u64().unwrap());
     let proxy = Proxy::start(&config);
     discovery.publish(true, &[ready("a", &gated.backend)]);
-    // Repeats are held to a part of the requests: some have to come first.
+    // Retries are limited to a fraction of the requests, so some requests have to precede one.
     for _ in 0..20 {
         gated.replies.send(ok("x")).unwrap();
         assert_eq!(ask(&proxy, &request("vote", 7000)).status(), 200);
@@ -173,37 +175,38 @@
     let bytes = unaccepting.let_in();
     let mut answer = [0; 12];
     client.read_exact(&mut answer).unwrap();
-    assert_eq!(&answer, b"HTTP/1.1 502", "it may have run, and can't be repeated any more");
+    assert_eq!(&answer, b"HTTP/1.1 502", "possibly executed and no longer retryable");
     UnacceptingBackend::done(address);
-    assert_eq!(bytes.join().unwrap(), 0, "sent again after its window");
+    assert_eq!(bytes.join().unwrap(), 0, "the retry was sent after the idempotency window");
 }
 
-// The end of the process.
+// Shutdown.
 
-/// Half a request has come on a connection between requests when the process lets go of those: it is answered.
+/// Shutdown closes idle connections; one on which a request has been received in part is kept, and the request
+/// answered.
 #[test]
 fn a_partially_received_request_is_answered_during_shutdown() {
     let backend = Backend::start(|_| ok("x"));
     let discovery = Discovery::start();
     let mut proxy = Proxy::start(&config(discovery.address, &[ready("a", &backend)]));
     discovery.publish(true, &[ready("a", &backend)]);
-    let (mut half, mut resting) = (Client::open(proxy.address), Client::open(proxy.address));
-    for client in [&mut half, &mut resting] {
+    let (mut partial, mut idle_client) = (Client::open(proxy.address), Client::open(proxy.address));
+    for client in [&mut partial, &mut idle_client] {
         client.send(&request("read", 7000));
         assert_eq!(client.answer().map(|a| a.status()), Some(200));
     }
     let text = request("read", 7000);
-    half.send(&text[..text.len() / 2]);
+    partial.send(&text[..text.len() / 2]);
     proxy.terminate();
-    assert!(resting.ends(), "let go");
-    half.send(&text[text.len() / 2..]);
-    let answer = half.answer().expect("an answer to what was on its way");
+    assert!(idle_client.ends(), "the idle connection is closed");
+    partial.send(&text[text.len() / 2..]);
+    let answer = partial.answer().expect("an answer to the partially received request");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(half.ends());
+    assert!(partial.ends());
     assert!(proxy.exit().success());
 }
 
-/// Several requests came in one piece before the end: each is answered, and the last answer says that it is the last.
+/// Pipelined requests received before the shutdown are all answered, the last one with `Connection: close`.
 #[test]
 fn pipelined_requests_are_all_answered_during_shutdown() {
     let gated = Gated::start();
@@ -214,11 +217,11 @@
     client.send(&(request("read", 7000) + &request("vote", 7000) + &request("read", 7000)));
     gated.wait_for_request();
     proxy.terminate();
-    until("it ends", || proxy.ready() != 200);
+    until("the proxy is not ready", || proxy.ready() != 200);
     (0..3).for_each(|_| gated.replies.send(ok("x")).unwrap());
     let connection_headers: Vec<Option<String>> = (0..3)
         .map(|n| {
-            let answer = client.answer().unwrap_or_else(|| panic!("request {n} has no answer"));
+            let answer = client.answer().unwrap_or_else(|| panic!("request {n} got no response"));
             assert_eq!(answer.status(), 200);
             answer.header("connection").map(String::from)
         })
@@ -228,8 +231,8 @@
     assert!(proxy.exit().success());
 }
 
-/// The last answer is still on its way to a slow reader when its connection ends over bytes that nobody read: closed at
-/// once, it would be reset, and the rest of the answer with it.
+/// A slow client still reads the last response when the proxy closes the connection, on which unread bytes have
+/// arrived. An immediate close would send a reset and lose the rest of the response.
 #[test]
 fn closing_with_unread_bytes_does_not_reset_the_last_response() {
     let length = 12 << 20;
@@ -242,12 +245,12 @@
     let mut first = [0; 1];
     client.read_exact(&mut first).unwrap();
     proxy.terminate();
-    until("it ends", || proxy.ready() != 200);
-    // One read takes up the first of these; the others stand in the system when the proxy closes.
-    let mut behind = client.try_clone().unwrap();
+    until("the proxy is not ready", || proxy.ready() != 200);
+    // The proxy reads the first of these; the others are in the socket buffer when it closes.
+    let mut surplus_writer = client.try_clone().unwrap();
     let flood = std::thread::spawn(move || {
         for _ in 0..2_000 {
-            if behind.write_all(&[b'x'; 100]).is_err() {
+            if surplus_writer.write_all(&[b'x'; 100]).is_err() {
                 break;
             }
             std::thread::sleep(Duration::from_micros(500));
@@ -263,16 +266,16 @@
         std::thread::sleep(Duration::from_millis(1));
     };
     flood.join().unwrap();
-    assert!(body >= length, "{body} of {length} bytes");
+    assert!(body >= length, "received {body} of {length} bytes");
     assert!(proxy.exit().success());
 }
 
-/// SIGTERM before any list, during a silence of discovery: there is nothing to wait for.
+/// SIGTERM before the first endpoint list, while discovery does not answer: there is nothing to wait for.
 #[test]
 fn shutdown_before_the_first_endpoint_list_is_clean() {
     let discovery = Discovery::start();
     let mut proxy = Proxy::spawn(&config(discovery.address, &[]));
-    until("it listens", || proxy.ready() == 503);
+    until("the proxy listens", || proxy.ready() == 503);
     discovery.stop_answering();
     let before = Instant::now();
     proxy.terminate();
@@ -280,8 +283,8 @@
     assert!(before.elapsed() < Duration::from_secs(3), "{:?}", before.elapsed());
 }
 
-/// SIGTERM comes twice, SIGHUP between and after, the backend hangs: one answer by the deadline, then a clean end well
-/// before anybody would kill it.
+/// Two SIGTERM with SIGHUP between and after them, and a backend that hangs: one response by the deadline, then a
+/// clean exit well before a supervisor would kill the process.
 #[test]
 fn overlapping_signals_and_a_hanging_backend_do_not_delay_shutdown() {
     let backend = Backend::start(|_| Reply::NoResponse);
@@ -292,42 +295,42 @@
     let mut client = Client::open(proxy.address);
     let sent = Instant::now();
     client.send(&request("pay", 2_000));
-    until("the attempt", || backend.requests().len() == 1);
+    until("the attempt reaches the backend", || backend.requests().len() == 1);
     proxy.terminate();
     proxy.reload(&config.to_string());
     proxy.terminate();
     proxy.reload("not a configuration");
     proxy.signal("-INT");
-    let answer = client.answer().expect("an answer");
+    let answer = client.answer().expect("a response");
     assert_eq!((answer.status(), answer.header("connection")), (502, Some("close")));
     assert!(sent.elapsed() < Duration::from_millis(2_100), "{:?}", sent.elapsed());
     assert!(proxy.exit().success());
     assert!(sent.elapsed() < Duration::from_millis(2_900), "{:?}", sent.elapsed());
 }
 
-/// Half a request, of which the rest does not come: the end does not wait for it, and whoever sends it later finds a
-/// closed connection while the process could still answer elsewhere.
+/// Shutdown does not wait for the rest of an incomplete request: its connection is closed, and the client can retry at
+/// another proxy.
 #[test]
 fn an_incomplete_request_does_not_delay_shutdown() {
     let backend = Backend::start(|_| ok("x"));
     let discovery = Discovery::start();
     let mut proxy = Proxy::start(&config(discovery.address, &[ready("a", &backend)]));
     discovery.publish(true, &[ready("a", &backend)]);
-    let mut half = Client::open(proxy.address);
-    half.send(&request("read", 7000));
-    assert_eq!(half.answer().map(|a| a.status()), Some(200));
-    half.send("GET /read/a?b=c HTTP/1.1\r\nHost: back");
+    let mut partial = Client::open(proxy.address);
+    partial.send(&request("read", 7000));
+    assert_eq!(partial.answer().map(|a| a.status()), Some(200));
+    partial.send("GET /read/a?b=c HTTP/1.1\r\nHost: back");
     let before = Instant::now();
     proxy.terminate();
-    assert!(half.ends());
+    assert!(partial.ends());
     assert!(proxy.exit().success());
     assert!(before.elapsed() < Duration::from_millis(1_500), "{:?}", before.elapsed());
 }
 
-// Hand-overs.
+// Reloads and starts.
 
-/// A new configuration comes while a request is at work: its classes stand in another order and have other effects, its
-/// limits and tenants are others. All that goes on under the one of the start, and the log says what did not change.
+/// A reload while a request is in flight brings reordered classes with other effects, and other tenants. All of these
+/// stay as at the start of the process, and the log names the settings that need a restart.
 #[test]
 fn reloaded_settings_that_need_a_restart_do_not_affect_open_requests() {
     let gated = Gated::start();
@@ -345,31 +348,36 @@
     settings["profiles"] = json!(profiles);
     settings["customers"] = json!([{"name": "acme", "quota_rps": 1.0}]);
     proxy.reload(&config.to_string());
-    until("what is not taken up", || {
+    until("the settings that need a restart are logged", || {
         let log = proxy.log();
         ["settings.profiles", "settings.customers"].iter().all(|key| log.contains(key))
     });
-    // Under the new one it might be sent again, for there it may.
+    // Under the new settings this request could be retried.
     gated.replies.send(Reply::RespondAndClose(String::new())).unwrap();
     let mut answer = [0; 12];
     client.read_exact(&mut answer).unwrap();
     assert_eq!(&answer, b"HTTP/1.1 502");
     for _ in 0..3 {
         gated.replies.send(ok("x")).unwrap();
-        assert_eq!(ask(&proxy, &request("pay", 7000)).status(), 200, "as it was, with no account");
+        assert_eq!(
+            ask(&proxy, &request("pay", 7000)).status(),
+            200,
+            "served under the settings of the start, without a quota"
+        );
     }
-    assert_eq!(gated.backend.requests().len(), 4, "each was sent once");
-    // Another proxy's file moves nothing: its discovery is not this one's.
+    assert_eq!(gated.backend.requests().len(), 4, "each request is sent once");
+    // A file with another proxy's name is rejected, and its discovery address is not used.
     let other = Discovery::start();
     config["name"] = json!("n2");
     config["discovery"] = json!(other.address.to_string());
     proxy.reload(&config.to_string());
-    until("the refusal", || proxy.log().contains("name: expected \"n1\", got \"n2\""));
+    until("the rejection is logged", || proxy.log().contains("name: expected \"n1\", got \"n2\""));
     discovery.publish(false, &[]);
     assert_eq!(other.calls(), 0);
 }
 
-/// A process that starts with a list is ready at once, whatever discovery does: silent, refusing, or asked and down.
+/// A process that starts with a known list is ready at once, whether discovery does not answer or refuses
+/// connections, and in both discovery modes.
 #[test]
 fn a_process_with_a_known_list_is_ready_without_discovery() {
     let backend = Backend::start(|_| ok("x"));
@@ -392,8 +400,8 @@
 
 // Descriptors.
 
-/// Idle clients hold every descriptor that clients may have while discovery is down, and go on coming: the server that
-/// leaves at its return is known in time, and who has something to ask gets in.
+/// Idle clients take every descriptor allotted to clients while discovery is down, and more keep connecting: the
+/// drain that discovery publishes on its return is applied in time, and clients with requests are admitted.
 #[test]
 fn idle_clients_do_not_exhaust_descriptors_for_discovery_and_backends() {
     const GRACE: Duration = Duration::from_millis(550);
@@ -401,9 +409,9 @@
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[ready("a", &a), ready("b", &b)]);
     config["limits"]["sockets"] = json!(64);
-    // The system's own limit is the one that is told.
+    // RLIMIT_NOFILE equals the configured limit.
     let proxy = Proxy::spawn_with(&config, "64", &[]);
-    until("ready", || proxy.ready() == 200);
+    until("the proxy is ready", || proxy.ready() == 200);
     discovery.publish(true, &[ready("a", &a), ready("b", &b)]);
     let (stop, stopped) = mpsc::channel::<()>();
     let address = proxy.address;
@@ -425,16 +433,16 @@
     std::thread::sleep((published_at + GRACE).saturating_duration_since(Instant::now()));
     let before = a.requests().len();
     (0..20).for_each(|_| assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200));
-    assert_eq!(a.requests().len(), before, "sent to a server that has left");
+    assert_eq!(a.requests().len(), before, "requests were sent to a drained server");
     drop(stop);
-    assert!(idle_clients.join().unwrap() > 64, "it was no crowd");
+    assert!(idle_clients.join().unwrap() > 64, "too few idle clients to take all descriptors");
     assert!(!proxy.log().contains("accept: failed"), "{}", proxy.log());
 }
 
-// What may have run.
+// Possibly executed requests.
 
-/// A long body with a stated length has gone to the backend whole, which then breaks off: it may have run. Its client
-/// must not hear that trying again is harmless.
+/// The backend closes the connection after it received a long request body in full: the request may have been
+/// executed, and the response must not mark it as safe to retry.
 #[test]
 fn a_streamed_request_sent_in_full_counts_as_possibly_executed() {
     let backend = Backend::start(|_| Reply::RespondAndClose(String::new()));
@@ -448,13 +456,14 @@
     let mut client = Client::open(proxy.address);
     client.send(head.strip_suffix("body").unwrap());
     client.send(&"b".repeat(length));
-    let answer = client.answer().expect("an answer");
+    let answer = client.answer().expect("a response");
     assert_eq!((answer.status(), backend.requests().len()), (502, 1));
 }
 
-// Discovery that is asked.
+// Discovery by subscription.
 
-/// The watch breaks, the call after it is swallowed, and then a server leaves: told 6 s later, whatever failed before.
+/// The watch is reset, the next call is never answered, and a drain follows: it is applied within the grace period that
+/// starts 6 s after the publication, whatever failed before.
 #[test]
 fn a_drain_after_a_failed_and_an_unanswered_discovery_call_is_applied_in_time() {
     const PUBLISH_DELAY: Duration = Duration::from_secs(6);
@@ -472,5 +481,5 @@
     std::thread::sleep((published_at + GRACE).saturating_duration_since(Instant::now()));
     let before = a.requests().len();
     (0..40).for_each(|_| assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200));
-    assert_eq!(a.requests().len(), before, "sent to a server that has left");
+    assert_eq!(a.requests().len(), before, "requests were sent to a drained server");
 }
--- a/crates/gaugesaddle/tests/region.rs
+++ b/crates/gaugesaddle/tests/region.rs
@@ -1,5 +1,5 @@
-//! Two regions of real processes: halls lost, gateways that die, lie and fall silent, strangers at the door, keys that
-//! change in service. What is served, and what never happens.
+//! Federation between two regions of proxy processes: regions without backends, gateways that fail, stop or send
+//! invalid data, unauthenticated peers, and key rotation under load.
 
 use bytes::Bytes;
 use gaugesaddle_testbed::authority::*;
@@ -22,13 +22,13 @@
     discovery: Discovery,
 }
 
-/// What differs from one site to the next.
+/// The settings of a site.
 struct Plan<'a> {
     name: &'a str,
     keys: &'a Keys,
     trust: &'a str,
     listen: Option<SocketAddr>,
-    /// Names, addresses and budgets.
+    /// Names, gateway addresses and budgets of the other regions.
     others: &'a [(&'a str, Option<SocketAddr>, &'a str)],
     backends: &'a [SocketAddr],
     extra_settings: &'a str,
@@ -49,7 +49,7 @@
         let config = config(discovery.address, &lines);
         let proxy = Proxy::spawn_with(&config, "unlimited", &["--config", file.to_str().unwrap()]);
         let site = Site { folder, proxy, discovery };
-        until("its state", || site.try_state().is_some());
+        until("the state socket answers", || site.try_state().is_some());
         site
     }
 
@@ -84,7 +84,7 @@
     }
 
     fn state(&self) -> Value {
-        self.try_state().expect("a proxy that answers")
+        self.try_state().expect("the state socket answers")
     }
 
     fn in_state(&self, state: &str) -> bool {
@@ -96,7 +96,7 @@
     }
 }
 
-/// Two regions that know each other.
+/// Two regions, each configured as the other's failover target.
 struct Pair {
     authority: Authority,
     north: Site,
@@ -133,7 +133,7 @@
     let regions = start_pair("serves", &[], &[backend.address; 3], LARGE_BUDGET);
     until("the north spills", || regions.north.in_state("spilling"));
     for class in ["read", "vote", "pay"] {
-        // What a client writes about regions is none of it: neither believed nor passed on.
+        // Federation headers in a client's request are ignored and not forwarded.
         let forged = request(class, 7000)
             .replace("Host:", "Region-Path: south, north;left=0\r\nRegion-Fate: ran\r\nHost:");
         let answer = ask(&regions.north.proxy, &forged);
@@ -141,7 +141,7 @@
         assert_eq!(
             (answer.header("region-fate"), answer.header("region-took-us")),
             (None, None),
-            "between gateways"
+            "federation headers reached the client"
         );
     }
     let seen = backend.requests();
@@ -149,25 +149,25 @@
     for message in &seen {
         assert_eq!((message.header("region-path"), message.header("region-fate")), (None, None));
         let left: u64 = message.header("x-time-left-ms").unwrap().parse().unwrap();
-        assert!(left < 6980, "less by the way and the margin at least: {left}");
+        assert!(left < 6980, "the time left excludes at least the round trip and the margin: {left}");
     }
     let votes: Vec<_> = seen.iter().filter(|m| m.start.starts_with("POST /vote/a?b=c")).collect();
     assert_eq!(
         (votes.len(), votes[0].header("idempotency-key"), &votes[0].body[..]),
         (1, Some("k1"), &b"body"[..])
     );
-    // The view is of a moment ago.
-    until("both have counted", || {
+    // The state is published with a delay.
+    until("both proxies have counted the requests", || {
         (regions.north.count("sent"), regions.north.count("ran"), regions.south.count("taken")) == (3, 3, 3)
     });
 }
 
 #[test]
 fn requests_are_rejected_without_a_loop_while_both_regions_spill() {
-    // Listed, and nobody there.
+    // Listed backends whose addresses refuse connections.
     let lost = [free_address(), free_address()];
     let regions = start_pair("both", &lost, &lost, LARGE_BUDGET);
-    until("both spill", || {
+    until("both regions spill", || {
         for site in [&regions.north, &regions.south] {
             assert_eq!(ask(&site.proxy, &request("read", 4000)).status(), 503);
         }
@@ -177,15 +177,15 @@
         for site in [&regions.north, &regions.south] {
             let began = Instant::now();
             let answer = ask(&site.proxy, &request(class, 7000));
-            assert_eq!(answer.status(), 503, "{class}: known not to have run");
+            assert_eq!(answer.status(), 503, "{class}: not executed");
             assert!(answer.header("retry-after").is_some());
-            assert!(began.elapsed() < Duration::from_millis(6500), "not kept until its time is up");
+            assert!(began.elapsed() < Duration::from_millis(6500), "the request was kept until its deadline");
         }
     }
-    until("both have barred some", || regions.north.count("barred") > 0 && regions.south.count("barred") > 0);
+    until("ineligible requests", || regions.north.count("barred") > 0 && regions.south.count("barred") > 0);
 }
 
-/// Backends come back: what comes is served at home again, and nothing leaves any more.
+/// Once its backends are back, a region serves its own requests again and forwards none.
 #[test]
 fn a_recovered_region_serves_its_own_requests_again() {
     let (south, home) = (Backend::start(|_| ok("south")), Backend::start(|_| ok("home")));
@@ -193,11 +193,11 @@
     until("the north spills", || regions.north.in_state("spilling"));
     assert_eq!(ask(&regions.north.proxy, &request("vote", 7000)).body, b"south");
     regions.north.discovery.publish(true, &[line("n", home.address, "ready", 0)]);
-    until("home", || {
+    until("the north is in state local", || {
         ask(&regions.north.proxy, &request("read", 7000));
         regions.north.in_state("local")
     });
-    std::thread::sleep(Duration::from_millis(100)); // past the next view
+    std::thread::sleep(Duration::from_millis(100)); // longer than the interval at which the state is published
     let sent = regions.north.count("sent");
     for _ in 0..20 {
         assert_eq!(ask(&regions.north.proxy, &request("vote", 7000)).body, b"home");
@@ -229,7 +229,7 @@
     let backends = [south.address];
     let _south = Site::start("switch", &Plan { backends: &backends, ..plan(1) });
     let north = Site::start("switch", &north_plan);
-    until("it spills", || north.in_state("spilling"));
+    until("the north spills", || north.in_state("spilling"));
     let switch = |text: &str| {
         let valid = Site::text(&north.folder, &north_plan);
         let text = valid.replace("enabled = true\n", &format!("enabled = true\n{text}\n"));
@@ -237,22 +237,22 @@
         north.proxy.signal("-HUP");
     };
     switch("switch = \"never\"");
-    until("never", || north.state()["switch"] == "never");
+    until("the switch is never", || north.state()["switch"] == "never");
     let before = north.count("sent");
     assert_eq!(ask(&north.proxy, &request("read", 2000)).status(), 503);
     assert_eq!(north.count("sent"), before);
-    // The exercise: backends at home, and all of what comes leaves all the same.
+    // The failover exercise: all requests are forwarded although local backends are ready.
     let home = Backend::start(|_| ok("home"));
     north.discovery.publish(true, &[line("n", home.address, "ready", 0)]);
     switch("switch = \"now\"\nexercise_percent = 100");
-    until("now", || north.state()["switch"] == "now");
-    until("a vote that leaves", || ask(&north.proxy, &request("vote", 7000)).body == b"south");
+    until("the switch is now", || north.state()["switch"] == "now");
+    until("a vote is served by the south", || ask(&north.proxy, &request("vote", 7000)).body == b"south");
     switch("switch = \"auto\"");
-    until("auto", || north.state()["switch"] == "auto");
-    until("a vote at home", || ask(&north.proxy, &request("vote", 7000)).body == b"home");
+    until("the switch is auto", || north.state()["switch"] == "auto");
+    until("a vote is served locally", || ask(&north.proxy, &request("vote", 7000)).body == b"home");
 }
 
-/// A budget of five a second, asked of by many at once: no second of the other region's records holds more.
+/// A budget of five requests per second under concurrent demand: the other region receives no more in any second.
 #[test]
 fn the_spillover_rate_budget_holds_in_every_second() {
     let stamps = Arc::new(std::sync::Mutex::new(Vec::new()));
@@ -275,16 +275,16 @@
         }
     });
     let sent = stamps.lock().unwrap().clone();
-    assert!(sent.len() >= 10, "{} were served", sent.len());
+    assert!(sent.len() >= 10, "only {} requests were served", sent.len());
     for (i, first) in sent.iter().enumerate() {
-        // Sent in a second, they arrive in a little less or more: on a busy machine by some hundred milliseconds. The
-        // auditor of the measurement holds nine tenths of one.
+        // Requests sent within one second arrive within slightly more or less: on a busy machine by some 100 ms. So the
+        // window is 0.7 s here; the auditor of the measurements uses 0.9 s.
         let window = *first + Duration::from_millis(700);
         assert!(sent[i..].iter().take_while(|at| **at < window).count() <= 5);
     }
 }
 
-/// A gateway of the test's own: it accepts, and then does what the test says.
+/// A simulated gateway that hands each accepted connection to `handle`.
 fn fake_gateway(handle: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -298,7 +298,7 @@
     address
 }
 
-/// The north alone, with the south's gateway wherever the test put it.
+/// The region north alone, with the gateway of the south at the given address.
 fn start_north(test: &str, authority: &Authority, gateway_address: SocketAddr) -> Site {
     Site::start(
         test,
@@ -314,7 +314,8 @@
     )
 }
 
-/// Nothing can have reached a gateway that was never shaken hands with: refused at once, for every class.
+/// A request cannot have been executed if the TLS handshake with the gateway failed: requests of every class are
+/// rejected at once.
 #[test]
 fn a_failed_gateway_handshake_counts_as_not_executed() {
     let authority = Authority::new();
@@ -327,7 +328,7 @@
     });
     for (test, gateway_address) in [("refuses", free_address()), ("stalls", stalls), ("nonsense", nonsense)] {
         let north = start_north(test, &authority, gateway_address);
-        until("it spills", || north.in_state("spilling"));
+        until("the north spills", || north.in_state("spilling"));
         for class in ["vote", "pay", "read"] {
             let began = Instant::now();
             assert_eq!(ask(&north.proxy, &request(class, 2500)).status(), 503, "{test}: {class}");
@@ -337,15 +338,15 @@
     }
 }
 
-/// The gateway dies, or falls silent, with requests on it: a vote that it may have run is failed and never refused; a
-/// read is refused. No other attempt of either goes out.
+/// The gateway is killed or stopped with requests in flight: unsafe requests, which it may have executed, fail with
+/// 502 and are not marked as rejected; a read is rejected with 503. None of them is sent again.
 #[test]
 fn a_gateway_failure_with_requests_in_flight_fails_unsafe_ones_without_retry() {
     for signal in ["-KILL", "-STOP"] {
         let unresponsive = Backend::start(|_| Reply::NoResponse);
         let regions = start_pair(&format!("dies{signal}"), &[], &[unresponsive.address; 3], LARGE_BUDGET);
         until("the north spills", || regions.north.in_state("spilling"));
-        let send = |class: &'static str| {
+        let send_in_background = |class: &'static str| {
             let text = request(class, 3000);
             let address = regions.north.proxy.address;
             std::thread::spawn(move || {
@@ -354,20 +355,20 @@
                 client.answer().map(|a| a.status())
             })
         };
-        let all = [send("vote"), send("pay"), send("read")];
-        until("all three are there", || unresponsive.requests().len() == 3);
+        let all = [send_in_background("vote"), send_in_background("pay"), send_in_background("read")];
+        until("all three requests reach the backend", || unresponsive.requests().len() == 3);
         regions.south.proxy.signal(signal);
         let statuses: Vec<_> = all.into_iter().map(|t| t.join().unwrap()).collect();
         assert_eq!(statuses, [Some(502), Some(502), Some(503)], "{signal}");
-        assert_eq!(unresponsive.requests().len(), 3, "{signal}: nothing goes twice");
+        assert_eq!(unresponsive.requests().len(), 3, "{signal}: a request was sent again");
         if signal == "-STOP" {
             regions.south.proxy.signal("-CONT");
         }
     }
 }
 
-/// A request may stand in the socket of a stopped gateway until its client was answered, and a reset of its stream need not
-/// come with it: when the gateway wakes, no backend gets it.
+/// A request may stay in the socket buffer of a stopped gateway until after its client was answered, without a stream
+/// reset behind it: when the gateway resumes, it must not forward the request to a backend.
 #[test]
 fn a_resumed_gateway_rejects_requests_past_their_deadline() {
     let south = Backend::start(|_| ok("south"));
@@ -392,37 +393,37 @@
         (answer.status().as_u16(), answer.headers()["region-fate"].to_str().unwrap()),
         (503, "not-run")
     );
-    assert!(south.requests().is_empty(), "passed on after its client was answered");
+    assert!(south.requests().is_empty(), "forwarded after its client was answered");
 }
 
-/// The same from end to end, over the sender that ships.
+/// The same fault end to end, with the requests sent by the proxy of the other region.
 #[test]
 fn requests_buffered_by_a_stopped_gateway_reach_no_backend() {
     let south = Backend::start(|_| ok("south"));
     let regions = start_pair("stood", &[], &[south.address; 3], LARGE_BUDGET);
     until("the north spills", || regions.north.in_state("spilling"));
-    // Both connections are up, and the gateway's clock known: what follows is sent at once.
+    // Establishes both connections and learns the gateway's clock, so that later requests are sent at once.
     for _ in 0..2 {
         assert_eq!(ask(&regions.north.proxy, &request("vote", 7000)).status(), 200);
     }
     regions.south.proxy.signal("-STOP");
-    // All at once: the first failure makes the north wait before it sends more.
+    // Sent concurrently, as the north backs off after the first failure.
     let address = regions.north.proxy.address;
-    let asked = ["vote", "pay", "read"].map(|class| {
+    let pending = ["vote", "pay", "read"].map(|class| {
         std::thread::spawn(move || {
             let mut client = Client::open(address);
             client.send(&request(class, 2000));
             client.answer().map(|a| a.status())
         })
     });
-    let statuses: Vec<_> = asked.into_iter().map(|thread| thread.join().unwrap()).collect();
-    assert_eq!(statuses, [Some(502), Some(502), Some(503)], "sent, and not answered in time");
+    let statuses: Vec<_> = pending.into_iter().map(|thread| thread.join().unwrap()).collect();
+    assert_eq!(statuses, [Some(502), Some(502), Some(503)], "sent and not answered in time");
     regions.south.proxy.signal("-CONT");
-    until("another is served", || ask(&regions.north.proxy, &request("vote", 7000)).status() == 200);
-    // What woke with the gateway would have been passed on before that.
+    until("a new request is served", || ask(&regions.north.proxy, &request("vote", 7000)).status() == 200);
+    // A request that was buffered in the gateway would have been forwarded before that one.
     let is_late = |left: &str| left.parse::<u64>().unwrap() < 2000;
     let late = south.requests().iter().filter(|m| m.header("x-time-left-ms").is_some_and(is_late)).count();
-    assert_eq!(late, 0, "passed on after their clients were answered");
+    assert_eq!(late, 0, "forwarded after their clients were answered");
 }
 
 #[test]
@@ -451,9 +452,9 @@
         let config = client_config(Some(&north), &regions.authority.pem);
         tokio::time::timeout(LONG, ask_gateway(config, regions.gateway_addresses[1], "south", requests))
             .await
-            .expect("an end")
+            .expect("the gateway answers within the timeout")
     });
-    let answers = answers.expect("answers");
+    let answers = answers.expect("the gateway answers");
     let result: Vec<_> = answers
         .iter()
         .map(|a| (a.status().as_u16(), a.headers()["region-fate"].to_str().unwrap().to_string()))
@@ -463,8 +464,11 @@
     assert_eq!(result[..5], vec![unreadable; 5]);
     assert_eq!(result[5..], [passed, (200, "ran".into())]);
     assert!(answers.iter().all(|a| a.headers().contains_key("region-clock-us")));
-    assert_eq!(south.requests().len(), 1, "only the sound one reached a backend");
-    assert!(south.requests()[0].header("region-deadline-us").is_none(), "between gateways only");
+    assert_eq!(south.requests().len(), 1, "only the valid request reaches a backend");
+    assert!(
+        south.requests()[0].header("region-deadline-us").is_none(),
+        "a federation header reached the backend"
+    );
 }
 
 #[test]
@@ -474,10 +478,10 @@
     until("the north spills", || regions.north.in_state("spilling"));
     let mut client = Client::open(regions.north.proxy.address);
     client.send(&request("vote", 7000));
-    until("it is there", || unresponsive.requests().len() == 1);
+    until("the request reaches the backend", || unresponsive.requests().len() == 1);
     drop(client);
-    until("it is called off", || unresponsive.closed() == 1);
-    until("its places are free", || {
+    until("the attempt is cancelled", || unresponsive.closed() == 1);
+    until("no request is in flight in either region", || {
         let (north, south) = (regions.north.state(), regions.south.state());
         north["others"][0]["in_flight"][0] == 0 && south["others"][0]["taken_in_flight"][0] == 0
     });
@@ -497,7 +501,7 @@
     tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(future)
 }
 
-/// As another region's gateway sends it, but for what the test says of its headers.
+/// A request as the gateway of another region sends it, with the given path and time left.
 fn forwarded_request(class: &str, path: Option<&str>, left: &str) -> Request<Full<Bytes>> {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     let id = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -527,7 +531,7 @@
     let ask = |keys: Option<&Keys>, trust: &str, requests: Vec<Request<Full<Bytes>>>| {
         block_on(async {
             let asked = ask_gateway(client_config(keys, trust), gateway_address, "south", requests);
-            tokio::time::timeout(LONG, asked).await.expect("an end")
+            tokio::time::timeout(LONG, asked).await.expect("the gateway answers within the timeout")
         })
     };
     let good = || vec![forwarded_request("read", Some("north;left=0"), "7000")];
@@ -536,23 +540,23 @@
     refused(Some(&stranger.issue("north")));
     refused(Some(&regions.authority.issue("east")));
     refused(Some(&regions.authority.issue_for("north", -1)));
-    // Plain text, garbage, a reset and a peer that only stands there.
+    // Plain HTTP, HTTP/2 without TLS, a truncated TLS record, and a peer that sends nothing.
     let mut silent = Client::open(gateway_address);
     for text in
         ["GET / HTTP/1.1\r\n\r\n", "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", "\u{16}\u{3}\u{1}\u{2}\u{0}\u{1}"]
     {
         let mut client = Client::open(gateway_address);
         client.send(text);
-        // An alert may come before the end.
+        // A TLS alert may precede the end of the connection.
         assert!((0..64).any(|_| client.ends()));
     }
-    assert!(silent.ends(), "a handshake that never comes");
+    assert!(silent.ends(), "a connection without a handshake is closed");
     let north = regions.authority.issue("north");
-    let answers = ask(Some(&north), pem, good()).expect("the north is let in");
+    let answers = ask(Some(&north), pem, good()).expect("the gateway accepts the north");
     assert_eq!(answers[0].status(), 200);
     assert_eq!(answers[0].headers()["region-fate"], "ran");
     let fates = |requests: Vec<Request<Full<Bytes>>>| {
-        let answers = ask(Some(&north), pem, requests).expect("answers");
+        let answers = ask(Some(&north), pem, requests).expect("the gateway answers");
         let result = |a: &Response<Bytes>| {
             (a.status().as_u16(), a.headers()["region-fate"].to_str().unwrap().to_string())
         };
@@ -574,20 +578,20 @@
     ];
     let result = fates(bad.iter().map(|(path, left)| forwarded_request("vote", *path, left)).collect());
     assert!(result.iter().all(|t| *t == (400, "not-run".into())), "{result:?}");
-    assert_eq!(south.requests().len(), before, "nothing of it reached a backend");
-    until("counted", || {
+    assert_eq!(south.requests().len(), before, "an invalid request reached a backend");
+    until("the rejections are counted", || {
         let count = |key| regions.south.state()[key].as_u64().unwrap();
         count("barred") >= bad.len() as u64 && count("strangers") >= 8
     });
     assert_eq!(
         fates(vec![forwarded_request("read", Some("north;left=0"), "1")])[0].1,
         "not-run",
-        "no time at all"
+        "not enough time left"
     );
-    assert_eq!(fates(good())[0], (200, "ran".into()), "others are unharmed");
+    assert_eq!(fates(good())[0], (200, "ran".into()), "valid requests are still served");
 }
 
-/// Keys are replaced under load, twice within a second among them, and by wrong ones: not one request is lost.
+/// Keys are rotated under load, several times in quick succession and also with invalid files: no request is lost.
 #[test]
 fn keys_are_rotated_without_losing_a_request() {
     let south = Backend::start(|_| ok("south"));
@@ -615,16 +619,18 @@
                 files(site).put_all(&authority.issue(name), trust).unwrap();
                 site.proxy.signal("-HUP");
             }
-            until("taken into use", || {
+            until("both proxies use the new keys", || {
                 all("keys_taken").iter().zip(before).all(|(now, before)| *now > before)
             });
         };
-        // Trust first, old and new; then certificates of the new; then the old trust goes.
+        // First trust both authorities, then use certificates of the new one, then drop the old one from the trust
+        // store.
         replace_keys(&regions.authority, &both);
         replace_keys(&next, &both);
         replace_keys(&next, &next.pem);
         (0..3).for_each(|_| replace_keys(&next, &next.pem));
-        // Wrong ones: another's key, half a file, one that others may read, one that has ended.
+        // Invalid files: the key of another certificate, a truncated file, a key that others may read, an expired
+        // certificate, and a certificate for another name.
         let (good, other) = (next.issue("north"), next.issue("north"));
         let files = files(&regions.north);
         let half = &good.certificate[..good.certificate.len() / 2];
@@ -643,12 +649,12 @@
         }
         replace_keys(&next, &next.pem);
         let count = served.load(Ordering::Relaxed);
-        until("more votes", || served.load(Ordering::Relaxed) > count + 20);
+        until("more votes are served", || served.load(Ordering::Relaxed) > count + 20);
         stop.store(true, Ordering::Relaxed);
     });
     let log = regions.north.proxy.log();
     assert!(!log.contains("PRIVATE KEY") && !log.contains("BEGIN"), "{log}");
-    until("all that left was served", || regions.north.count("ran") == regions.north.count("sent"));
+    until("all forwarded requests were served", || regions.north.count("ran") == regions.north.count("sent"));
 }
 
 #[test]
--- a/crates/gaugesaddle/tests/tier/mod.rs
+++ b/crates/gaugesaddle/tests/tier/mod.rs
@@ -1,6 +1,7 @@
-//! A tier on loopback, its proxies started and stopped by the test; what each holds is read from its state and log.
+//! A proxy tier on loopback whose proxies the test starts and stops. Their membership views are read from their state
+//! sockets and logs.
 
-// Each test file uses some of it.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use gaugesaddle::registry::{MemberRow, MembershipView, Snapshot};
@@ -16,7 +17,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A tier on loopback, its proxies started and stopped by the test.
+/// Proxies on loopback, by member index, with one discovery agent and one backend.
 pub struct Tier {
     pub proxies: Vec<Option<Proxy>>,
     pub network: Datagrams,
@@ -26,11 +27,12 @@
     pub folder: PathBuf,
     pub lease: Lease,
     with_key: bool,
-    /// Added to each operator's file.
+    /// TOML text appended to the operator's file of each proxy.
     extra_settings: String,
 }
 
 impl Tier {
+    /// Allocates the addresses and files of a tier and starts no proxy.
     pub fn prepare(name: &str, size: usize, with_key: bool) -> Tier {
         let lease = Lease::take().unwrap();
         let folder = std::env::temp_dir().join(format!("gs-peers-{}-{name}", std::process::id()));
@@ -54,12 +56,12 @@
         }
     }
 
-    /// All of them run and hold one another alive.
+    /// Starts all proxies and waits until each considers all others alive.
     pub fn start(name: &str, size: usize) -> Tier {
         Tier::start_with(name, size, "")
     }
 
-    /// All but the last PLACE, which the test has; with more in each operator's file.
+    /// Starts all proxies but the last, whose address the test uses, with extra settings in each operator's file.
     pub fn start_all_but_last(name: &str, size: usize, extra_settings: &str) -> Tier {
         let mut tier = Tier::prepare(name, size, true);
         tier.add_settings(extra_settings);
@@ -67,11 +69,11 @@
         tier
     }
 
-    /// All of them, with more in each operator's file.
+    /// Starts all proxies with extra settings in each operator's file and waits until their views agree.
     pub fn start_with(name: &str, size: usize, extra_settings: &str) -> Tier {
         let mut tier = Tier::start_all_but_last(name, size, extra_settings);
         tier.start_proxy(size - 1);
-        tier.wait_for_agreement("all know one another");
+        tier.wait_for_agreement("all members are alive in every view");
         tier
     }
 
@@ -79,11 +81,12 @@
         self.folder.join(format!("{index}.sock"))
     }
 
+    /// Writes the operator's file of a proxy.
     pub fn file(&self, index: usize) -> PathBuf {
         self.file_with(index, index)
     }
 
-    /// Of a process whose state is read at another place.
+    /// Writes the operator's file of a process of member `index` whose state socket is that of `state_of`.
     fn file_with(&self, index: usize, state_of: usize) -> PathBuf {
         let addresses: Vec<String> = self.network.addresses().iter().map(|a| format!("\"{a}\"")).collect();
         let key =
@@ -111,8 +114,8 @@
         config
     }
 
-    /// A process of a place, with a second address by which its successor finds it; the successor's state is read at a
-    /// place of its own, which is no member of the tier.
+    /// Starts a process of member `index` with an admin address, through which its successor finds it. The state of
+    /// the successor is read at `state_of`, an index outside the tier.
     pub fn start_for_hot_restart(&mut self, index: usize, state_of: usize) {
         let mut config = self.config(index);
         config["admin"] = free_address().to_string().into();
@@ -125,15 +128,15 @@
             self.proxies.resize_with(state_of + 1, || None);
         }
         self.proxies[state_of] = Some(proxy);
-        until("its state", || self.state(state_of).is_some());
+        until("the state socket answers", || self.state(state_of).is_some());
     }
 
-    /// Adds to each operator's file.
+    /// Appends settings to the operator's file of each proxy that starts later.
     pub fn add_settings(&mut self, extra_settings: &str) {
         self.extra_settings += extra_settings;
     }
 
-    /// One that stands in a zone and has a list, and an agent, of its own.
+    /// Starts a proxy in a zone, with a discovery agent and an endpoint list of its own.
     pub fn start_proxy_in_zone(
         &mut self, index: usize, zone: &str, discovery: SocketAddr, lines: &[serde_json::Value],
     ) {
@@ -153,7 +156,7 @@
         let file = self.file(index);
         let proxy = Proxy::spawn_with(config, "unlimited", &["--config", file.to_str().unwrap()]);
         self.proxies[index] = Some(proxy);
-        until("its state", || self.state(index).is_some());
+        until("the state socket answers", || self.state(index).is_some());
     }
 
     pub fn kill(&mut self, index: usize) {
@@ -161,7 +164,7 @@
     }
 
     pub fn proxy(&self, index: usize) -> &Proxy {
-        self.proxies[index].as_ref().expect("runs")
+        self.proxies[index].as_ref().expect("the proxy runs")
     }
 
     pub fn running(&self) -> Vec<usize> {
@@ -172,7 +175,7 @@
         gaugesaddle::state::request(&self.socket(index)).ok()
     }
 
-    /// A part of its state as people read it.
+    /// A section of the state as the command line prints it.
     pub fn table(&self, index: usize, part: &str) -> String {
         let program = gaugesaddle_testbed::program::path("gaugesaddle");
         let mut command = std::process::Command::new(program);
@@ -181,14 +184,14 @@
     }
 
     pub fn view(&self, index: usize) -> MembershipView {
-        self.state(index).and_then(|s| s.peers).expect("its view")
+        self.state(index).and_then(|s| s.peers).expect("a membership view in the state")
     }
 
     pub fn row(&self, index: usize, of: usize) -> MemberRow {
         self.view(index).peers.swap_remove(of)
     }
 
-    /// Each of these holds exactly the others of them for alive, in their present processes.
+    /// Whether each of these proxies considers exactly these members alive, each with its current boot id.
     pub fn agrees(&self, indices: &[usize]) -> bool {
         let views: Vec<MembershipView> = indices.iter().map(|p| self.view(*p)).collect();
         views.iter().all(|view| {
@@ -207,22 +210,22 @@
         until(what, || self.agrees(&running));
     }
 
-    /// The same, and within a time.
+    /// Waits for agreement and fails if it takes longer than `within`.
     pub fn expect_agreement_within(&self, what: &str, within: Duration) {
         let begun = Instant::now();
         self.wait_for_agreement(what);
         assert!(begun.elapsed() < within, "{what}: only after {:?}", begun.elapsed());
     }
 
-    /// Each of these has asked so many more questions: time for every fault to show.
+    /// Waits until each of these proxies has sent `count` more probes, so that failures have time to show.
     pub fn wait_for_probes(&self, indices: &[usize], count: u64) {
         let before: Vec<u64> = indices.iter().map(|p| self.view(*p).asked).collect();
-        until("their questions", || {
+        until("more probes are sent", || {
             indices.iter().zip(&before).all(|(p, before)| self.view(*p).asked >= before + count)
         });
     }
 
-    /// Lines of a proxy's log in which it calls another dead.
+    /// Lines of a proxy's log in which it declares a member dead.
     pub fn death_log_lines(&self, index: usize) -> Vec<String> {
         let log = self.proxy(index).log();
         log.lines().filter(|l| l.contains(" is dead after ")).map(String::from).collect()
@@ -236,7 +239,7 @@
     }
 }
 
-/// A member of the tier that says of itself what the test words: the real protocol, with no proxy behind it.
+/// A tier member without a proxy: it runs the membership protocol and publishes the record that the test sets.
 pub struct FakeMember {
     body: Arc<Mutex<Vec<u8>>>,
     stop: Arc<AtomicBool>,
@@ -244,7 +247,7 @@
 }
 
 impl FakeMember {
-    /// At that place, which no proxy has.
+    /// Starts a member at an index that no proxy uses.
     pub fn start(tier: &Tier, index: usize) -> FakeMember {
         let (body, stop) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicBool::new(false)));
         let socket = UdpSocket::bind(tier.listen_addresses[index]).unwrap();
@@ -282,7 +285,7 @@
         FakeMember { body, stop, thread: Some(thread) }
     }
 
-    /// What its records hold from now on.
+    /// Sets the record that is published from now on.
     pub fn set_record(&self, body: Vec<u8>) {
         *self.body.lock().unwrap() = body;
     }
