--- a/crates/gaugesaddle-allocation/src/lib.rs
+++ b/crates/gaugesaddle-allocation/src/lib.rs
@@ -6,8 +6,8 @@
 //!   [`allocate_by_demand`] computes the same fractions at all proxies that have the same view. [`SmoothedValue`] changes a
 //!   fraction gradually, so that it does not follow noise.
 //! - A *hard* quantity may never exceed its total. A [`Reservation`] gives each member an equal entitlement, and leases of
-//!   units that others do not need; a [`LeaseManager`] requests and grants leases by demand. Only the borrower may use leased
-//!   units until the lease has ended by the clocks of both machines.
+//!   units that others do not need; a [`LeaseManager`] requests and grants leases by demand. Only the borrower may use
+//!   leased units until the lease has ended by the clocks of both machines.
 //!
 //! [`DemandEstimator`] estimates the demand that a proxy reports, [`Allocator`] derives a proxy's allocation from the
 //! reports of all, and [`assign`] chooses the backends that each proxy uses, more of them for a proxy with more traffic.
@@ -21,7 +21,10 @@
 //!
 //! let fractions = allocate_by_demand(&AllocationLimits::default(), &[Some(10.0), Some(30.0), None]);
 //! assert!((fractions.iter().sum::<f64>() - 1.0).abs() < 1e-9);
-//! assert!(fractions[0] < fractions[2] && fractions[2] < fractions[1], "a demand that is not reported counts as the mean of the others");
+//! assert!(
+//!     fractions[0] < fractions[2] && fractions[2] < fractions[1],
+//!     "a demand that is not reported counts as the mean of the others"
+//! );
 //! ```
 //!
 //! # Guarantees
--- a/crates/gaugesaddle-allocation/src/subset.rs
+++ b/crates/gaugesaddle-allocation/src/subset.rs
@@ -2,15 +2,16 @@
 //! more traffic uses more backends, and all backends of a kind get the same traffic.
 //!
 //! For each kind and zone a member selects a number of backends in proportion to its fraction: those whose hash with the
-//! member is lowest (rendezvous hashing). So all members have the same mix of kinds and zones, and a member that joins, leaves
-//! or changes its demand changes few assignments but its own. The remaining random imbalance is removed by the weights with
-//! which a member distributes its traffic over its backends (iterative proportional fitting: rows and columns are scaled in
-//! turn), which moves traffic but no connections.
+//! member is lowest (rendezvous hashing). So all members have the same mix of kinds and zones, and a member that joins,
+//! leaves or changes its demand changes few assignments but its own. The remaining random imbalance is removed by the
+//! weights with which a member distributes its traffic over its backends (iterative proportional fitting: rows and
+//! columns are scaled in turn), which moves traffic but no connections.
 
 use gaugesaddle_balancer::mix;
 use std::collections::BTreeMap;
 
-/// Maximum iterations of scaling. Ten leave an imbalance of less than a hundredth where every backend has at least ten users.
+/// Maximum iterations of scaling. Ten leave an imbalance of less than a hundredth where every backend has at least ten
+/// users.
 const MAX_SCALINGS: usize = 20;
 /// Scaling ends once the load of each backend deviates by less than this fraction from the mean.
 const MAX_IMBALANCE: f64 = 0.01;
@@ -26,9 +27,9 @@
 
 impl Default for SubsetSize {
     fn default() -> SubsetSize {
-        // The balancer assumes the same without a tier. Twenty users are few enough that each measures a backend's latency by
-        // its own requests, and many enough for an even sum. With a third of eight backends unhealthy there is still a choice
-        // in each of three zones.
+        // The balancer assumes the same without a tier. Twenty users are few enough that each measures a backend's
+        // latency by its own requests, and many enough for an even sum. With a third of eight backends unhealthy there
+        // is still a choice in each of three zones.
         SubsetSize { users_per_backend: 20, min_backends: 8 }
     }
 }
--- a/crates/gaugesaddle-allocation/tests/backend_slots.rs
+++ b/crates/gaugesaddle-allocation/tests/backend_slots.rs
@@ -1,5 +1,5 @@
-//! Slots of backends that many balancers divide by their assignments: in every rotation the slots of all proxies at a backend
-//! sum to its concurrency limit, and over many rotations each proxy has its fraction.
+//! Slots of backends that many balancers divide by their assignments: in every rotation the slots of all proxies at a
+//! backend sum to its concurrency limit, and over many rotations each proxy has its fraction.
 
 use gaugesaddle_allocation::{Allocation, Allocator, AllocatorSettings, TierView};
 use gaugesaddle_balancer::*;
--- a/crates/gaugesaddle-consensus/tests/membership.rs
+++ b/crates/gaugesaddle-consensus/tests/membership.rs
@@ -116,7 +116,7 @@
 }
 
 /// The leader's machine is lost, and its replacement starts before another leader is elected. The new leader cannot
-/// tell yet which voters are dead, and an additional voter beside a dead one only increases the size of the majority.
+/// determine yet which voters are dead, and an additional voter beside a dead one only increases the size of the majority.
 #[test]
 fn a_learner_is_not_added_beside_a_voter_that_has_not_responded() {
     for seed in 1..=SEEDS {
--- a/crates/gaugesaddle-control/src/request_server.rs
+++ b/crates/gaugesaddle-control/src/request_server.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Logs a message that cannot be decoded, at most once a minute for each peer. The sender runs another build, or speaks
+/// Logs a message that cannot be decoded, at most once a minute for each peer. The sender runs another build, or uses
 /// another protocol.
 fn log_malformed(core: &CoreHandle, from: SocketAddr, error: &LinkError) {
     let SocketAddr::V4(address) = from else { return };
--- a/crates/gaugesaddle-edge/src/api_key.rs
+++ b/crates/gaugesaddle-edge/src/api_key.rs
@@ -1,8 +1,8 @@
 //! Limits the use of API keys without a current configuration, in closed deployments (`bounds.closed`).
 //!
 //! A revoked key must not be used later than `bounds.revokeMs` after the change was acknowledged, at any proxy, whether or
-//! not the proxy is in contact with the control plane. Each proxy records a time of its own steady clock at which its
-//! configuration was the newest acknowledged one, the proof
+//! not the proxy is in contact with the control plane. Each proxy records a time of its own monotonic clock at which
+//! its configuration was the newest acknowledged one, the proof
 //! ([`Follower::is_proven_within`](gaugesaddle_distribution::Follower::is_proven_within)). A change that the proxy has not
 //! received was acknowledged after that time. A request that begins less than `revokeMs` after the proof is therefore
 //! within the bound; any other request is rejected until there is a newer proof. The proof is checked before each attempt
--- a/crates/gaugesaddle-edge/src/backend.rs
+++ b/crates/gaugesaddle-edge/src/backend.rs
@@ -124,8 +124,8 @@
         self.idle_timeout_ms.set((seconds * 1000.0 * IDLE_TIMEOUT_FRACTION) as u64);
     }
 
-    /// Records that the backend could not be reached, that a connection failed, or that another incarnation responded; starts
-    /// or extends the backoff.
+    /// Records that the backend could not be reached, that a connection failed, or that another incarnation responded;
+    /// starts or extends the backoff.
     pub fn record_failure(&self, now: u64) {
         let failures = self.consecutive_failures.get();
         self.consecutive_failures.set((failures + 1).min(MAX_FAILURES));
--- a/crates/gaugesaddle-edge/src/state.rs
+++ b/crates/gaugesaddle-edge/src/state.rs
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The time of the steady clock, in milliseconds.
+    /// The time of the monotonic clock, in milliseconds.
     pub fn now(&self) -> u64 {
         self.clock.now()
     }
--- a/crates/gaugesaddle-failover/src/decision_replication.rs
+++ b/crates/gaugesaddle-failover/src/decision_replication.rs
@@ -14,8 +14,8 @@
 
 /// Number of peers that each transmission of a newly adopted decision is sent to.
 pub const FANOUT: usize = 4;
-/// Number of transmissions of a newly adopted decision. With a third of the datagrams lost, about one proxy in several thousand
-/// misses all of them.
+/// Number of transmissions of a newly adopted decision. With a third of the datagrams lost, about one proxy in several
+/// thousand misses all of them.
 pub const TRANSMISSIONS: u32 = 3;
 /// Interval at which each proxy sends its current decision to one random peer.
 pub const ANTI_ENTROPY_INTERVAL: Micros = Micros(500_000);
@@ -102,7 +102,8 @@
     }
 
     /// Advances the clock. `desired` is the decision that follows from this proxy's own assessment; the decider adopts it as
-    /// a new decision where it differs from the current one. Appends messages to `out` and returns whether the current decision changed.
+    /// a new decision where it differs from the current one. Appends messages to `out` and returns whether the current
+    /// decision changed.
     pub fn tick(
         &mut self, now: Time, view: &MembershipView, desired: Option<&Decision>, out: &mut Vec<Outgoing>,
     ) -> bool {
--- a/crates/gaugesaddle-failover/src/escalation.rs
+++ b/crates/gaugesaddle-failover/src/escalation.rs
@@ -27,9 +27,9 @@
 
 impl Default for EscalationLevels {
     fn default() -> EscalationLevels {
-        // A backend with cold caches needs about ten seconds to warm up: the zone is trusted with an eighth, a quarter, a half,
-        // and all of its capacity after nine seconds. A zone that is lost every three seconds is not trusted again after its
-        // second loss.
+        // A backend with cold caches needs about ten seconds to warm up: the zone is trusted with an eighth, a quarter,
+        // a half, and all of its capacity after nine seconds. A zone that is lost every three seconds is not trusted
+        // again after its second loss.
         EscalationLevels {
             initial_fraction: 0.125,
             level_duration: Micros(3_000_000),
--- a/crates/gaugesaddle-http-connection/src/guarded_stream.rs
+++ b/crates/gaugesaddle-http-connection/src/guarded_stream.rs
@@ -74,9 +74,10 @@
         GuardedStream { stream, progress: Rc::default() }
     }
 
-    /// Refuses the first byte of a request that may no longer be sent, or on a connection that is closed or has unread bytes.
-    /// Unread bytes cannot belong to the response to this request, but an HTTP/1.1 response does not identify its request
-    /// and they would be taken for it. The socket itself is checked, since the runtime may not have received the bytes yet.
+    /// Refuses the first byte of a request that may no longer be sent, or on a connection that is closed or has unread
+    /// bytes. Unread bytes cannot belong to the response to this request, but an HTTP/1.1 response does not identify
+    /// its request and they would be taken for it. The socket itself is checked, since the runtime may not have
+    /// received the bytes yet.
     fn check_first_byte(&self) -> io::Result<()> {
         if self.progress.begun.get() {
             return Ok(());
--- a/crates/gaugesaddle-load-report/src/lib.rs
+++ b/crates/gaugesaddle-load-report/src/lib.rs
@@ -39,7 +39,7 @@
 //!
 //! Reports and sums have at most [`MAX_BACKENDS`] backends, an aggregator has at most [`MAX_PROXIES`] reports and
 //! [`MAX_PROCESSES`] sums. A proxy's own observations have one row for each backend with requests in flight or recent
-//! outcomes. All times are milliseconds of one machine's steady clock, work is in tokens.
+//! outcomes. All times are milliseconds of one machine's monotonic clock, work is in tokens.
 
 mod aggregator;
 mod decaying;
--- a/crates/gaugesaddle-maintenance/src/handover.rs
+++ b/crates/gaugesaddle-maintenance/src/handover.rs
@@ -58,8 +58,8 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next message, once its line is complete. A line that cannot be decoded is removed and returned as an error; a line
-    /// that is too long is not removed, and every further call returns the error.
+    /// The next message, once its line is complete. A line that cannot be decoded is removed and returned as an error;
+    /// a line that is too long is not removed, and every further call returns the error.
     pub fn next_message(&mut self) -> Option<Result<HandoverMessage, HandoverError>> {
         let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') else {
             let is_too_long = self.buffer.len() > MAX_MESSAGE_BYTES;
--- a/crates/gaugesaddle-maintenance/src/lib.rs
+++ b/crates/gaugesaddle-maintenance/src/lib.rs
@@ -1,7 +1,7 @@
 //! Maintenance of a proxy in service by its operators: drains, excluded backends, hot restart. No I/O, clock or threads.
 //!
-//! - [`Lifecycle`] decides whether the proxy accepts new clients, and when it closes idle connections and the listener, while
-//!   it drains, is replaced by its successor, or stops.
+//! - [`Lifecycle`] decides whether the proxy accepts new clients, and when it closes idle connections and the listener,
+//!   while it drains, is replaced by its successor, or stops.
 //! - [`Maintenance`] stores the backends that the operators excluded, and adapts the list for the balancer accordingly.
 //! - [`HandoverMessage`] is a message between a proxy and its successor during a hot restart, encoded as a line of JSON;
 //!   [`MessageReader`] decodes these messages.
@@ -21,10 +21,11 @@
 //! The balancer decides which backends are used; an excluded one is presented to it as draining.
 //!
 //! **Guarantees.** An exclusion holds until the command that ends it, whatever discovery lists meanwhile. A stopping process
-//! never serves again. No bytes from the other process cause a panic. A `now` before the previous one counts as no time passed.
+//! never serves again. No bytes from the other process cause a panic. A `now` before the previous one counts as no time
+//! passed.
 //!
-//! **Bounds.** At most [`MAX_EXCLUDED_BACKENDS`] exclusions, [`MAX_REMEMBERED_BACKENDS`] remembered identities (the oldest is
-//! removed first), and messages of [`MAX_MESSAGE_BYTES`].
+//! **Bounds.** At most [`MAX_EXCLUDED_BACKENDS`] exclusions, [`MAX_REMEMBERED_BACKENDS`] remembered identities (the
+//! oldest is removed first), and messages of [`MAX_MESSAGE_BYTES`].
 
 mod handover;
 mod lifecycle;
--- a/crates/gaugesaddle-maintenance/src/lifecycle.rs
+++ b/crates/gaugesaddle-maintenance/src/lifecycle.rs
@@ -89,7 +89,8 @@
         matches!(self.phase, Phase::Stopping { .. })
     }
 
-    /// Whether the listener is open. It stays open during a drain, since the platform queries the state of the drain through it.
+    /// Whether the listener is open. It stays open during a drain, since the platform queries the state of the drain
+    /// through it.
     pub fn listens(&self, now: Time) -> bool {
         match self.phase {
             Phase::Serving | Phase::Draining { .. } => true,
--- a/crates/gaugesaddle-overload/src/controller.rs
+++ b/crates/gaugesaddle-overload/src/controller.rs
@@ -1,5 +1,5 @@
-//! The controller: counts the events that the host reports, detects storms, and decides the admitted rate and the delay after
-//! which refused clients retry.
+//! The controller: counts the events that the host reports, detects storms, and decides the admitted rate and the delay
+//! after which refused clients retry.
 
 use crate::retry_schedule::MAX_SCHEDULE_S;
 use crate::{
@@ -113,8 +113,8 @@
         self.counts.connects = self.counts.connects.saturating_add(1);
     }
 
-    /// Records the arrival of a request: whether it is marked as a retry, its idempotency key, if any, and its source. Returns
-    /// whether it is a retry, and whether its source has recently retried earlier than advised.
+    /// Records the arrival of a request: whether it is marked as a retry, its idempotency key, if any, and its source.
+    /// Returns whether it is a retry, and whether its source has recently retried earlier than advised.
     pub fn record_arrival(
         &mut self, now: Time, is_marked: bool, key: Option<u64>, source: u64,
     ) -> (bool, bool) {
@@ -154,8 +154,8 @@
         self.counts.failed = self.counts.failed.saturating_add(1);
     }
 
-    /// Records a request that was refused. Returns the delay in seconds after which its client may retry: `usual` in the calm
-    /// phase.
+    /// Records a request that was refused. Returns the delay in seconds after which its client may retry: `usual` in
+    /// the calm phase.
     pub fn record_refusal(&mut self, now: Time, source: u64, usual: u64) -> u64 {
         self.counts.refused = self.counts.refused.saturating_add(1);
         if self.phase() == StormPhase::Calm {
--- a/crates/gaugesaddle-overload/src/retry_accounting.rs
+++ b/crates/gaugesaddle-overload/src/retry_accounting.rs
@@ -2,7 +2,7 @@
 //! seen one is evicted.
 //!
 //! A count-min sketch would hold any number of sources in fixed memory, but it only counts: it cannot store the time that a
-//! source was advised, and a full one reports sources that did not retry early. A full table forgets the early sources that
+//! source was advised, and a full one reports sources that did not retry early. A full table evicts the early sources that
 //! were not seen for the longest time, which is the lesser error.
 
 use gaugesaddle_balancer::{Micros, Time};
--- a/crates/gaugesaddle-overload/src/retry_schedule.rs
+++ b/crates/gaugesaddle-overload/src/retry_schedule.rs
@@ -44,9 +44,9 @@
         second.checked_sub(self.first).and_then(|i| self.assigned.get(i as usize)).copied().unwrap_or(0)
     }
 
-    /// Assigns a second to the retry of a client that is refused now, where `per_s` retries per second can be served. Returns
-    /// the delay in seconds, from 1 to the maximum. The second is drawn from a window whose width follows the number of
-    /// assigned retries; if the draws find no free second, the least loaded one is taken.
+    /// Assigns a second to the retry of a client that is refused now, where `per_s` retries per second can be served.
+    /// Returns the delay in seconds, from 1 to the maximum. The second is drawn from a window whose width follows the
+    /// number of assigned retries; if the draws find no free second, the least loaded one is taken.
     pub fn assign(&mut self, now: Time, per_s: f64) -> u64 {
         let second = now.0 / 1_000_000;
         if second > self.first {
--- a/crates/gaugesaddle-overload/src/storm_detector.rs
+++ b/crates/gaugesaddle-overload/src/storm_detector.rs
@@ -211,8 +211,8 @@
         Some(next)
     }
 
-    /// Whether many requests are retries, and either the rate is above the usual one or many requests are not served. Requests
-    /// of new clients are growth at any rate.
+    /// Whether many requests are retries, and either the rate is above the usual one or many requests are not served.
+    /// Requests of new clients are growth at any rate.
     fn is_under_pressure(&self, counts: &TrafficCounts) -> bool {
         let f = &self.figures;
         let is_above_usual = f.usual_per_s.is_some_and(|usual| f.per_s >= MIN_GROWTH_FACTOR * usual);
--- a/crates/gaugesaddle/src/serving/exchange.rs
+++ b/crates/gaugesaddle/src/serving/exchange.rs
@@ -58,7 +58,8 @@
 /// ```text
 ///  dispatched ----> connecting ----> first byte ----> in flight
 ///                       |   (checked here)
-///                       +--> never sent: the backend departs, the client has disconnected or is served, or the window is over
+///                       +--> never sent: the backend departs, the client has disconnected or is served,
+///                            or the window is over
 /// ```
 pub struct SendGate {
     /// Whether new requests may be sent to the backend.
@@ -155,8 +156,8 @@
 /// A future that runs on the proxy's only thread.
 pub type LocalFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// One process of a backend, with the connections to it. A restarted process has a new upstream, so that no old connection is
-/// used for it.
+/// One process of a backend, with the connections to it. A restarted process has a new upstream, so that no old
+/// connection is used for it.
 pub trait Upstream {
     /// The entry of the list that it was created for.
     fn target(&self) -> &ListedBackend;
