--- a/crates/gaugesaddle/src/federation/gateway.rs
+++ b/crates/gaugesaddle/src/federation/gateway.rs
@@ -94,8 +94,8 @@
         let (status, text) = match self {
             HopRejection::Invalid(text) => (StatusCode::BAD_REQUEST, text),
             HopRejection::NotReady => (StatusCode::SERVICE_UNAVAILABLE, "not ready"),
-            HopRejection::OverBudget => (StatusCode::SERVICE_UNAVAILABLE, "the region's budget is used up"),
-            HopRejection::DeadlinePassed => (StatusCode::SERVICE_UNAVAILABLE, "its deadline has passed"),
+            HopRejection::OverBudget => (StatusCode::SERVICE_UNAVAILABLE, "over the region's budget"),
+            HopRejection::DeadlinePassed => (StatusCode::SERVICE_UNAVAILABLE, "its deadline had passed"),
         };
         let mut response = text_response(status, text);
         let headers = response.headers_mut();
@@ -218,13 +218,11 @@
     let sender_name = &regions.settings.other[sender].name;
     let mut values = head.headers.get_all(VIA).iter();
     let (Some(text), None) = (values.next().and_then(|value| value.to_str().ok()), values.next()) else {
-        return Err(HopRejection::Invalid("expected exactly one Region-Path header"));
+        return Err(HopRejection::Invalid("expected one Region-Path"));
     };
     let via = Via::parse(text, sender_name);
-    let via =
-        via.map_err(|_| HopRejection::Invalid("Region-Path: expected a path that ends in the sender"))?;
-    via.check_entry(&regions.settings.name)
-        .map_err(|_| HopRejection::Invalid("Region-Path: routing loop"))?;
+    let via = via.map_err(|_| HopRejection::Invalid("Region-Path: not of its form"))?;
+    via.check_entry(&regions.settings.name).map_err(|_| HopRejection::Invalid("it has been here"))?;
     Ok(via)
 }
 
@@ -295,8 +293,7 @@
     }
     let slot = BudgetSlot { regions: regions.clone(), sender };
     let body = tokio::time::timeout(BODY_TIMEOUT, Limited::new(body, BODY_BYTES).collect()).await;
-    let body =
-        body.ok().and_then(Result::ok).ok_or(HopRejection::Invalid("the body is incomplete or too large"))?;
+    let body = body.ok().and_then(Result::ok).ok_or(HopRejection::Invalid("the body did not come whole"))?;
     let body = CallBody::Buffered(body.to_bytes());
     // Checked again, since reading the body has taken time.
     limit_remaining(&mut attributes, clock(), deadline)?;
--- a/crates/gaugesaddle/src/operations/admin.rs
+++ b/crates/gaugesaddle/src/operations/admin.rs
@@ -101,7 +101,7 @@
                 if drained {
                     OK
                 } else {
-                    (StatusCode::CONFLICT, "the proxy is shutting down")
+                    (StatusCode::CONFLICT, "the process ends")
                 }
             }
             (&Method::PUT, "/api/rejoin") => {
@@ -110,11 +110,11 @@
                 if rejoined {
                     OK
                 } else {
-                    (StatusCode::CONFLICT, "the proxy is shutting down")
+                    (StatusCode::CONFLICT, "the process ends")
                 }
             }
             (_, "/api/ready" | "/api/exclude" | "/api/include" | "/api/evacuate" | "/api/rejoin") => {
-                (StatusCode::METHOD_NOT_ALLOWED, "expected GET for ready, PUT for all other calls")
+                (StatusCode::METHOD_NOT_ALLOWED, "expected GET for ready, PUT for what changes something")
             }
             _ => (StatusCode::NOT_FOUND, "no such call"),
         }
@@ -148,11 +148,11 @@
                 });
                 OK
             }
-            Ok(CommandOutcome::UnknownBackend) => (StatusCode::NOT_FOUND, "no list contained that backend"),
+            Ok(CommandOutcome::UnknownBackend) => (StatusCode::NOT_FOUND, "no list has named that backend"),
             Ok(CommandOutcome::LimitReached) => {
-                (StatusCode::INSUFFICIENT_STORAGE, "too many backends are excluded")
+                (StatusCode::INSUFFICIENT_STORAGE, "too many backends are out")
             }
-            Err(_) => (StatusCode::SERVICE_UNAVAILABLE, "the proxy is shutting down"),
+            Err(_) => (StatusCode::SERVICE_UNAVAILABLE, "the proxy ends"),
         }
     }
 }
